--- a/src/crankhinge/agent/_adapters.py
+++ b/src/crankhinge/agent/_adapters.py
@@ -63,7 +63,7 @@
         """Take over what the bundle wants of this engine."""
         models = [m for m in bundle.models if self._pool in (*m.prefill, *m.decode)]
         self._wanted = {adapter.name: adapter for model in models for adapter in model.adapters}
-        pool = bundle.pool(self._pool)
+        pool = bundle.find_pool(self._pool)
         self._width = pool.rolling if pool else 1
 
     async def run(self) -> None:
--- a/src/crankhinge/agent/_agent.py
+++ b/src/crankhinge/agent/_agent.py
@@ -13,7 +13,7 @@
 from crankhinge.agent._settings import AgentSettings
 from crankhinge.config import BundleKeeper
 from crankhinge.errors import LinkClosed, WireError
-from crankhinge.peers import Beater, BundleSpread, Roster
+from crankhinge.peers import BundlePropagator, HeartbeatSender, InstanceListCache
 from crankhinge.runtime import Supervisor, serve_tcp
 from crankhinge.wire import (
     WIRE_VERSION,
@@ -54,8 +54,8 @@
         settings: AgentSettings,
         role: Role,
         kv: KeyValue,
-        roster: Roster,
-        spread: BundleSpread,
+        roster: InstanceListCache,
+        spread: BundlePropagator,
         keeper: BundleKeeper,
         incarnation: int,
         log: Any,
@@ -68,8 +68,8 @@
         self._roster = roster
         self._incarnation = incarnation
         self._log = log
-        self._beater = Beater(settings.beat_s, self._make_beat)
-        role.on_health = self._beater.beat_soon
+        self._beater = HeartbeatSender(settings.beat_s, self._make_beat)
+        role.on_health = self._beater.send_now
         self._fence = FenceDesk(
             me=settings.name,
             writer=incarnation,
@@ -144,26 +144,26 @@
         try:
             if is_agent:
                 await self._fence.linked(link)
-            await self._spread.linked(link)
+            await self._spread.add_link(link)
             if self._adapters is not None and not is_agent:
                 await link.send(Serves(self._adapters.served))
-            await self._beater.beat_soon()
+            await self._beater.send_now()
             await link.run(self._handle)
         except (WireError, LinkClosed) as exc:
             self._log.warning("link_broken", peer=link.peer.name, code=exc.code, why=exc.detail)
         finally:
             link.closed = True
             self._beater.links.discard(link)
-            self._spread.unlinked(link)
+            self._spread.remove_link(link)
             if is_agent:
                 await self._fence.unlinked(link)
             await self._role.forget(link)
 
     async def _handle(self, link: Link, msg: Message) -> None:
-        if await self._spread.handle(link, msg):
+        if await self._spread.handle_message(link, msg):
             return
         if isinstance(msg, GetInstances):
-            await link.send(InstancesAre(tuple(_row_of(i) for i in self._roster.known)))
+            await link.send(InstancesAre(tuple(_row_of(i) for i in self._roster.instances)))
             return
         if not await self._fence.handle(link, msg):
             await self._role.handle(link, msg)
@@ -172,7 +172,7 @@
         """Take no new work and return once nothing is in progress, or after ``drain_s``."""
         self._log.info("draining")
         self._role.close()
-        await self._beater.beat_soon()
+        await self._beater.send_now()
         await curio.ignore_after(self._settings.drain_s, self._wait_idle)
         self._log.info("drained", open=self._role.open)
 
--- a/src/crankhinge/agent/_decode.py
+++ b/src/crankhinge/agent/_decode.py
@@ -126,7 +126,7 @@
             await self.refuse(link, msg.req, BACKEND_DOWN)
             return
         now = await curio.clock()
-        weights = self.keeper.weights(msg.member)
+        weights = self.keeper.fair_share_weights(msg.member)
         ask = SlotAsk(
             req=msg.req,
             partner=weights.partner,
@@ -135,7 +135,7 @@
             deadline=now + msg.within,
             lead=msg.lead,
             max_tokens=msg.max_tokens,
-            weight=weights.member,
+            weight=weights.member_weight,
             partner_weight=weights.partner_weight,
         )
         self.own(msg.req, link)
--- a/src/crankhinge/agent/_fence_desk.py
+++ b/src/crankhinge/agent/_fence_desk.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from crankhinge.adapters import KeyValue, Value
-from crankhinge.config import Bundle, fence_range
+from crankhinge.config import Bundle, fence_range_id
 from crankhinge.decisions import (
     FenceAction,
     FencePair,
@@ -24,7 +24,7 @@
     SwapRecord,
 )
 from crankhinge.errors import KeyValueUnavailable, LinkClosed, WireError
-from crankhinge.peers import Roster
+from crankhinge.peers import InstanceListCache
 from crankhinge.runtime import wall_ms
 from crankhinge.wire import (
     FenceJoined,
@@ -70,7 +70,7 @@
         me: str,
         writer: int,
         kv: KeyValue,
-        roster: Roster,
+        roster: InstanceListCache,
         make_hello: Callable[[], Any],
         run_link: OnLink,
         log: Any,
@@ -94,7 +94,7 @@
             for number, (first, second) in enumerate(pool.fence):
                 if self._me in (first, second):
                     other = second if self._me == first else first
-                    wanted[fence_range(pool.name, number, (first, second))] = other
+                    wanted[fence_range_id(pool.name, number, (first, second))] = other
         for range_id in [known for known in self._pairs if known not in wanted]:
             del self._pairs[range_id]
         for range_id, other in wanted.items():
@@ -132,7 +132,7 @@
                     await self._run_link(link)
             except (LinkClosed, WireError) as exc:
                 self._log.info("fence_link_failed", agent=name, code=exc.code, why=exc.detail)
-            pause = DIAL_PAUSE_S if self._roster.known else FIRST_PAUSE_S
+            pause = DIAL_PAUSE_S if self._roster.instances else FIRST_PAUSE_S
             await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
 
     async def linked(self, link: Link) -> None:
--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -21,7 +21,7 @@
 from crankhinge.agent._settings import AgentSettings
 from crankhinge.config import Bundle, BundleKeeper
 from crankhinge.decisions import SlotTable, WorkQueue, mechanisms
-from crankhinge.peers import BundleSpread, Roster, parse_endpoint
+from crankhinge.peers import BundlePropagator, InstanceListCache, parse_endpoint
 from crankhinge.runtime import Metrics, run_process, until_first
 
 PROGRAM = "crankhinge-agent"
@@ -45,7 +45,7 @@
 
 def apply_bundle(role: Role, pool_name: str, bundle: Bundle) -> None:
     """Pass what a new bundle says of the agent's pool to its role."""
-    pool = bundle.pool(pool_name)
+    pool = bundle.find_pool(pool_name)
     if pool is not None:
         role.apply(pool)
 
@@ -67,13 +67,13 @@
         role=role,
         engine=engine,
         kv=kv,
-        roster=Roster(
+        roster=InstanceListCache(
             ConsulInstanceList(*parse_endpoint(settings.instances)),
-            list_s=settings.list_s,
+            refresh_interval_s=settings.list_s,
             log=log,
             rng=rng,
         ),
-        spread=BundleSpread(keeper, kv, log, watch_s=settings.watch_s, rng=rng),
+        spread=BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng),
         keeper=keeper,
         incarnation=time.time_ns(),
         log=log,
--- a/src/crankhinge/agent/_queued.py
+++ b/src/crankhinge/agent/_queued.py
@@ -63,7 +63,7 @@
             await self.refuse(link, req, BACKEND_DOWN)
             return
         now = await curio.clock()
-        weights = self.keeper.weights(member)
+        weights = self.keeper.fair_share_weights(member)
         ask = WorkAsk(
             req=req,
             partner=weights.partner,
@@ -71,7 +71,7 @@
             rank=rank,
             deadline=now + within,
             units=units,
-            weight=weights.member,
+            weight=weights.member_weight,
             partner_weight=weights.partner_weight,
         )
         refusal = self._queue.ask(ask, now)
--- a/src/crankhinge/burn/__init__.py
+++ b/src/crankhinge/burn/__init__.py
@@ -1,21 +1,21 @@
 """The report on service-level burn and the callers' account, made from the programs' logs."""
 
-from crankhinge.burn._callers import (
-    CallersAccount,
+from crankhinge.burn._caller_value import (
+    CallerOutcome,
+    CallerValue,
+    CallerValueReport,
     CallerWeights,
-    Outcome,
-    Tally,
-    callers_account,
-    read_tries,
+    compute_caller_value,
+    read_caller_attempts,
 )
-from crankhinge.burn._read import parse_line
+from crankhinge.burn._log_events import parse_line
 
 __all__ = [
+    "CallerOutcome",
+    "CallerValue",
+    "CallerValueReport",
     "CallerWeights",
-    "CallersAccount",
-    "Outcome",
-    "Tally",
-    "callers_account",
+    "compute_caller_value",
     "parse_line",
-    "read_tries",
+    "read_caller_attempts",
 ]
--- a/src/crankhinge/burn/_budget.py
+++ b/src/crankhinge/burn/_budget.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from crankhinge.burn._read import RequestEvent
+from crankhinge.burn._log_events import RequestEvent
 from crankhinge.config import Bundle, Model
 
 WINDOWS_S = {"5m": 300.0, "30m": 1800.0, "1h": 3600.0, "6h": 21_600.0}
--- a/src/crankhinge/burn/_callers.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from crankhinge.burn._read import parse_line
+from crankhinge.burn._log_events import parse_line
 from crankhinge.decisions import FIRSTS_LEAST, FIRSTS_PART, HELD_PER_S, LATE_WORTH, RETURNED_PART
 from crankhinge.errors import SettingsError
 
@@ -63,103 +63,109 @@
     kinds: dict[str, float] = {}
 
 
-class Outcome(enum.Enum):
+class CallerOutcome(enum.Enum):
     """How a try ended for its caller."""
 
     IN_TIME = "in time"
     LATE = "late"
-    REFUSED_AT_ONCE = "refused at once"
-    REFUSED_LATER = "refused after a wait"
+    REFUSED_IMMEDIATELY = "refused at once"
+    REFUSED_AFTER_WAIT = "refused after a wait"
     FAILED = "failed"
-    LEFT = "left by its caller"
+    ABANDONED = "left by its caller"
 
     @property
-    def served(self) -> bool:
+    def is_served(self) -> bool:
         """Whether the caller got its answer."""
-        return self in (Outcome.IN_TIME, Outcome.LATE)
+        return self in (CallerOutcome.IN_TIME, CallerOutcome.LATE)
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class CallerAttempt:
     """One request as a gateway saw it end.
 
     Attributes:
-        at: seconds since the epoch when it began.
+        started_at: seconds since the epoch when it began.
         route: its route's name.
-        kind: of its route.
-        within_ms: how long its caller waited at most.
-        took_ms: how long it was in the gateway's hands.
+        route_kind: of its route.
+        max_wait_ms: how long its caller waited at most.
+        duration_ms: how long it was in the gateway's hands.
         size: prompt and weighed answer, in tokens; 0 for a plain request.
         outcome: how it ended.
-        needless: whether it was refused although nobody was asked for room.
-        kept: whether earlier requests came on its connection.
+        refused_without_query: whether it was refused although nobody was asked for room.
+        on_reused_connection: whether earlier requests came on its connection.
     """
 
-    at: float
+    started_at: float
     route: str
-    kind: str
-    within_ms: float
-    took_ms: float
+    route_kind: str
+    max_wait_ms: float
+    duration_ms: float
     size: float
-    outcome: Outcome
-    needless: bool
-    kept: bool = False
+    outcome: CallerOutcome
+    refused_without_query: bool
+    on_reused_connection: bool = False
 
 
 @dataclass
-class Tally:
+class CallerValue:
     """The callers' account of some requests.
 
     Attributes:
-        firsts: first tries by outcome.
-        returns: the same for returns.
-        held_s: seconds that requests were held and then not served.
-        owed: worth of all first tries, had they been in time.
-        earned: worth of what was served.
-        costs: worth of seconds held in vain, failed returns and needless refusals.
+        first_attempts: first tries by outcome.
+        retries: the same for returns.
+        wasted_hold_s: seconds that requests were held and then not served.
+        potential_value: worth of all first tries, had they been in time.
+        earned_value: worth of what was served.
+        cost: worth of seconds held in vain, failed returns and needless refusals.
     """
 
-    firsts: dict[Outcome, int] = field(default_factory=lambda: dict.fromkeys(Outcome, 0))
-    returns: dict[Outcome, int] = field(default_factory=lambda: dict.fromkeys(Outcome, 0))
-    held_s: float = 0.0
-    owed: float = 0.0
-    earned: float = 0.0
-    costs: float = 0.0
+    first_attempts: dict[CallerOutcome, int] = field(
+        default_factory=lambda: dict.fromkeys(CallerOutcome, 0)
+    )
+    retries: dict[CallerOutcome, int] = field(
+        default_factory=lambda: dict.fromkeys(CallerOutcome, 0)
+    )
+    wasted_hold_s: float = 0.0
+    potential_value: float = 0.0
+    earned_value: float = 0.0
+    cost: float = 0.0
 
     @property
-    def worth(self) -> float:
+    def relative_value(self) -> float:
         """Return the callers' worth as a part of what was owed."""
-        return (self.earned - self.costs) / self.owed if self.owed else 0.0
+        return (
+            (self.earned_value - self.cost) / self.potential_value if self.potential_value else 0.0
+        )
 
 
 @dataclass
-class CallersAccount:
+class CallerValueReport:
     """The whole account.
 
     Attributes:
-        whole: of all requests.
+        total: of all requests.
         routes: by route.
         windows: by number of the window since the first request.
         window_s: length of a window, in seconds.
     """
 
-    whole: Tally
-    routes: dict[str, Tally]
-    windows: dict[int, Tally]
+    total: CallerValue
+    routes: dict[str, CallerValue]
+    windows: dict[int, CallerValue]
     window_s: float
 
 
-def read_tries(paths: Iterable[Path]) -> list[Try]:
+def read_caller_attempts(paths: Iterable[Path]) -> list[CallerAttempt]:
     """Return the requests that ended in gateways' logs, in order of time.
 
     Raises:
         SettingsError: a file can't be read.
     """
     tries = [one for path in paths for one in _read_file(path)]
-    return sorted(tries, key=lambda one: one.at)
+    return sorted(tries, key=lambda one: one.started_at)
 
 
-def _read_file(path: Path) -> Iterator[Try]:
+def _read_file(path: Path) -> Iterator[CallerAttempt]:
     asked: dict[str, bool] = {}
     try:
         with path.open(encoding="utf-8", errors="replace") as file:
@@ -174,36 +180,40 @@
         raise SettingsError(f"{path}: cannot be read: {exc.strerror}") from exc
 
 
-def _try_of(pairs: dict[str, str], *, needless: bool) -> Iterator[Try]:
+def _try_of(pairs: dict[str, str], *, needless: bool) -> Iterator[CallerAttempt]:
     """Give the try that a line tells of; nothing where its figures are none."""
     try:
         took_ms = float(pairs["took_ms"])
-        yield Try(
-            at=datetime.fromisoformat(pairs["ts"]).timestamp() - took_ms / 1000,
+        yield CallerAttempt(
+            started_at=datetime.fromisoformat(pairs["ts"]).timestamp() - took_ms / 1000,
             route=pairs["route"],
-            kind=pairs["kind"],
-            within_ms=float(pairs["within_ms"]),
-            took_ms=took_ms,
+            route_kind=pairs["kind"],
+            max_wait_ms=float(pairs["within_ms"]),
+            duration_ms=took_ms,
             size=float(pairs.get("prompt", 0)) + ANSWER_WEIGHT * float(pairs.get("most", 0)),
             outcome=_outcome_of(pairs, took_ms),
-            needless=needless,
-            kept=pairs.get("kept") == "true",
+            refused_without_query=needless,
+            on_reused_connection=pairs.get("kept") == "true",
         )
     except (KeyError, ValueError):
         return
 
 
-def _outcome_of(pairs: dict[str, str], took_ms: float) -> Outcome:
+def _outcome_of(pairs: dict[str, str], took_ms: float) -> CallerOutcome:
     event = pairs["event"]
     if event == "caller_gone":
         held = took_ms >= HELD_TO_END * float(pairs["within_ms"])
         late = "first_ms" not in pairs and took_ms > float(pairs["target_ms"])
-        return Outcome.FAILED if held or late else Outcome.LEFT
+        return CallerOutcome.FAILED if held or late else CallerOutcome.ABANDONED
     if event == "answered" and pairs.get("status") == "200":
-        return Outcome.IN_TIME if _in_time(pairs, took_ms) else Outcome.LATE
+        return CallerOutcome.IN_TIME if _in_time(pairs, took_ms) else CallerOutcome.LATE
     if event == "request_failed" and pairs.get("status") in ("503", "429"):
-        return Outcome.REFUSED_AT_ONCE if took_ms <= AT_ONCE_MS else Outcome.REFUSED_LATER
-    return Outcome.FAILED
+        return (
+            CallerOutcome.REFUSED_IMMEDIATELY
+            if took_ms <= AT_ONCE_MS
+            else CallerOutcome.REFUSED_AFTER_WAIT
+        )
+    return CallerOutcome.FAILED
 
 
 def _in_time(pairs: dict[str, str], took_ms: float) -> bool:
@@ -212,28 +222,30 @@
     return first_ms <= float(pairs["target_ms"]) and float(pairs.get("gap_ms", 0)) <= pause_ms
 
 
-def callers_account(
-    tries: Iterable[Try], weights: CallerWeights, *, window_s: float
-) -> CallersAccount:
-    """Return the account of *tries*, in windows of *window_s* seconds."""
-    tries = [one for one in tries if one.outcome is not Outcome.LEFT]
-    shortest = _shortest_firsts(tries)
+def compute_caller_value(
+    attempts: Iterable[CallerAttempt], weights: CallerWeights, *, window_s: float
+) -> CallerValueReport:
+    """Return the account of *attempts*, in windows of *window_s* seconds."""
+    attempts = [one for one in attempts if one.outcome is not CallerOutcome.ABANDONED]
+    shortest = _shortest_firsts(attempts)
     sizes: defaultdict[str, list[float]] = defaultdict(list)
-    for one in tries:
+    for one in attempts:
         sizes[one.route].append(one.size)
     means = {route: sum(values) / len(values) for route, values in sizes.items()}
-    account = CallersAccount(Tally(), defaultdict(Tally), defaultdict(Tally), window_s)
-    start = tries[0].at if tries else 0.0
-    for one in tries:
-        worth = weights.kinds.get(one.kind, 1.0) * _size_part(one, means[one.route])
-        returned = not one.kept and one.within_ms < shortest[one.route]
-        window = int((one.at - start) // window_s)
-        for tally in (account.whole, account.routes[one.route], account.windows[window]):
+    account = CallerValueReport(
+        CallerValue(), defaultdict(CallerValue), defaultdict(CallerValue), window_s
+    )
+    start = attempts[0].started_at if attempts else 0.0
+    for one in attempts:
+        worth = weights.kinds.get(one.route_kind, 1.0) * _size_part(one, means[one.route])
+        returned = not one.on_reused_connection and one.max_wait_ms < shortest[one.route]
+        window = int((one.started_at - start) // window_s)
+        for tally in (account.total, account.routes[one.route], account.windows[window]):
             _count(tally, one, worth, weights, returned=returned)
     return account
 
 
-def _shortest_firsts(tries: list[Try]) -> dict[str, float]:
+def _shortest_firsts(tries: list[CallerAttempt]) -> dict[str, float]:
     """Return the wait below which a request of a route was refused before, in milliseconds.
 
     Callers come back on new connections, so requests on kept ones are first tries.
@@ -241,9 +253,9 @@
     waits: defaultdict[str, list[float]] = defaultdict(list)
     firsts: defaultdict[str, list[float]] = defaultdict(list)
     for one in tries:
-        waits[one.route].append(one.within_ms)
-        if one.kept:
-            firsts[one.route].append(one.within_ms)
+        waits[one.route].append(one.max_wait_ms)
+        if one.on_reused_connection:
+            firsts[one.route].append(one.max_wait_ms)
     return {
         route: FIRSTS_PART * min(firsts[route])
         if len(firsts[route]) >= FIRSTS_LEAST
@@ -252,23 +264,27 @@
     }
 
 
-def _size_part(one: Try, mean: float) -> float:
+def _size_part(one: CallerAttempt, mean: float) -> float:
     if mean <= 0:
         return 1.0
     return min(LARGEST, FLAT_PART + (1 - FLAT_PART) * one.size / mean)
 
 
-def _count(tally: Tally, one: Try, worth: float, weights: CallerWeights, *, returned: bool) -> None:
-    (tally.returns if returned else tally.firsts)[one.outcome] += 1
+def _count(
+    tally: CallerValue, one: CallerAttempt, worth: float, weights: CallerWeights, *, returned: bool
+) -> None:
+    (tally.retries if returned else tally.first_attempts)[one.outcome] += 1
     if not returned:
-        tally.owed += worth
-        if one.outcome.served:
-            tally.earned += worth * (1.0 if one.outcome is Outcome.IN_TIME else weights.late)
-    if one.outcome.served:
+        tally.potential_value += worth
+        if one.outcome.is_served:
+            tally.earned_value += worth * (
+                1.0 if one.outcome is CallerOutcome.IN_TIME else weights.late
+            )
+    if one.outcome.is_served:
         return
-    tally.held_s += one.took_ms / 1000
-    tally.costs += worth * weights.held_per_s * one.took_ms / 1000
+    tally.wasted_hold_s += one.duration_ms / 1000
+    tally.cost += worth * weights.held_per_s * one.duration_ms / 1000
     if returned:
-        tally.costs += worth * weights.failed_return
-    if one.needless:
-        tally.costs += worth * weights.needless
+        tally.cost += worth * weights.failed_return
+    if one.refused_without_query:
+        tally.cost += worth * weights.needless
--- a/src/crankhinge/burn/main.py
+++ b/src/crankhinge/burn/main.py
@@ -8,9 +8,9 @@
 
 from crankhinge import __version__
 from crankhinge.burn._budget import make_report
-from crankhinge.burn._read import read_events
+from crankhinge.burn._log_events import read_events
 from crankhinge.burn._render import render_html, render_text
-from crankhinge.config import parse_bundle, read_envelope
+from crankhinge.config import decode_envelope, parse_bundle
 from crankhinge.errors import BundleError, CrankhingeError
 from crankhinge.runtime import write_json
 
@@ -23,7 +23,7 @@
         data = Path(path).read_bytes()
     except OSError as exc:
         raise BundleError(f"{path}: cannot be read: {exc.strerror}") from exc
-    return read_envelope(data).text if data.lstrip().startswith(b"{") else data.decode()
+    return decode_envelope(data).text if data.lstrip().startswith(b"{") else data.decode()
 
 
 def make_parser() -> argparse.ArgumentParser:
--- a/src/crankhinge/config/__init__.py
+++ b/src/crankhinge/config/__init__.py
@@ -10,18 +10,24 @@
     Pool,
     Service,
     Transfer,
-    fence_range,
+    fence_range_id,
     hash_credential,
     parse_bundle,
 )
-from crankhinge.config._envelope import Envelope, open_envelope, read_envelope, seal, sign
-from crankhinge.config._keeper import BundleKeeper, BundleView, TrustedKeys, Weights
-from crankhinge.config._keys import load_private_key, new_key_pair
+from crankhinge.config._envelope import (
+    Envelope,
+    decode_envelope,
+    encode_envelope,
+    sign_envelope,
+    verify_envelope,
+)
+from crankhinge.config._keeper import BundleKeeper, BundleView, FairShareWeights, TrustedKeys
+from crankhinge.config._keys import create_key_pair, load_private_key
 from crankhinge.config._publish import (
     BUNDLE_KEY,
     PublishResult,
     publish,
-    read_current,
+    read_current_envelope,
     read_history,
 )
 
@@ -32,6 +38,7 @@
     "BundleKeeper",
     "BundleView",
     "Envelope",
+    "FairShareWeights",
     "Member",
     "Model",
     "Partner",
@@ -41,17 +48,16 @@
     "Service",
     "Transfer",
     "TrustedKeys",
-    "Weights",
-    "fence_range",
+    "create_key_pair",
+    "decode_envelope",
+    "encode_envelope",
+    "fence_range_id",
     "hash_credential",
     "load_private_key",
-    "new_key_pair",
-    "open_envelope",
     "parse_bundle",
     "publish",
-    "read_current",
-    "read_envelope",
+    "read_current_envelope",
     "read_history",
-    "seal",
-    "sign",
+    "sign_envelope",
+    "verify_envelope",
 ]
--- a/src/crankhinge/config/_bundle.py
+++ b/src/crankhinge/config/_bundle.py
@@ -181,26 +181,26 @@
     policy: Policy = Policy()
     transfer: Transfer = Transfer()
 
-    def model(self, name: str) -> Model | None:
+    def find_model(self, name: str) -> Model | None:
         """Return the model that serves *name*, itself or as an adapter."""
         for model in self.models:
             if name == model.name or any(name == adapter.name for adapter in model.adapters):
                 return model
         return None
 
-    def pool(self, name: str) -> Pool | None:
+    def find_pool(self, name: str) -> Pool | None:
         """Return the pool *name*."""
         return next((pool for pool in self.pools if pool.name == name), None)
 
-    def service(self, path: str) -> Service | None:
+    def find_service(self, path: str) -> Service | None:
         """Return the service with the longest prefix of *path*."""
         fits = [service for service in self.services if path.startswith(service.path)]
         return max(fits, key=lambda service: len(service.path), default=None)
 
 
-def fence_range(pool: str, number: int, holders: tuple[str, str]) -> str:
+def fence_range_id(pool: str, pair_number: int, replicas: tuple[str, str]) -> str:
     """Return the identity of a record: its pool, place and holders."""
-    return f"{pool}/{number}/{holders[0]}+{holders[1]}"
+    return f"{pool}/{pair_number}/{replicas[0]}+{replicas[1]}"
 
 
 def hash_credential(credential: str) -> str:
@@ -265,7 +265,7 @@
     if not names:
         raise BundleError(f"{where}: no {kind} pool")
     for name in names:
-        pool = bundle.pool(name)
+        pool = bundle.find_pool(name)
         if pool is None:
             raise BundleError(f"{where}: no pool {name!r}")
         if pool.kind != kind:
--- a/src/crankhinge/config/_envelope.py
+++ b/src/crankhinge/config/_envelope.py
@@ -27,12 +27,12 @@
     signatures: dict[str, str] = {}
 
 
-def seal(envelope: Envelope) -> bytes:
+def encode_envelope(envelope: Envelope) -> bytes:
     """Return the envelope as JSON."""
     return msgspec.json.encode(envelope)
 
 
-def read_envelope(data: bytes) -> Envelope:
+def decode_envelope(data: bytes) -> Envelope:
     """Return the envelope, its signatures unchecked.
 
     Raises:
@@ -46,13 +46,13 @@
         raise BundleError(f"not an envelope: {exc}") from exc
 
 
-def sign(envelope: Envelope, partner: str, key: SigningKey) -> Envelope:
+def sign_envelope(envelope: Envelope, partner: str, key: SigningKey) -> Envelope:
     """Return the envelope with *partner*'s signature added."""
     signature = key.sign(_CONTEXT + envelope.text.encode()).signature.hex()
     return Envelope(envelope.text, {**envelope.signatures, partner: signature})
 
 
-def open_envelope(data: bytes, keys: Mapping[str, str]) -> Bundle:
+def verify_envelope(data: bytes, keys: Mapping[str, str]) -> Bundle:
     """Check every partner's signature and return the bundle.
 
     Args:
@@ -63,7 +63,7 @@
     Raises:
         BundleError: when it is malformed or a signature is missing or wrong.
     """
-    envelope = read_envelope(data)
+    envelope = decode_envelope(data)
     message = _CONTEXT + envelope.text.encode()
     for partner, key in keys.items():
         _check_signature(partner, key, message, envelope.signatures.get(partner))
--- a/src/crankhinge/config/_keeper.py
+++ b/src/crankhinge/config/_keeper.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass
 
 from crankhinge.config._bundle import Bundle, Member, hash_credential
-from crankhinge.config._envelope import open_envelope
+from crankhinge.config._envelope import verify_envelope
 from crankhinge.errors import NotReady
 
 TrustedKeys = Mapping[str, str]
 
 
 @dataclass(frozen=True)
-class Weights:
+class FairShareWeights:
     """What a fair queue needs to know of a member."""
 
     partner: str
-    member: float
+    member_weight: float
     partner_weight: float
 
 
@@ -30,16 +30,16 @@
         self._by_name = {member.name: member for member in bundle.members}
         self._partners = {partner.name: partner.weight for partner in bundle.partners}
 
-    def member_with(self, credential: str) -> Member | None:
+    def find_member_by_credential(self, credential: str) -> Member | None:
         """Return the member with this bearer credential."""
         return self._by_hash.get(hash_credential(credential))
 
-    def weights(self, member: str) -> Weights:
+    def fair_share_weights(self, member: str) -> FairShareWeights:
         """Return a member's place in the fair queues; an unknown one has weight 1."""
         known = self._by_name.get(member)
         if known is None:
-            return Weights("", 1.0, 1.0)
-        return Weights(known.partner, known.weight, self._partners[known.partner])
+            return FairShareWeights("", 1.0, 1.0)
+        return FairShareWeights(known.partner, known.weight, self._partners[known.partner])
 
 
 class BundleKeeper:
@@ -65,7 +65,7 @@
         """Version in force; 0 without one."""
         return self.view.bundle.version if self.view else 0
 
-    def offer(self, envelope: bytes) -> bool:
+    def install_if_newer(self, envelope: bytes) -> bool:
         """Take the bundle in force if it is newer; returns whether it was.
 
         Raises:
@@ -73,7 +73,7 @@
         """
         if envelope == self.envelope:
             return False
-        bundle = open_envelope(envelope, self._keys)
+        bundle = verify_envelope(envelope, self._keys)
         if bundle.version <= self.version:
             return False
         self.view = BundleView(bundle)
@@ -82,11 +82,11 @@
             listener(bundle)
         return True
 
-    def weights(self, member: str) -> Weights:
+    def fair_share_weights(self, member: str) -> FairShareWeights:
         """Return a member's place in the fair queues."""
-        return self.view.weights(member) if self.view else Weights("", 1.0, 1.0)
+        return self.view.fair_share_weights(member) if self.view else FairShareWeights("", 1.0, 1.0)
 
-    def require(self) -> BundleView:
+    def require_view(self) -> BundleView:
         """Return the bundle in force.
 
         Raises:
--- a/src/crankhinge/config/_keys.py
+++ b/src/crankhinge/config/_keys.py
@@ -17,7 +17,7 @@
 PRIVATE_MODE = 0o600
 
 
-def new_key_pair(path: Path) -> str:
+def create_key_pair(path: Path) -> str:
     """Write a new private key to *path* and return the public key in hex.
 
     Raises:
--- a/src/crankhinge/config/_publish.py
+++ b/src/crankhinge/config/_publish.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from crankhinge.adapters import KeyValue, Value
-from crankhinge.config._envelope import open_envelope
+from crankhinge.config._envelope import verify_envelope
 from crankhinge.config._keeper import TrustedKeys
 from crankhinge.errors import BundleError, KeyValueUnavailable, PublishConflict
 
@@ -31,14 +31,14 @@
 
     Attributes:
         version: its version.
-        resolved: whether the answer to the swap was lost and the outcome read back.
+        confirmed_by_read: whether the answer to the swap was lost and the outcome read back.
     """
 
     version: int
-    resolved: bool
+    confirmed_by_read: bool
 
 
-async def read_current(kv: KeyValue) -> Value | None:
+async def read_current_envelope(kv: KeyValue) -> Value | None:
     """Return the accepted envelope, or None before the first. Raises KeyValueUnavailable."""
     return await kv.get(BUNDLE_KEY)
 
@@ -52,11 +52,11 @@
         KeyValueUnavailable: when it can't be told whether it was accepted; publishing the same
             file again is safe and settles it.
     """
-    bundle = open_envelope(envelope, keys)
-    current = await read_current(kv)
+    bundle = verify_envelope(envelope, keys)
+    current = await read_current_envelope(kv)
     if current is not None and current.data == envelope:
-        return PublishResult(bundle.version, resolved=True)
-    base = open_envelope(current.data, keys).version if current else 0
+        return PublishResult(bundle.version, confirmed_by_read=True)
+    base = verify_envelope(current.data, keys).version if current else 0
     if bundle.version <= base:
         raise PublishConflict(f"version {base} is in force, this file is version {bundle.version}")
     if bundle.version != base + 1:
@@ -72,15 +72,15 @@
     except KeyValueUnavailable:
         return await _read_back(kv, envelope, version)
     if won:
-        return PublishResult(version, resolved=False)
+        return PublishResult(version, confirmed_by_read=False)
     return await _read_back(kv, envelope, version)
 
 
 async def _read_back(kv: KeyValue, envelope: bytes, version: int) -> PublishResult:
     """Tell from the service's state whether our write took effect."""
-    now = await read_current(kv)
+    now = await read_current_envelope(kv)
     if now is not None and now.data == envelope:
-        return PublishResult(version, resolved=True)
+        return PublishResult(version, confirmed_by_read=True)
     raise PublishConflict("another bundle was accepted first; compare it with `bundle diff`")
 
 
--- a/src/crankhinge/ctl/_bundle.py
+++ b/src/crankhinge/ctl/_bundle.py
@@ -13,14 +13,14 @@
 from crankhinge.adapters.consul import ConsulKeyValue
 from crankhinge.config import (
     Envelope,
+    decode_envelope,
+    encode_envelope,
     load_private_key,
-    open_envelope,
     parse_bundle,
-    read_current,
-    read_envelope,
+    read_current_envelope,
     read_history,
-    seal,
-    sign,
+    sign_envelope,
+    verify_envelope,
 )
 from crankhinge.errors import BundleError
 from crankhinge.peers import parse_endpoint
@@ -65,7 +65,7 @@
         raise BundleError(f"{path}: cannot be read: {exc.strerror}") from exc
     try:
         if data.lstrip().startswith(b"{"):
-            return read_envelope(data)
+            return decode_envelope(data)
         return Envelope(data.decode("utf-8"))
     except (BundleError, UnicodeDecodeError) as exc:
         raise BundleError(f"{path}: {exc}") from exc
@@ -92,8 +92,8 @@
     bundle = parse_bundle(envelope.text)
     if args.partner not in {partner.name for partner in bundle.partners}:
         raise BundleError(f"{args.file}: no partner {args.partner!r}")
-    signed = sign(envelope, args.partner, load_private_key(Path(args.key)))
-    Path(args.out).write_bytes(seal(signed))
+    signed = sign_envelope(envelope, args.partner, load_private_key(Path(args.key)))
+    Path(args.out).write_bytes(encode_envelope(signed))
     names = ", ".join(sorted(signed.signatures))
     return f"{args.out}: version {bundle.version}, signed by {names}"
 
@@ -107,14 +107,14 @@
 
 
 async def _current(kv: KeyValue) -> Value | None:
-    return await read_current(kv)
+    return await read_current_envelope(kv)
 
 
 def diff_bundle(args: argparse.Namespace) -> str:
     """Compare a bundle file with the bundle in force."""
     envelope = read_file(args.file)
     current = curio.run(_current, connect(read_settings(args)))
-    old = read_envelope(current.data).text if current else ""
+    old = decode_envelope(current.data).text if current else ""
     diff = text_diff(old, envelope.text, "in force", args.file)
     return diff or "no difference"
 
@@ -125,7 +125,7 @@
     current = curio.run(_current, connect(settings))
     if current is None:
         return "no bundle was accepted yet"
-    bundle = open_envelope(current.data, settings.keys)
+    bundle = verify_envelope(current.data, settings.keys)
     return f"version {bundle.version}, signed by {', '.join(sorted(settings.keys))}"
 
 
--- a/src/crankhinge/ctl/_publish.py
+++ b/src/crankhinge/ctl/_publish.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from crankhinge.config import publish, read_current, read_envelope, seal
+from crankhinge.config import decode_envelope, encode_envelope, publish, read_current_envelope
 from crankhinge.ctl._bundle import connect, read_file, read_settings, text_diff
 from crankhinge.errors import LinkClosed, PublishConflict, WireError
 from crankhinge.peers import parse_endpoint
@@ -22,11 +22,11 @@
     envelope = read_file(args.file)
     kv = connect(settings)
     try:
-        result = curio.run(publish, kv, seal(envelope), settings.keys)
+        result = curio.run(publish, kv, encode_envelope(envelope), settings.keys)
     except PublishConflict as exc:
         raise PublishConflict(_explain(exc, envelope.text, connect(settings))) from exc
-    told = curio.run(_hand_to, settings.seeds, seal(envelope), result.version)
-    note = " (the answer was lost; read back)" if result.resolved else ""
+    told = curio.run(_hand_to, settings.seeds, encode_envelope(envelope), result.version)
+    note = " (the answer was lost; read back)" if result.confirmed_by_read else ""
     line = f"version {result.version} is accepted{note}"
     return f"{line}, handed to {told} agents" if settings.seeds else line
 
@@ -58,7 +58,7 @@
 
 def _explain(exc: PublishConflict, text: str, kv: object) -> str:
     """Say what the other operator's bundle changed; the loser's file is still theirs to rebase."""
-    current = curio.run(read_current, kv)
-    theirs = read_envelope(current.data).text if current else ""
+    current = curio.run(read_current_envelope, kv)
+    theirs = decode_envelope(current.data).text if current else ""
     diff = text_diff(theirs, text, "in force", "yours")
     return f"{exc.detail}\nnothing was written; yours differs from the bundle in force by:\n{diff}"
--- a/src/crankhinge/ctl/main.py
+++ b/src/crankhinge/ctl/main.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from crankhinge import __version__
-from crankhinge.config import new_key_pair
+from crankhinge.config import create_key_pair
 from crankhinge.ctl._bundle import (
     check_bundle,
     diff_bundle,
@@ -37,7 +37,7 @@
 
 
 def _key_new(args: argparse.Namespace) -> str:
-    public = new_key_pair(Path(args.file))
+    public = create_key_pair(Path(args.file))
     return f"private key in {args.file} (mode 0600)\npublic key {public}"
 
 
--- a/src/crankhinge/entry/_ask.py
+++ b/src/crankhinge/entry/_ask.py
@@ -114,7 +114,7 @@
     value = headers.get("authorization", "")
     if not value.lower().startswith(BEARER):
         raise BadCredentials("no bearer credential")
-    member = view.member_with(value[len(BEARER) :].strip())
+    member = view.find_member_by_credential(value[len(BEARER) :].strip())
     if member is None:
         raise BadCredentials("unknown credential")
     return member
@@ -163,7 +163,7 @@
         body = msgspec.convert(whole, _Body)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise RequestError(f"body: {exc}") from exc
-    model = view.bundle.model(body.model)
+    model = view.bundle.find_model(body.model)
     if model is None:
         raise UnknownModel(f"no model {body.model!r}")
     if body.n != 1:
--- a/src/crankhinge/entry/_completion.py
+++ b/src/crankhinge/entry/_completion.py
@@ -78,7 +78,7 @@
     ) -> None:
         """Answer *ask*, with leave if it may not be repeated. Raises as :meth:`_serve` does."""
         policy = view.bundle.policy
-        pool = view.bundle.pool(ask.model.decode[0])
+        pool = view.bundle.find_pool(ask.model.decode[0])
         if ask.terms.repeatable or not ask.terms.key or pool is None:
             progress.keyed = False
             await self._serve(ask, policy, writer, progress)
--- a/src/crankhinge/entry/_entry.py
+++ b/src/crankhinge/entry/_entry.py
@@ -175,7 +175,7 @@
                 await send_error(exchange, exc, outcome=progress.outcome, request_id=ident)
 
     async def _route(self, exchange: Exchange, about: dict[str, Any], progress: Progress) -> None:
-        view = self._keeper.require()
+        view = self._keeper.require_view()
         if self._open > self._settings.max_requests:
             raise Overloaded("this entry is at its limit", retry_after_s=1.0)
         member = authenticate(view, exchange.req.headers)
@@ -245,7 +245,7 @@
         progress: Progress,
     ) -> None:
         req = exchange.req
-        service = view.bundle.service(req.path)
+        service = view.bundle.find_service(req.path)
         if service is None:
             raise UnknownRoute(f"no service takes {req.path}")
         terms = read_terms(req.headers, member)
--- a/src/crankhinge/entry/_fence.py
+++ b/src/crankhinge/entry/_fence.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from crankhinge.config import Pool, fence_range
+from crankhinge.config import Pool, fence_range_id
 from crankhinge.decisions import Answer, Permit, Permitted, Release, Settle, TakenBefore
 from crankhinge.entry._calls import Calls, LinkLost
 from crankhinge.entry._fleet import Fleet
@@ -83,7 +83,7 @@
         holders = pool.fence[number]
         leave = Leave(
             req,
-            fence_range(pool.name, number, holders),
+            fence_range_id(pool.name, number, holders),
             f"{member}/{key}",
             holders,
         )
--- a/src/crankhinge/entry/_fleet.py
+++ b/src/crankhinge/entry/_fleet.py
@@ -15,7 +15,7 @@
 from crankhinge.entry._settings import EntrySettings
 from crankhinge.entry._subset import subset
 from crankhinge.errors import LinkClosed, WireError
-from crankhinge.peers import Beater, BundleSpread, Roster, parse_endpoint
+from crankhinge.peers import BundlePropagator, HeartbeatSender, InstanceListCache, parse_endpoint
 from crankhinge.wire import (
     WIRE_VERSION,
     Beat,
@@ -55,17 +55,17 @@
         self,
         *,
         settings: EntrySettings,
-        roster: Roster,
+        roster: InstanceListCache,
         router: Router,
         calls: Calls,
-        spread: BundleSpread,
+        spread: BundlePropagator,
         keeper: BundleKeeper,
         incarnation: int,
         log: Any,
         rng: random.Random,
     ) -> None:
         self.router = router
-        self.beater = Beater(settings.beat_s, lambda _now: Beat(keeper.version))
+        self.beater = HeartbeatSender(settings.beat_s, lambda _now: Beat(keeper.version))
         self._settings = settings
         self._roster = roster
         self._calls = calls
@@ -117,18 +117,18 @@
     async def run(self) -> None:
         """Follow the list until cancelled. While it can't be read, what is known stays."""
         while True:
-            if not await self._roster.read() and not self._roster.known:
+            if not await self._roster.refresh() and not self._roster.instances:
                 await self._ask_seeds()
-            if self._roster.known:
-                await self._update(self._roster.known)
-            await self._roster.pause()
+            if self._roster.instances:
+                await self._update(self._roster.instances)
+            await self._roster.sleep_until_refresh()
 
     async def _ask_seeds(self) -> None:
         """Have the list, and with it the bundle, from an agent that the settings name."""
         for seed in self._settings.seeds:
             try:
                 link = await connect_link(*parse_endpoint(seed), self._hello())
-                await self._spread.linked(link)
+                await self._spread.add_link(link)
                 await link.send(GetInstances())
                 await curio.ignore_after(SEED_S, link.run, self._handle_seed)
             except (LinkClosed, WireError) as exc:
@@ -136,19 +136,19 @@
                 continue
             finally:
                 self._spread.links -= {link for link in self._spread.links if link.closed}
-            if self._roster.known:
+            if self._roster.instances:
                 return
 
     async def _handle_seed(self, link: Link, msg: Message) -> None:
         if isinstance(msg, InstancesAre):
-            self._roster.known = [
+            self._roster.instances = [
                 Instance(r.name, r.host, r.port, r.zone, r.pool, r.leaving) for r in msg.rows
             ]
             if self._keeper.view is not None:
                 await link.close()
             return
-        await self._spread.handle(link, msg)
-        if self._roster.known and self._keeper.view is not None:
+        await self._spread.handle_message(link, msg)
+        if self._roster.instances and self._keeper.view is not None:
             await link.close()
 
     async def _update(self, listed: list[Instance]) -> None:
@@ -222,7 +222,7 @@
         self._links[name] = link
         self.beater.links.add(link)
         try:
-            await self._spread.linked(link)
+            await self._spread.add_link(link)
             await link.run(self._handle)
         finally:
             link.closed = True
@@ -248,7 +248,7 @@
 
     async def _unlink(self, name: str, link: Link) -> None:
         self.beater.links.discard(link)
-        self._spread.unlinked(link)
+        self._spread.remove_link(link)
         if self._links.get(name) is link:
             del self._links[name]
         backend = self.router.backends.get(name)
@@ -258,7 +258,7 @@
         await self._calls.fail(link)
 
     async def _handle(self, link: Link, msg: Message) -> None:
-        if await self._spread.handle(link, msg):
+        if await self._spread.handle_message(link, msg):
             return
         if isinstance(msg, Serves):
             self.router.backends[link.peer.name].serves = frozenset(msg.names)
--- a/src/crankhinge/entry/_plain.py
+++ b/src/crankhinge/entry/_plain.py
@@ -80,7 +80,7 @@
         if repeatable or not terms.key:
             progress.keyed = False
             return await self._send(req, member, service, terms, repeatable, progress)
-        pool = view.bundle.pool(service.pool)
+        pool = view.bundle.find_pool(service.pool)
         if pool is None:
             raise NoBackend(f"no pool {service.pool}")
         digest = digest_of(req.method, req.target, req.body)
--- a/src/crankhinge/entry/_program.py
+++ b/src/crankhinge/entry/_program.py
@@ -21,7 +21,7 @@
 from crankhinge.entry._plain import PlainCalls
 from crankhinge.entry._progress import RequestIds
 from crankhinge.entry._settings import EntrySettings
-from crankhinge.peers import BundleSpread, Roster, parse_endpoint
+from crankhinge.peers import BundlePropagator, InstanceListCache, parse_endpoint
 from crankhinge.runtime import Metrics, Supervisor, run_process, until_first
 
 PROGRAM = "crankhinge-entry"
@@ -35,15 +35,15 @@
     keeper = BundleKeeper(settings.keys)
     metrics = Metrics(prefix=f"crankhinge.entry.{settings.name}", address=settings.statsd)
     kv = ConsulKeyValue(*parse_endpoint(settings.key_value))
-    spread = BundleSpread(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
+    spread = BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
     ids = RequestIds(secrets.randbits(64))
     calls = Calls(settings.buffer_tokens)
     weights = RoutingWeights(zone=settings.zone, beat_s=settings.beat_s)
     fleet = Fleet(
         settings=settings,
-        roster=Roster(
+        roster=InstanceListCache(
             ConsulInstanceList(*parse_endpoint(settings.instances)),
-            list_s=settings.list_s,
+            refresh_interval_s=settings.list_s,
             log=log,
             rng=rng,
         ),
--- a/src/crankhinge/peers/_beats.py
+++ b/src/crankhinge/peers/_heartbeats.py
@@ -13,7 +13,7 @@
 PAUSE_BEATS = 3.0
 
 
-class Beater:
+class HeartbeatSender:
     """Sends one heartbeat per period to each link.
 
     A peer that is paused keeps its connections open but falls silent: its links are closed, and
@@ -21,13 +21,13 @@
 
     Args:
         beat_s: seconds between heartbeats.
-        make: makes the heartbeat.
+        make_heartbeat: makes the heartbeat.
     """
 
-    def __init__(self, beat_s: float, make: Callable[[float], Beat]) -> None:
+    def __init__(self, beat_s: float, make_heartbeat: Callable[[float], Beat]) -> None:
         self.links: set[Link] = set()
         self._beat_s = beat_s
-        self._make = make
+        self._make = make_heartbeat
         self._wake = curio.Event()
 
     async def run(self) -> None:
@@ -42,7 +42,7 @@
             last = now
             await self._beat(now)
 
-    async def beat_soon(self) -> None:
+    async def send_now(self) -> None:
         """Send the next heartbeat at once: the load has changed its kind."""
         await self._wake.set()
 
--- a/src/crankhinge/peers/_roster.py
+++ b/src/crankhinge/peers/_instance_list.py
@@ -14,45 +14,49 @@
 SPREAD = (0.8, 1.2)
 
 
-class Roster:
+class InstanceListCache:
     """Reads the list now and then and keeps it while it can't be read.
 
     Args:
-        instances: the platform's list.
-        list_s: seconds between readings.
+        source: the platform's list.
+        refresh_interval_s: seconds between readings.
         log: for events.
         rng: spreads the readings of a fleet.
     """
 
     def __init__(
-        self, instances: InstanceList, *, list_s: float, log: Any, rng: random.Random
+        self, source: InstanceList, *, refresh_interval_s: float, log: Any, rng: random.Random
     ) -> None:
-        self.known: list[Instance] = []
-        self._instances = instances
-        self._list_s = list_s
+        self.instances: list[Instance] = []
+        self._source = source
+        self._refresh_interval_s = refresh_interval_s
         self._log = log
         self._rng = rng
 
     async def run(self) -> None:
         """Read until cancelled."""
         while True:
-            await self.read()
-            await self.pause()
+            await self.refresh()
+            await self.sleep_until_refresh()
 
-    async def read(self) -> bool:
+    async def refresh(self) -> bool:
         """Read the list once; returns whether it could be read."""
         try:
-            self.known = await self._instances.agents()
+            self.instances = await self._source.agents()
         except KeyValueUnavailable as exc:
             self._log.warning("list_unavailable", why=exc.detail)
             return False
         return True
 
-    async def pause(self) -> None:
+    async def sleep_until_refresh(self) -> None:
         """Wait until the next reading is due; not long while nothing is known."""
-        base = self._list_s if self.known else min(FIRST_PAUSE_S, self._list_s)
+        base = (
+            self._refresh_interval_s
+            if self.instances
+            else min(FIRST_PAUSE_S, self._refresh_interval_s)
+        )
         await curio.sleep(base * self._rng.uniform(*SPREAD))
 
     def find(self, name: str) -> Instance | None:
         """Return an instance by name."""
-        return next((instance for instance in self.known if instance.name == name), None)
+        return next((instance for instance in self.instances if instance.name == name), None)
--- a/src/crankhinge/peers/_spread.py
+++ b/src/crankhinge/peers/_propagation.py
@@ -24,7 +24,7 @@
 EARLY_PAUSE_S = 0.5
 
 
-class BundleSpread:
+class BundlePropagator:
     """Keeps the bundle of one process up to date.
 
     Args:
@@ -67,17 +67,17 @@
                 # A service that answers a watch too early must not be asked in a tight loop.
                 await curio.sleep(EARLY_PAUSE_S)
             index = value.index
-            await self.offer(value.data, source="key-value")
+            await self.receive_bundle(value.data, source="key-value")
 
     async def _read(self, index: int) -> Any:
         if index == 0:
             return await self._kv.get(BUNDLE_KEY)
         return await self._kv.watch(BUNDLE_KEY, index, self._watch_s)
 
-    async def offer(self, envelope: bytes, *, source: str) -> None:
+    async def receive_bundle(self, envelope: bytes, *, source: str) -> None:
         """Take a bundle in force if it is newer and signed, and pass it on."""
         try:
-            newer = self.keeper.offer(envelope)
+            newer = self.keeper.install_if_newer(envelope)
         except BundleError as exc:
             self._log.error("bundle_refused", source=source, why=exc.detail)
             return
@@ -94,22 +94,22 @@
         link.bundle = self.keeper.version
         await send_if_open(link, BundleIs(self.keeper.envelope))
 
-    async def linked(self, link: Link) -> None:
+    async def add_link(self, link: Link) -> None:
         """Note a new link."""
         self.links.add(link)
         await self._compare(link, link.peer.bundle)
 
-    def unlinked(self, link: Link) -> None:
+    def remove_link(self, link: Link) -> None:
         """Note the end of a link."""
         self.links.discard(link)
 
-    async def handle(self, link: Link, msg: Message) -> bool:
+    async def handle_message(self, link: Link, msg: Message) -> bool:
         """Act on a message; returns whether it was one about bundles alone."""
         if isinstance(msg, Beat):
             await self._compare(link, msg.bundle)
             return False
         if isinstance(msg, BundleIs):
-            await self.offer(msg.envelope, source=link.peer.name)
+            await self.receive_bundle(msg.envelope, source=link.peer.name)
             return True
         if isinstance(msg, GetBundle):
             link.bundle = 0
--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -14,11 +14,11 @@
 
 from crankhinge.config import (
     Envelope,
+    create_key_pair,
+    encode_envelope,
     hash_credential,
     load_private_key,
-    new_key_pair,
-    seal,
-    sign,
+    sign_envelope,
 )
 from crankhinge_bench._procs import HOST, POLL_S, READY_S, Procs, free_ports, http_json
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
@@ -101,7 +101,7 @@
 
     def _make_keys(self) -> None:
         for partner in PARTNERS:
-            self._keys[partner] = new_key_pair(self.dir / f"{partner}.key")
+            self._keys[partner] = create_key_pair(self.dir / f"{partner}.key")
 
     def _plan(self) -> None:
         spec = self.spec
@@ -290,8 +290,10 @@
         """Return the bundle signed by both partners."""
         envelope = Envelope(text)
         for partner in self._keys:
-            envelope = sign(envelope, partner, load_private_key(self.dir / f"{partner}.key"))
-        return seal(envelope)
+            envelope = sign_envelope(
+                envelope, partner, load_private_key(self.dir / f"{partner}.key")
+            )
+        return encode_envelope(envelope)
 
     def publish(self, text: str) -> None:
         """Sign and publish a bundle with the operators' command line."""
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -5,7 +5,7 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from crankhinge.burn._read import parse_line
+from crankhinge.burn._log_events import parse_line
 from crankhinge.burn.main import main
 from test_config import TEXT
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -7,11 +7,11 @@
 import pytest
 
 from crankhinge.burn import (
-    CallersAccount,
+    CallerOutcome,
+    CallerValueReport,
     CallerWeights,
-    Outcome,
-    callers_account,
-    read_tries,
+    compute_caller_value,
+    read_caller_attempts,
 )
 from crankhinge.ctl.main import main
 from platform_fakes import World, route
@@ -43,10 +43,12 @@
 BACK = {"within_ms": 11000}
 
 
-def account_of(path: Path, *lines: str, weights: CallerWeights | None = None) -> CallersAccount:
+def account_of(path: Path, *lines: str, weights: CallerWeights | None = None) -> CallerValueReport:
     """Return the account of a log with *lines*."""
     path.write_text("".join(lines))
-    return callers_account(read_tries([path]), weights or CallerWeights(), window_s=2.0)
+    return compute_caller_value(
+        read_caller_attempts([path]), weights or CallerWeights(), window_s=2.0
+    )
 
 
 class TestCallersAccount:
@@ -55,25 +57,25 @@
     @pytest.mark.parametrize(
         ("event", "more", "outcome"),
         [
-            ("answered", ANSWERED, Outcome.IN_TIME),
-            ("answered", {**ANSWERED, "first_ms": 901}, Outcome.LATE),
-            ("answered", {**ANSWERED, "gap_ms": 301}, Outcome.LATE),
-            ("answered", {"status": 500}, Outcome.FAILED),
-            ("request_failed", {**REFUSED, "took_ms": 20}, Outcome.REFUSED_AT_ONCE),
-            ("request_failed", {**REFUSED, "took_ms": 700}, Outcome.REFUSED_LATER),
-            ("request_failed", {"status": 502}, Outcome.FAILED),
-            ("broken_off", {}, Outcome.FAILED),
-            ("caller_gone", {"took_ms": 4000}, Outcome.FAILED),
-            ("caller_gone", {"took_ms": 400}, Outcome.LEFT),
+            ("answered", ANSWERED, CallerOutcome.IN_TIME),
+            ("answered", {**ANSWERED, "first_ms": 901}, CallerOutcome.LATE),
+            ("answered", {**ANSWERED, "gap_ms": 301}, CallerOutcome.LATE),
+            ("answered", {"status": 500}, CallerOutcome.FAILED),
+            ("request_failed", {**REFUSED, "took_ms": 20}, CallerOutcome.REFUSED_IMMEDIATELY),
+            ("request_failed", {**REFUSED, "took_ms": 700}, CallerOutcome.REFUSED_AFTER_WAIT),
+            ("request_failed", {"status": 502}, CallerOutcome.FAILED),
+            ("broken_off", {}, CallerOutcome.FAILED),
+            ("caller_gone", {"took_ms": 4000}, CallerOutcome.FAILED),
+            ("caller_gone", {"took_ms": 400}, CallerOutcome.ABANDONED),
         ],
     )
     def test_tells_how_a_try_ended(
-        self, tmp_path: Path, event: str, more: dict[str, object], outcome: Outcome
+        self, tmp_path: Path, event: str, more: dict[str, object], outcome: CallerOutcome
     ) -> None:
         """By the event, the status and the times on its line."""
         path = tmp_path / "log"
         path.write_text(line(event, "a", 1, **more))
-        assert [one.outcome for one in read_tries([path])] == [outcome]
+        assert [one.outcome for one in read_caller_attempts([path])] == [outcome]
 
     def test_a_return_that_is_served_earns_nothing(self, tmp_path: Path) -> None:
         """The refused first try stays a refused one; a failed return costs besides."""
@@ -82,16 +84,16 @@
         again = account_of(
             tmp_path / "b", refused, line("request_failed", "b", 5, **REFUSED, **BACK, took_ms=0)
         )
-        assert served.whole.worth == pytest.approx(0.0)
-        assert served.whole.returns[Outcome.IN_TIME] == 1
-        assert again.whole.worth == pytest.approx(-CallerWeights().failed_return)
+        assert served.total.relative_value == pytest.approx(0.0)
+        assert served.total.retries[CallerOutcome.IN_TIME] == 1
+        assert again.total.relative_value == pytest.approx(-CallerWeights().failed_return)
 
     def test_seconds_held_in_vain_cost_without_steps(self, tmp_path: Path) -> None:
         """Twice as long costs twice as much, and what is served costs nothing for its wait."""
         costs = [
             account_of(
                 tmp_path / "a", line("request_failed", "a", 9, **REFUSED, took_ms=took)
-            ).whole.costs
+            ).total.cost
             for took in (0, 1500, 3000)
         ]
         assert costs[0] == 0
@@ -99,7 +101,7 @@
         late = account_of(
             tmp_path / "b", line("answered", "a", 9, status=200, first_ms=3000, took_ms=5000)
         )
-        assert late.whole.worth == pytest.approx(CallerWeights().late)
+        assert late.total.relative_value == pytest.approx(CallerWeights().late)
 
     def test_a_refusal_without_asking_anybody_is_needless(self, tmp_path: Path) -> None:
         """Unless others waited before it."""
@@ -107,7 +109,7 @@
         for asked, ahead, needless in ((0, 0, 1), (0, 2, 0), (3, 0, 0)):
             place = f"event=place_refused request=a asked={asked} ahead={ahead}\n"
             account = account_of(tmp_path / "a", place, end)
-            assert account.whole.costs == pytest.approx(needless * CallerWeights().needless)
+            assert account.total.cost == pytest.approx(needless * CallerWeights().needless)
 
     def test_large_requests_and_dear_kinds_weigh_more(self, tmp_path: Path) -> None:
         """A request of thrice the size of another, and a kind worth thirty of another."""
@@ -116,8 +118,8 @@
         plain = line("request_failed", "c", 1, **REFUSED, took_ms=0, kind="once", route="p", most=0)
         weights = CallerWeights(kinds={"stream": 30.0})
         account = account_of(tmp_path / "a", large, small, plain, weights=weights)
-        assert account.routes["r"].worth == pytest.approx((0.3 + 0.7 * 1.5) / 2)
-        assert account.whole.owed == pytest.approx(61.0)
+        assert account.routes["r"].relative_value == pytest.approx((0.3 + 0.7 * 1.5) / 2)
+        assert account.total.potential_value == pytest.approx(61.0)
 
     def test_windows_begin_when_requests_do(self, tmp_path: Path) -> None:
         """One that began in the first window and ended in a later one belongs to the first."""
@@ -126,7 +128,10 @@
             line("answered", "a", 5, **ANSWERED, took_ms=5000),
             line("request_failed", "b", 4, **REFUSED, took_ms=0),
         )
-        assert {number: tally.worth for number, tally in account.windows.items()} == {0: 1, 2: 0}
+        assert {number: tally.relative_value for number, tally in account.windows.items()} == {
+            0: 1,
+            2: 0,
+        }
 
 
 class TestCommand:
@@ -183,5 +188,5 @@
         new = line("answered", "n", 9, **ANSWERED, within_ms=12100, kept="false")
         back = line("answered", "b", 10, **ANSWERED, within_ms=9000, kept="false")
         account = account_of(tmp_path / "log", *kept, new, back)
-        assert account.whole.firsts[Outcome.IN_TIME] == 9
-        assert account.whole.returns[Outcome.IN_TIME] == 1
+        assert account.total.first_attempts[CallerOutcome.IN_TIME] == 9
+        assert account.total.retries[CallerOutcome.IN_TIME] == 1
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,14 +12,14 @@
     BUNDLE_KEY,
     BundleKeeper,
     Envelope,
+    create_key_pair,
+    encode_envelope,
     load_private_key,
-    new_key_pair,
-    open_envelope,
     parse_bundle,
     publish,
     read_history,
-    seal,
-    sign,
+    sign_envelope,
+    verify_envelope,
 )
 from crankhinge.errors import BundleError, KeyFileError, KeyValueUnavailable, PublishConflict
 
@@ -48,7 +48,7 @@
     def __init__(self, path: Path) -> None:
         self.path = path
         self.keys = {
-            name: new_key_pair(path / f"{name}.key") for name in ("timbook", "heating-oil")
+            name: create_key_pair(path / f"{name}.key") for name in ("timbook", "heating-oil")
         }
 
     def envelope(self, version: int, extra: str = "", *, skip: str = "") -> bytes:
@@ -56,8 +56,10 @@
         envelope = Envelope(TEXT.format(version=version) + extra)
         for name in self.keys:
             if name != skip:
-                envelope = sign(envelope, name, load_private_key(self.path / f"{name}.key"))
-        return seal(envelope)
+                envelope = sign_envelope(
+                    envelope, name, load_private_key(self.path / f"{name}.key")
+                )
+        return encode_envelope(envelope)
 
 
 @pytest.fixture
@@ -130,7 +132,7 @@
     def test_garbage_is_a_typed_error(self, data: bytes) -> None:
         """Whatever stands in the key-value service, the failure has a type."""
         with pytest.raises(BundleError):
-            open_envelope(data, {"timbook": "0" * 64})
+            verify_envelope(data, {"timbook": "0" * 64})
 
 
 class TestSignatures:
@@ -138,18 +140,18 @@
 
     def test_accepts_both_signatures(self, signers: Signers) -> None:
         """A bundle signed by both opens."""
-        assert open_envelope(signers.envelope(3), signers.keys).version == 3
+        assert verify_envelope(signers.envelope(3), signers.keys).version == 3
 
     def test_refuses_a_missing_signature(self, signers: Signers) -> None:
         """A bundle that one partner has not signed is refused."""
         with pytest.raises(BundleError, match="not signed by timbook"):
-            open_envelope(signers.envelope(3, skip="timbook"), signers.keys)
+            verify_envelope(signers.envelope(3, skip="timbook"), signers.keys)
 
     def test_refuses_a_changed_text(self, signers: Signers) -> None:
         """A bundle changed after it was signed is refused."""
         changed = signers.envelope(3).replace(b"version = 3", b"version = 4")
         with pytest.raises(BundleError, match="wrong"):
-            open_envelope(changed, signers.keys)
+            verify_envelope(changed, signers.keys)
 
     def test_private_keys_are_private(self, signers: Signers) -> None:
         """A key file is made with mode 0600, and one that others can read is refused."""
@@ -166,17 +168,17 @@
     def test_never_goes_back(self, signers: Signers) -> None:
         """An older or equal version changes nothing."""
         keeper = BundleKeeper(signers.keys)
-        assert keeper.offer(signers.envelope(5))
-        assert not keeper.offer(signers.envelope(4))
-        assert not keeper.offer(signers.envelope(5, "\n[policy]\npatience = 3.0\n"))
+        assert keeper.install_if_newer(signers.envelope(5))
+        assert not keeper.install_if_newer(signers.envelope(4))
+        assert not keeper.install_if_newer(signers.envelope(5, "\n[policy]\npatience = 3.0\n"))
         assert keeper.version == 5
 
     def test_an_unsigned_bundle_changes_nothing(self, signers: Signers) -> None:
         """A newer bundle that isn't signed is refused and the old one stays."""
         keeper = BundleKeeper(signers.keys)
-        keeper.offer(signers.envelope(5))
+        keeper.install_if_newer(signers.envelope(5))
         with pytest.raises(BundleError):
-            keeper.offer(signers.envelope(6, skip="heating-oil"))
+            keeper.install_if_newer(signers.envelope(6, skip="heating-oil"))
         assert keeper.version == 5
 
 
@@ -204,13 +206,13 @@
         kv = MemoryKeyValue()
         kv.lose_answers = True
         result = curio.run(publish, kv, signers.envelope(1), signers.keys)
-        assert result.resolved
+        assert result.confirmed_by_read
 
     def test_publishing_again_is_safe(self, signers: Signers) -> None:
         """The same file a second time is accepted as done."""
         kv = MemoryKeyValue()
         curio.run(publish, kv, signers.envelope(1), signers.keys)
-        assert curio.run(publish, kv, signers.envelope(1), signers.keys).resolved
+        assert curio.run(publish, kv, signers.envelope(1), signers.keys).confirmed_by_read
         assert [row.version for row in curio.run(read_history, kv)] == [1]
 
     def test_an_outage_is_not_guessed(self, signers: Signers) -> None:
--- a/tests/test_spread.py
+++ b/tests/test_propagation.py
@@ -9,7 +9,7 @@
 import pytest
 
 from crankhinge.config import BUNDLE_KEY, BundleKeeper
-from crankhinge.peers import BundleSpread
+from crankhinge.peers import BundlePropagator
 from crankhinge.runtime import get_log
 from crankhinge.wire import Beat, Hello
 from test_config import MemoryKeyValue, Signers
@@ -26,7 +26,7 @@
         self.keeper = BundleKeeper(keys)
         log = get_log(program=f"n{number}", stream=io.StringIO())
         rng = random.Random(number)
-        self.spread = BundleSpread(self.keeper, kv, log, watch_s=1.0, rng=rng)
+        self.spread = BundlePropagator(self.keeper, kv, log, watch_s=1.0, rng=rng)
         self.seen: list[int] = []
         self.keeper.listeners.append(lambda bundle: self.seen.append(bundle.version))
 
@@ -45,7 +45,7 @@
         """Deliver a message."""
         if not self.closed:
             await curio.sleep(0.001)
-            await self._to.spread.handle(self.back, msg)
+            await self._to.spread.handle_message(self.back, msg)
 
 
 class Net:
@@ -61,16 +61,16 @@
         back = FakeLink(self.nodes[a], self.nodes[a].keeper.version)
         there.back, back.back = back, there
         self.links.append((a, b, there, back))
-        await self.nodes[a].spread.linked(there)  # type: ignore[arg-type]
-        await self.nodes[b].spread.linked(back)  # type: ignore[arg-type]
+        await self.nodes[a].spread.add_link(there)  # type: ignore[arg-type]
+        await self.nodes[b].spread.add_link(back)  # type: ignore[arg-type]
 
     async def cut(self, side: set[int]) -> None:
         """Cut every link between *side* and the rest."""
         for a, b, there, back in self.links:
             if (a in side) != (b in side):
                 there.closed = back.closed = True
-                self.nodes[a].spread.unlinked(there)  # type: ignore[arg-type]
-                self.nodes[b].spread.unlinked(back)  # type: ignore[arg-type]
+                self.nodes[a].spread.remove_link(there)  # type: ignore[arg-type]
+                self.nodes[b].spread.remove_link(back)  # type: ignore[arg-type]
         self.links = [link for link in self.links if not link[2].closed]
 
     async def join_all(self) -> None:
@@ -103,7 +103,7 @@
             kv.out = True
             net = Net(signers, kv)
             await net.join_all()
-            await net.nodes[5].spread.offer(signers.envelope(1), source="test")
+            await net.nodes[5].spread.receive_bundle(signers.envelope(1), source="test")
             await curio.sleep(1)
             return net.versions()
 
@@ -117,11 +117,11 @@
             kv.out = True
             net = Net(signers, kv)
             await net.join_all()
-            await net.nodes[0].spread.offer(signers.envelope(1), source="test")
+            await net.nodes[0].spread.receive_bundle(signers.envelope(1), source="test")
             west = set(range(COUNT // 2))
             east = set(range(COUNT)) - west
             await net.cut(west)
-            await net.nodes[0].spread.offer(signers.envelope(2), source="test")
+            await net.nodes[0].spread.receive_bundle(signers.envelope(2), source="test")
             await curio.sleep(3600)
             apart = net.versions(west), net.versions(east)
             await net.join(COUNT - 1, 0)
@@ -138,7 +138,7 @@
             kv.write(BUNDLE_KEY, signers.envelope(1))
             net = Net(signers, kv)
             node = net.nodes[0]
-            await node.spread.offer(signers.envelope(2), source="test")
+            await node.spread.receive_bundle(signers.envelope(2), source="test")
             watcher = await curio.spawn(node.spread.watch, daemon=True)
             await curio.ignore_after(3, watcher.wait)
             await watcher.cancel()
@@ -152,12 +152,12 @@
         async def scenario() -> set[int]:
             net = Net(signers, MemoryKeyValue())
             await net.join(0, 1)
-            await net.nodes[0].spread.offer(signers.envelope(3), source="test")
+            await net.nodes[0].spread.receive_bundle(signers.envelope(3), source="test")
             _, _, there, _ = net.links[0]
             net.nodes[1].keeper = BundleKeeper(signers.keys)
             net.nodes[1].spread.keeper = net.nodes[1].keeper
             there.bundle = 0
-            await net.nodes[0].spread.handle(there, Beat(0))  # type: ignore[arg-type]
+            await net.nodes[0].spread.handle_message(there, Beat(0))  # type: ignore[arg-type]
             await curio.sleep(1)
             return net.versions({0, 1})
 
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -6,7 +6,7 @@
 import curio
 import pytest
 
-from crankhinge.peers import Beater
+from crankhinge.peers import HeartbeatSender
 from crankhinge.runtime import RestartLimitReached, Supervisor, get_log
 from crankhinge.wire import Beat
 from virtual_time import run_virtual
@@ -80,7 +80,7 @@
         """A peer that is heard no more for some beats loses its link; a live one keeps it."""
 
         async def scenario() -> tuple[bool, bool, int]:
-            beater = Beater(1.0, lambda _now: Beat(1))
+            beater = HeartbeatSender(1.0, lambda _now: Beat(1))
             silent: Any = FakeLink()
             lively: Any = FakeLink()
             silent.heard = lively.heard = await curio.clock()
@@ -100,7 +100,7 @@
         """A process that was itself paused doesn't blame its peers for the silence."""
 
         async def scenario() -> bool:
-            beater = Beater(1.0, lambda _now: Beat(1))
+            beater = HeartbeatSender(1.0, lambda _now: Beat(1))
             link: Any = FakeLink()
             link.heard = await curio.clock() - 30.0
             beater.links.add(link)
