--- a/src/crankhinge/burn/_budget.py
+++ b/src/crankhinge/burn/_budget.py
@@ -14,13 +14,13 @@
 from crankhinge.config import Bundle, Model
 
 WINDOWS_S = {"5m": 300.0, "30m": 1800.0, "1h": 3600.0, "6h": 21_600.0}
-WHOLE = "whole log"
-NOT_COUNTED = frozenset(
+WHOLE_LOG = "whole log"
+UNCOUNTED_CAUSES = frozenset(
     {"caller-gone", "bad-request", "bad-credentials", "unknown-model", "prompt-too-long"}
 )
 
 
-class Window(msgspec.Struct, kw_only=True):
+class BurnWindow(msgspec.Struct, kw_only=True):
     """One window, ending with the log.
 
     Attributes:
@@ -36,7 +36,7 @@
     burn: float
 
 
-class Budget(msgspec.Struct, kw_only=True):
+class ErrorBudget(msgspec.Struct, kw_only=True):
     """The error budget of one member, model and target.
 
     Attributes:
@@ -57,10 +57,10 @@
     requests: int
     bad: int
     left: float
-    windows: list[Window]
+    windows: list[BurnWindow]
 
 
-class Report(msgspec.Struct, kw_only=True):
+class BurnReport(msgspec.Struct, kw_only=True):
     """The whole report.
 
     Attributes:
@@ -84,42 +84,44 @@
     read_tokens: int
     wasted_tokens: int
     causes: dict[str, int]
-    budgets: list[Budget]
+    budgets: list[ErrorBudget]
     series: list[tuple[int, int]]
 
 
-def _misses(event: RequestEvent, model: Model, target: str) -> bool:
+def _misses_target(event: RequestEvent, model: Model, target: str) -> bool:
     if event.cause:
         return True
     if target == "first token":
-        return event.first_s > model.first_token_s
+        return event.first_token_s > model.first_token_s
     if target == "between tokens":
-        return event.gap_s > model.between_tokens_s
+        return event.between_tokens_s > model.between_tokens_s
     return False
 
 
 TARGETS = ("first token", "between tokens", "answered")
 
 
-def _window(
+def _measure_window(
     name: str, events: list[RequestEvent], model: Model, target: str, since: float
-) -> Window:
-    inside = [event for event in events if event.at >= since]
-    bad = sum(_misses(event, model, target) for event in inside)
+) -> BurnWindow:
+    inside = [event for event in events if event.ended_at >= since]
+    bad = sum(_misses_target(event, model, target) for event in inside)
     share = bad / len(inside) if inside else 0.0
     burn = share / (1.0 - model.objective)
-    return Window(name=name, requests=len(inside), bad=bad, burn=burn)
+    return BurnWindow(name=name, requests=len(inside), bad=bad, burn=burn)
 
 
-def _budget(member: str, model: Model, target: str, events: list[RequestEvent]) -> Budget:
-    begin, end = events[0].at, events[-1].at
-    whole = _window(WHOLE, events, model, target, begin)
+def _measure_budget(
+    member: str, model: Model, target: str, events: list[RequestEvent]
+) -> ErrorBudget:
+    begin, end = events[0].ended_at, events[-1].ended_at
+    whole = _measure_window(WHOLE_LOG, events, model, target, begin)
     windows = [
-        _window(name, events, model, target, end - length)
+        _measure_window(name, events, model, target, end - length)
         for name, length in WINDOWS_S.items()
         if length < end - begin
     ]
-    return Budget(
+    return ErrorBudget(
         member=member,
         model=model.name,
         target=target,
@@ -131,35 +133,35 @@
     )
 
 
-def make_report(bundle: Bundle, events: Iterable[RequestEvent]) -> Report:
+def make_report(bundle: Bundle, events: Iterable[RequestEvent]) -> BurnReport:
     """Return the report on *events* by the objectives of *bundle*."""
     models = {model.name: model for model in bundle.models}
-    counted = [e for e in events if e.model in models and e.cause not in NOT_COUNTED]
+    counted = [e for e in events if e.model in models and e.cause not in UNCOUNTED_CAUSES]
     groups: dict[tuple[str, str], list[RequestEvent]] = {}
     for event in counted:
         groups.setdefault((event.member, event.model), []).append(event)
     budgets = [
-        _budget(member, models[name], target, group)
+        _measure_budget(member, models[name], target, group)
         for (member, name), group in sorted(groups.items())
         for target in TARGETS
     ]
-    good = [e for e in counted if not any(_misses(e, models[e.model], t) for t in TARGETS)]
-    seconds = counted[-1].at - counted[0].at if counted else 0.0
-    return Report(
+    good = [e for e in counted if not any(_misses_target(e, models[e.model], t) for t in TARGETS)]
+    seconds = counted[-1].ended_at - counted[0].ended_at if counted else 0.0
+    return BurnReport(
         bundle=bundle.version,
         seconds=seconds,
         requests=len(counted),
         in_time=len(good),
         goodput=len(good) / seconds if seconds else 0.0,
-        read_tokens=sum(event.read_tokens for event in counted),
-        wasted_tokens=sum(event.wasted_tokens for event in counted),
-        causes=_causes(counted),
+        read_tokens=sum(event.prefill_tokens for event in counted),
+        wasted_tokens=sum(event.wasted_prefill_tokens for event in counted),
+        causes=_count_by_cause(counted),
         budgets=budgets,
-        series=_series(counted, good),
+        series=_count_per_second(counted, good),
     )
 
 
-def _causes(events: list[RequestEvent]) -> dict[str, int]:
+def _count_by_cause(events: list[RequestEvent]) -> dict[str, int]:
     causes: dict[str, int] = {}
     for event in events:
         if event.cause:
@@ -167,15 +169,17 @@
     return dict(sorted(causes.items()))
 
 
-def _series(counted: list[RequestEvent], good: list[RequestEvent]) -> list[tuple[int, int]]:
+def _count_per_second(
+    counted: list[RequestEvent], good: list[RequestEvent]
+) -> list[tuple[int, int]]:
     if not counted:
         return []
-    begin = counted[0].at
-    length = int(counted[-1].at - begin) + 1
+    begin = counted[0].ended_at
+    length = int(counted[-1].ended_at - begin) + 1
     fine = [0] * length
     every = [0] * length
     for event in counted:
-        every[int(event.at - begin)] += 1
+        every[int(event.ended_at - begin)] += 1
     for event in good:
-        fine[int(event.at - begin)] += 1
+        fine[int(event.ended_at - begin)] += 1
     return [(ok, count - ok) for ok, count in zip(fine, every, strict=True)]
--- a/src/crankhinge/burn/_caller_value.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -29,20 +29,20 @@
 
 # A refusal within this time, in milliseconds, is one at once: a question to three engines is
 # answered in some ten.
-AT_ONCE_MS = 60.0
+MAX_IMMEDIATE_REFUSAL_MS = 60.0
 # Weight of a token of an answer against one of a prompt in the size of a request, and the part of
 # a request's worth that does not depend on its size.
-ANSWER_WEIGHT = 10
-FLAT_PART = 0.3
+OUTPUT_TOKEN_WEIGHT = 10
+FIXED_VALUE_FRACTION = 0.3
 # Largest worth of a request, in those of the mean one.
-LARGEST = 4.0
+MAX_SIZE_FACTOR = 4.0
 # A caller that goes later than this part of the time that it would have waited was held in vain;
 # one that goes before has changed its mind.
-HELD_TO_END = 0.9
+FULL_WAIT_FRACTION = 0.9
 
-_ENDS = frozenset({"answered", "request_failed", "broken_off", "caller_gone"})
+_END_EVENTS = frozenset({"answered", "request_failed", "broken_off", "caller_gone"})
 
-Part = Annotated[float, msgspec.Meta(ge=0, le=10)]
+CostFraction = Annotated[float, msgspec.Meta(ge=0, le=10)]
 
 
 class CallerWeights(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -56,10 +56,10 @@
         kinds: worth of a request of mean size by kind of route; 1 where none is given.
     """
 
-    late: Part = LATE_WORTH
-    held_per_s: Part = HELD_PER_S
-    failed_return: Part = 0.3
-    needless: Part = 0.5
+    late: CostFraction = LATE_WORTH
+    held_per_s: CostFraction = HELD_PER_S
+    failed_return: CostFraction = 0.3
+    needless: CostFraction = 0.5
     kinds: dict[str, float] = {}
 
 
@@ -174,13 +174,13 @@
                 event, ident = pairs.get("event"), pairs.get("request", "")
                 if event == "place_refused":
                     asked[ident] = pairs.get("asked") != "0" or pairs.get("ahead", "0") != "0"
-                if event in _ENDS and "within_ms" in pairs:
-                    yield from _try_of(pairs, needless=not asked.pop(ident, True))
+                if event in _END_EVENTS and "within_ms" in pairs:
+                    yield from _parse_attempt(pairs, needless=not asked.pop(ident, True))
     except OSError as exc:
         raise SettingsError(f"{path}: cannot be read: {exc.strerror}") from exc
 
 
-def _try_of(pairs: dict[str, str], *, needless: bool) -> Iterator[CallerAttempt]:
+def _parse_attempt(pairs: dict[str, str], *, needless: bool) -> Iterator[CallerAttempt]:
     """Give the try that a line tells of; nothing where its figures are none."""
     try:
         took_ms = float(pairs["took_ms"])
@@ -190,8 +190,8 @@
             route_kind=pairs["kind"],
             max_wait_ms=float(pairs["within_ms"]),
             duration_ms=took_ms,
-            size=float(pairs.get("prompt", 0)) + ANSWER_WEIGHT * float(pairs.get("most", 0)),
-            outcome=_outcome_of(pairs, took_ms),
+            size=float(pairs.get("prompt", 0)) + OUTPUT_TOKEN_WEIGHT * float(pairs.get("most", 0)),
+            outcome=_classify_outcome(pairs, took_ms),
             refused_without_query=needless,
             on_reused_connection=pairs.get("kept") == "true",
         )
@@ -199,24 +199,24 @@
         return
 
 
-def _outcome_of(pairs: dict[str, str], took_ms: float) -> CallerOutcome:
+def _classify_outcome(pairs: dict[str, str], took_ms: float) -> CallerOutcome:
     event = pairs["event"]
     if event == "caller_gone":
-        held = took_ms >= HELD_TO_END * float(pairs["within_ms"])
+        held = took_ms >= FULL_WAIT_FRACTION * float(pairs["within_ms"])
         late = "first_ms" not in pairs and took_ms > float(pairs["target_ms"])
         return CallerOutcome.FAILED if held or late else CallerOutcome.ABANDONED
     if event == "answered" and pairs.get("status") == "200":
-        return CallerOutcome.IN_TIME if _in_time(pairs, took_ms) else CallerOutcome.LATE
+        return CallerOutcome.IN_TIME if _is_in_time(pairs, took_ms) else CallerOutcome.LATE
     if event == "request_failed" and pairs.get("status") in ("503", "429"):
         return (
             CallerOutcome.REFUSED_IMMEDIATELY
-            if took_ms <= AT_ONCE_MS
+            if took_ms <= MAX_IMMEDIATE_REFUSAL_MS
             else CallerOutcome.REFUSED_AFTER_WAIT
         )
     return CallerOutcome.FAILED
 
 
-def _in_time(pairs: dict[str, str], took_ms: float) -> bool:
+def _is_in_time(pairs: dict[str, str], took_ms: float) -> bool:
     first_ms = float(pairs.get("first_ms", took_ms))
     pause_ms = float(pairs.get("pause_ms", 0)) or float("inf")
     return first_ms <= float(pairs["target_ms"]) and float(pairs.get("gap_ms", 0)) <= pause_ms
@@ -227,7 +227,7 @@
 ) -> CallerValueReport:
     """Return the account of *attempts*, in windows of *window_s* seconds."""
     attempts = [one for one in attempts if one.outcome is not CallerOutcome.ABANDONED]
-    shortest = _shortest_firsts(attempts)
+    shortest = _retry_thresholds_ms(attempts)
     sizes: defaultdict[str, list[float]] = defaultdict(list)
     for one in attempts:
         sizes[one.route].append(one.size)
@@ -237,15 +237,15 @@
     )
     start = attempts[0].started_at if attempts else 0.0
     for one in attempts:
-        worth = weights.kinds.get(one.route_kind, 1.0) * _size_part(one, means[one.route])
+        worth = weights.kinds.get(one.route_kind, 1.0) * _size_factor(one, means[one.route])
         returned = not one.on_reused_connection and one.max_wait_ms < shortest[one.route]
         window = int((one.started_at - start) // window_s)
         for tally in (account.total, account.routes[one.route], account.windows[window]):
-            _count(tally, one, worth, weights, returned=returned)
+            _add_attempt(tally, one, worth, weights, returned=returned)
     return account
 
 
-def _shortest_firsts(tries: list[CallerAttempt]) -> dict[str, float]:
+def _retry_thresholds_ms(tries: list[CallerAttempt]) -> dict[str, float]:
     """Return the wait below which a request of a route was refused before, in milliseconds.
 
     Callers come back on new connections, so requests on kept ones are first tries.
@@ -264,13 +264,13 @@
     }
 
 
-def _size_part(one: CallerAttempt, mean: float) -> float:
+def _size_factor(one: CallerAttempt, mean: float) -> float:
     if mean <= 0:
         return 1.0
-    return min(LARGEST, FLAT_PART + (1 - FLAT_PART) * one.size / mean)
+    return min(MAX_SIZE_FACTOR, FIXED_VALUE_FRACTION + (1 - FIXED_VALUE_FRACTION) * one.size / mean)
 
 
-def _count(
+def _add_attempt(
     tally: CallerValue, one: CallerAttempt, worth: float, weights: CallerWeights, *, returned: bool
 ) -> None:
     (tally.retries if returned else tally.first_attempts)[one.outcome] += 1
--- a/src/crankhinge/burn/_log_events.py
+++ b/src/crankhinge/burn/_log_events.py
@@ -11,7 +11,7 @@
 from crankhinge.errors import SettingsError
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-_EVENTS = frozenset({"answered", "request_failed", "caller_gone"})
+_END_EVENTS = frozenset({"answered", "request_failed", "caller_gone"})
 
 
 @dataclass(frozen=True)
@@ -19,24 +19,24 @@
     """How one request ended.
 
     Attributes:
-        at: seconds since the epoch.
+        ended_at: seconds since the epoch.
         member: who asked; empty when that wasn't known yet.
         model: what for; empty for a plain service.
         cause: class of the failure; empty for an answer.
-        first_s: seconds until the first token.
-        gap_s: mean seconds between tokens.
-        read_tokens: prompt tokens computed for it.
-        wasted_tokens: of these, without use.
+        first_token_s: seconds until the first token.
+        between_tokens_s: mean seconds between tokens.
+        prefill_tokens: prompt tokens computed for it.
+        wasted_prefill_tokens: of these, without use.
     """
 
-    at: float
+    ended_at: float
     member: str
     model: str
     cause: str
-    first_s: float
-    gap_s: float
-    read_tokens: int
-    wasted_tokens: int
+    first_token_s: float
+    between_tokens_s: float
+    prefill_tokens: int
+    wasted_prefill_tokens: int
 
 
 def parse_line(line: str) -> dict[str, str]:
@@ -57,39 +57,39 @@
         SettingsError: when a file can't be read.
     """
     events = [event for path in paths for event in _read_file(path)]
-    return sorted(events, key=lambda event: event.at)
+    return sorted(events, key=lambda event: event.ended_at)
 
 
 def _read_file(path: Path) -> Iterator[RequestEvent]:
     try:
         with path.open(encoding="utf-8", errors="replace") as file:
             for line in file:
-                event = _event_of(parse_line(line))
+                event = _parse_event(parse_line(line))
                 if event is not None:
                     yield event
     except OSError as exc:
         raise SettingsError(f"{path}: cannot be read: {exc.strerror}") from exc
 
 
-def _event_of(pairs: dict[str, str]) -> RequestEvent | None:
-    if pairs.get("event") not in _EVENTS or "ts" not in pairs:
+def _parse_event(pairs: dict[str, str]) -> RequestEvent | None:
+    if pairs.get("event") not in _END_EVENTS or "ts" not in pairs:
         return None
     try:
         return RequestEvent(
-            at=datetime.fromisoformat(pairs["ts"]).timestamp(),
+            ended_at=datetime.fromisoformat(pairs["ts"]).timestamp(),
             member=pairs.get("member", ""),
             model=pairs.get("model", ""),
-            cause=_cause_of(pairs),
-            first_s=float(pairs.get("first_ms", 0)) / 1000,
-            gap_s=float(pairs.get("gap_ms", 0)) / 1000,
-            read_tokens=int(pairs.get("read_tokens", 0)),
-            wasted_tokens=int(pairs.get("wasted_tokens", 0)),
+            cause=_failure_cause(pairs),
+            first_token_s=float(pairs.get("first_ms", 0)) / 1000,
+            between_tokens_s=float(pairs.get("gap_ms", 0)) / 1000,
+            prefill_tokens=int(pairs.get("read_tokens", 0)),
+            wasted_prefill_tokens=int(pairs.get("wasted_tokens", 0)),
         )
     except ValueError:
         return None
 
 
-def _cause_of(pairs: dict[str, str]) -> str:
+def _failure_cause(pairs: dict[str, str]) -> str:
     if pairs["event"] == "answered":
         return ""
     return pairs.get("code", "caller-gone")
--- a/src/crankhinge/burn/_render.py
+++ b/src/crankhinge/burn/_render.py
@@ -6,9 +6,9 @@
 import html
 import io
 
-from crankhinge.burn._budget import Budget, Report
+from crankhinge.burn._budget import BurnReport, ErrorBudget
 
-PAGE = """<!doctype html>
+PAGE_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
 <style>
 body {{ font: 15px/1.5 system-ui, sans-serif; margin: 2rem auto; max-width: 60rem; color: #222; }}
@@ -35,7 +35,7 @@
 """
 
 
-def intro(report: Report) -> str:
+def render_summary(report: BurnReport) -> str:
     """Return the report's first lines."""
     read = report.read_tokens
     waste = report.wasted_tokens / read if read else 0.0
@@ -48,34 +48,34 @@
     )
 
 
-def _rates(budget: Budget) -> str:
+def _format_burn_rates(budget: ErrorBudget) -> str:
     return ", ".join(f"{window.name} {window.burn:.1f}" for window in budget.windows)
 
 
-def render_text(report: Report) -> str:
+def render_text(report: BurnReport) -> str:
     """Return the report as text."""
-    lines = [intro(report), ""]
+    lines = [render_summary(report), ""]
     head = f"{'member':<18}{'model':<8}{'target':<16}{'obj.':>6}{'reqs':>7}{'missed':>8}{'left':>8}"
     lines += [head + "  burn rates", "-" * (len(head) + 12)]
     for b in report.budgets:
         lines.append(
             f"{b.member:<18}{b.model:<8}{b.target:<16}{b.objective:>6.0%}{b.requests:>7}"
-            f"{b.bad:>8}{b.left:>8.0%}  {_rates(b)}"
+            f"{b.bad:>8}{b.left:>8.0%}  {_format_burn_rates(b)}"
         )
     lines += ["", "refusals and failures by cause"]
     lines += [f"  {cause:<24}{count:>7}" for cause, count in report.causes.items()] or ["  none"]
     return "\n".join(lines)
 
 
-def render_html(report: Report) -> str:
+def render_html(report: BurnReport) -> str:
     """Return the report as one page that needs nothing else."""
-    rows = "\n".join(_row(budget) for budget in report.budgets)
+    rows = "\n".join(_render_row(budget) for budget in report.budgets)
     causes = "\n".join(
         f'<tr><td>{html.escape(cause)}</td><td class="number">{count}</td></tr>'
         for cause, count in report.causes.items()
     )
-    return PAGE.format(
-        intro=html.escape(intro(report)),
+    return PAGE_TEMPLATE.format(
+        intro=html.escape(render_summary(report)),
         rows=rows,
         causes=causes or "<tr><td>none</td><td></td></tr>",
         series=_plot_series(report),
@@ -83,7 +83,7 @@
     )
 
 
-def _row(budget: Budget) -> str:
+def _render_row(budget: ErrorBudget) -> str:
     over = ' class="over"' if budget.left < 0 else ""
     texts = [budget.member, budget.model, budget.target]
     numbers = [
@@ -94,10 +94,10 @@
     ]
     cells = "".join(f"<td>{html.escape(text)}</td>" for text in texts)
     cells += "".join(f'<td class="number">{text}</td>' for text in numbers)
-    return f"<tr{over}>{cells}<td>{html.escape(_rates(budget))}</td></tr>"
+    return f"<tr{over}>{cells}<td>{html.escape(_format_burn_rates(budget))}</td></tr>"
 
 
-def _png(draw: object) -> str:
+def _render_png(draw: object) -> str:
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(9, 3.2), layout="constrained")
@@ -107,7 +107,7 @@
     return base64.b64encode(out.getvalue()).decode()
 
 
-def _plot_series(report: Report) -> str:
+def _plot_series(report: BurnReport) -> str:
     def draw(axes: object) -> None:
         seconds = range(len(report.series))
         fine = [ok for ok, _ in report.series]
@@ -126,10 +126,10 @@
         axes.set_ylabel("requests a second")  # type: ignore[attr-defined]
         axes.legend(frameon=False)  # type: ignore[attr-defined]
 
-    return _png(draw)
+    return _render_png(draw)
 
 
-def _plot_budgets(report: Report) -> str:
+def _plot_budgets(report: BurnReport) -> str:
     def draw(axes: object) -> None:
         names = [f"{b.member}, {b.target}" for b in report.budgets]
         left = [max(-1.0, b.left) * 100 for b in report.budgets]
@@ -138,4 +138,4 @@
         axes.set_xlabel("error budget left, % (cut off at -100)")  # type: ignore[attr-defined]
         axes.invert_yaxis()  # type: ignore[attr-defined]
 
-    return _png(draw)
+    return _render_png(draw)
--- a/src/crankhinge/config/_bundle.py
+++ b/src/crankhinge/config/_bundle.py
@@ -17,11 +17,11 @@
 Sha256 = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
 
 
-class _Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class _BundleStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Common options: unknown keys are errors."""
 
 
-class Policy(_Model, frozen=True):
+class Policy(_BundleStruct, frozen=True):
     """How the two measures are weighed.
 
     Attributes:
@@ -35,14 +35,14 @@
     patience: Annotated[float, msgspec.Meta(ge=1, le=100)] = 1.0
 
 
-class Partner(_Model, frozen=True):
+class Partner(_BundleStruct, frozen=True):
     """One of the partners who sign bundles."""
 
     name: Name
     weight: Positive = 1.0
 
 
-class Member(_Model, frozen=True):
+class Member(_BundleStruct, frozen=True):
     """A client account.
 
     Attributes:
@@ -64,7 +64,7 @@
     max_rank: Annotated[int, msgspec.Meta(ge=0, le=2)] = 0
 
 
-class Adapter(_Model, frozen=True):
+class Adapter(_BundleStruct, frozen=True):
     """A variant of a model that is loaded into its engines.
 
     Attributes:
@@ -78,7 +78,7 @@
     version: Count = 1
 
 
-class Model(_Model, frozen=True):
+class Model(_BundleStruct, frozen=True):
     """A model that callers name.
 
     Attributes:
@@ -104,7 +104,7 @@
     adapters: tuple[Adapter, ...] = ()
 
 
-class Pool(_Model, frozen=True):
+class Pool(_BundleStruct, frozen=True):
     """A pool of backend servers of one kind.
 
     Attributes:
@@ -124,7 +124,7 @@
     fence: tuple[tuple[Name, Name], ...] = ()
 
 
-class Service(_Model, frozen=True):
+class Service(_BundleStruct, frozen=True):
     """A plain service.
 
     Attributes:
@@ -142,7 +142,7 @@
     timeout_s: Positive = 10.0
 
 
-class Transfer(_Model, frozen=True):
+class Transfer(_BundleStruct, frozen=True):
     """What the links between pools carry.
 
     Attributes:
@@ -158,7 +158,7 @@
     cross_zone_s: Annotated[float, msgspec.Meta(ge=0)] = 0.001
 
 
-class Bundle(_Model, frozen=True):
+class Bundle(_BundleStruct, frozen=True):
     """A whole configuration.
 
     Attributes:
@@ -226,19 +226,19 @@
 
 
 def _check_names(bundle: Bundle) -> None:
-    _unique("partners", (partner.name for partner in bundle.partners))
-    _unique("members", (member.name for member in bundle.members))
-    _unique("credentials", (member.credential_sha256 for member in bundle.members))
-    _unique("pools", (pool.name for pool in bundle.pools))
-    _unique("services", (service.name for service in bundle.services))
+    _check_unique("partners", (partner.name for partner in bundle.partners))
+    _check_unique("members", (member.name for member in bundle.members))
+    _check_unique("credentials", (member.credential_sha256 for member in bundle.members))
+    _check_unique("pools", (pool.name for pool in bundle.pools))
+    _check_unique("services", (service.name for service in bundle.services))
     names = [model.name for model in bundle.models]
     names += [adapter.name for model in bundle.models for adapter in model.adapters]
-    _unique("models and adapters", names)
+    _check_unique("models and adapters", names)
     if not bundle.partners:
         raise BundleError("partners: at least one is needed")
 
 
-def _unique(what: str, names: Iterable[str]) -> None:
+def _check_unique(what: str, names: Iterable[str]) -> None:
     seen: set[str] = set()
     for name in names:
         if name in seen:
--- a/src/crankhinge/config/_envelope.py
+++ b/src/crankhinge/config/_envelope.py
@@ -12,7 +12,7 @@
 from crankhinge.errors import BundleError
 
 MAX_ENVELOPE_BYTES = 1_000_000
-_CONTEXT = b"crankhinge bundle 1\n"
+_SIGNATURE_CONTEXT = b"crankhinge bundle 1\n"
 
 
 class Envelope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -48,7 +48,7 @@
 
 def sign_envelope(envelope: Envelope, partner: str, key: SigningKey) -> Envelope:
     """Return the envelope with *partner*'s signature added."""
-    signature = key.sign(_CONTEXT + envelope.text.encode()).signature.hex()
+    signature = key.sign(_SIGNATURE_CONTEXT + envelope.text.encode()).signature.hex()
     return Envelope(envelope.text, {**envelope.signatures, partner: signature})
 
 
@@ -64,7 +64,7 @@
         BundleError: when it is malformed or a signature is missing or wrong.
     """
     envelope = decode_envelope(data)
-    message = _CONTEXT + envelope.text.encode()
+    message = _SIGNATURE_CONTEXT + envelope.text.encode()
     for partner, key in keys.items():
         _check_signature(partner, key, message, envelope.signatures.get(partner))
     return parse_bundle(envelope.text)
--- a/src/crankhinge/config/_keeper.py
+++ b/src/crankhinge/config/_keeper.py
@@ -26,20 +26,20 @@
 
     def __init__(self, bundle: Bundle) -> None:
         self.bundle = bundle
-        self._by_hash = {member.credential_sha256: member for member in bundle.members}
+        self._by_credential_hash = {member.credential_sha256: member for member in bundle.members}
         self._by_name = {member.name: member for member in bundle.members}
-        self._partners = {partner.name: partner.weight for partner in bundle.partners}
+        self._partner_weights = {partner.name: partner.weight for partner in bundle.partners}
 
     def find_member_by_credential(self, credential: str) -> Member | None:
         """Return the member with this bearer credential."""
-        return self._by_hash.get(hash_credential(credential))
+        return self._by_credential_hash.get(hash_credential(credential))
 
     def fair_share_weights(self, member: str) -> FairShareWeights:
         """Return a member's place in the fair queues; an unknown one has weight 1."""
         known = self._by_name.get(member)
         if known is None:
             return FairShareWeights("", 1.0, 1.0)
-        return FairShareWeights(known.partner, known.weight, self._partners[known.partner])
+        return FairShareWeights(known.partner, known.weight, self._partner_weights[known.partner])
 
 
 class BundleKeeper:
--- a/src/crankhinge/config/_keys.py
+++ b/src/crankhinge/config/_keys.py
@@ -14,7 +14,7 @@
 
 from crankhinge.errors import KeyFileError
 
-PRIVATE_MODE = 0o600
+PRIVATE_KEY_MODE = 0o600
 
 
 def create_key_pair(path: Path) -> str:
@@ -25,7 +25,7 @@
     """
     key = SigningKey.generate()
     try:
-        fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_MODE)
+        fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_KEY_MODE)
     except OSError as exc:
         raise KeyFileError(f"{path}: {exc.strerror}") from exc
     with os.fdopen(fd, "w", encoding="ascii") as file:
--- a/src/crankhinge/config/_publish.py
+++ b/src/crankhinge/config/_publish.py
@@ -14,8 +14,8 @@
 
 BUNDLE_KEY = "crankhinge/bundle"
 HISTORY_KEY = "crankhinge/history"
-HISTORY_LIMIT = 200
-HISTORY_TRIES = 5
+MAX_HISTORY_ROWS = 200
+MAX_HISTORY_ATTEMPTS = 5
 
 
 class HistoryRow(msgspec.Struct, frozen=True):
@@ -61,22 +61,24 @@
         raise PublishConflict(f"version {base} is in force, this file is version {bundle.version}")
     if bundle.version != base + 1:
         raise BundleError(f"version {bundle.version} doesn't follow version {base}")
-    result = await _swap(kv, envelope, bundle.version, current.index if current else 0)
-    await _record(kv, HistoryRow(bundle.version, hashlib.sha256(envelope).hexdigest()))
+    result = await _compare_and_swap(kv, envelope, bundle.version, current.index if current else 0)
+    await _append_to_history(kv, HistoryRow(bundle.version, hashlib.sha256(envelope).hexdigest()))
     return result
 
 
-async def _swap(kv: KeyValue, envelope: bytes, version: int, index: int) -> PublishResult:
+async def _compare_and_swap(
+    kv: KeyValue, envelope: bytes, version: int, index: int
+) -> PublishResult:
     try:
         won = await kv.swap(BUNDLE_KEY, envelope, index)
     except KeyValueUnavailable:
-        return await _read_back(kv, envelope, version)
+        return await _confirm_by_read(kv, envelope, version)
     if won:
         return PublishResult(version, confirmed_by_read=False)
-    return await _read_back(kv, envelope, version)
+    return await _confirm_by_read(kv, envelope, version)
 
 
-async def _read_back(kv: KeyValue, envelope: bytes, version: int) -> PublishResult:
+async def _confirm_by_read(kv: KeyValue, envelope: bytes, version: int) -> PublishResult:
     """Tell from the service's state whether our write took effect."""
     now = await read_current_envelope(kv)
     if now is not None and now.data == envelope:
@@ -87,10 +89,10 @@
 async def read_history(kv: KeyValue) -> list[HistoryRow]:
     """Return the accepted bundles that are kept, oldest first. Raises KeyValueUnavailable."""
     value = await kv.get(HISTORY_KEY)
-    return _rows(value)
+    return _decode_history(value)
 
 
-def _rows(value: Value | None) -> list[HistoryRow]:
+def _decode_history(value: Value | None) -> list[HistoryRow]:
     if value is None:
         return []
     try:
@@ -99,15 +101,15 @@
         return []
 
 
-async def _record(kv: KeyValue, row: HistoryRow) -> None:
+async def _append_to_history(kv: KeyValue, row: HistoryRow) -> None:
     """Add a row to the history: a convenience, so that its loss undoes no acceptance."""
-    for _ in range(HISTORY_TRIES):
+    for _ in range(MAX_HISTORY_ATTEMPTS):
         try:
             value = await kv.get(HISTORY_KEY)
-            rows = _rows(value)
+            rows = _decode_history(value)
             if row in rows:
                 return
-            data = msgspec.json.encode([*rows, row][-HISTORY_LIMIT:])
+            data = msgspec.json.encode([*rows, row][-MAX_HISTORY_ROWS:])
             if await kv.swap(HISTORY_KEY, data, value.index if value else 0):
                 return
         except KeyValueUnavailable:
--- a/src/crankhinge/ctl/_bundle.py
+++ b/src/crankhinge/ctl/_bundle.py
@@ -48,12 +48,12 @@
     return load_settings(args.settings, CtlSettings)
 
 
-def connect(settings: CtlSettings) -> KeyValue:
+def open_key_value(settings: CtlSettings) -> KeyValue:
     """Return the key-value service."""
     return ConsulKeyValue(*parse_endpoint(settings.key_value))
 
 
-def read_file(path: str) -> Envelope:
+def read_envelope_file(path: str) -> Envelope:
     """Return a bundle file's envelope; plain TOML has no signatures yet.
 
     Raises:
@@ -73,7 +73,7 @@
 
 def check_bundle(args: argparse.Namespace) -> str:
     """Validate a bundle whole."""
-    envelope = read_file(args.file)
+    envelope = read_envelope_file(args.file)
     try:
         bundle = parse_bundle(envelope.text)
     except BundleError as exc:
@@ -88,7 +88,7 @@
 
 def sign_bundle(args: argparse.Namespace) -> str:
     """Add a partner's signature."""
-    envelope = read_file(args.file)
+    envelope = read_envelope_file(args.file)
     bundle = parse_bundle(envelope.text)
     if args.partner not in {partner.name for partner in bundle.partners}:
         raise BundleError(f"{args.file}: no partner {args.partner!r}")
@@ -98,7 +98,7 @@
     return f"{args.out}: version {bundle.version}, signed by {names}"
 
 
-def text_diff(old: str, new: str, old_name: str, new_name: str) -> str:
+def diff_texts(old: str, new: str, old_name: str, new_name: str) -> str:
     """Return a unified diff; empty when the texts are the same."""
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), old_name, new_name, lineterm=""
@@ -106,23 +106,23 @@
     return "\n".join(lines)
 
 
-async def _current(kv: KeyValue) -> Value | None:
+async def _read_current(kv: KeyValue) -> Value | None:
     return await read_current_envelope(kv)
 
 
 def diff_bundle(args: argparse.Namespace) -> str:
     """Compare a bundle file with the bundle in force."""
-    envelope = read_file(args.file)
-    current = curio.run(_current, connect(read_settings(args)))
+    envelope = read_envelope_file(args.file)
+    current = curio.run(_read_current, open_key_value(read_settings(args)))
     old = decode_envelope(current.data).text if current else ""
-    diff = text_diff(old, envelope.text, "in force", args.file)
+    diff = diff_texts(old, envelope.text, "in force", args.file)
     return diff or "no difference"
 
 
 def show_status(args: argparse.Namespace) -> str:
     """Describe the bundle in force."""
     settings = read_settings(args)
-    current = curio.run(_current, connect(settings))
+    current = curio.run(_read_current, open_key_value(settings))
     if current is None:
         return "no bundle was accepted yet"
     bundle = verify_envelope(current.data, settings.keys)
@@ -132,6 +132,6 @@
 def show_history(args: argparse.Namespace) -> str:
     """List the accepted bundles that are kept, newest last."""
     settings = read_settings(args)
-    rows = curio.run(read_history, connect(settings))
+    rows = curio.run(read_history, open_key_value(settings))
     lines = [f"version {row.version}  sha256 {row.sha256[:16]}" for row in rows]
     return "\n".join(lines) or "no bundle was accepted yet"
--- a/src/crankhinge/ctl/_callers.py
+++ b/src/crankhinge/ctl/_callers.py
@@ -27,7 +27,7 @@
 )
 
 
-def callers_account(args: argparse.Namespace) -> str:
+def report_caller_value(args: argparse.Namespace) -> str:
     """Return the account as a table.
 
     Raises:
@@ -37,20 +37,20 @@
     tries = read_caller_attempts(map(Path, args.logs))
     if not tries:
         raise SettingsError(f"no request ends in {len(args.logs)} logs")
-    return "\n".join(_tell(make_account(tries, weights, window_s=args.window)))
+    return "\n".join(_render_table(make_account(tries, weights, window_s=args.window)))
 
 
-def _tell(account: CallerValueReport) -> Iterator[str]:
+def _render_table(account: CallerValueReport) -> Iterator[str]:
     yield "| first tries | " + " | ".join(_COLUMNS) + " |"
     yield "|---" * (len(_COLUMNS) + 1) + "|"
-    yield _row("all", account.total)
+    yield _render_row("all", account.total)
     for name, tally in sorted(account.routes.items()):
-        yield _row(name, tally)
+        yield _render_row(name, tally)
     for number, tally in sorted(account.windows.items()):
-        yield _row(f"{number * account.window_s:g} s", tally)
+        yield _render_row(f"{number * account.window_s:g} s", tally)
 
 
-def _row(name: str, tally: CallerValue) -> str:
+def _render_row(name: str, tally: CallerValue) -> str:
     refused = (
         tally.retries[CallerOutcome.REFUSED_IMMEDIATELY]
         + tally.retries[CallerOutcome.REFUSED_AFTER_WAIT],
--- a/src/crankhinge/ctl/_publish.py
+++ b/src/crankhinge/ctl/_publish.py
@@ -8,30 +8,32 @@
 import curio
 
 from crankhinge.config import decode_envelope, encode_envelope, publish, read_current_envelope
-from crankhinge.ctl._bundle import connect, read_file, read_settings, text_diff
+from crankhinge.ctl._bundle import diff_texts, open_key_value, read_envelope_file, read_settings
 from crankhinge.errors import LinkClosed, PublishConflict, WireError
 from crankhinge.peers import parse_endpoint
 from crankhinge.wire import WIRE_VERSION, Beat, BundleIs, Hello, Link, Message, connect_link
 
-HAND_S = 3.0
+AGENT_CONFIRMATION_TIMEOUT_S = 3.0
 
 
 def publish_bundle(args: argparse.Namespace) -> str:
     """Accept a signed bundle. The file is never changed, whatever the outcome."""
     settings = read_settings(args)
-    envelope = read_file(args.file)
-    kv = connect(settings)
+    envelope = read_envelope_file(args.file)
+    kv = open_key_value(settings)
     try:
         result = curio.run(publish, kv, encode_envelope(envelope), settings.keys)
     except PublishConflict as exc:
-        raise PublishConflict(_explain(exc, envelope.text, connect(settings))) from exc
-    told = curio.run(_hand_to, settings.seeds, encode_envelope(envelope), result.version)
+        raise PublishConflict(
+            _describe_conflict(exc, envelope.text, open_key_value(settings))
+        ) from exc
+    told = curio.run(_send_to_agents, settings.seeds, encode_envelope(envelope), result.version)
     note = " (the answer was lost; read back)" if result.confirmed_by_read else ""
     line = f"version {result.version} is accepted{note}"
     return f"{line}, handed to {told} agents" if settings.seeds else line
 
 
-async def _hand_to(seeds: tuple[str, ...], envelope: bytes, version: int) -> int:
+async def _send_to_agents(seeds: tuple[str, ...], envelope: bytes, version: int) -> int:
     """Send an accepted bundle to agents; returns how many took it."""
     told = 0
     for seed in seeds:
@@ -39,14 +41,16 @@
         try:
             link = await connect_link(*parse_endpoint(seed), hello)
             await link.send(BundleIs(envelope))
-            await curio.ignore_after(HAND_S, link.run, _until_it_has(version))
+            await curio.ignore_after(
+                AGENT_CONFIRMATION_TIMEOUT_S, link.run, _close_when_installed(version)
+            )
             told += 1
         except (LinkClosed, WireError):
             continue
     return told
 
 
-def _until_it_has(version: int) -> Callable[[Link, Message], Awaitable[None]]:
+def _close_when_installed(version: int) -> Callable[[Link, Message], Awaitable[None]]:
     """Return a handler that ends the link once the agent says that it has the bundle."""
 
     async def handle(link: Link, msg: Message) -> None:
@@ -56,9 +60,9 @@
     return handle
 
 
-def _explain(exc: PublishConflict, text: str, kv: object) -> str:
+def _describe_conflict(exc: PublishConflict, text: str, kv: object) -> str:
     """Say what the other operator's bundle changed; the loser's file is still theirs to rebase."""
     current = curio.run(read_current_envelope, kv)
     theirs = decode_envelope(current.data).text if current else ""
-    diff = text_diff(theirs, text, "in force", "yours")
+    diff = diff_texts(theirs, text, "in force", "yours")
     return f"{exc.detail}\nnothing was written; yours differs from the bundle in force by:\n{diff}"
--- a/src/crankhinge/ctl/_reference.py
+++ b/src/crankhinge/ctl/_reference.py
@@ -26,16 +26,16 @@
 from crankhinge.gateway import GatewaySettings
 from crankhinge.peers import PeerSettings
 
-_FIELD = re.compile(r"^ {4}(\w+): (.*)$")
+_ATTRIBUTE_LINE = re.compile(r"^ {4}(\w+): (.*)$")
 
-SETTINGS: dict[str, type[msgspec.Struct]] = {
+SETTINGS_MODELS: dict[str, type[msgspec.Struct]] = {
     "Every entry and agent": PeerSettings,
     "Entry": EntrySettings,
     "Agent": AgentSettings,
     "Gateway": GatewaySettings,
     "ctl": CtlSettings,
 }
-BUNDLE: dict[str, type[msgspec.Struct]] = {
+BUNDLE_MODELS: dict[str, type[msgspec.Struct]] = {
     "Top level": Bundle,
     "`[policy]`": Policy,
     "`[transfer]`": Transfer,
@@ -48,13 +48,13 @@
 }
 
 
-def _described(model: type[msgspec.Struct]) -> dict[str, str]:
+def _attribute_descriptions(model: type[msgspec.Struct]) -> dict[str, str]:
     """Return what a model's docstring says of each attribute."""
     text = inspect.getdoc(model) or ""
     found: dict[str, str] = {}
     name = ""
     for line in text.partition("Attributes:\n")[2].splitlines():
-        match = _FIELD.match(line)
+        match = _ATTRIBUTE_LINE.match(line)
         if match:
             name = match[1]
             found[name] = match[2]
@@ -63,7 +63,7 @@
     return found
 
 
-def _default(field: Any) -> str:
+def _format_default(field: Any) -> str:
     if field.default is not msgspec.NODEFAULT:
         return (
             f"`{field.default!r}`" if not isinstance(field.default, msgspec.Struct) else "as below"
@@ -73,25 +73,25 @@
     return "needed"
 
 
-def _table(model: type[msgspec.Struct]) -> list[str]:
-    described = _described(model)
+def _render_table(model: type[msgspec.Struct]) -> list[str]:
+    described = _attribute_descriptions(model)
     fields = {field.name: field for field in msgspec.structs.fields(model)}
     lines = ["| key | default | meaning |", "|---|---|---|"]
     for name, meaning in described.items():
-        lines.append(f"| `{name}` | {_default(fields[name])} | {meaning} |")
+        lines.append(f"| `{name}` | {_format_default(fields[name])} | {meaning} |")
     return lines
 
 
-def _section(title: str, models: dict[str, type[msgspec.Struct]]) -> list[str]:
+def _render_section(title: str, models: dict[str, type[msgspec.Struct]]) -> list[str]:
     lines = [f"# {title}", ""]
     for name, model in models.items():
-        lines += [f"## {name}", "", *_table(model), ""]
+        lines += [f"## {name}", "", *_render_table(model), ""]
     return lines
 
 
-def reference(_args: argparse.Namespace) -> str:
+def render_reference(_args: argparse.Namespace) -> str:
     """Return the page docs/operators/reference.md."""
     head = ["<!-- Made by `crankhinge-ctl reference`; a test keeps it up to date. -->", ""]
-    settings = _section("Settings", SETTINGS)
-    bundle = _section("Bundle", BUNDLE)
+    settings = _render_section("Settings", SETTINGS_MODELS)
+    bundle = _render_section("Bundle", BUNDLE_MODELS)
     return "\n".join([*head, *settings, *bundle]).rstrip()
--- a/src/crankhinge/ctl/main.py
+++ b/src/crankhinge/ctl/main.py
@@ -16,19 +16,19 @@
     show_status,
     sign_bundle,
 )
-from crankhinge.ctl._callers import callers_account
-from crankhinge.ctl._explain import explain
+from crankhinge.ctl._callers import report_caller_value
+from crankhinge.ctl._explain import explain_request
 from crankhinge.ctl._publish import publish_bundle
-from crankhinge.ctl._reference import reference
+from crankhinge.ctl._reference import render_reference
 from crankhinge.errors import CrankhingeError, KeyValueUnavailable, PublishConflict
 
 PROGRAM = "crankhinge-ctl"
 EXIT_BAD_INPUT = 2
 EXIT_CONFLICT = 3
-EXIT_UNKNOWN = 4
+EXIT_OUTCOME_UNKNOWN = 4
 
 # Length of a window of the callers' account: a burst of traffic lasts some seconds.
-WINDOW_S = 2.0
+DEFAULT_WINDOW_S = 2.0
 
 EPILOG = (
     "exit status: 0 done, 2 bad input, 3 another bundle was accepted first (nothing was written), "
@@ -36,12 +36,12 @@
 )
 
 
-def _key_new(args: argparse.Namespace) -> str:
+def _create_key(args: argparse.Namespace) -> str:
     public = create_key_pair(Path(args.file))
     return f"private key in {args.file} (mode 0600)\npublic key {public}"
 
 
-def _add_bundle(
+def _add_bundle_command(
     kinds: argparse._SubParsersAction[argparse.ArgumentParser],
     name: str,
     about: str,
@@ -66,30 +66,40 @@
     nouns = parser.add_subparsers(dest="noun", required=True)
     bundle = nouns.add_parser("bundle", help="configuration bundles")
     kinds = bundle.add_subparsers(dest="verb", required=True)
-    _add_bundle(kinds, "check", "validate a bundle whole", check_bundle)
-    _add_bundle(kinds, "diff", "compare with the bundle in force", diff_bundle, service=True)
-    sign = _add_bundle(kinds, "sign", "add a partner's signature", sign_bundle)
+    _add_bundle_command(kinds, "check", "validate a bundle whole", check_bundle)
+    _add_bundle_command(
+        kinds, "diff", "compare with the bundle in force", diff_bundle, service=True
+    )
+    sign = _add_bundle_command(kinds, "sign", "add a partner's signature", sign_bundle)
     sign.add_argument("--partner", required=True)
     sign.add_argument("--key", required=True, help="private key file")
     sign.add_argument("--out", required=True, help="signed bundle to write")
-    _add_bundle(kinds, "publish", "accept a signed bundle", publish_bundle, service=True)
-    _add_bundle(kinds, "status", "the bundle in force", show_status, file=False, service=True)
-    _add_bundle(kinds, "history", "bundles accepted", show_history, file=False, service=True)
+    _add_bundle_command(kinds, "publish", "accept a signed bundle", publish_bundle, service=True)
+    _add_bundle_command(
+        kinds, "status", "the bundle in force", show_status, file=False, service=True
+    )
+    _add_bundle_command(
+        kinds, "history", "bundles accepted", show_history, file=False, service=True
+    )
     key = nouns.add_parser("key", help="signing keys")
     verbs = key.add_subparsers(dest="verb", required=True)
     new = verbs.add_parser("new", help="make a key pair")
     new.add_argument("file", help="private key file to write")
-    new.set_defaults(run=_key_new)
+    new.set_defaults(run=_create_key)
     story = nouns.add_parser("explain", help="the story of one request, from logs")
     story.add_argument("request", help="its identity, as the caller sent it")
     story.add_argument("logs", nargs="+", help="logs of the programs")
-    story.set_defaults(run=explain)
+    story.set_defaults(run=explain_request)
     callers = nouns.add_parser("callers", help="what service was worth to callers, from logs")
     callers.add_argument("logs", nargs="+", help="logs of gateways")
     callers.add_argument("--weights", help="TOML file of weights; defaults without it")
-    callers.add_argument("--window", type=float, default=WINDOW_S, help="seconds of a window")
-    callers.set_defaults(run=callers_account)
-    nouns.add_parser("reference", help="settings and bundle, as a page").set_defaults(run=reference)
+    callers.add_argument(
+        "--window", type=float, default=DEFAULT_WINDOW_S, help="seconds of a window"
+    )
+    callers.set_defaults(run=report_caller_value)
+    nouns.add_parser("reference", help="settings and bundle, as a page").set_defaults(
+        run=render_reference
+    )
     return parser
 
 
@@ -103,7 +113,7 @@
         return EXIT_CONFLICT
     except KeyValueUnavailable as exc:
         print(f"{PROGRAM}: key-value service: {exc.detail}", file=sys.stderr)
-        return EXIT_UNKNOWN
+        return EXIT_OUTCOME_UNKNOWN
     except CrankhingeError as exc:
         print(f"{PROGRAM}: {exc.detail}", file=sys.stderr)
         return EXIT_BAD_INPUT
--- a/src/crankhinge/peers/_heartbeats.py
+++ b/src/crankhinge/peers/_heartbeats.py
@@ -9,8 +9,8 @@
 from crankhinge.errors import LinkClosed
 from crankhinge.wire import Beat, Link, encode
 
-SILENT_BEATS = 4.0
-PAUSE_BEATS = 3.0
+LINK_TIMEOUT_BEATS = 4.0
+PAUSE_THRESHOLD_BEATS = 3.0
 
 
 class HeartbeatSender:
@@ -20,40 +20,40 @@
     what it held is freed. When this process itself was paused, its peers get a fresh chance.
 
     Args:
-        beat_s: seconds between heartbeats.
+        interval_s: seconds between heartbeats.
         make_heartbeat: makes the heartbeat.
     """
 
-    def __init__(self, beat_s: float, make_heartbeat: Callable[[float], Beat]) -> None:
+    def __init__(self, interval_s: float, make_heartbeat: Callable[[float], Beat]) -> None:
         self.links: set[Link] = set()
-        self._beat_s = beat_s
-        self._make = make_heartbeat
+        self._interval_s = interval_s
+        self._make_heartbeat = make_heartbeat
         self._wake = curio.Event()
 
     async def run(self) -> None:
         """Beat until cancelled."""
         last = await curio.clock()
         while True:
-            await curio.ignore_after(self._beat_s, self._wake.wait)
+            await curio.ignore_after(self._interval_s, self._wake.wait)
             self._wake.clear()
             now = await curio.clock()
-            if now - last > PAUSE_BEATS * self._beat_s:
-                self._forgive(now)
+            if now - last > PAUSE_THRESHOLD_BEATS * self._interval_s:
+                self._reset_link_timers(now)
             last = now
-            await self._beat(now)
+            await self._send_heartbeats(now)
 
     async def send_now(self) -> None:
         """Send the next heartbeat at once: the load has changed its kind."""
         await self._wake.set()
 
-    def _forgive(self, now: float) -> None:
+    def _reset_link_timers(self, now: float) -> None:
         for link in self.links:
             link.heard = now
 
-    async def _beat(self, now: float) -> None:
-        frame = encode(self._make(now))
+    async def _send_heartbeats(self, now: float) -> None:
+        frame = encode(self._make_heartbeat(now))
         for link in list(self.links):
-            if now - link.heard > SILENT_BEATS * self._beat_s:
+            if now - link.heard > LINK_TIMEOUT_BEATS * self._interval_s:
                 await link.close()
                 continue
             if link.congested:
--- a/src/crankhinge/peers/_instance_list.py
+++ b/src/crankhinge/peers/_instance_list.py
@@ -10,8 +10,8 @@
 from crankhinge.adapters import Instance, InstanceList
 from crankhinge.errors import KeyValueUnavailable
 
-FIRST_PAUSE_S = 0.5
-SPREAD = (0.8, 1.2)
+MAX_INITIAL_REFRESH_S = 0.5
+REFRESH_JITTER = (0.8, 1.2)
 
 
 class InstanceListCache:
@@ -53,9 +53,9 @@
         base = (
             self._refresh_interval_s
             if self.instances
-            else min(FIRST_PAUSE_S, self._refresh_interval_s)
+            else min(MAX_INITIAL_REFRESH_S, self._refresh_interval_s)
         )
-        await curio.sleep(base * self._rng.uniform(*SPREAD))
+        await curio.sleep(base * self._rng.uniform(*REFRESH_JITTER))
 
     def find(self, name: str) -> Instance | None:
         """Return an instance by name."""
--- a/src/crankhinge/peers/_propagation.py
+++ b/src/crankhinge/peers/_propagation.py
@@ -19,9 +19,9 @@
 from crankhinge.errors import BundleError, KeyValueUnavailable
 from crankhinge.wire import Beat, BundleIs, GetBundle, Link, Message, send_if_open
 
-FIRST_PAUSE_S = 0.2
-MAX_PAUSE_S = 30.0
-EARLY_PAUSE_S = 0.5
+INITIAL_RETRY_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 30.0
+UNCHANGED_WATCH_DELAY_S = 0.5
 
 
 class BundlePropagator:
@@ -48,16 +48,16 @@
     async def watch(self) -> None:
         """Watch the key-value service until cancelled, with growing pauses while it is out."""
         index = 0
-        pause = FIRST_PAUSE_S
+        pause = INITIAL_RETRY_DELAY_S
         while True:
             try:
-                value = await self._read(index)
-                pause = FIRST_PAUSE_S
+                value = await self._read_or_watch(index)
+                pause = INITIAL_RETRY_DELAY_S
             except KeyValueUnavailable as exc:
                 self._log.warning("key_value_unavailable", why=exc.detail)
                 # Spread out, so that a fleet doesn't come back to a recovering service at once.
                 await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
-                pause = min(MAX_PAUSE_S, pause * 2)
+                pause = min(MAX_RETRY_DELAY_S, pause * 2)
                 continue
             if value is None:
                 index = 0
@@ -65,11 +65,11 @@
                 continue
             if value.index == index:
                 # A service that answers a watch too early must not be asked in a tight loop.
-                await curio.sleep(EARLY_PAUSE_S)
+                await curio.sleep(UNCHANGED_WATCH_DELAY_S)
             index = value.index
             await self.receive_bundle(value.data, source="key-value")
 
-    async def _read(self, index: int) -> Any:
+    async def _read_or_watch(self, index: int) -> Any:
         if index == 0:
             return await self._kv.get(BUNDLE_KEY)
         return await self._kv.watch(BUNDLE_KEY, index, self._watch_s)
@@ -86,9 +86,9 @@
             version = self.keeper.version
             self._log.info("bundle_in_force", version=version, digest=digest, source=source)
             for link in list(self.links):
-                await self._tell(link)
+                await self._send_bundle(link)
 
-    async def _tell(self, link: Link) -> None:
+    async def _send_bundle(self, link: Link) -> None:
         if link.bundle >= self.keeper.version:
             return
         link.bundle = self.keeper.version
@@ -97,7 +97,7 @@
     async def add_link(self, link: Link) -> None:
         """Note a new link."""
         self.links.add(link)
-        await self._compare(link, link.peer.bundle)
+        await self._reconcile_versions(link, link.peer.bundle)
 
     def remove_link(self, link: Link) -> None:
         """Note the end of a link."""
@@ -106,21 +106,21 @@
     async def handle_message(self, link: Link, msg: Message) -> bool:
         """Act on a message; returns whether it was one about bundles alone."""
         if isinstance(msg, Beat):
-            await self._compare(link, msg.bundle)
+            await self._reconcile_versions(link, msg.bundle)
             return False
         if isinstance(msg, BundleIs):
             await self.receive_bundle(msg.envelope, source=link.peer.name)
             return True
         if isinstance(msg, GetBundle):
             link.bundle = 0
-            await self._tell(link)
+            await self._send_bundle(link)
             return True
         return False
 
-    async def _compare(self, link: Link, theirs: int) -> None:
+    async def _reconcile_versions(self, link: Link, peer_version: int) -> None:
         mine = self.keeper.version
-        if theirs > mine:
-            link.bundle = theirs
+        if peer_version > mine:
+            link.bundle = peer_version
             await link.send(GetBundle())
-        elif theirs < mine and link.bundle < mine:
-            await self._tell(link)
+        elif peer_version < mine and link.bundle < mine:
+            await self._send_bundle(link)
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -104,8 +104,8 @@
             link: Any = FakeLink()
             link.heard = await curio.clock() - 30.0
             beater.links.add(link)
-            beater._forgive(await curio.clock())
-            await beater._beat(await curio.clock())
+            beater._reset_link_timers(await curio.clock())
+            await beater._send_heartbeats(await curio.clock())
             return bool(link.closed)
 
         assert run_virtual(scenario) is False
