--- a/src/crankhinge/burn/__init__.py
+++ b/src/crankhinge/burn/__init__.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn and the callers' account, made from the programs' logs."""
+"""Error-budget burn and the value of the service to callers, computed from the programs' logs."""
 
 from crankhinge.burn._caller_value import (
     CallerOutcome,
--- a/src/crankhinge/burn/_budget.py
+++ b/src/crankhinge/burn/_budget.py
@@ -1,7 +1,7 @@
-"""Error budgets and burn rates.
+"""Computes error budgets and burn rates.
 
-A burn rate of 1 spends the budget exactly over the objective's period; alerts look at a long and a
-short window together ("The Site Reliability Workbook", 2018, chapter 5).
+A burn rate of 1 spends the budget exactly over the period of the objective. Alerts compare the burn
+rates of a long and a short window ("The Site Reliability Workbook", 2018, chapter 5).
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 
 WINDOWS_S = {"5m": 300.0, "30m": 1800.0, "1h": 3600.0, "6h": 21_600.0}
 WHOLE_LOG = "whole log"
+# Causes for which the caller is responsible. These requests are left out of the budgets.
 UNCOUNTED_CAUSES = frozenset(
     {"caller-gone", "bad-request", "bad-credentials", "unknown-model", "prompt-too-long"}
 )
 
 
 class BurnWindow(msgspec.Struct, kw_only=True):
-    """One window, ending with the log.
+    """The burn rate in one time window that ends at the end of the log.
 
     Attributes:
-        name: its length.
-        requests: that ended in it.
-        bad: of these, those that missed the target.
-        burn: rate at which the budget is spent; 1 spends it exactly.
+        name: length of the window, such as ``5m``.
+        requests: number of requests that ended in the window.
+        bad: number of these requests that missed the target.
+        burn: rate at which the budget is spent; 1 spends it exactly over the objective's period.
     """
 
     name: str
@@ -37,17 +38,17 @@
 
 
 class ErrorBudget(msgspec.Struct, kw_only=True):
-    """The error budget of one member, model and target.
+    """The error budget of one client account, model and target.
 
     Attributes:
-        member: who asks.
-        model: what for.
+        member: name of the client account.
+        model: name of the model.
         target: ``first token``, ``between tokens`` or ``answered``.
-        objective: part of the requests that must meet the target.
-        requests: counted.
-        bad: that missed it.
-        left: part of the budget that is left; negative when it is overspent.
-        windows: burn rates.
+        objective: fraction of the requests that must meet the target.
+        requests: number of counted requests.
+        bad: number of requests that missed the target.
+        left: fraction of the budget that is left; negative if the budget is overspent.
+        windows: burn rates by window, the whole log last.
     """
 
     member: str
@@ -61,19 +62,20 @@
 
 
 class BurnReport(msgspec.Struct, kw_only=True):
-    """The whole report.
+    """The complete report.
 
     Attributes:
-        bundle: version whose objectives were taken.
-        seconds: length of the log.
-        requests: completions that ended.
-        in_time: answered within both targets.
-        goodput: of these, a second.
-        read_tokens: prompt tokens computed, as the entries know.
-        wasted_tokens: of these, without use.
-        causes: failures and refusals by cause.
-        budgets: by member, model and target.
-        series: per second of the log, requests in time and requests that were not.
+        bundle: version of the bundle whose objectives apply.
+        seconds: time between the first and the last counted request, in seconds.
+        requests: number of counted completion requests.
+        in_time: number of requests that were answered within both latency targets.
+        goodput: requests per second that were answered within both latency targets.
+        read_tokens: number of prompt tokens that engines prefilled, according to the entries.
+        wasted_tokens: number of these tokens whose prefill was not used.
+        causes: number of failed and refused requests by cause.
+        budgets: error budgets by client account, model and target.
+        series: for each second of the log, the number of requests that met all targets and the
+            number of requests that did not.
     """
 
     bundle: int
@@ -106,8 +108,8 @@
 ) -> BurnWindow:
     inside = [event for event in events if event.ended_at >= since]
     bad = sum(_misses_target(event, model, target) for event in inside)
-    share = bad / len(inside) if inside else 0.0
-    burn = share / (1.0 - model.objective)
+    bad_fraction = bad / len(inside) if inside else 0.0
+    burn = bad_fraction / (1.0 - model.objective)
     return BurnWindow(name=name, requests=len(inside), bad=bad, burn=burn)
 
 
@@ -134,7 +136,7 @@
 
 
 def make_report(bundle: Bundle, events: Iterable[RequestEvent]) -> BurnReport:
-    """Return the report on *events* by the objectives of *bundle*."""
+    """Return the report on *events*, sorted by time, with the objectives of *bundle*."""
     models = {model.name: model for model in bundle.models}
     counted = [e for e in events if e.model in models and e.cause not in UNCOUNTED_CAUSES]
     groups: dict[tuple[str, str], list[RequestEvent]] = {}
@@ -176,10 +178,10 @@
         return []
     begin = counted[0].ended_at
     length = int(counted[-1].ended_at - begin) + 1
-    fine = [0] * length
-    every = [0] * length
+    in_time = [0] * length
+    total = [0] * length
     for event in counted:
-        every[int(event.ended_at - begin)] += 1
+        total[int(event.ended_at - begin)] += 1
     for event in good:
-        fine[int(event.ended_at - begin)] += 1
-    return [(ok, count - ok) for ok, count in zip(fine, every, strict=True)]
+        in_time[int(event.ended_at - begin)] += 1
+    return [(ok, count - ok) for ok, count in zip(in_time, total, strict=True)]
--- a/src/crankhinge/burn/_caller_value.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -1,14 +1,18 @@
-"""What service was worth to callers, counted from their first try, from gateways' logs.
+"""Computes the value of the service to its callers from the logs of gateways.
 
-A caller that was refused and comes back is a *return*; it is told apart by the time that it still
-waits, which is shorter than that of a first try on the same route. What counts is the first try:
+A request that a caller sends again after a refusal is a *retry*; all others are *first attempts*.
+The log does not mark retries. They are recognized by the time that the caller is still willing to
+wait, which is shorter than for a first attempt on the same route.
 
-* in time: the size of the request;
-* late: a part of it;
-* anything else: nothing; a refused request that is served on its return stays a refused one.
+Only first attempts earn value:
 
-Each second that a request was held and then not served costs, and so do a return that is not served
-and a refusal while nobody was asked for room; all of them linearly, with the weights below.
+* answered in time: the value of the request, which depends on its size;
+* answered late: a fraction of that value;
+* anything else: nothing, even if a retry is answered later.
+
+These reduce the value, each in proportion to the value of the request and to its weight in
+:class:`CallerWeights`: each second that a request waited without being served afterwards, a retry
+that is not served, and a refusal without asking any server for capacity.
 """
 
 from __future__ import annotations
@@ -27,17 +31,17 @@
 from crankhinge.decisions import FIRSTS_LEAST, FIRSTS_PART, HELD_PER_S, LATE_WORTH, RETURNED_PART
 from crankhinge.errors import SettingsError
 
-# A refusal within this time, in milliseconds, is one at once: a question to three engines is
-# answered in some ten.
+# A refusal within this time counts as immediate. Requests for capacity to three engines take about
+# 10 ms in total.
 MAX_IMMEDIATE_REFUSAL_MS = 60.0
-# Weight of a token of an answer against one of a prompt in the size of a request, and the part of
-# a request's worth that does not depend on its size.
+# Weight of an output token in the size of a request; a prompt token has weight 1.
 OUTPUT_TOKEN_WEIGHT = 10
+# Fraction of a request's value that does not depend on its size.
 FIXED_VALUE_FRACTION = 0.3
-# Largest worth of a request, in those of the mean one.
+# Maximum value of a request, as a multiple of the value of a request of mean size.
 MAX_SIZE_FACTOR = 4.0
-# A caller that goes later than this part of the time that it would have waited was held in vain;
-# one that goes before has changed its mind.
+# A caller that leaves after at least this fraction of its maximum wait has waited in vain, which
+# counts as a failure. A caller that leaves earlier has cancelled its request.
 FULL_WAIT_FRACTION = 0.9
 
 _END_EVENTS = frozenset({"answered", "request_failed", "broken_off", "caller_gone"})
@@ -46,14 +50,14 @@
 
 
 class CallerWeights(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What counts how much, in parts of the size of the request concerned.
+    """Weights of the outcomes, as fractions of the value of the request.
 
     Attributes:
-        late: an answer that is late.
-        held_per_s: cost of each second that a request is held and then not served.
-        failed_return: cost of a return that is not served.
-        needless: cost of a refusal for which no server was asked for room.
-        kinds: worth of a request of mean size by kind of route; 1 where none is given.
+        late: value of a late answer.
+        held_per_s: cost of each second that a request waited without being served afterwards.
+        failed_return: cost of a retry that is not served.
+        needless: cost of a refusal without asking any server for capacity.
+        kinds: value of a request of mean size, by kind of route; 1 for kinds that are not listed.
     """
 
     late: CostFraction = LATE_WORTH
@@ -64,7 +68,7 @@
 
 
 class CallerOutcome(enum.Enum):
-    """How a try ended for its caller."""
+    """How a request ended for its caller; the values are column headings of the report."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -75,24 +79,26 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether the caller got its answer."""
+        """Whether the caller received the complete answer."""
         return self in (CallerOutcome.IN_TIME, CallerOutcome.LATE)
 
 
 @dataclass(frozen=True, slots=True)
 class CallerAttempt:
-    """One request as a gateway saw it end.
+    """One request of a caller, from a gateway's log line about its end.
 
     Attributes:
-        started_at: seconds since the epoch when it began.
-        route: its route's name.
-        route_kind: of its route.
-        max_wait_ms: how long its caller waited at most.
-        duration_ms: how long it was in the gateway's hands.
-        size: prompt and weighed answer, in tokens; 0 for a plain request.
-        outcome: how it ended.
-        refused_without_query: whether it was refused although nobody was asked for room.
-        on_reused_connection: whether earlier requests came on its connection.
+        started_at: time at which the gateway received the request, in seconds since the epoch.
+        route: name of the route.
+        route_kind: kind of the route.
+        max_wait_ms: how long the caller was willing to wait for the answer.
+        duration_ms: time from the start of the request to its end in the gateway.
+        size: number of prompt tokens plus the weighted maximum number of output tokens; 0 for a
+            request that does not go to a model.
+        outcome: how the request ended for the caller.
+        refused_without_query: whether the gateway refused the request without asking any server
+            for capacity and without other requests waiting ahead of it.
+        on_reused_connection: whether the connection had carried earlier requests.
     """
 
     started_at: float
@@ -108,15 +114,15 @@
 
 @dataclass
 class CallerValue:
-    """The callers' account of some requests.
+    """Outcomes of a set of requests and their value to the callers.
 
     Attributes:
-        first_attempts: first tries by outcome.
-        retries: the same for returns.
-        wasted_hold_s: seconds that requests were held and then not served.
-        potential_value: worth of all first tries, had they been in time.
-        earned_value: worth of what was served.
-        cost: worth of seconds held in vain, failed returns and needless refusals.
+        first_attempts: number of first attempts by outcome.
+        retries: number of retries by outcome.
+        wasted_hold_s: total time that requests waited without being served afterwards, in seconds.
+        potential_value: value if all first attempts had been answered in time.
+        earned_value: value of the first attempts that were answered.
+        cost: total cost of waits in vain, failed retries and refusals without a query.
     """
 
     first_attempts: dict[CallerOutcome, int] = field(
@@ -132,7 +138,7 @@
 
     @property
     def relative_value(self) -> float:
-        """Return the callers' worth as a part of what was owed."""
+        """Return the earned value minus the cost, as a fraction of the potential value."""
         return (
             (self.earned_value - self.cost) / self.potential_value if self.potential_value else 0.0
         )
@@ -140,13 +146,14 @@
 
 @dataclass
 class CallerValueReport:
-    """The whole account.
+    """The value to callers in total and broken down by route and by time.
 
     Attributes:
-        total: of all requests.
-        routes: by route.
-        windows: by number of the window since the first request.
-        window_s: length of a window, in seconds.
+        total: value of all requests.
+        routes: value by route name.
+        windows: value by time window in which the request started; window 0 begins with the first
+            request.
+        window_s: length of a time window, in seconds.
     """
 
     total: CallerValue
@@ -156,135 +163,154 @@
 
 
 def read_caller_attempts(paths: Iterable[Path]) -> list[CallerAttempt]:
-    """Return the requests that ended in gateways' logs, in order of time.
+    """Return the completed requests from the logs of gateways, sorted by start time.
 
     Raises:
-        SettingsError: a file can't be read.
+        SettingsError: a file cannot be read.
     """
-    tries = [one for path in paths for one in _read_file(path)]
-    return sorted(tries, key=lambda one: one.started_at)
+    attempts = [attempt for path in paths for attempt in _read_file(path)]
+    return sorted(attempts, key=lambda attempt: attempt.started_at)
 
 
 def _read_file(path: Path) -> Iterator[CallerAttempt]:
-    asked: dict[str, bool] = {}
+    queried: dict[str, bool] = {}
     try:
         with path.open(encoding="utf-8", errors="replace") as file:
             for line in file:
                 pairs = parse_line(line)
-                event, ident = pairs.get("event"), pairs.get("request", "")
+                event, request = pairs.get("event"), pairs.get("request", "")
                 if event == "place_refused":
-                    asked[ident] = pairs.get("asked") != "0" or pairs.get("ahead", "0") != "0"
+                    queried[request] = pairs.get("asked") != "0" or pairs.get("ahead", "0") != "0"
                 if event in _END_EVENTS and "within_ms" in pairs:
-                    yield from _parse_attempt(pairs, needless=not asked.pop(ident, True))
+                    yield from _parse_attempt(
+                        pairs, refused_without_query=not queried.pop(request, True)
+                    )
     except OSError as exc:
         raise SettingsError(f"{path}: cannot be read: {exc.strerror}") from exc
 
 
-def _parse_attempt(pairs: dict[str, str], *, needless: bool) -> Iterator[CallerAttempt]:
-    """Give the try that a line tells of; nothing where its figures are none."""
+def _parse_attempt(
+    pairs: dict[str, str], *, refused_without_query: bool
+) -> Iterator[CallerAttempt]:
+    """Yield the request that a log line describes, or nothing if the line has invalid numbers."""
     try:
-        took_ms = float(pairs["took_ms"])
+        duration_ms = float(pairs["took_ms"])
         yield CallerAttempt(
-            started_at=datetime.fromisoformat(pairs["ts"]).timestamp() - took_ms / 1000,
+            started_at=datetime.fromisoformat(pairs["ts"]).timestamp() - duration_ms / 1000,
             route=pairs["route"],
             route_kind=pairs["kind"],
             max_wait_ms=float(pairs["within_ms"]),
-            duration_ms=took_ms,
+            duration_ms=duration_ms,
             size=float(pairs.get("prompt", 0)) + OUTPUT_TOKEN_WEIGHT * float(pairs.get("most", 0)),
-            outcome=_classify_outcome(pairs, took_ms),
-            refused_without_query=needless,
+            outcome=_classify_outcome(pairs, duration_ms),
+            refused_without_query=refused_without_query,
             on_reused_connection=pairs.get("kept") == "true",
         )
     except (KeyError, ValueError):
         return
 
 
-def _classify_outcome(pairs: dict[str, str], took_ms: float) -> CallerOutcome:
+def _classify_outcome(pairs: dict[str, str], duration_ms: float) -> CallerOutcome:
     event = pairs["event"]
     if event == "caller_gone":
-        held = took_ms >= FULL_WAIT_FRACTION * float(pairs["within_ms"])
-        late = "first_ms" not in pairs and took_ms > float(pairs["target_ms"])
-        return CallerOutcome.FAILED if held or late else CallerOutcome.ABANDONED
+        waited_in_vain = duration_ms >= FULL_WAIT_FRACTION * float(pairs["within_ms"])
+        missed_target = "first_ms" not in pairs and duration_ms > float(pairs["target_ms"])
+        return CallerOutcome.FAILED if waited_in_vain or missed_target else CallerOutcome.ABANDONED
     if event == "answered" and pairs.get("status") == "200":
-        return CallerOutcome.IN_TIME if _is_in_time(pairs, took_ms) else CallerOutcome.LATE
+        return CallerOutcome.IN_TIME if _is_in_time(pairs, duration_ms) else CallerOutcome.LATE
     if event == "request_failed" and pairs.get("status") in ("503", "429"):
         return (
             CallerOutcome.REFUSED_IMMEDIATELY
-            if took_ms <= MAX_IMMEDIATE_REFUSAL_MS
+            if duration_ms <= MAX_IMMEDIATE_REFUSAL_MS
             else CallerOutcome.REFUSED_AFTER_WAIT
         )
     return CallerOutcome.FAILED
 
 
-def _is_in_time(pairs: dict[str, str], took_ms: float) -> bool:
-    first_ms = float(pairs.get("first_ms", took_ms))
-    pause_ms = float(pairs.get("pause_ms", 0)) or float("inf")
-    return first_ms <= float(pairs["target_ms"]) and float(pairs.get("gap_ms", 0)) <= pause_ms
+def _is_in_time(pairs: dict[str, str], duration_ms: float) -> bool:
+    first_ms = float(pairs.get("first_ms", duration_ms))
+    max_gap_ms = float(pairs.get("pause_ms", 0)) or float("inf")
+    return first_ms <= float(pairs["target_ms"]) and float(pairs.get("gap_ms", 0)) <= max_gap_ms
 
 
 def compute_caller_value(
     attempts: Iterable[CallerAttempt], weights: CallerWeights, *, window_s: float
 ) -> CallerValueReport:
-    """Return the account of *attempts*, in windows of *window_s* seconds."""
-    attempts = [one for one in attempts if one.outcome is not CallerOutcome.ABANDONED]
-    shortest = _retry_thresholds_ms(attempts)
+    """Return the value of *attempts* to their callers, with time windows of *window_s* seconds."""
+    attempts = [attempt for attempt in attempts if attempt.outcome is not CallerOutcome.ABANDONED]
+    retry_thresholds_ms = _retry_thresholds_ms(attempts)
     sizes: defaultdict[str, list[float]] = defaultdict(list)
-    for one in attempts:
-        sizes[one.route].append(one.size)
-    means = {route: sum(values) / len(values) for route, values in sizes.items()}
-    account = CallerValueReport(
+    for attempt in attempts:
+        sizes[attempt.route].append(attempt.size)
+    mean_sizes = {route: sum(values) / len(values) for route, values in sizes.items()}
+    report = CallerValueReport(
         CallerValue(), defaultdict(CallerValue), defaultdict(CallerValue), window_s
     )
-    start = attempts[0].started_at if attempts else 0.0
-    for one in attempts:
-        worth = weights.kinds.get(one.route_kind, 1.0) * _size_factor(one, means[one.route])
-        returned = not one.on_reused_connection and one.max_wait_ms < shortest[one.route]
-        window = int((one.started_at - start) // window_s)
-        for tally in (account.total, account.routes[one.route], account.windows[window]):
-            _add_attempt(tally, one, worth, weights, returned=returned)
-    return account
+    report_start = attempts[0].started_at if attempts else 0.0
+    for attempt in attempts:
+        request_value = weights.kinds.get(attempt.route_kind, 1.0) * _size_factor(
+            attempt, mean_sizes[attempt.route]
+        )
+        is_retry = (
+            not attempt.on_reused_connection
+            and attempt.max_wait_ms < retry_thresholds_ms[attempt.route]
+        )
+        window = int((attempt.started_at - report_start) // window_s)
+        for value in (report.total, report.routes[attempt.route], report.windows[window]):
+            _add_attempt(value, attempt, request_value, weights, is_retry=is_retry)
+    return report
 
 
-def _retry_thresholds_ms(tries: list[CallerAttempt]) -> dict[str, float]:
-    """Return the wait below which a request of a route was refused before, in milliseconds.
+def _retry_thresholds_ms(attempts: list[CallerAttempt]) -> dict[str, float]:
+    """Return for each route the maximum wait below which a request is a retry, in milliseconds.
 
-    Callers come back on new connections, so requests on kept ones are first tries.
+    Callers retry on new connections, so requests on reused connections are first attempts. If a
+    route has enough of them, the threshold is just below their shortest wait. Otherwise it is just
+    below the longest wait of all requests.
     """
-    waits: defaultdict[str, list[float]] = defaultdict(list)
-    firsts: defaultdict[str, list[float]] = defaultdict(list)
-    for one in tries:
-        waits[one.route].append(one.max_wait_ms)
-        if one.on_reused_connection:
-            firsts[one.route].append(one.max_wait_ms)
+    all_waits_ms: defaultdict[str, list[float]] = defaultdict(list)
+    first_waits_ms: defaultdict[str, list[float]] = defaultdict(list)
+    for attempt in attempts:
+        all_waits_ms[attempt.route].append(attempt.max_wait_ms)
+        if attempt.on_reused_connection:
+            first_waits_ms[attempt.route].append(attempt.max_wait_ms)
     return {
-        route: FIRSTS_PART * min(firsts[route])
-        if len(firsts[route]) >= FIRSTS_LEAST
-        else RETURNED_PART * max(all_waits)
-        for route, all_waits in waits.items()
+        route: FIRSTS_PART * min(first_waits_ms[route])
+        if len(first_waits_ms[route]) >= FIRSTS_LEAST
+        else RETURNED_PART * max(route_waits_ms)
+        for route, route_waits_ms in all_waits_ms.items()
     }
 
 
-def _size_factor(one: CallerAttempt, mean: float) -> float:
-    if mean <= 0:
+def _size_factor(attempt: CallerAttempt, mean_size: float) -> float:
+    if mean_size <= 0:
         return 1.0
-    return min(MAX_SIZE_FACTOR, FIXED_VALUE_FRACTION + (1 - FIXED_VALUE_FRACTION) * one.size / mean)
+    return min(
+        MAX_SIZE_FACTOR,
+        FIXED_VALUE_FRACTION + (1 - FIXED_VALUE_FRACTION) * attempt.size / mean_size,
+    )
 
 
 def _add_attempt(
-    tally: CallerValue, one: CallerAttempt, worth: float, weights: CallerWeights, *, returned: bool
+    value: CallerValue,
+    attempt: CallerAttempt,
+    request_value: float,
+    weights: CallerWeights,
+    *,
+    is_retry: bool,
 ) -> None:
-    (tally.retries if returned else tally.first_attempts)[one.outcome] += 1
-    if not returned:
-        tally.potential_value += worth
-        if one.outcome.is_served:
-            tally.earned_value += worth * (
-                1.0 if one.outcome is CallerOutcome.IN_TIME else weights.late
+    (value.retries if is_retry else value.first_attempts)[attempt.outcome] += 1
+    if not is_retry:
+        value.potential_value += request_value
+        if attempt.outcome.is_served:
+            value.earned_value += request_value * (
+                1.0 if attempt.outcome is CallerOutcome.IN_TIME else weights.late
             )
-    if one.outcome.is_served:
+    if attempt.outcome.is_served:
         return
-    tally.wasted_hold_s += one.duration_ms / 1000
-    tally.cost += worth * weights.held_per_s * one.duration_ms / 1000
-    if returned:
-        tally.cost += worth * weights.failed_return
-    if one.refused_without_query:
-        tally.cost += worth * weights.needless
+    value.wasted_hold_s += attempt.duration_ms / 1000
+    value.cost += request_value * weights.held_per_s * attempt.duration_ms / 1000
+    if is_retry:
+        value.cost += request_value * weights.failed_return
+    if attempt.refused_without_query:
+        value.cost += request_value * weights.needless
--- a/src/crankhinge/burn/_log_events.py
+++ b/src/crankhinge/burn/_log_events.py
@@ -1,4 +1,4 @@
-"""Reads the programs' logs: one key=value line per event."""
+"""Reads the programs' logs, which have one line of key=value pairs per event."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass(frozen=True)
 class RequestEvent:
-    """How one request ended.
+    """The end of one request.
 
     Attributes:
-        ended_at: seconds since the epoch.
-        member: who asked; empty when that wasn't known yet.
-        model: what for; empty for a plain service.
-        cause: class of the failure; empty for an answer.
-        first_token_s: seconds until the first token.
-        between_tokens_s: mean seconds between tokens.
-        prefill_tokens: prompt tokens computed for it.
-        wasted_prefill_tokens: of these, without use.
+        ended_at: time of the end, in seconds since the epoch.
+        member: name of the client account; empty if the request ended before it was known.
+        model: name of the model; empty for a call of a plain service.
+        cause: code of the failure; empty if the request was answered.
+        first_token_s: seconds from the start of the request to the first token.
+        between_tokens_s: mean number of seconds between tokens.
+        prefill_tokens: number of prompt tokens that engines prefilled for the request.
+        wasted_prefill_tokens: number of these tokens whose prefill was not used.
     """
 
     ended_at: float
@@ -40,7 +40,7 @@
 
 
 def parse_line(line: str) -> dict[str, str]:
-    """Return the key=value pairs of a log line."""
+    """Return the key=value pairs of a log line, with quoted values unquoted."""
     return {key: _unquote(value) for key, value in _PAIR.findall(line)}
 
 
@@ -51,10 +51,10 @@
 
 
 def read_events(paths: Iterable[Path]) -> list[RequestEvent]:
-    """Return the requests' ends in all files, in order of time.
+    """Return the ends of requests from all files, sorted by time.
 
     Raises:
-        SettingsError: when a file can't be read.
+        SettingsError: a file cannot be read.
     """
     events = [event for path in paths for event in _read_file(path)]
     return sorted(events, key=lambda event: event.ended_at)
--- a/src/crankhinge/burn/_render.py
+++ b/src/crankhinge/burn/_render.py
@@ -1,4 +1,4 @@
-"""The report as text and as a self-contained page."""
+"""Renders the burn report as text and as a self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
 
 
 def render_summary(report: BurnReport) -> str:
-    """Return the report's first lines."""
-    read = report.read_tokens
-    waste = report.wasted_tokens / read if read else 0.0
-    share = report.in_time / report.requests if report.requests else 0.0
+    """Return the first paragraph of the report."""
+    prefilled = report.read_tokens
+    waste = report.wasted_tokens / prefilled if prefilled else 0.0
+    in_time_fraction = report.in_time / report.requests if report.requests else 0.0
     return (
         f"{report.requests} requests in {report.seconds:.1f} s, objectives of bundle "
-        f"{report.bundle}. In time: {report.in_time} ({share:.1%}), goodput "
-        f"{report.goodput:.1f} a second. Wasted prefill: {report.wasted_tokens} of {read} tokens "
-        f"({waste:.2%})."
+        f"{report.bundle}. In time: {report.in_time} ({in_time_fraction:.1%}), goodput "
+        f"{report.goodput:.1f} a second. Wasted prefill: {report.wasted_tokens} of {prefilled} "
+        f"tokens ({waste:.2%})."
     )
 
 
@@ -53,7 +53,7 @@
 
 
 def render_text(report: BurnReport) -> str:
-    """Return the report as text."""
+    """Return the report as plain text."""
     lines = [render_summary(report), ""]
     head = f"{'member':<18}{'model':<8}{'target':<16}{'obj.':>6}{'reqs':>7}{'missed':>8}{'left':>8}"
     lines += [head + "  burn rates", "-" * (len(head) + 12)]
@@ -68,7 +68,7 @@
 
 
 def render_html(report: BurnReport) -> str:
-    """Return the report as one page that needs nothing else."""
+    """Return the report as an HTML page with embedded plots that needs no other files."""
     rows = "\n".join(_render_row(budget) for budget in report.budgets)
     causes = "\n".join(
         f'<tr><td>{html.escape(cause)}</td><td class="number">{count}</td></tr>'
@@ -110,15 +110,15 @@
 def _plot_series(report: BurnReport) -> str:
     def draw(axes: object) -> None:
         seconds = range(len(report.series))
-        fine = [ok for ok, _ in report.series]
+        in_time = [ok for ok, _ in report.series]
         missed = [bad for _, bad in report.series]
-        axes.bar(seconds, fine, width=1.0, align="edge", color="#2a7f62", label="in time")  # type: ignore[attr-defined]
+        axes.bar(seconds, in_time, width=1.0, align="edge", color="#2a7f62", label="in time")  # type: ignore[attr-defined]
         axes.bar(  # type: ignore[attr-defined]
             seconds,
             missed,
             width=1.0,
             align="edge",
-            bottom=fine,
+            bottom=in_time,
             color="#c8553d",
             label="late, refused, failed",
         )
--- a/src/crankhinge/burn/main.py
+++ b/src/crankhinge/burn/main.py
@@ -1,4 +1,4 @@
-"""``crankhinge-burn``: the report on service-level burn."""
+"""``crankhinge-burn``: reports error budgets and burn rates from the logs of the entries."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog=PROGRAM, description=__doc__)
     parser.add_argument("--version", action="version", version=f"{PROGRAM} {__version__}")
     parser.add_argument("logs", nargs="+", help="log files of the entries")
-    parser.add_argument("--bundle", required=True, help="bundle with the objectives")
-    parser.add_argument("--json", default="", help="file for the report as JSON")
-    parser.add_argument("--html", default="", help="file for the report as a page")
+    parser.add_argument("--bundle", required=True, help="bundle file with the objectives")
+    parser.add_argument("--json", default="", help="write the report to this file as JSON")
+    parser.add_argument("--html", default="", help="write the report to this file as an HTML page")
     return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     args = make_parser().parse_args(argv)
     try:
         bundle = parse_bundle(_read_bundle(args.bundle))
