--- a/src/crankhinge/config/__init__.py
+++ b/src/crankhinge/config/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration bundle: its model, its signatures, and how it is accepted and spread."""
+"""The configuration bundle: its model, signatures, publication, and the version in force."""
 
 from crankhinge.config._bundle import (
     Adapter,
--- a/src/crankhinge/config/_bundle.py
+++ b/src/crankhinge/config/_bundle.py
@@ -1,4 +1,4 @@
-"""The model of a bundle, validated whole when it is read."""
+"""The data model of a bundle and its validation."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class _BundleStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Common options: unknown keys are errors."""
+    """Base of the bundle models; rejects unknown keys."""
 
 
 class Policy(_BundleStruct, frozen=True):
-    """How the two measures are weighed.
+    """Trade-off between goodput and wasted prefill, and limits on retries and waiting.
 
     Attributes:
-        waste_weight: 0 for goodput only, 1 for as little wasted prefill as possible.
-        retry_ratio: retries allowed per first attempt.
-        patience: multiple of the first-token target after which a request is given up.
+        waste_weight: 0 maximizes goodput alone, 1 minimizes wasted prefill.
+        retry_ratio: maximum number of retries per first attempt.
+        patience: a request is given up after this multiple of the first-token target.
     """
 
     waste_weight: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.5
@@ -36,7 +36,7 @@
 
 
 class Partner(_BundleStruct, frozen=True):
-    """One of the partners who sign bundles."""
+    """A partner; every partner signs every bundle."""
 
     name: Name
     weight: Positive = 1.0
@@ -46,13 +46,14 @@
     """A client account.
 
     Attributes:
-        name: its name.
-        partner: its partner.
-        credential_sha256: SHA-256 of its bearer credential, in hex.
-        weight: within its partner.
-        max_concurrent: requests in progress at one entry; 0 for no limit.
-        max_per_s: requests a second at one entry; 0 for no limit.
-        max_rank: the most urgent priority class it may ask for.
+        name: name of the account.
+        partner: name of the partner that the account belongs to.
+        credential_sha256: SHA-256 of the account's bearer credential, in hex.
+        weight: weight in the fair queues, relative to the other accounts of the same partner.
+        max_concurrent: maximum number of requests in progress at one entry; 0 for no limit.
+        max_per_s: maximum number of requests per second at one entry; 0 for no limit.
+        max_rank: the most urgent priority class that the account may request; 0 is the most
+            urgent class of all, 2 the least urgent.
     """
 
     name: Name
@@ -65,12 +66,12 @@
 
 
 class Adapter(_BundleStruct, frozen=True):
-    """A variant of a model that is loaded into its engines.
+    """An adapter: a variant of a model that is loaded into the model's engines.
 
     Attributes:
-        name: what callers ask for.
-        path: of its weights, as the engine understands it.
-        version: one more when the weights change.
+        name: model name that callers use to select the adapter.
+        path: path of the adapter's weights, in the form that the engine expects.
+        version: version of the weights; increase it by one whenever they change.
     """
 
     name: Name
@@ -79,18 +80,20 @@
 
 
 class Model(_BundleStruct, frozen=True):
-    """A model that callers name.
+    """A language model that callers select by name.
 
     Attributes:
-        name: its name.
-        prefill: pools that read for it.
-        decode: pools that write for it.
-        first_token_s: latency target.
-        between_tokens_s: latency target.
-        objective: part of the requests that must meet each target.
-        max_prompt_tokens: longest prompt.
-        max_output_tokens: longest answer, and the default of a request that names none.
-        adapters: variants that are loaded beside it, each a model name to callers.
+        name: name of the model.
+        prefill: names of the pools whose engines prefill for the model.
+        decode: names of the pools whose engines decode for the model.
+        first_token_s: latency target for the first token, in seconds.
+        between_tokens_s: latency target for the mean time between tokens, in seconds.
+        objective: fraction of the requests that must meet each target.
+        max_prompt_tokens: maximum number of tokens of a prompt.
+        max_output_tokens: maximum number of output tokens, and the default for requests that do
+            not set a maximum.
+        adapters: adapters that are loaded into the model's engines; callers use the name of an
+            adapter as a model name.
     """
 
     name: Name
@@ -108,13 +111,14 @@
     """A pool of backend servers of one kind.
 
     Attributes:
-        name: its name.
-        kind: what its backend servers do.
-        slots: requests that a decode engine holds in memory, prompts that a prefill engine reads
-            at once, or calls that a plain service takes at once.
-        rolling: how many of the pool's engines may load weights at once.
-        fence: pairs of agents, of different availability zones, that keep the record of the
-            pool's non-repeatable requests; the keys are spread over the pairs.
+        name: name of the pool.
+        kind: what the backend servers of the pool do.
+        slots: maximum number of requests that a decode engine holds in memory, of prompts that a
+            prefill engine processes concurrently, or of calls that a plain service handles
+            concurrently.
+        rolling: maximum number of the pool's engines that may load weights at the same time.
+        fence: pairs of agents, in different availability zones, that keep the fence records of
+            the pool's non-repeatable requests; the request keys are distributed over the pairs.
     """
 
     name: Name
@@ -125,14 +129,14 @@
 
 
 class Service(_BundleStruct, frozen=True):
-    """A plain service.
+    """A service whose backend servers answer plain HTTP calls instead of running a model.
 
     Attributes:
-        name: its name.
-        path: prefix of the request paths it takes; the longest match wins.
-        pool: its pool.
-        repeatable: methods whose calls may be repeated.
-        timeout_s: seconds a call may take.
+        name: name of the service.
+        path: prefix of the request paths that the service handles; the longest match wins.
+        pool: name of the pool that serves the calls.
+        repeatable: HTTP methods whose calls may be retried.
+        timeout_s: maximum duration of a call, in seconds.
     """
 
     name: Name
@@ -143,13 +147,13 @@
 
 
 class Transfer(_BundleStruct, frozen=True):
-    """What the links between pools carry.
+    """Cost of transferring the KV cache of a prompt between engines.
 
     Attributes:
-        kv_bytes_per_token: size of the KV cache of a token.
-        same_zone_bytes_per_s: rate of a link within a zone; 0 when not limited.
-        cross_zone_bytes_per_s: rate of a link between zones; 0 when not limited.
-        cross_zone_s: one way between zones, seconds.
+        kv_bytes_per_token: size of the KV cache per prompt token, in bytes.
+        same_zone_bytes_per_s: bandwidth of a link within a zone; 0 for no limit.
+        cross_zone_bytes_per_s: bandwidth of a link between zones; 0 for no limit.
+        cross_zone_s: one-way latency between zones, in seconds.
     """
 
     kv_bytes_per_token: Annotated[int, msgspec.Meta(ge=0)] = 0
@@ -159,17 +163,17 @@
 
 
 class Bundle(_BundleStruct, frozen=True):
-    """A whole configuration.
+    """A complete configuration.
 
     Attributes:
-        version: one more than that of the bundle it replaces.
-        partners: who must sign.
+        version: version of the bundle, one higher than that of the bundle it replaces.
+        partners: the partners; each of them must sign the bundle.
         members: client accounts.
-        models: models.
-        pools: pools.
+        models: language models and the pools that serve them.
+        pools: pools of backend servers.
         services: plain services.
-        policy: how the measures are weighed.
-        transfer: links between pools.
+        policy: trade-off between goodput and wasted prefill, and limits on retries and waiting.
+        transfer: cost of transferring KV caches between engines.
     """
 
     version: Count
@@ -182,37 +186,43 @@
     transfer: Transfer = Transfer()
 
     def find_model(self, name: str) -> Model | None:
-        """Return the model that serves *name*, itself or as an adapter."""
+        """Return the model that is called *name* or has an adapter of that name, or None."""
         for model in self.models:
             if name == model.name or any(name == adapter.name for adapter in model.adapters):
                 return model
         return None
 
     def find_pool(self, name: str) -> Pool | None:
-        """Return the pool *name*."""
+        """Return the pool called *name*, or None."""
         return next((pool for pool in self.pools if pool.name == name), None)
 
     def find_service(self, path: str) -> Service | None:
-        """Return the service with the longest prefix of *path*."""
-        fits = [service for service in self.services if path.startswith(service.path)]
-        return max(fits, key=lambda service: len(service.path), default=None)
+        """Return the service whose path is the longest prefix of *path*, or None."""
+        matches = [service for service in self.services if path.startswith(service.path)]
+        return max(matches, key=lambda service: len(service.path), default=None)
 
 
 def fence_range_id(pool: str, pair_number: int, replicas: tuple[str, str]) -> str:
-    """Return the identity of a record: its pool, place and holders."""
+    """Return the id of the range of request keys whose fence records a pair of agents keeps.
+
+    Args:
+        pool: name of the pool.
+        pair_number: index of the pair in the pool's ``fence`` list.
+        replicas: names of the two agents of the pair.
+    """
     return f"{pool}/{pair_number}/{replicas[0]}+{replicas[1]}"
 
 
 def hash_credential(credential: str) -> str:
-    """Return what a bundle keeps of a member's bearer credential."""
+    """Return the SHA-256 of a bearer credential in hex, the only form that a bundle contains."""
     return hashlib.sha256(credential.encode()).hexdigest()
 
 
 def parse_bundle(text: str) -> Bundle:
-    """Return the validated bundle.
+    """Parse and validate the TOML text of a bundle.
 
     Raises:
-        BundleError: naming the key and the reason.
+        BundleError: the text is not a valid bundle; the message names the key and the reason.
     """
     try:
         bundle = msgspec.convert(tomllib.loads(text), Bundle)
@@ -235,14 +245,14 @@
     names += [adapter.name for model in bundle.models for adapter in model.adapters]
     _check_unique("models and adapters", names)
     if not bundle.partners:
-        raise BundleError("partners: at least one is needed")
+        raise BundleError("partners: at least one is required")
 
 
-def _check_unique(what: str, names: Iterable[str]) -> None:
+def _check_unique(kind: str, names: Iterable[str]) -> None:
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            raise BundleError(f"{what}: {name!r} stands twice")
+            raise BundleError(f"{kind}: {name!r} is defined more than once")
         seen.add(name)
 
 
@@ -250,7 +260,7 @@
     partners = {partner.name for partner in bundle.partners}
     for member in bundle.members:
         if member.partner not in partners:
-            raise BundleError(f"members: {member.name}: no partner {member.partner!r}")
+            raise BundleError(f"members: {member.name}: unknown partner {member.partner!r}")
     for model in bundle.models:
         _check_pools(bundle, f"models: {model.name}", model.prefill, "prefill")
         _check_pools(bundle, f"models: {model.name}", model.decode, "decode")
@@ -258,7 +268,7 @@
         _check_pools(bundle, f"services: {service.name}", (service.pool,), "plain")
     for pool in bundle.pools:
         if any(first == second for first, second in pool.fence):
-            raise BundleError(f"pools: {pool.name}: fence pairs name two different agents")
+            raise BundleError(f"pools: {pool.name}: a fence pair must name two different agents")
 
 
 def _check_pools(bundle: Bundle, where: str, names: tuple[str, ...], kind: str) -> None:
--- a/src/crankhinge/config/_envelope.py
+++ b/src/crankhinge/config/_envelope.py
@@ -1,4 +1,4 @@
-"""A bundle's text with the partners' signatures."""
+"""The signed form of a bundle: its text together with the partners' signatures."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is kept in the key-value service.
+    """A bundle as it is stored in the key-value service and sent to peers.
 
     Attributes:
-        text: the bundle, TOML.
-        signatures: hex of each partner's Ed25519 signature over the text.
+        text: TOML text of the bundle.
+        signatures: Ed25519 signature of each partner over the text, in hex, by partner name.
     """
 
     text: str
@@ -28,40 +28,41 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the envelope as JSON."""
+    """Encode an envelope as JSON."""
     return msgspec.json.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Return the envelope, its signatures unchecked.
+    """Decode an envelope without verifying its signatures.
 
     Raises:
-        BundleError: when it is malformed or too large.
+        BundleError: the data is malformed or larger than ``MAX_ENVELOPE_BYTES``.
     """
     if len(data) > MAX_ENVELOPE_BYTES:
-        raise BundleError(f"envelope of {len(data)} bytes, at most {MAX_ENVELOPE_BYTES}")
+        raise BundleError(f"envelope has {len(data)} bytes; the maximum is {MAX_ENVELOPE_BYTES}")
     try:
         return msgspec.json.decode(data, type=Envelope)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise BundleError(f"not an envelope: {exc}") from exc
+        raise BundleError(f"not a bundle envelope: {exc}") from exc
 
 
 def sign_envelope(envelope: Envelope, partner: str, key: SigningKey) -> Envelope:
-    """Return the envelope with *partner*'s signature added."""
+    """Return a copy of the envelope with the signature of *partner* added."""
     signature = key.sign(_SIGNATURE_CONTEXT + envelope.text.encode()).signature.hex()
     return Envelope(envelope.text, {**envelope.signatures, partner: signature})
 
 
 def verify_envelope(data: bytes, keys: Mapping[str, str]) -> Bundle:
-    """Check every partner's signature and return the bundle.
+    """Verify the signature of every partner and return the bundle.
 
     Args:
-        data: the envelope.
-        keys: public key of each partner, hex. All of them must have signed: whom to trust is in
-            a process's settings, never in the bundle itself.
+        data: the encoded envelope.
+        keys: public key of each partner, in hex. All of these partners must have signed. The keys
+            come from the settings of the process, never from the bundle, which would otherwise
+            decide for itself whose signatures count.
 
     Raises:
-        BundleError: when it is malformed or a signature is missing or wrong.
+        BundleError: the envelope is malformed, or a signature is missing or invalid.
     """
     envelope = decode_envelope(data)
     message = _SIGNATURE_CONTEXT + envelope.text.encode()
@@ -76,4 +77,4 @@
     try:
         VerifyKey(bytes.fromhex(key)).verify(message, bytes.fromhex(signature))
     except (BadSignatureError, CryptoError, ValueError) as exc:
-        raise BundleError(f"signature of {partner} is wrong") from exc
+        raise BundleError(f"signature of {partner} is invalid") from exc
--- a/src/crankhinge/config/_keeper.py
+++ b/src/crankhinge/config/_keeper.py
@@ -14,7 +14,13 @@
 
 @dataclass(frozen=True)
 class FairShareWeights:
-    """What a fair queue needs to know of a member."""
+    """The weights that determine the share of a client account in the fair queues.
+
+    Attributes:
+        partner: name of the account's partner; empty for an unknown account.
+        member_weight: weight of the account among the accounts of its partner.
+        partner_weight: weight of the partner among all partners.
+    """
 
     partner: str
     member_weight: float
@@ -22,7 +28,7 @@
 
 
 class BundleView:
-    """A bundle with its members indexed."""
+    """A bundle with indexes of its client accounts."""
 
     def __init__(self, bundle: Bundle) -> None:
         self.bundle = bundle
@@ -31,11 +37,11 @@
         self._partner_weights = {partner.name: partner.weight for partner in bundle.partners}
 
     def find_member_by_credential(self, credential: str) -> Member | None:
-        """Return the member with this bearer credential."""
+        """Return the client account with this bearer credential, or None."""
         return self._by_credential_hash.get(hash_credential(credential))
 
     def fair_share_weights(self, member: str) -> FairShareWeights:
-        """Return a member's place in the fair queues; an unknown one has weight 1."""
+        """Return the fair-queue weights of a client account; 1 for an unknown account."""
         known = self._by_name.get(member)
         if known is None:
             return FairShareWeights("", 1.0, 1.0)
@@ -43,15 +49,16 @@
 
 
 class BundleKeeper:
-    """Holds the newest bundle seen; a version never goes back.
+    """Holds the bundle in force, which is the newest one received; versions never decrease.
 
     Args:
-        keys: public key of each partner, hex.
+        keys: public key of each partner, in hex.
 
     Attributes:
-        view: the bundle in force, indexed; None before the first.
-        envelope: as it was signed, for peers.
-        listeners: called with each new bundle.
+        view: the bundle in force with its indexes; None before the first bundle.
+        envelope: the encoded envelope of the bundle in force, to send to peers; empty before the
+            first bundle.
+        listeners: functions that are called with each bundle that comes into force.
     """
 
     def __init__(self, keys: TrustedKeys) -> None:
@@ -62,14 +69,14 @@
 
     @property
     def version(self) -> int:
-        """Version in force; 0 without one."""
+        """Version of the bundle in force; 0 before the first bundle."""
         return self.view.bundle.version if self.view else 0
 
     def install_if_newer(self, envelope: bytes) -> bool:
-        """Take the bundle in force if it is newer; returns whether it was.
+        """Put the bundle into force if it is newer than the current one; return whether it was.
 
         Raises:
-            BundleError: when it is malformed or not signed by every partner.
+            BundleError: the bundle is malformed or not signed by every partner.
         """
         if envelope == self.envelope:
             return False
@@ -83,15 +90,15 @@
         return True
 
     def fair_share_weights(self, member: str) -> FairShareWeights:
-        """Return a member's place in the fair queues."""
+        """Return the fair-queue weights of a client account; 1 without a bundle."""
         return self.view.fair_share_weights(member) if self.view else FairShareWeights("", 1.0, 1.0)
 
     def require_view(self) -> BundleView:
-        """Return the bundle in force.
+        """Return the bundle in force with its indexes.
 
         Raises:
-            NotReady: when there is none yet.
+            NotReady: no bundle is in force yet.
         """
         if self.view is None:
-            raise NotReady("no bundle in force", retry_after_s=1.0)
+            raise NotReady("no bundle is in force", retry_after_s=1.0)
         return self.view
--- a/src/crankhinge/config/_keys.py
+++ b/src/crankhinge/config/_keys.py
@@ -1,6 +1,7 @@
-"""Ed25519 key files, by way of PyNaCl (libsodium).
+"""Reads and writes Ed25519 key files with PyNaCl (libsodium).
 
-A private key file holds one line of hex and has mode 0600; a public key is hex in the settings.
+A private key file contains one line of hex and has mode 0600. Public keys are stored in the
+settings, in hex.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
     """Write a new private key to *path* and return the public key in hex.
 
     Raises:
-        KeyFileError: when the file exists or can't be written.
+        KeyFileError: the file exists already or cannot be written.
     """
     key = SigningKey.generate()
     try:
@@ -34,11 +35,11 @@
 
 
 def load_private_key(path: Path) -> SigningKey:
-    """Read a private key.
+    """Read a private key from a file.
 
     Raises:
-        KeyFileError: when it is missing, malformed or readable by others. The key itself is in
-            no error text.
+        KeyFileError: the file is missing, malformed or accessible to other users. The message
+            never contains the key.
     """
     try:
         mode = stat.S_IMODE(path.stat().st_mode)
@@ -46,8 +47,8 @@
     except (OSError, UnicodeDecodeError) as exc:
         raise KeyFileError(f"{path}: cannot be read") from exc
     if mode & 0o077:
-        raise KeyFileError(f"{path}: mode {mode:04o}, must be 0600")
+        raise KeyFileError(f"{path}: file mode is {mode:04o}, must be 0600")
     try:
         return SigningKey(bytes.fromhex(text))
     except (ValueError, CryptoError) as exc:
-        raise KeyFileError(f"{path}: not a private key") from exc
+        raise KeyFileError(f"{path}: does not contain a private key") from exc
--- a/src/crankhinge/config/_publish.py
+++ b/src/crankhinge/config/_publish.py
@@ -1,4 +1,4 @@
-"""Acceptance of a bundle: one compare-and-swap in the key-value service."""
+"""Publishes a bundle with one compare-and-swap in the key-value service."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HistoryRow(msgspec.Struct, frozen=True):
-    """An accepted bundle: its version and the hash of its envelope."""
+    """Version of a published bundle and the SHA-256 of its envelope in hex."""
 
     version: int
     sha256: str
@@ -27,11 +27,13 @@
 
 @dataclass(frozen=True)
 class PublishResult:
-    """A bundle was accepted.
+    """The outcome of a successful publication.
 
     Attributes:
-        version: its version.
-        confirmed_by_read: whether the answer to the swap was lost and the outcome read back.
+        version: version of the published bundle.
+        confirmed_by_read: whether success is known from reading the key rather than from the
+            response to the compare-and-swap: the response was lost, or the same bundle had
+            already been published.
     """
 
     version: int
@@ -39,28 +41,36 @@
 
 
 async def read_current_envelope(kv: KeyValue) -> Value | None:
-    """Return the accepted envelope, or None before the first. Raises KeyValueUnavailable."""
+    """Return the envelope that is published now, or None before the first publication.
+
+    Raises:
+        KeyValueUnavailable: the key-value service did not respond.
+    """
     return await kv.get(BUNDLE_KEY)
 
 
 async def publish(kv: KeyValue, envelope: bytes, keys: TrustedKeys) -> PublishResult:
-    """Accept *envelope* if it follows the current bundle.
+    """Publish *envelope* if its version directly follows that of the current bundle.
 
     Raises:
-        BundleError: when it is invalid, unsigned or doesn't follow the current version.
-        PublishConflict: when another bundle was accepted first; nothing was written.
-        KeyValueUnavailable: when it can't be told whether it was accepted; publishing the same
-            file again is safe and settles it.
+        BundleError: the bundle is invalid, lacks a signature or skips a version.
+        PublishConflict: another bundle was published first; nothing was written.
+        KeyValueUnavailable: it is unknown whether the bundle was published. Publishing the same
+            file again is safe and resolves the uncertainty.
     """
     bundle = verify_envelope(envelope, keys)
     current = await read_current_envelope(kv)
     if current is not None and current.data == envelope:
         return PublishResult(bundle.version, confirmed_by_read=True)
-    base = verify_envelope(current.data, keys).version if current else 0
-    if bundle.version <= base:
-        raise PublishConflict(f"version {base} is in force, this file is version {bundle.version}")
-    if bundle.version != base + 1:
-        raise BundleError(f"version {bundle.version} doesn't follow version {base}")
+    current_version = verify_envelope(current.data, keys).version if current else 0
+    if bundle.version <= current_version:
+        raise PublishConflict(
+            f"version {current_version} is in force, but this file has version {bundle.version}"
+        )
+    if bundle.version != current_version + 1:
+        raise BundleError(
+            f"version {bundle.version} does not directly follow version {current_version}"
+        )
     result = await _compare_and_swap(kv, envelope, bundle.version, current.index if current else 0)
     await _append_to_history(kv, HistoryRow(bundle.version, hashlib.sha256(envelope).hexdigest()))
     return result
@@ -70,24 +80,28 @@
     kv: KeyValue, envelope: bytes, version: int, index: int
 ) -> PublishResult:
     try:
-        won = await kv.swap(BUNDLE_KEY, envelope, index)
+        written = await kv.swap(BUNDLE_KEY, envelope, index)
     except KeyValueUnavailable:
         return await _confirm_by_read(kv, envelope, version)
-    if won:
+    if written:
         return PublishResult(version, confirmed_by_read=False)
     return await _confirm_by_read(kv, envelope, version)
 
 
 async def _confirm_by_read(kv: KeyValue, envelope: bytes, version: int) -> PublishResult:
-    """Tell from the service's state whether our write took effect."""
-    now = await read_current_envelope(kv)
-    if now is not None and now.data == envelope:
+    """Determine whether the write took effect by reading the key."""
+    current = await read_current_envelope(kv)
+    if current is not None and current.data == envelope:
         return PublishResult(version, confirmed_by_read=True)
     raise PublishConflict("another bundle was accepted first; compare it with `bundle diff`")
 
 
 async def read_history(kv: KeyValue) -> list[HistoryRow]:
-    """Return the accepted bundles that are kept, oldest first. Raises KeyValueUnavailable."""
+    """Return the history of published bundles, oldest first, at most ``MAX_HISTORY_ROWS``.
+
+    Raises:
+        KeyValueUnavailable: the key-value service did not respond.
+    """
     value = await kv.get(HISTORY_KEY)
     return _decode_history(value)
 
@@ -102,7 +116,10 @@
 
 
 async def _append_to_history(kv: KeyValue, row: HistoryRow) -> None:
-    """Add a row to the history: a convenience, so that its loss undoes no acceptance."""
+    """Append a row to the history.
+
+    The history is for information only, so a failure to write it does not undo the publication.
+    """
     for _ in range(MAX_HISTORY_ATTEMPTS):
         try:
             value = await kv.get(HISTORY_KEY)
--- a/src/crankhinge/ctl/__init__.py
+++ b/src/crankhinge/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line: bundles and keys, never engines."""
+"""``crankhinge-ctl``, the operators' command line for bundles, keys and logs."""
--- a/src/crankhinge/ctl/_bundle.py
+++ b/src/crankhinge/ctl/_bundle.py
@@ -1,4 +1,4 @@
-"""``crankhinge-ctl bundle``: everything but publish."""
+"""The commands ``crankhinge-ctl bundle`` except for ``publish``."""
 
 from __future__ import annotations
 
@@ -33,9 +33,10 @@
 
     Attributes:
         key_value: ``host:port`` of the platform's key-value service.
-        keys: public key of each partner, hex.
-        seeds: ``host:port`` of some agents that are handed an accepted bundle at once, so that it
-            spreads even if the key-value service is out right after it was accepted.
+        keys: public key of each partner, in hex.
+        seeds: ``host:port`` of agents that ``bundle publish`` sends an accepted bundle to, so
+            that the bundle propagates even if the key-value service fails right after accepting
+            it.
     """
 
     key_value: HostPort
@@ -44,20 +45,22 @@
 
 
 def read_settings(args: argparse.Namespace) -> CtlSettings:
-    """Return the settings that the command line names."""
+    """Load the settings file that ``--settings`` names."""
     return load_settings(args.settings, CtlSettings)
 
 
 def open_key_value(settings: CtlSettings) -> KeyValue:
-    """Return the key-value service."""
+    """Return a client of the key-value service."""
     return ConsulKeyValue(*parse_endpoint(settings.key_value))
 
 
 def read_envelope_file(path: str) -> Envelope:
-    """Return a bundle file's envelope; plain TOML has no signatures yet.
+    """Read a bundle file, which contains either an envelope or the plain TOML of a bundle.
+
+    Plain TOML becomes an envelope without signatures.
 
     Raises:
-        BundleError: naming the file.
+        BundleError: the file cannot be read or decoded; the message names the file.
     """
     try:
         data = Path(path).read_bytes()
@@ -72,7 +75,7 @@
 
 
 def check_bundle(args: argparse.Namespace) -> str:
-    """Validate a bundle whole."""
+    """Validate a bundle file and summarize its contents."""
     envelope = read_envelope_file(args.file)
     try:
         bundle = parse_bundle(envelope.text)
@@ -87,7 +90,7 @@
 
 
 def sign_bundle(args: argparse.Namespace) -> str:
-    """Add a partner's signature."""
+    """Add a partner's signature to a bundle file and write the result to ``--out``."""
     envelope = read_envelope_file(args.file)
     bundle = parse_bundle(envelope.text)
     if args.partner not in {partner.name for partner in bundle.partners}:
@@ -99,7 +102,7 @@
 
 
 def diff_texts(old: str, new: str, old_name: str, new_name: str) -> str:
-    """Return a unified diff; empty when the texts are the same."""
+    """Return a unified diff of two texts; empty if they are equal."""
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), old_name, new_name, lineterm=""
     )
@@ -120,7 +123,7 @@
 
 
 def show_status(args: argparse.Namespace) -> str:
-    """Describe the bundle in force."""
+    """Verify the bundle in force and return its version and signers."""
     settings = read_settings(args)
     current = curio.run(_read_current, open_key_value(settings))
     if current is None:
@@ -130,7 +133,7 @@
 
 
 def show_history(args: argparse.Namespace) -> str:
-    """List the accepted bundles that are kept, newest last."""
+    """List the history of accepted bundles, newest last."""
     settings = read_settings(args)
     rows = curio.run(read_history, open_key_value(settings))
     lines = [f"version {row.version}  sha256 {row.sha256[:16]}" for row in rows]
--- a/src/crankhinge/ctl/_callers.py
+++ b/src/crankhinge/ctl/_callers.py
@@ -1,4 +1,4 @@
-"""``crankhinge-ctl callers``: the callers' account, from gateways' logs."""
+"""``crankhinge-ctl callers``: reports the value of the service to callers, from gateway logs."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
     CallerValue,
     CallerValueReport,
     CallerWeights,
+    compute_caller_value,
     read_caller_attempts,
 )
-from crankhinge.burn import compute_caller_value as make_account
 from crankhinge.errors import SettingsError
 from crankhinge.runtime import load_settings
 
@@ -28,45 +28,46 @@
 
 
 def report_caller_value(args: argparse.Namespace) -> str:
-    """Return the account as a table.
+    """Return the value to callers as a Markdown table: in total, by route and by time window.
 
     Raises:
-        SettingsError: a log or the weights can't be read, or no log has an end of a request.
+        SettingsError: a log or the weights file cannot be read, or the logs contain no completed
+            request.
     """
     weights = load_settings(args.weights, CallerWeights) if args.weights else CallerWeights()
-    tries = read_caller_attempts(map(Path, args.logs))
-    if not tries:
-        raise SettingsError(f"no request ends in {len(args.logs)} logs")
-    return "\n".join(_render_table(make_account(tries, weights, window_s=args.window)))
+    attempts = read_caller_attempts(map(Path, args.logs))
+    if not attempts:
+        raise SettingsError(f"the logs contain no completed request (logs read: {len(args.logs)})")
+    return "\n".join(_render_table(compute_caller_value(attempts, weights, window_s=args.window)))
 
 
-def _render_table(account: CallerValueReport) -> Iterator[str]:
+def _render_table(report: CallerValueReport) -> Iterator[str]:
     yield "| first tries | " + " | ".join(_COLUMNS) + " |"
     yield "|---" * (len(_COLUMNS) + 1) + "|"
-    yield _render_row("all", account.total)
-    for name, tally in sorted(account.routes.items()):
-        yield _render_row(name, tally)
-    for number, tally in sorted(account.windows.items()):
-        yield _render_row(f"{number * account.window_s:g} s", tally)
+    yield _render_row("all", report.total)
+    for name, value in sorted(report.routes.items()):
+        yield _render_row(name, value)
+    for number, value in sorted(report.windows.items()):
+        yield _render_row(f"{number * report.window_s:g} s", value)
 
 
-def _render_row(name: str, tally: CallerValue) -> str:
+def _render_row(name: str, value: CallerValue) -> str:
     refused = (
-        tally.retries[CallerOutcome.REFUSED_IMMEDIATELY]
-        + tally.retries[CallerOutcome.REFUSED_AFTER_WAIT],
-        tally.retries[CallerOutcome.FAILED],
+        value.retries[CallerOutcome.REFUSED_IMMEDIATELY]
+        + value.retries[CallerOutcome.REFUSED_AFTER_WAIT],
+        value.retries[CallerOutcome.FAILED],
     )
-    served = tally.retries[CallerOutcome.IN_TIME] + tally.retries[CallerOutcome.LATE]
+    served = value.retries[CallerOutcome.IN_TIME] + value.retries[CallerOutcome.LATE]
     cells = [
         name,
         *(
-            str(tally.first_attempts[outcome])
+            str(value.first_attempts[outcome])
             for outcome in CallerOutcome
             if outcome is not CallerOutcome.ABANDONED
         ),
-        f"{tally.wasted_hold_s:.1f}",
+        f"{value.wasted_hold_s:.1f}",
         str(served),
         *map(str, refused),
-        f"{tally.relative_value:.3f}",
+        f"{value.relative_value:.3f}",
     ]
     return "| " + " | ".join(cells) + " |"
--- a/src/crankhinge/ctl/_explain.py
+++ b/src/crankhinge/ctl/_explain.py
@@ -1,7 +1,7 @@
-"""The story of one request, from the logs of the programs that had to do with it.
+"""``crankhinge-ctl explain``: shows what the logs of the programs contain about one request.
 
-Clocks of instances may differ by seconds, so lines are put in order within each log only; each is
-shown with its time since the first line about the request in the same log.
+The clocks of instances may differ by seconds, so the lines of different logs are not merged. Each
+line is shown with its time relative to the first line about the request in the same log.
 """
 
 from __future__ import annotations
@@ -15,9 +15,10 @@
 from crankhinge.burn import parse_line
 from crankhinge.errors import RequestNotFound, SettingsError
 
-# Keys that say where a line comes from rather than what happened.
+# Keys that identify the origin or the type of a line; they are left out of the printed pairs.
 _SOURCE_KEYS = frozenset({"ts", "level", "program", "event", "request", "name"})
-# Events that change what an instance believes; the last of each kind before the request counts.
+# Events about the state of an instance. The last one of each kind before the request is
+# shown, because it determines how the instance handled the request.
 _STATE_EVENTS = frozenset(
     {
         "config_in_force",
@@ -38,7 +39,8 @@
         "note_gone",
     }
 )
-# What is believed of a server, by the events that change it; told in this order.
+# Events that change an instance's state of a server, and the aspect of the state that they change.
+# The aspects are shown in this order.
 _SERVER_STATE_EVENTS = {
     "server_seen": "entry",
     "server_gone": "entry",
@@ -52,7 +54,14 @@
 
 @dataclass
 class _RequestLog:
-    """What one log says of a request."""
+    """What one log contains about a request.
+
+    Attributes:
+        state: the last line of each kind of state event before the request.
+        server_state: the last state line before the request, by server and aspect of its state.
+        quarantines: the last line about a quarantine before the request, by request fingerprint.
+        lines: the lines about the request, and later lines about the servers that it involves.
+    """
 
     state: dict[str, Pairs] = field(default_factory=dict)
     server_state: dict[tuple[str, str], Pairs] = field(default_factory=dict)
@@ -61,80 +70,83 @@
 
 
 def explain_request(args: argparse.Namespace) -> str:
-    """Return the story of one request across logs.
+    """Return what each log contains about the request that the command line names.
 
     Raises:
-        SettingsError: a log can't be read.
-        RequestNotFound: no log has a line about the request.
+        SettingsError: a log cannot be read.
+        RequestNotFound: no log contains a line about the request.
     """
     parts = []
     for name in args.logs:
-        story = _read_log(Path(name), args.request)
-        if story.lines:
-            parts.append("\n".join(_render_log(name, story)))
+        log = _read_log(Path(name), args.request)
+        if log.lines:
+            parts.append("\n".join(_render_log(name, log)))
     if not parts:
-        raise RequestNotFound(f"no line about {args.request} in {len(args.logs)} logs")
+        raise RequestNotFound(
+            f"no log contains a line about request {args.request} (logs read: {len(args.logs)})"
+        )
     return "\n\n".join(parts)
 
 
 def _read_log(path: Path, request: str) -> _RequestLog:
-    story = _RequestLog()
+    log = _RequestLog()
     try:
         with path.open(encoding="utf-8", errors="replace") as file:
             for line in file:
-                _add_line(story, parse_line(line), request)
+                _add_line(log, parse_line(line), request)
     except OSError as exc:
         raise SettingsError(f"{path}: cannot be read: {exc.strerror}") from exc
-    return story
+    return log
 
 
-def _add_line(story: _RequestLog, pairs: Pairs, request: str) -> None:
+def _add_line(log: _RequestLog, pairs: Pairs, request: str) -> None:
     if pairs.get("request") == request:
-        story.lines.append(pairs)
+        log.lines.append(pairs)
         return
-    if story.lines:
-        # What is believed later did not decide the request's first step; it may the next ones.
-        if pairs.get("server") in _involved_servers(story) and "request" not in pairs:
-            story.lines.append(pairs)
+    if log.lines:
+        # A later state change cannot have influenced the first step of the request, but a change
+        # of an involved server may have influenced the following steps.
+        if pairs.get("server") in _involved_servers(log) and "request" not in pairs:
+            log.lines.append(pairs)
         return
     event = pairs.get("event", "")
     if event in _STATE_EVENTS:
-        story.state[f"{event} {pairs.get('what', '')}"] = pairs
+        log.state[f"{event} {pairs.get('what', '')}"] = pairs
     elif event in _SERVER_STATE_EVENTS:
-        story.server_state[pairs.get("server", ""), _SERVER_STATE_EVENTS[event]] = pairs
+        log.server_state[pairs.get("server", ""), _SERVER_STATE_EVENTS[event]] = pairs
     elif event in ("request_quarantined", "request_cleared"):
-        story.quarantines[pairs.get("fingerprint", "")] = pairs
+        log.quarantines[pairs.get("fingerprint", "")] = pairs
 
 
-def _involved_servers(story: _RequestLog) -> set[str]:
+def _involved_servers(log: _RequestLog) -> set[str]:
     keys = ("server", "reader")
-    return {pairs[key] for pairs in story.lines for key in keys if key in pairs}
+    return {pairs[key] for pairs in log.lines for key in keys if key in pairs}
 
 
-def _render_log(name: str, story: _RequestLog) -> Iterator[str]:
+def _render_log(name: str, log: _RequestLog) -> Iterator[str]:
     yield f"{name}:"
-    first = _line_time(story.lines[0])
-    for pairs in story.state.values():
-        yield _render_line("believed", first, pairs)
-    for ident in sorted(_involved_servers(story)):
-        for what in dict.fromkeys(_SERVER_STATE_EVENTS.values()):
-            if (ident, what) in story.server_state:
-                yield _render_line("believed", first, story.server_state[ident, what])
-    for fingerprint in sorted({pairs.get("fingerprint", "") for pairs in story.lines}):
-        if fingerprint in story.quarantines:
-            yield _render_line("believed", first, story.quarantines[fingerprint])
-    for pairs in story.lines:
-        yield _render_line("happened", first, pairs)
+    start_s = _line_time(log.lines[0])
+    for pairs in log.state.values():
+        yield _render_line("believed", start_s, pairs)
+    for server in sorted(_involved_servers(log)):
+        for aspect in dict.fromkeys(_SERVER_STATE_EVENTS.values()):
+            if (server, aspect) in log.server_state:
+                yield _render_line("believed", start_s, log.server_state[server, aspect])
+    for fingerprint in sorted({pairs.get("fingerprint", "") for pairs in log.lines}):
+        if fingerprint in log.quarantines:
+            yield _render_line("believed", start_s, log.quarantines[fingerprint])
+    for pairs in log.lines:
+        yield _render_line("happened", start_s, pairs)
 
 
-def _render_line(kind: str, first: float, pairs: Pairs) -> str:
-    rest = " ".join(f"{key}={value}" for key, value in pairs.items() if key not in _SOURCE_KEYS)
-    return f"  {kind} {_line_time(pairs) - first:+9.3f} s  {pairs.get('event', '?')}  {rest}"
+def _render_line(label: str, start_s: float, pairs: Pairs) -> str:
+    details = " ".join(f"{key}={value}" for key, value in pairs.items() if key not in _SOURCE_KEYS)
+    return f"  {label} {_line_time(pairs) - start_s:+9.3f} s  {pairs.get('event', '?')}  {details}"
 
 
 def _line_time(pairs: Pairs) -> float:
     try:
         return datetime.fromisoformat(pairs["ts"]).timestamp()
     except (KeyError, ValueError):
-        # A line without a readable time is shown at the beginning.
+        # Without a readable timestamp, the line is shown as if it were at the epoch.
         return 0.0
--- a/src/crankhinge/ctl/_publish.py
+++ b/src/crankhinge/ctl/_publish.py
@@ -13,11 +13,18 @@
 from crankhinge.peers import parse_endpoint
 from crankhinge.wire import WIRE_VERSION, Beat, BundleIs, Hello, Link, Message, connect_link
 
+# Maximum time to wait for one agent to confirm that the bundle is in force there.
 AGENT_CONFIRMATION_TIMEOUT_S = 3.0
 
 
 def publish_bundle(args: argparse.Namespace) -> str:
-    """Accept a signed bundle. The file is never changed, whatever the outcome."""
+    """Publish a signed bundle and send it to the agents that the settings name as seeds.
+
+    The bundle file is never changed, whether or not the bundle is accepted.
+
+    Raises:
+        PublishConflict: another bundle was accepted first; the message contains the differences.
+    """
     settings = read_settings(args)
     envelope = read_envelope_file(args.file)
     kv = open_key_value(settings)
@@ -27,15 +34,19 @@
         raise PublishConflict(
             _describe_conflict(exc, envelope.text, open_key_value(settings))
         ) from exc
-    told = curio.run(_send_to_agents, settings.seeds, encode_envelope(envelope), result.version)
-    note = " (the answer was lost; read back)" if result.confirmed_by_read else ""
-    line = f"version {result.version} is accepted{note}"
-    return f"{line}, handed to {told} agents" if settings.seeds else line
+    sent = curio.run(_send_to_agents, settings.seeds, encode_envelope(envelope), result.version)
+    suffix = " (confirmed by reading it back)" if result.confirmed_by_read else ""
+    text = f"version {result.version} is accepted{suffix}"
+    return f"{text}, sent to {sent} agents" if settings.seeds else text
 
 
 async def _send_to_agents(seeds: tuple[str, ...], envelope: bytes, version: int) -> int:
-    """Send an accepted bundle to agents; returns how many took it."""
-    told = 0
+    """Send an accepted bundle to agents and return how many it was sent to.
+
+    The command waits for each agent to confirm that the bundle is in force, but an agent that does
+    not confirm it in time is counted as well.
+    """
+    sent = 0
     for seed in seeds:
         hello = Hello(WIRE_VERSION, "ctl", "ctl", "", 0, bundle=version)
         try:
@@ -44,14 +55,14 @@
             await curio.ignore_after(
                 AGENT_CONFIRMATION_TIMEOUT_S, link.run, _close_when_installed(version)
             )
-            told += 1
+            sent += 1
         except (LinkClosed, WireError):
             continue
-    return told
+    return sent
 
 
 def _close_when_installed(version: int) -> Callable[[Link, Message], Awaitable[None]]:
-    """Return a handler that ends the link once the agent says that it has the bundle."""
+    """Return a message handler that closes the link once a heartbeat has *version*."""
 
     async def handle(link: Link, msg: Message) -> None:
         if isinstance(msg, Beat) and msg.bundle >= version:
@@ -61,8 +72,12 @@
 
 
 def _describe_conflict(exc: PublishConflict, text: str, kv: object) -> str:
-    """Say what the other operator's bundle changed; the loser's file is still theirs to rebase."""
+    """Return the message for an operator whose publication lost to another one.
+
+    It contains the differences from the bundle in force, so that the operator can merge them into
+    the unchanged bundle file and publish it again.
+    """
     current = curio.run(read_current_envelope, kv)
-    theirs = decode_envelope(current.data).text if current else ""
-    diff = diff_texts(theirs, text, "in force", "yours")
+    current_text = decode_envelope(current.data).text if current else ""
+    diff = diff_texts(current_text, text, "in force", "yours")
     return f"{exc.detail}\nnothing was written; yours differs from the bundle in force by:\n{diff}"
--- a/src/crankhinge/ctl/_reference.py
+++ b/src/crankhinge/ctl/_reference.py
@@ -1,4 +1,4 @@
-"""``crankhinge-ctl reference``: the settings and the bundle, from the models themselves."""
+"""``crankhinge-ctl reference``: documents settings and bundles from their models' docstrings."""
 
 from __future__ import annotations
 
@@ -49,18 +49,18 @@
 
 
 def _attribute_descriptions(model: type[msgspec.Struct]) -> dict[str, str]:
-    """Return what a model's docstring says of each attribute."""
+    """Return the description of each attribute in the docstring of a model."""
     text = inspect.getdoc(model) or ""
-    found: dict[str, str] = {}
+    descriptions: dict[str, str] = {}
     name = ""
     for line in text.partition("Attributes:\n")[2].splitlines():
         match = _ATTRIBUTE_LINE.match(line)
         if match:
             name = match[1]
-            found[name] = match[2]
+            descriptions[name] = match[2]
         elif name and line.strip():
-            found[name] += " " + line.strip()
-    return found
+            descriptions[name] += " " + line.strip()
+    return descriptions
 
 
 def _format_default(field: Any) -> str:
@@ -74,10 +74,10 @@
 
 
 def _render_table(model: type[msgspec.Struct]) -> list[str]:
-    described = _attribute_descriptions(model)
+    descriptions = _attribute_descriptions(model)
     fields = {field.name: field for field in msgspec.structs.fields(model)}
     lines = ["| key | default | meaning |", "|---|---|---|"]
-    for name, meaning in described.items():
+    for name, meaning in descriptions.items():
         lines.append(f"| `{name}` | {_format_default(fields[name])} | {meaning} |")
     return lines
 
@@ -90,7 +90,7 @@
 
 
 def render_reference(_args: argparse.Namespace) -> str:
-    """Return the page docs/operators/reference.md."""
+    """Return the text of the page docs/operators/reference.md."""
     head = ["<!-- Made by `crankhinge-ctl reference`; a test keeps it up to date. -->", ""]
     settings = _render_section("Settings", SETTINGS_MODELS)
     bundle = _render_section("Bundle", BUNDLE_MODELS)
--- a/src/crankhinge/ctl/main.py
+++ b/src/crankhinge/ctl/main.py
@@ -1,4 +1,4 @@
-"""``crankhinge-ctl``: check, compare, sign and publish bundles; explain requests."""
+"""``crankhinge-ctl``: check, compare, sign and publish bundles; analyze requests from logs."""
 
 from __future__ import annotations
 
@@ -27,12 +27,13 @@
 EXIT_CONFLICT = 3
 EXIT_OUTCOME_UNKNOWN = 4
 
-# Length of a window of the callers' account: a burst of traffic lasts some seconds.
+# Default length of a time window of ``callers``. It is short because a burst of traffic lasts only
+# some seconds.
 DEFAULT_WINDOW_S = 2.0
 
 EPILOG = (
     "exit status: 0 done, 2 bad input, 3 another bundle was accepted first (nothing was written), "
-    "4 the key-value service gave no answer (run the same command again: that is safe)"
+    "4 the key-value service did not respond (running the same command again is safe)"
 )
 
 
@@ -42,69 +43,79 @@
 
 
 def _add_bundle_command(
-    kinds: argparse._SubParsersAction[argparse.ArgumentParser],
+    commands: argparse._SubParsersAction[argparse.ArgumentParser],
     name: str,
-    about: str,
+    description: str,
     run: Callable[[argparse.Namespace], str],
     *,
     file: bool = True,
     service: bool = False,
 ) -> argparse.ArgumentParser:
-    parser = kinds.add_parser(name, help=about, description=about)
+    parser = commands.add_parser(name, help=description, description=description)
     parser.set_defaults(run=run)
     if file:
         parser.add_argument("file", help="bundle file")
     if service:
-        parser.add_argument("--settings", required=True, help="TOML settings of this command")
+        parser.add_argument(
+            "--settings", required=True, help="TOML file with the settings of this command"
+        )
     return parser
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog=PROGRAM, description=__doc__, epilog=EPILOG)
     parser.add_argument("--version", action="version", version=f"{PROGRAM} {__version__}")
-    nouns = parser.add_subparsers(dest="noun", required=True)
-    bundle = nouns.add_parser("bundle", help="configuration bundles")
-    kinds = bundle.add_subparsers(dest="verb", required=True)
-    _add_bundle_command(kinds, "check", "validate a bundle whole", check_bundle)
+    groups = parser.add_subparsers(dest="noun", required=True)
+    bundle_group = groups.add_parser("bundle", help="configuration bundles")
+    commands = bundle_group.add_subparsers(dest="verb", required=True)
+    _add_bundle_command(commands, "check", "validate a bundle file", check_bundle)
     _add_bundle_command(
-        kinds, "diff", "compare with the bundle in force", diff_bundle, service=True
+        commands,
+        "diff",
+        "compare a bundle file with the bundle in force",
+        diff_bundle,
+        service=True,
     )
-    sign = _add_bundle_command(kinds, "sign", "add a partner's signature", sign_bundle)
+    sign = _add_bundle_command(commands, "sign", "add a partner's signature", sign_bundle)
     sign.add_argument("--partner", required=True)
     sign.add_argument("--key", required=True, help="private key file")
     sign.add_argument("--out", required=True, help="signed bundle to write")
-    _add_bundle_command(kinds, "publish", "accept a signed bundle", publish_bundle, service=True)
     _add_bundle_command(
-        kinds, "status", "the bundle in force", show_status, file=False, service=True
+        commands, "publish", "publish a signed bundle", publish_bundle, service=True
     )
     _add_bundle_command(
-        kinds, "history", "bundles accepted", show_history, file=False, service=True
+        commands, "status", "show the bundle in force", show_status, file=False, service=True
     )
-    key = nouns.add_parser("key", help="signing keys")
-    verbs = key.add_subparsers(dest="verb", required=True)
-    new = verbs.add_parser("new", help="make a key pair")
-    new.add_argument("file", help="private key file to write")
-    new.set_defaults(run=_create_key)
-    story = nouns.add_parser("explain", help="the story of one request, from logs")
-    story.add_argument("request", help="its identity, as the caller sent it")
-    story.add_argument("logs", nargs="+", help="logs of the programs")
-    story.set_defaults(run=explain_request)
-    callers = nouns.add_parser("callers", help="what service was worth to callers, from logs")
-    callers.add_argument("logs", nargs="+", help="logs of gateways")
-    callers.add_argument("--weights", help="TOML file of weights; defaults without it")
+    _add_bundle_command(
+        commands, "history", "list the accepted bundles", show_history, file=False, service=True
+    )
+    key = groups.add_parser("key", help="signing keys")
+    key_commands = key.add_subparsers(dest="verb", required=True)
+    new_key = key_commands.add_parser("new", help="create a key pair")
+    new_key.add_argument("file", help="private key file to write")
+    new_key.set_defaults(run=_create_key)
+    explain = groups.add_parser("explain", help="show what logs contain about one request")
+    explain.add_argument("request", help="id of the request, as the caller sent it")
+    explain.add_argument("logs", nargs="+", help="log files of the programs")
+    explain.set_defaults(run=explain_request)
+    callers = groups.add_parser(
+        "callers", help="report the value of the service to callers, from logs"
+    )
+    callers.add_argument("logs", nargs="+", help="log files of gateways")
+    callers.add_argument("--weights", help="TOML file with weights; without it, the defaults apply")
     callers.add_argument(
-        "--window", type=float, default=DEFAULT_WINDOW_S, help="seconds of a window"
+        "--window", type=float, default=DEFAULT_WINDOW_S, help="length of a time window, in seconds"
     )
     callers.set_defaults(run=report_caller_value)
-    nouns.add_parser("reference", help="settings and bundle, as a page").set_defaults(
+    groups.add_parser("reference", help="print the reference of settings and bundles").set_defaults(
         run=render_reference
     )
     return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     args = make_parser().parse_args(argv)
     try:
         print(args.run(args))
--- a/src/crankhinge/peers/__init__.py
+++ b/src/crankhinge/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What an entry and an agent do alike: links, heartbeats, and the spread of bundles."""
+"""What entries and agents share: settings, heartbeats, the instance list and bundle propagation."""
 
 from crankhinge.peers._heartbeats import HeartbeatSender
 from crankhinge.peers._instance_list import InstanceListCache
--- a/src/crankhinge/peers/_heartbeats.py
+++ b/src/crankhinge/peers/_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats on all links of a process, and the end of links that have gone silent."""
+"""Sends heartbeats on all links of a process and closes links whose peer is unresponsive."""
 
 from __future__ import annotations
 
@@ -9,19 +9,27 @@
 from crankhinge.errors import LinkClosed
 from crankhinge.wire import Beat, Link, encode
 
+# A link is closed when nothing has arrived on it for this many heartbeat intervals.
 LINK_TIMEOUT_BEATS = 4.0
+# A gap of more than this many heartbeat intervals between two rounds of heartbeats shows that this
+# process itself was paused.
 PAUSE_THRESHOLD_BEATS = 3.0
 
 
 class HeartbeatSender:
-    """Sends one heartbeat per period to each link.
+    """Sends one heartbeat per interval on each link and closes unresponsive links.
 
-    A peer that is paused keeps its connections open but falls silent: its links are closed, and
-    what it held is freed. When this process itself was paused, its peers get a fresh chance.
+    A paused peer keeps its connections open but sends nothing. Closing its links frees the
+    resources that are held for it. After a pause of this process itself, the timers of all links
+    restart, because messages that peers sent during the pause have not been read yet.
 
     Args:
         interval_s: seconds between heartbeats.
-        make_heartbeat: makes the heartbeat.
+        make_heartbeat: returns the heartbeat to send, given the current time of the runtime's
+            clock in seconds.
+
+    Attributes:
+        links: the open links; the owner adds and removes them.
     """
 
     def __init__(self, interval_s: float, make_heartbeat: Callable[[float], Beat]) -> None:
@@ -31,7 +39,7 @@
         self._wake = curio.Event()
 
     async def run(self) -> None:
-        """Beat until cancelled."""
+        """Send heartbeats until cancelled."""
         last = await curio.clock()
         while True:
             await curio.ignore_after(self._interval_s, self._wake.wait)
@@ -43,7 +51,10 @@
             await self._send_heartbeats(now)
 
     async def send_now(self) -> None:
-        """Send the next heartbeat at once: the load has changed its kind."""
+        """Send the next heartbeat immediately instead of at the end of the interval.
+
+        Called when peers must learn of a change without delay, such as the start of a drain.
+        """
         await self._wake.set()
 
     def _reset_link_timers(self, now: float) -> None:
--- a/src/crankhinge/peers/_propagation.py
+++ b/src/crankhinge/peers/_propagation.py
@@ -1,9 +1,10 @@
-"""How a bundle reaches every process.
+"""Propagates bundles to every process, from the key-value service and from peer to peer.
 
-Each process keeps one watch on the key-value service; the first that sees a new bundle passes it
-to its peers at once, and they to theirs, so that a process whose watch fails, or a whole fleet
-during an outage of the service, still gets it. Versions ride on heartbeats: a peer found to be
-behind is sent the newer bundle, one found ahead is asked for it.
+Each process keeps one watch on the key-value service. A process that receives a new bundle sends it
+to its peers immediately, and they send it to theirs. A process whose watch fails therefore still
+receives the bundle, and so does a whole fleet during an outage of the service. Heartbeats carry the
+bundle version: a process sends its bundle to a peer with an older version and requests the bundle
+of a peer with a newer one.
 """
 
 from __future__ import annotations
@@ -19,8 +20,10 @@
 from crankhinge.errors import BundleError, KeyValueUnavailable
 from crankhinge.wire import Beat, BundleIs, GetBundle, Link, Message, send_if_open
 
+# Bounds of the delay between attempts while the key-value service is unavailable.
 INITIAL_RETRY_DELAY_S = 0.2
 MAX_RETRY_DELAY_S = 30.0
+# Delay after a watch that returned without a change.
 UNCHANGED_WATCH_DELAY_S = 0.5
 
 
@@ -28,11 +31,14 @@
     """Keeps the bundle of one process up to date.
 
     Args:
-        keeper: holds the bundle.
-        kv: the key-value service.
-        log: for events.
-        watch_s: seconds a watch waits.
-        rng: for the pauses between attempts.
+        keeper: holds the bundle in force.
+        kv: client of the key-value service.
+        log: logger for events.
+        watch_s: seconds that one watch request stays open.
+        rng: source of the jitter of the retry delays.
+
+    Attributes:
+        links: links to the peers that new bundles are sent to.
     """
 
     def __init__(
@@ -46,25 +52,29 @@
         self._rng = rng
 
     async def watch(self) -> None:
-        """Watch the key-value service until cancelled, with growing pauses while it is out."""
+        """Watch the key-value service for new bundles until cancelled.
+
+        While the service is unavailable, the delay between attempts doubles up to
+        ``MAX_RETRY_DELAY_S``.
+        """
         index = 0
-        pause = INITIAL_RETRY_DELAY_S
+        delay_s = INITIAL_RETRY_DELAY_S
         while True:
             try:
                 value = await self._read_or_watch(index)
-                pause = INITIAL_RETRY_DELAY_S
+                delay_s = INITIAL_RETRY_DELAY_S
             except KeyValueUnavailable as exc:
                 self._log.warning("key_value_unavailable", why=exc.detail)
-                # Spread out, so that a fleet doesn't come back to a recovering service at once.
-                await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
-                pause = min(MAX_RETRY_DELAY_S, pause * 2)
+                # Jitter keeps a fleet from reconnecting to a recovering service all at once.
+                await curio.sleep(delay_s * self._rng.uniform(0.5, 1.5))
+                delay_s = min(MAX_RETRY_DELAY_S, delay_s * 2)
                 continue
             if value is None:
                 index = 0
                 await curio.sleep(1.0)
                 continue
             if value.index == index:
-                # A service that answers a watch too early must not be asked in a tight loop.
+                # Avoids a tight loop if the service ends watches too early.
                 await curio.sleep(UNCHANGED_WATCH_DELAY_S)
             index = value.index
             await self.receive_bundle(value.data, source="key-value")
@@ -75,13 +85,20 @@
         return await self._kv.watch(BUNDLE_KEY, index, self._watch_s)
 
     async def receive_bundle(self, envelope: bytes, *, source: str) -> None:
-        """Take a bundle in force if it is newer and signed, and pass it on."""
+        """Put a bundle into force and send it to all peers if it is newer and fully signed.
+
+        A bundle that is malformed or lacks a valid signature is logged and dropped.
+
+        Args:
+            envelope: the encoded envelope of the bundle.
+            source: where the bundle came from, for the log.
+        """
         try:
-            newer = self.keeper.install_if_newer(envelope)
+            installed = self.keeper.install_if_newer(envelope)
         except BundleError as exc:
             self._log.error("bundle_refused", source=source, why=exc.detail)
             return
-        if newer:
+        if installed:
             digest = hashlib.sha256(envelope).hexdigest()[:16]
             version = self.keeper.version
             self._log.info("bundle_in_force", version=version, digest=digest, source=source)
@@ -95,16 +112,19 @@
         await send_if_open(link, BundleIs(self.keeper.envelope))
 
     async def add_link(self, link: Link) -> None:
-        """Note a new link."""
+        """Add a link to a peer and compare bundle versions with that peer."""
         self.links.add(link)
         await self._reconcile_versions(link, link.peer.bundle)
 
     def remove_link(self, link: Link) -> None:
-        """Note the end of a link."""
+        """Remove a link that has ended."""
         self.links.discard(link)
 
     async def handle_message(self, link: Link, msg: Message) -> bool:
-        """Act on a message; returns whether it was one about bundles alone."""
+        """Process a message from a peer and return whether it concerns bundles only.
+
+        The result for a heartbeat is False because it carries more than the bundle version.
+        """
         if isinstance(msg, Beat):
             await self._reconcile_versions(link, msg.bundle)
             return False
@@ -118,9 +138,9 @@
         return False
 
     async def _reconcile_versions(self, link: Link, peer_version: int) -> None:
-        mine = self.keeper.version
-        if peer_version > mine:
+        own_version = self.keeper.version
+        if peer_version > own_version:
             link.bundle = peer_version
             await link.send(GetBundle())
-        elif peer_version < mine and link.bundle < mine:
+        elif peer_version < own_version and link.bundle < own_version:
             await self._send_bundle(link)
--- a/src/crankhinge/peers/_settings.py
+++ b/src/crankhinge/peers/_settings.py
@@ -1,4 +1,4 @@
-"""Settings that an entry and an agent share."""
+"""Settings shared by entries and agents."""
 
 from __future__ import annotations
 
@@ -13,42 +13,44 @@
 
 
 class Endpoint(NamedTuple):
-    """An address."""
+    """Host and TCP port of a server."""
 
     host: str
     port: int
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Return the address in ``host:port``.
+    """Parse an address of the form ``host:port``.
 
     Raises:
-        SettingsError: when the port is out of range.
+        SettingsError: the port is not between 1 and 65535.
     """
     host, _, port = text.rpartition(":")
     if not 0 < int(port) < 65536:
-        raise SettingsError(f"{text}: port out of range")
+        raise SettingsError(f"{text}: port must be between 1 and 65535")
     return Endpoint(host, int(port))
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Settings of every process in the fleet.
+    """Settings of every entry and agent.
 
     Attributes:
-        name: unique within the fleet.
-        zone: availability zone.
+        name: name of this process, unique within the fleet.
+        zone: availability zone of this process.
         host: address to listen on.
-        port: TCP port.
+        port: TCP port to listen on.
         key_value: ``host:port`` of the platform's key-value service.
-        instances: ``host:port`` of the platform's list of instances.
-        seeds: ``host:port`` of some agents, asked while the list can't be read at a start.
-        list_s: seconds between readings of the list.
-        keys: public key of each partner, hex; a bundle must be signed by all of them.
-        statsd: ``host:port`` of the statsd server; empty for none.
+        instances: ``host:port`` of the service that has the platform's list of instances.
+        seeds: ``host:port`` of agents from which an entry gets the list of instances at startup
+            while the platform cannot provide it.
+        list_s: seconds between refreshes of the list of instances.
+        keys: public key of each partner, in hex; a bundle must be signed by all of them.
+        statsd: ``host:port`` of the statsd server; empty to send no metrics.
         beat_s: seconds between heartbeats.
-        watch_s: seconds a watch on the bundle waits.
-        drain_s: seconds a planned stop may take at most.
-        policy: which mechanisms are at work; anything but ``full`` is for experiments.
+        watch_s: seconds that one watch request for a new bundle stays open.
+        drain_s: maximum duration of a planned stop, in seconds.
+        policy: the set of enabled routing mechanisms; values other than ``full`` are for
+            experiments.
     """
 
     name: str
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -114,7 +114,7 @@
         ("extra", "reason"),
         [
             ("\nsurprise = 1\n", "unknown field"),
-            ('\n[[pools]]\nname = "read"\nkind = "plain"\n', "stands twice"),
+            ('\n[[pools]]\nname = "read"\nkind = "plain"\n', "is defined more than once"),
             ('\n[[models]]\nname = "m2"\nprefill = ["write"]\ndecode = ["write"]\n', "not prefill"),
             ('\n[[models]]\nname = "m2"\nprefill = ["x"]\ndecode = ["write"]\n', "no pool 'x'"),
             ('\n[[services]]\nname = "s"\npath = "/s"\npool = "none"\n', "no pool"),
@@ -150,7 +150,7 @@
     def test_refuses_a_changed_text(self, signers: Signers) -> None:
         """A bundle changed after it was signed is refused."""
         changed = signers.envelope(3).replace(b"version = 3", b"version = 4")
-        with pytest.raises(BundleError, match="wrong"):
+        with pytest.raises(BundleError, match="is invalid"):
             verify_envelope(changed, signers.keys)
 
     def test_private_keys_are_private(self, signers: Signers) -> None:
@@ -189,7 +189,7 @@
         """The first version is 1, and none may be left out."""
         kv = MemoryKeyValue()
         assert curio.run(publish, kv, signers.envelope(1), signers.keys).version == 1
-        with pytest.raises(BundleError, match="doesn't follow"):
+        with pytest.raises(BundleError, match="does not directly follow"):
             curio.run(publish, kv, signers.envelope(3), signers.keys)
 
     def test_of_two_operators_one_wins(self, signers: Signers) -> None:
