--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -19,13 +19,13 @@
 from crankhinge_bench.main import main as bench_main
 
 
-def talk(port: int, data: bytes, *, half: bool = False) -> bytes:
+def send_and_receive(port: int, data: bytes, *, keep_open: bool = False) -> bytes:
     """Send bytes and return what comes back until the other end closes, or for a moment."""
     with socket.create_connection((HOST, port), 2.0) as sock:
-        # An answer is awaited for as long as a slow machine takes; random bytes may get none.
-        sock.settimeout(10.0 if half else 0.3)
+        # The longer timeout covers a slow machine; random bytes may get no response at all.
+        sock.settimeout(10.0 if keep_open else 0.3)
         sock.sendall(data)
-        if not half:
+        if not keep_open:
             sock.shutdown(socket.SHUT_WR)
         out = b""
         try:
@@ -36,7 +36,7 @@
         return out
 
 
-def answers(cluster: Cluster) -> bool:
+def request_succeeds(cluster: Cluster) -> bool:
     """Whether a request still goes through."""
     body = json.dumps({"model": "m1", "prompt": "still there", "max_tokens": 2}).encode()
     req = urllib.request.Request(
@@ -67,17 +67,17 @@
     )
     def test_malformed_requests(self, cluster: Cluster, data: bytes, status: bytes) -> None:
         """Each is answered with its status and "not run", and the entry lives."""
-        out = talk(cluster.entry_ports[0], data, half=True)
+        out = send_and_receive(cluster.entry_ports[0], data, keep_open=True)
         assert out.startswith(b"HTTP/1.1 " + status)
         assert b"x-request-outcome: not-run" in out
-        assert answers(cluster)
+        assert request_succeeds(cluster)
 
-    def test_half_open_connections(self, cluster: Cluster) -> None:
+    def test_unfinished_requests_do_not_block_others(self, cluster: Cluster) -> None:
         """Connections that never finish their request don't keep others out."""
         socks = [socket.create_connection((HOST, cluster.entry_ports[0])) for _ in range(50)]
         for sock in socks:
             sock.sendall(b"POST /v1/comp")
-        assert answers(cluster)
+        assert request_succeeds(cluster)
         for sock in socks:
             sock.close()
 
@@ -93,12 +93,12 @@
         database=None,
         suppress_health_check=[HealthCheck.function_scoped_fixture],
     )
-    def test_random_bytes(self, cluster: Cluster, data: bytes) -> None:
+    def test_random_bytes_stop_no_process(self, cluster: Cluster, data: bytes) -> None:
         """Whatever is sent to whichever port, every process lives and requests go through."""
         for port in [*cluster.entry_ports, *(place.port for place in cluster.places)]:
-            talk(port, data)
+            send_and_receive(port, data)
         assert all(proc.poll() is None for proc in cluster.procs.values())
-        assert answers(cluster)
+        assert request_succeeds(cluster)
 
 
 class TestSettings:
@@ -152,7 +152,7 @@
         assert text.replace(str(tmp_path), "DIR") == snapshot
 
 
-class TestSlotsFreed:
+class TestCancelledStream:
     """Nobody's request keeps no memory."""
 
     def test_a_cancelled_stream_frees_its_slot(self, cluster: Cluster) -> None:
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -9,9 +9,9 @@
 from crankhinge.burn.main import main
 from test_config import TEXT
 
-LINE = (
+LOG_LINE = (
     "ts=2026-12-02T12:00:{second:02d}.000000Z level=info program=crankhinge-entry event={event} "
-    'member={member} model=m1 {more} read_tokens=100 wasted_tokens={wasted} why="a \\"b\\" c"\n'
+    'member={member} model=m1 {fields} read_tokens=100 wasted_tokens={wasted} why="a \\"b\\" c"\n'
 )
 
 
@@ -22,16 +22,18 @@
     with log.open("w") as file:
         for second in range(20):
             late = second == 3
-            more = f"first_ms={900 if late else 100} gap_ms=30"
+            fields = f"first_ms={900 if late else 100} gap_ms=30"
             event = "answered"
             if second == 7:
-                event, more = "request_failed", "code=overloaded"
+                event, fields = "request_failed", "code=overloaded"
             if second == 9:
-                event, more = "request_failed", "code=unknown-model"
+                event, fields = "request_failed", "code=unknown-model"
             member = "naas" if second % 2 else "swords"
             wasted = 100 if late else 0
             file.write(
-                LINE.format(second=second, event=event, member=member, more=more, wasted=wasted)
+                LOG_LINE.format(
+                    second=second, event=event, member=member, fields=fields, wasted=wasted
+                )
             )
         file.write("not a log line\n")
     bundle = tmp_path / "bundle.toml"
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -21,9 +21,9 @@
 TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
 
 
-def line(event: str, ident: str, second: int, **more: object) -> str:
+def log_line(event: str, request_id: str, second: int, **more: object) -> str:
     """Return a line about the end of a stream."""
-    facts: dict[str, object] = {
+    fields: dict[str, object] = {
         "route": "r",
         "kind": "stream",
         "target_ms": 900,
@@ -34,16 +34,18 @@
         "took_ms": 2000,
         **more,
     }
-    pairs = " ".join(f"{key}={value}" for key, value in facts.items())
-    return f"ts=2026-01-01T00:00:{second:02d}Z event={event} request={ident} {pairs}\n"
+    pairs = " ".join(f"{key}={value}" for key, value in fields.items())
+    return f"ts=2026-01-01T00:00:{second:02d}Z event={event} request={request_id} {pairs}\n"
 
 
 ANSWERED = {"status": 200, "first_ms": 500, "gap_ms": 50}
 REFUSED = {"status": 503}
-BACK = {"within_ms": 11000}
+RETRY = {"within_ms": 11000}
 
 
-def account_of(path: Path, *lines: str, weights: CallerWeights | None = None) -> CallerValueReport:
+def caller_value_of(
+    path: Path, *lines: str, weights: CallerWeights | None = None
+) -> CallerValueReport:
     """Return the account of a log with *lines*."""
     path.write_text("".join(lines))
     return compute_caller_value(
@@ -51,7 +53,7 @@
     )
 
 
-class TestCallersAccount:
+class TestCallerValue:
     """What counts, and how much."""
 
     @pytest.mark.parametrize(
@@ -69,66 +71,72 @@
             ("caller_gone", {"took_ms": 400}, CallerOutcome.ABANDONED),
         ],
     )
-    def test_tells_how_a_try_ended(
+    def test_outcome_is_derived_from_the_log_line(
         self, tmp_path: Path, event: str, more: dict[str, object], outcome: CallerOutcome
     ) -> None:
         """By the event, the status and the times on its line."""
         path = tmp_path / "log"
-        path.write_text(line(event, "a", 1, **more))
-        assert [one.outcome for one in read_caller_attempts([path])] == [outcome]
+        path.write_text(log_line(event, "a", 1, **more))
+        assert [attempt.outcome for attempt in read_caller_attempts([path])] == [outcome]
 
-    def test_a_return_that_is_served_earns_nothing(self, tmp_path: Path) -> None:
+    def test_served_retry_earns_nothing(self, tmp_path: Path) -> None:
         """The refused first try stays a refused one; a failed return costs besides."""
-        refused = line("request_failed", "a", 1, **REFUSED, took_ms=0)
-        served = account_of(tmp_path / "a", refused, line("answered", "b", 5, **ANSWERED, **BACK))
-        again = account_of(
-            tmp_path / "b", refused, line("request_failed", "b", 5, **REFUSED, **BACK, took_ms=0)
+        refused = log_line("request_failed", "a", 1, **REFUSED, took_ms=0)
+        served = caller_value_of(
+            tmp_path / "a", refused, log_line("answered", "b", 5, **ANSWERED, **RETRY)
+        )
+        again = caller_value_of(
+            tmp_path / "b",
+            refused,
+            log_line("request_failed", "b", 5, **REFUSED, **RETRY, took_ms=0),
         )
         assert served.total.relative_value == pytest.approx(0.0)
         assert served.total.retries[CallerOutcome.IN_TIME] == 1
         assert again.total.relative_value == pytest.approx(-CallerWeights().failed_return)
 
-    def test_seconds_held_in_vain_cost_without_steps(self, tmp_path: Path) -> None:
+    def test_cost_of_an_unserved_wait_is_linear(self, tmp_path: Path) -> None:
         """Twice as long costs twice as much, and what is served costs nothing for its wait."""
         costs = [
-            account_of(
-                tmp_path / "a", line("request_failed", "a", 9, **REFUSED, took_ms=took)
+            caller_value_of(
+                tmp_path / "a", log_line("request_failed", "a", 9, **REFUSED, took_ms=took)
             ).total.cost
             for took in (0, 1500, 3000)
         ]
         assert costs[0] == 0
         assert costs[2] == pytest.approx(2 * costs[1])
-        late = account_of(
-            tmp_path / "b", line("answered", "a", 9, status=200, first_ms=3000, took_ms=5000)
+        late = caller_value_of(
+            tmp_path / "b", log_line("answered", "a", 9, status=200, first_ms=3000, took_ms=5000)
         )
         assert late.total.relative_value == pytest.approx(CallerWeights().late)
 
-    def test_a_refusal_without_asking_anybody_is_needless(self, tmp_path: Path) -> None:
+    def test_refusal_without_a_query_costs_extra(self, tmp_path: Path) -> None:
         """Unless others waited before it."""
-        end = line("request_failed", "a", 1, **REFUSED, took_ms=0)
+        end = log_line("request_failed", "a", 1, **REFUSED, took_ms=0)
         for asked, ahead, needless in ((0, 0, 1), (0, 2, 0), (3, 0, 0)):
             place = f"event=place_refused request=a asked={asked} ahead={ahead}\n"
-            account = account_of(tmp_path / "a", place, end)
-            assert account.total.cost == pytest.approx(needless * CallerWeights().needless)
+            report = caller_value_of(tmp_path / "a", place, end)
+            assert report.total.cost == pytest.approx(needless * CallerWeights().needless)
 
-    def test_large_requests_and_dear_kinds_weigh_more(self, tmp_path: Path) -> None:
+    def test_value_depends_on_size_and_route_kind(self, tmp_path: Path) -> None:
         """A request of thrice the size of another, and a kind worth thirty of another."""
-        large = line("answered", "a", 1, **ANSWERED, prompt=500)
-        small = line("request_failed", "b", 1, **REFUSED, took_ms=0)
-        plain = line("request_failed", "c", 1, **REFUSED, took_ms=0, kind="once", route="p", most=0)
+        large = log_line("answered", "a", 1, **ANSWERED, prompt=500)
+        small = log_line("request_failed", "b", 1, **REFUSED, took_ms=0)
+        plain = log_line(
+            "request_failed", "c", 1, **REFUSED, took_ms=0, kind="once", route="p", most=0
+        )
         weights = CallerWeights(kinds={"stream": 30.0})
-        account = account_of(tmp_path / "a", large, small, plain, weights=weights)
-        assert account.routes["r"].relative_value == pytest.approx((0.3 + 0.7 * 1.5) / 2)
-        assert account.total.potential_value == pytest.approx(61.0)
+        report = caller_value_of(tmp_path / "a", large, small, plain, weights=weights)
+        assert report.routes["r"].relative_value == pytest.approx((0.3 + 0.7 * 1.5) / 2)
+        assert report.total.potential_value == pytest.approx(61.0)
 
-    def test_windows_begin_when_requests_do(self, tmp_path: Path) -> None:
+    def test_request_counts_in_the_window_of_its_start(self, tmp_path: Path) -> None:
         """One that began in the first window and ended in a later one belongs to the first."""
-        account = account_of(
+        report = caller_value_of(
             tmp_path / "a",
-            line("answered", "a", 5, **ANSWERED, took_ms=5000),
-            line("request_failed", "b", 4, **REFUSED, took_ms=0),
+            log_line("answered", "a", 5, **ANSWERED, took_ms=5000),
+            log_line("request_failed", "b", 4, **REFUSED, took_ms=0),
         )
-        assert {number: tally.relative_value for number, tally in account.windows.items()} == {
+        assert {number: value.relative_value for number, value in report.windows.items()} == {
             0: 1,
             2: 0,
         }
@@ -137,7 +145,7 @@
 class TestCommand:
     """``crankhinge-ctl callers``."""
 
-    def test_accounts_for_what_a_gateway_logged(
+    def test_report_on_the_log_of_a_gateway(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         """A stream in time and one for which there is no room, from the gateway's own lines."""
@@ -145,12 +153,12 @@
         world.add("i-reader", "llm", "prefill")
         writer = world.add("i-writer", "llm", "decode")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await world.call("served", "/stream/a", **TOKENS))[0] == 200
             writer.room = 0
             assert (await world.call("refused", "/stream/a", **TOKENS))[0] == 503
 
-        run_virtual(world.play, story, STREAM, settle_s=0.003)
+        run_virtual(world.play, scenario, STREAM, settle_s=0.003)
         path = tmp_path / "log"
         path.write_text("".join(world.lines.text))
         assert main(["callers", str(path)]) == 0
@@ -160,7 +168,7 @@
         assert int(whole["refused at once"]) + int(whole["refused after a wait"]) == 1
         assert 0.3 < float(whole["worth"]) <= 0.5
 
-    def test_bad_input_is_an_error(
+    def test_bad_input_exits_with_status_2(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         """A log without requests, one that is not there, and weights that are none."""
@@ -173,20 +181,20 @@
             assert capsys.readouterr().err
 
 
-class TestWaitsThatDiffer:
+class TestVaryingWaits:
     """Callers that wait 0.85 to 1.0 of the longest wait.
 
     By a fixed part of the longest wait three of four first tries were taken for returns.
     """
 
-    def test_kept_connections_tell_what_first_tries_wait(self, tmp_path: Path) -> None:
+    def test_reused_connections_set_the_retry_threshold(self, tmp_path: Path) -> None:
         """Whoever waits less, on a new connection, was refused before."""
         kept = [
-            line("answered", f"k{n}", n, **ANSWERED, within_ms=12000 + 250 * n, kept="true")
+            log_line("answered", f"k{n}", n, **ANSWERED, within_ms=12000 + 250 * n, kept="true")
             for n in range(8)
         ]
-        new = line("answered", "n", 9, **ANSWERED, within_ms=12100, kept="false")
-        back = line("answered", "b", 10, **ANSWERED, within_ms=9000, kept="false")
-        account = account_of(tmp_path / "log", *kept, new, back)
-        assert account.total.first_attempts[CallerOutcome.IN_TIME] == 9
-        assert account.total.retries[CallerOutcome.IN_TIME] == 1
+        new = log_line("answered", "n", 9, **ANSWERED, within_ms=12100, kept="false")
+        back = log_line("answered", "b", 10, **ANSWERED, within_ms=9000, kept="false")
+        report = caller_value_of(tmp_path / "log", *kept, new, back)
+        assert report.total.first_attempts[CallerOutcome.IN_TIME] == 9
+        assert report.total.retries[CallerOutcome.IN_TIME] == 1
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -73,14 +73,14 @@
 
     def __init__(self) -> None:
         self.values: dict[str, Value] = {}
-        self.lose_answers = False
-        self.out = False
-        self.before_swap: list[bytes] = []
+        self.lose_responses = False
+        self.unavailable = False
+        self.competing_writes: list[bytes] = []
 
     async def get(self, key: str) -> Value | None:
         """Return a value."""
-        if self.out:
-            raise KeyValueUnavailable("out")
+        if self.unavailable:
+            raise KeyValueUnavailable("unavailable")
         return self.values.get(key)
 
     async def watch(self, key: str, index: int, wait_s: float) -> Value | None:
@@ -89,16 +89,16 @@
 
     async def swap(self, key: str, data: bytes, index: int) -> bool:
         """Compare and swap; another's write may come first."""
-        if self.out:
-            raise KeyValueUnavailable("out")
-        if key == BUNDLE_KEY and self.before_swap:
-            self.write(key, self.before_swap.pop())
+        if self.unavailable:
+            raise KeyValueUnavailable("unavailable")
+        if key == BUNDLE_KEY and self.competing_writes:
+            self.write(key, self.competing_writes.pop())
         current = self.values.get(key)
         if (current.index if current else 0) != index:
             return False
         self.write(key, data)
-        if self.lose_answers:
-            raise KeyValueUnavailable("answer lost")
+        if self.lose_responses:
+            raise KeyValueUnavailable("response lost")
         return True
 
     def write(self, key: str, data: bytes) -> None:
@@ -107,7 +107,7 @@
         self.values[key] = Value(data, index + 1)
 
 
-class TestBundle:
+class TestBundleValidation:
     """A bundle is validated whole."""
 
     @pytest.mark.parametrize(
@@ -122,14 +122,14 @@
             ("\n[[", "not TOML"),
         ],
     )
-    def test_names_the_key_and_the_reason(self, extra: str, reason: str) -> None:
+    def test_invalid_bundle_is_rejected_with_a_reason(self, extra: str, reason: str) -> None:
         """A faulty bundle is refused with its reason."""
         with pytest.raises(BundleError, match=reason):
             parse_bundle(TEXT.format(version=1) + extra)
 
     @given(st.binary(max_size=200))
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
-    def test_garbage_is_a_typed_error(self, data: bytes) -> None:
+    def test_random_bytes_raise_a_bundle_error(self, data: bytes) -> None:
         """Whatever stands in the key-value service, the failure has a type."""
         with pytest.raises(BundleError):
             verify_envelope(data, {"timbook": "0" * 64})
@@ -138,22 +138,22 @@
 class TestSignatures:
     """All partners must have signed."""
 
-    def test_accepts_both_signatures(self, signers: Signers) -> None:
+    def test_bundle_signed_by_all_partners_is_accepted(self, signers: Signers) -> None:
         """A bundle signed by both opens."""
         assert verify_envelope(signers.envelope(3), signers.keys).version == 3
 
-    def test_refuses_a_missing_signature(self, signers: Signers) -> None:
+    def test_missing_signature_is_rejected(self, signers: Signers) -> None:
         """A bundle that one partner has not signed is refused."""
         with pytest.raises(BundleError, match="not signed by timbook"):
             verify_envelope(signers.envelope(3, skip="timbook"), signers.keys)
 
-    def test_refuses_a_changed_text(self, signers: Signers) -> None:
+    def test_text_changed_after_signing_is_rejected(self, signers: Signers) -> None:
         """A bundle changed after it was signed is refused."""
         changed = signers.envelope(3).replace(b"version = 3", b"version = 4")
         with pytest.raises(BundleError, match="is invalid"):
             verify_envelope(changed, signers.keys)
 
-    def test_private_keys_are_private(self, signers: Signers) -> None:
+    def test_private_key_file_is_accessible_only_to_its_owner(self, signers: Signers) -> None:
         """A key file is made with mode 0600, and one that others can read is refused."""
         path = signers.path / "timbook.key"
         assert path.stat().st_mode & 0o777 == 0o600
@@ -162,10 +162,10 @@
             load_private_key(path)
 
 
-class TestKeeper:
+class TestBundleKeeper:
     """The bundle in force in one process."""
 
-    def test_never_goes_back(self, signers: Signers) -> None:
+    def test_version_in_force_never_decreases(self, signers: Signers) -> None:
         """An older or equal version changes nothing."""
         keeper = BundleKeeper(signers.keys)
         assert keeper.install_if_newer(signers.envelope(5))
@@ -173,7 +173,7 @@
         assert not keeper.install_if_newer(signers.envelope(5, "\n[policy]\npatience = 3.0\n"))
         assert keeper.version == 5
 
-    def test_an_unsigned_bundle_changes_nothing(self, signers: Signers) -> None:
+    def test_bundle_without_all_signatures_changes_nothing(self, signers: Signers) -> None:
         """A newer bundle that isn't signed is refused and the old one stays."""
         keeper = BundleKeeper(signers.keys)
         keeper.install_if_newer(signers.envelope(5))
@@ -185,39 +185,39 @@
 class TestPublish:
     """Acceptance by compare-and-swap."""
 
-    def test_versions_follow_each_other(self, signers: Signers) -> None:
+    def test_versions_must_be_consecutive(self, signers: Signers) -> None:
         """The first version is 1, and none may be left out."""
         kv = MemoryKeyValue()
         assert curio.run(publish, kv, signers.envelope(1), signers.keys).version == 1
         with pytest.raises(BundleError, match="does not directly follow"):
             curio.run(publish, kv, signers.envelope(3), signers.keys)
 
-    def test_of_two_operators_one_wins(self, signers: Signers) -> None:
+    def test_one_of_two_concurrent_publications_fails(self, signers: Signers) -> None:
         """The one whose swap comes second is told, and nothing is overwritten."""
         kv = MemoryKeyValue()
-        theirs = signers.envelope(1, "\n[policy]\npatience = 2.0\n")
-        kv.before_swap = [theirs]
+        competing = signers.envelope(1, "\n[policy]\npatience = 2.0\n")
+        kv.competing_writes = [competing]
         with pytest.raises(PublishConflict):
             curio.run(publish, kv, signers.envelope(1), signers.keys)
-        assert kv.values[BUNDLE_KEY].data == theirs
+        assert kv.values[BUNDLE_KEY].data == competing
 
-    def test_a_lost_answer_is_read_back(self, signers: Signers) -> None:
+    def test_success_is_confirmed_after_a_lost_response(self, signers: Signers) -> None:
         """When the swap took effect and its answer was lost, the operator learns that it did."""
         kv = MemoryKeyValue()
-        kv.lose_answers = True
+        kv.lose_responses = True
         result = curio.run(publish, kv, signers.envelope(1), signers.keys)
         assert result.confirmed_by_read
 
-    def test_publishing_again_is_safe(self, signers: Signers) -> None:
+    def test_publishing_the_same_bundle_again_succeeds(self, signers: Signers) -> None:
         """The same file a second time is accepted as done."""
         kv = MemoryKeyValue()
         curio.run(publish, kv, signers.envelope(1), signers.keys)
         assert curio.run(publish, kv, signers.envelope(1), signers.keys).confirmed_by_read
         assert [row.version for row in curio.run(read_history, kv)] == [1]
 
-    def test_an_outage_is_not_guessed(self, signers: Signers) -> None:
+    def test_outage_raises_key_value_unavailable(self, signers: Signers) -> None:
         """With the service out the outcome is unknown, and said to be."""
         kv = MemoryKeyValue()
-        kv.out = True
+        kv.unavailable = True
         with pytest.raises(KeyValueUnavailable):
             curio.run(publish, kv, signers.envelope(1), signers.keys)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -32,7 +32,7 @@
             time.sleep(0.05)
     else:
         proc.kill()
-        pytest.fail(f"nobody answers at port {port}: {command}, status {proc.wait()}")
+        pytest.fail(f"no response on port {port}: {command}, status {proc.wait()}")
     yield port
     proc.kill()
     proc.wait()
@@ -67,7 +67,7 @@
                 (tmp_path / "ctl.toml").write_text("\n".join(lines))
         assert "version 1" in out
 
-    def test_a_race_shows_what_the_winner_changed(
+    def test_lost_race_shows_the_difference(
         self,
         platform: int,
         tmp_path: Path,
@@ -96,7 +96,7 @@
 class TestReference:
     """docs/operators/reference.md."""
 
-    def test_is_up_to_date(self, capsys: pytest.CaptureFixture[str]) -> None:
+    def test_page_is_up_to_date(self, capsys: pytest.CaptureFixture[str]) -> None:
         """The page is what the command prints."""
         assert ctl_main(["reference"]) == 0
         assert capsys.readouterr().out == (PAGES / "reference.md").read_text()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -19,16 +19,16 @@
 ONCE = route("r-once", "/once/", "unsafe", "plain")
 STREAM = route("r-stream", "/stream/", "streaming", "llm")
 CRASH = route("r-crash", "/crash/", "unsafe", "fragile")
-NEEDY = route("r-needy", "/needy/", "unsafe", "needy")
+LIMITED = route("r-needy", "/needy/", "unsafe", "needy")
 TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
 
 
-async def reset(_: FakeReplica, exchange: Exchange) -> None:
+async def reset_connection(_: FakeReplica, exchange: Exchange) -> None:
     """Take the request and close without an answer."""
     raise HttpClosed("reset")
 
 
-async def broken(replica: FakeReplica, exchange: Exchange) -> None:
+async def break_stream(replica: FakeReplica, exchange: Exchange) -> None:
     """Begin a stream and close."""
     await exchange.start_as_is(200, replica.head(exchange))
     await exchange.write(events(1, 2))
@@ -38,14 +38,14 @@
 def make_log(path: Path) -> None:
     """Play requests that fail in five ways and write the gateway's log."""
     world = World()
-    world.add("i-plain", "plain", behave=reset)
+    world.add("i-plain", "plain", behave=reset_connection)
     world.add("i-reader", "llm", "prefill")
     for number in range(3):
         world.add(f"i-c{number}", "fragile", behave=crash)
     world.add("i-needy", "needy", limit="0")
-    writer = world.add("i-writer", "llm", "decode", behave=broken)
+    writer = world.add("i-writer", "llm", "decode", behave=break_stream)
 
-    async def story() -> None:
+    async def scenario() -> None:
         assert (await world.call("unknown", "/once/a"))[0] == 502
         answer = await world.open("cut", "/stream/a", **TOKENS)
         with pytest.raises((BadHttp, HttpClosed)):
@@ -60,14 +60,14 @@
         assert (await world.call("first", "/needy/a"))[0] == 200
         assert (await world.call("over", "/needy/a"))[0] == 503
 
-    run_virtual(world.play, story, ONCE, STREAM, CRASH, NEEDY, settle_s=0.003)
+    run_virtual(world.play, scenario, ONCE, STREAM, CRASH, LIMITED, settle_s=0.003)
     path.write_text("".join(world.lines.text))
 
 
 class TestExplain:
     """From an identity to the cause."""
 
-    def test_shows_what_was_believed_and_what_happened(
+    def test_shows_state_and_events(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         """The configuration's version, the server's entry, each step, the outcome."""
@@ -80,7 +80,7 @@
         assert re.search(r"happened .* leg_failed  server=i-plain outcome=broken", out)
         assert re.search(r"happened .* request_failed .* outcome=unknown status=502", out)
 
-    def test_an_identity_that_no_log_knows_is_bad_input(self, tmp_path: Path) -> None:
+    def test_unknown_request_exits_with_status_2(self, tmp_path: Path) -> None:
         """Status 2, and so for a file that is not there."""
         log = tmp_path / "gateway.log"
         log.write_text("")
@@ -91,7 +91,7 @@
 class TestOperationsPage:
     """docs/OPERATIONS.md, five failed requests from top to bottom."""
 
-    def test_commands_show_the_lines_of_the_page(
+    def test_commands_print_the_lines_of_the_page(
         self,
         tmp_path: Path,
         monkeypatch: pytest.MonkeyPatch,
