--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input to every listening port of running programs: typed errors, nothing lost."""
+"""Tests that bad input to the ports and files of the programs causes errors but no harm."""
 
 import json
 import socket
@@ -20,7 +20,13 @@
 
 
 def send_and_receive(port: int, data: bytes, *, keep_open: bool = False) -> bytes:
-    """Send bytes and return what comes back until the other end closes, or for a moment."""
+    """Send bytes and return the response, read until the peer closes or a timeout passes.
+
+    Args:
+        port: TCP port to connect to.
+        data: the bytes to send.
+        keep_open: whether to leave the sending direction open and to wait longer.
+    """
     with socket.create_connection((HOST, port), 2.0) as sock:
         # The longer timeout covers a slow machine; random bytes may get no response at all.
         sock.settimeout(10.0 if keep_open else 0.3)
@@ -37,7 +43,7 @@
 
 
 def request_succeeds(cluster: Cluster) -> bool:
-    """Whether a request still goes through."""
+    """Return whether the cluster still answers a valid request."""
     body = json.dumps({"model": "m1", "prompt": "still there", "max_tokens": 2}).encode()
     req = urllib.request.Request(
         f"http://{HOST}:{cluster.entry_ports[0]}/v1/completions",
@@ -49,7 +55,7 @@
 
 
 class TestHttp:
-    """The callers' port."""
+    """Bad input to the port for callers."""
 
     @pytest.mark.parametrize(
         ("data", "status"),
@@ -66,14 +72,14 @@
         ],
     )
     def test_malformed_requests(self, cluster: Cluster, data: bytes, status: bytes) -> None:
-        """Each is answered with its status and "not run", and the entry lives."""
+        """The response has the right status and outcome "not-run", and the entry keeps running."""
         out = send_and_receive(cluster.entry_ports[0], data, keep_open=True)
         assert out.startswith(b"HTTP/1.1 " + status)
         assert b"x-request-outcome: not-run" in out
         assert request_succeeds(cluster)
 
     def test_unfinished_requests_do_not_block_others(self, cluster: Cluster) -> None:
-        """Connections that never finish their request don't keep others out."""
+        """Connections with an unfinished request do not block other callers."""
         socks = [socket.create_connection((HOST, cluster.entry_ports[0])) for _ in range(50)]
         for sock in socks:
             sock.sendall(b"POST /v1/comp")
@@ -83,7 +89,7 @@
 
 
 class TestEveryPort:
-    """Random bytes."""
+    """Random bytes to every listening port."""
 
     @given(st.binary(min_size=1, max_size=400))
     @settings(
@@ -94,7 +100,7 @@
         suppress_health_check=[HealthCheck.function_scoped_fixture],
     )
     def test_random_bytes_stop_no_process(self, cluster: Cluster, data: bytes) -> None:
-        """Whatever is sent to whichever port, every process lives and requests go through."""
+        """Random bytes to any port end no process, and valid requests still succeed."""
         for port in [*cluster.entry_ports, *(place.port for place in cluster.places)]:
             send_and_receive(port, data)
         assert all(proc.poll() is None for proc in cluster.procs.values())
@@ -102,7 +108,7 @@
 
 
 class TestSettings:
-    """Settings files and command lines."""
+    """Bad settings files and command lines."""
 
     @pytest.mark.parametrize("main", [entry_main, agent_main], ids=["entry", "agent"])
     @pytest.mark.parametrize("text", ["[[", "surprise = 1", 'name = "a"\nport = 99999'])
@@ -114,14 +120,14 @@
         capsys: pytest.CaptureFixture[str],
         snapshot: SnapshotAssertion,
     ) -> None:
-        """Exit status 2, and a line with file, key and reason."""
+        """The exit status is 2 and the message names the file, the key and the reason."""
         path = tmp_path / "settings.toml"
         path.write_text(text)
         assert main(["--check", str(path)]) == 2  # type: ignore[operator]
         assert capsys.readouterr().err.replace(str(tmp_path), "DIR") == snapshot
 
     def test_bad_scenario(self, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-        """An unknown key of a scenario is an error that names it."""
+        """The error for an unknown key of a scenario names the key."""
         path = tmp_path / "scenario.toml"
         path.write_text('name = "x"\nsurprise = 1\n')
         assert bench_main(["run", str(path)]) == 2
@@ -143,7 +149,7 @@
         capsys: pytest.CaptureFixture[str],
         snapshot: SnapshotAssertion,
     ) -> None:
-        """What the operators' command says and its exit status."""
+        """The output and exit status of ``crankhinge-ctl`` stay as recorded."""
         (tmp_path / "bad.toml").write_text("version = 0\n[[partners]]\nname='p'\n")
         (tmp_path / "good.toml").write_text("version = 1\n[[partners]]\nname='p'\n")
         status = ctl_main([arg.replace("DIR", str(tmp_path)) for arg in args])
@@ -153,10 +159,10 @@
 
 
 class TestCancelledStream:
-    """Nobody's request keeps no memory."""
+    """Engine memory after a caller cancelled its stream."""
 
     def test_a_cancelled_stream_frees_its_slot(self, cluster: Cluster) -> None:
-        """A caller that goes in mid-answer leaves nothing in the engine."""
+        """When a caller disconnects during the answer, the engine frees its slot."""
         body = json.dumps({"model": "m1", "prompt": "x", "max_tokens": 500, "stream": True})
         head = (
             "POST /v1/completions HTTP/1.1\r\nhost: x\r\n"
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Tests of the burn report."""
+"""Tests of the report of ``crankhinge-burn``."""
 
 from pathlib import Path
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def files(tmp_path: Path) -> list[str]:
-    """Return a log of twenty requests and a bundle."""
+    """Return the command line for a log of 20 requests and a bundle."""
     log = tmp_path / "entry.log"
     with log.open("w") as file:
         for second in range(20):
@@ -42,17 +42,17 @@
 
 
 class TestReport:
-    """What the report says."""
+    """Contents of the report and its output formats."""
 
     def test_text(
         self, files: list[str], capsys: pytest.CaptureFixture[str], snapshot: SnapshotAssertion
     ) -> None:
-        """Late and refused requests spend the budget; a caller's own faults don't."""
+        """Late and refused requests spend the budget; errors of the caller do not."""
         assert main(files) == 0
         assert capsys.readouterr().out == snapshot
 
     def test_page_and_json(self, files: list[str], tmp_path: Path) -> None:
-        """The page holds its plots and needs nothing else."""
+        """The HTML page embeds its plots and refers to no other files."""
         page, data = tmp_path / "r.html", tmp_path / "r.json"
         assert main([*files, "--html", str(page), "--json", str(data)]) == 0
         text = page.read_text()
@@ -61,14 +61,14 @@
         assert '"wasted_tokens": 100' in data.read_text()
 
     def test_bad_input(self, files: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-        """A missing file is an error with its name and status 2."""
+        """A missing file is named in the error message, and the exit status is 2."""
         assert main(["/nowhere.log", *files[1:]]) == 2
         assert "/nowhere.log: cannot be read" in capsys.readouterr().err
 
 
 class TestLines:
-    """Key=value lines."""
+    """Parsing of log lines."""
 
     def test_quoted_values(self) -> None:
-        """Quotes and escapes are undone."""
+        """Quoted values lose their quotes and escapes."""
         assert parse_line(r'a=1 b="x \"y\" z" c=') == {"a": "1", "b": 'x "y" z', "c": ""}
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' account, on logs made here and by a gateway."""
+"""Tests of the value to callers, computed from handwritten logs and from a gateway's log."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def log_line(event: str, request_id: str, second: int, **more: object) -> str:
-    """Return a line about the end of a stream."""
+    """Return a log line about the end of a streaming request."""
     fields: dict[str, object] = {
         "route": "r",
         "kind": "stream",
@@ -46,7 +46,7 @@
 def caller_value_of(
     path: Path, *lines: str, weights: CallerWeights | None = None
 ) -> CallerValueReport:
-    """Return the account of a log with *lines*."""
+    """Return the value to callers according to a log with *lines*."""
     path.write_text("".join(lines))
     return compute_caller_value(
         read_caller_attempts([path]), weights or CallerWeights(), window_s=2.0
@@ -54,7 +54,7 @@
 
 
 class TestCallerValue:
-    """What counts, and how much."""
+    """Outcomes and their value."""
 
     @pytest.mark.parametrize(
         ("event", "more", "outcome"),
@@ -74,13 +74,13 @@
     def test_outcome_is_derived_from_the_log_line(
         self, tmp_path: Path, event: str, more: dict[str, object], outcome: CallerOutcome
     ) -> None:
-        """By the event, the status and the times on its line."""
+        """The outcome depends on the event, the status and the times of the log line."""
         path = tmp_path / "log"
         path.write_text(log_line(event, "a", 1, **more))
         assert [attempt.outcome for attempt in read_caller_attempts([path])] == [outcome]
 
     def test_served_retry_earns_nothing(self, tmp_path: Path) -> None:
-        """The refused first try stays a refused one; a failed return costs besides."""
+        """The refused first attempt still counts as refused; a failed retry costs extra."""
         refused = log_line("request_failed", "a", 1, **REFUSED, took_ms=0)
         served = caller_value_of(
             tmp_path / "a", refused, log_line("answered", "b", 5, **ANSWERED, **RETRY)
@@ -95,7 +95,7 @@
         assert again.total.relative_value == pytest.approx(-CallerWeights().failed_return)
 
     def test_cost_of_an_unserved_wait_is_linear(self, tmp_path: Path) -> None:
-        """Twice as long costs twice as much, and what is served costs nothing for its wait."""
+        """An unserved wait of twice the length costs twice as much; a served wait costs nothing."""
         costs = [
             caller_value_of(
                 tmp_path / "a", log_line("request_failed", "a", 9, **REFUSED, took_ms=took)
@@ -110,7 +110,7 @@
         assert late.total.relative_value == pytest.approx(CallerWeights().late)
 
     def test_refusal_without_a_query_costs_extra(self, tmp_path: Path) -> None:
-        """Unless others waited before it."""
+        """The refusal costs extra unless servers were asked or other requests waited ahead."""
         end = log_line("request_failed", "a", 1, **REFUSED, took_ms=0)
         for asked, ahead, needless in ((0, 0, 1), (0, 2, 0), (3, 0, 0)):
             place = f"event=place_refused request=a asked={asked} ahead={ahead}\n"
@@ -118,7 +118,7 @@
             assert report.total.cost == pytest.approx(needless * CallerWeights().needless)
 
     def test_value_depends_on_size_and_route_kind(self, tmp_path: Path) -> None:
-        """A request of thrice the size of another, and a kind worth thirty of another."""
+        """One request has three times the size of another, and one kind 30 times the value."""
         large = log_line("answered", "a", 1, **ANSWERED, prompt=500)
         small = log_line("request_failed", "b", 1, **REFUSED, took_ms=0)
         plain = log_line(
@@ -130,7 +130,7 @@
         assert report.total.potential_value == pytest.approx(61.0)
 
     def test_request_counts_in_the_window_of_its_start(self, tmp_path: Path) -> None:
-        """One that began in the first window and ended in a later one belongs to the first."""
+        """A request that starts in the first window and ends in a later one counts in the first."""
         report = caller_value_of(
             tmp_path / "a",
             log_line("answered", "a", 5, **ANSWERED, took_ms=5000),
@@ -148,7 +148,7 @@
     def test_report_on_the_log_of_a_gateway(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """A stream in time and one for which there is no room, from the gateway's own lines."""
+        """One stream is answered in time, and one is refused for lack of KV memory."""
         world = World()
         world.add("i-reader", "llm", "prefill")
         writer = world.add("i-writer", "llm", "decode")
@@ -171,7 +171,7 @@
     def test_bad_input_exits_with_status_2(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """A log without requests, one that is not there, and weights that are none."""
+        """The inputs are a log without requests, a missing log, and invalid weights."""
         empty = tmp_path / "log"
         empty.write_text("nothing\nevent=answered took_ms=x within_ms=1\n")
         weights = tmp_path / "weights.toml"
@@ -182,13 +182,14 @@
 
 
 class TestVaryingWaits:
-    """Callers that wait 0.85 to 1.0 of the longest wait.
+    """Callers whose maximum waits are between 0.85 and 1.0 of the longest wait.
 
-    By a fixed part of the longest wait three of four first tries were taken for returns.
+    With a threshold at a fixed fraction of the longest wait, three of four first attempts counted
+    as retries.
     """
 
     def test_reused_connections_set_the_retry_threshold(self, tmp_path: Path) -> None:
-        """Whoever waits less, on a new connection, was refused before."""
+        """A request on a new connection with a shorter wait than these counts as a retry."""
         kept = [
             log_line("answered", f"k{n}", n, **ANSWERED, within_ms=12000 + 250 * n, kept="true")
             for n in range(8)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Tests of bundles: validation, signatures, acceptance."""
+"""Tests of bundles: validation, signatures and publication."""
 
 from pathlib import Path
 
@@ -43,7 +43,7 @@
 
 
 class Signers:
-    """Both partners' keys."""
+    """The key pairs of both partners."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -52,7 +52,7 @@
         }
 
     def envelope(self, version: int, extra: str = "", *, skip: str = "") -> bytes:
-        """Return a bundle signed by all but *skip*."""
+        """Return an encoded bundle that all partners except *skip* have signed."""
         envelope = Envelope(TEXT.format(version=version) + extra)
         for name in self.keys:
             if name != skip:
@@ -64,12 +64,12 @@
 
 @pytest.fixture
 def signers(tmp_path: Path) -> Signers:
-    """Return two new key pairs."""
+    """Return new key pairs of both partners."""
     return Signers(tmp_path)
 
 
 class MemoryKeyValue(KeyValue):
-    """A key-value service in memory that can lose answers and be out."""
+    """A key-value service in memory that can lose responses and be unavailable."""
 
     def __init__(self) -> None:
         self.values: dict[str, Value] = {}
@@ -78,17 +78,17 @@
         self.competing_writes: list[bytes] = []
 
     async def get(self, key: str) -> Value | None:
-        """Return a value."""
+        """Return the value of a key."""
         if self.unavailable:
             raise KeyValueUnavailable("unavailable")
         return self.values.get(key)
 
     async def watch(self, key: str, index: int, wait_s: float) -> Value | None:
-        """Return a value at once."""
+        """Return the value of a key without waiting for a change."""
         return await self.get(key)
 
     async def swap(self, key: str, data: bytes, index: int) -> bool:
-        """Compare and swap; another's write may come first."""
+        """Compare and swap, after the next competing write if one is planned."""
         if self.unavailable:
             raise KeyValueUnavailable("unavailable")
         if key == BUNDLE_KEY and self.competing_writes:
@@ -102,13 +102,13 @@
         return True
 
     def write(self, key: str, data: bytes) -> None:
-        """Write a value."""
+        """Write a value and increase its index."""
         index = self.values[key].index if key in self.values else 0
         self.values[key] = Value(data, index + 1)
 
 
 class TestBundleValidation:
-    """A bundle is validated whole."""
+    """Validation of the text of a bundle."""
 
     @pytest.mark.parametrize(
         ("extra", "reason"),
@@ -123,38 +123,38 @@
         ],
     )
     def test_invalid_bundle_is_rejected_with_a_reason(self, extra: str, reason: str) -> None:
-        """A faulty bundle is refused with its reason."""
+        """The error of an invalid bundle contains the reason."""
         with pytest.raises(BundleError, match=reason):
             parse_bundle(TEXT.format(version=1) + extra)
 
     @given(st.binary(max_size=200))
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
     def test_random_bytes_raise_a_bundle_error(self, data: bytes) -> None:
-        """Whatever stands in the key-value service, the failure has a type."""
+        """Data that is not an envelope raises BundleError, whatever its content."""
         with pytest.raises(BundleError):
             verify_envelope(data, {"timbook": "0" * 64})
 
 
 class TestSignatures:
-    """All partners must have signed."""
+    """Every partner must have signed a bundle."""
 
     def test_bundle_signed_by_all_partners_is_accepted(self, signers: Signers) -> None:
-        """A bundle signed by both opens."""
+        """A bundle that both partners signed is verified and parsed."""
         assert verify_envelope(signers.envelope(3), signers.keys).version == 3
 
     def test_missing_signature_is_rejected(self, signers: Signers) -> None:
-        """A bundle that one partner has not signed is refused."""
+        """A bundle that lacks the signature of one partner is rejected."""
         with pytest.raises(BundleError, match="not signed by timbook"):
             verify_envelope(signers.envelope(3, skip="timbook"), signers.keys)
 
     def test_text_changed_after_signing_is_rejected(self, signers: Signers) -> None:
-        """A bundle changed after it was signed is refused."""
+        """A bundle whose text was changed after signing is rejected."""
         changed = signers.envelope(3).replace(b"version = 3", b"version = 4")
         with pytest.raises(BundleError, match="is invalid"):
             verify_envelope(changed, signers.keys)
 
     def test_private_key_file_is_accessible_only_to_its_owner(self, signers: Signers) -> None:
-        """A key file is made with mode 0600, and one that others can read is refused."""
+        """A key file is created with mode 0600; a file that others can read is rejected."""
         path = signers.path / "timbook.key"
         assert path.stat().st_mode & 0o777 == 0o600
         path.chmod(0o644)
@@ -163,10 +163,10 @@
 
 
 class TestBundleKeeper:
-    """The bundle in force in one process."""
+    """Replacement of the bundle in force in one process."""
 
     def test_version_in_force_never_decreases(self, signers: Signers) -> None:
-        """An older or equal version changes nothing."""
+        """A bundle with an older or equal version is not put into force."""
         keeper = BundleKeeper(signers.keys)
         assert keeper.install_if_newer(signers.envelope(5))
         assert not keeper.install_if_newer(signers.envelope(4))
@@ -174,7 +174,7 @@
         assert keeper.version == 5
 
     def test_bundle_without_all_signatures_changes_nothing(self, signers: Signers) -> None:
-        """A newer bundle that isn't signed is refused and the old one stays."""
+        """A newer bundle without all signatures is rejected and the old one stays in force."""
         keeper = BundleKeeper(signers.keys)
         keeper.install_if_newer(signers.envelope(5))
         with pytest.raises(BundleError):
@@ -183,17 +183,17 @@
 
 
 class TestPublish:
-    """Acceptance by compare-and-swap."""
+    """Publication by compare-and-swap."""
 
     def test_versions_must_be_consecutive(self, signers: Signers) -> None:
-        """The first version is 1, and none may be left out."""
+        """The first version is 1, and no version may be skipped."""
         kv = MemoryKeyValue()
         assert curio.run(publish, kv, signers.envelope(1), signers.keys).version == 1
         with pytest.raises(BundleError, match="does not directly follow"):
             curio.run(publish, kv, signers.envelope(3), signers.keys)
 
     def test_one_of_two_concurrent_publications_fails(self, signers: Signers) -> None:
-        """The one whose swap comes second is told, and nothing is overwritten."""
+        """The operator whose swap comes second gets an error, and nothing is overwritten."""
         kv = MemoryKeyValue()
         competing = signers.envelope(1, "\n[policy]\npatience = 2.0\n")
         kv.competing_writes = [competing]
@@ -202,21 +202,21 @@
         assert kv.values[BUNDLE_KEY].data == competing
 
     def test_success_is_confirmed_after_a_lost_response(self, signers: Signers) -> None:
-        """When the swap took effect and its answer was lost, the operator learns that it did."""
+        """The publication succeeds if the swap took effect although its response was lost."""
         kv = MemoryKeyValue()
         kv.lose_responses = True
         result = curio.run(publish, kv, signers.envelope(1), signers.keys)
         assert result.confirmed_by_read
 
     def test_publishing_the_same_bundle_again_succeeds(self, signers: Signers) -> None:
-        """The same file a second time is accepted as done."""
+        """Publishing the same file a second time reports success and adds no history row."""
         kv = MemoryKeyValue()
         curio.run(publish, kv, signers.envelope(1), signers.keys)
         assert curio.run(publish, kv, signers.envelope(1), signers.keys).confirmed_by_read
         assert [row.version for row in curio.run(read_history, kv)] == [1]
 
     def test_outage_raises_key_value_unavailable(self, signers: Signers) -> None:
-        """With the service out the outcome is unknown, and said to be."""
+        """While the service is unavailable, the outcome is unknown and an error says so."""
         kv = MemoryKeyValue()
         kv.unavailable = True
         with pytest.raises(KeyValueUnavailable):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages' commands are run, and the reference page is that of the models."""
+"""Tests that the commands of the operators' pages work and that the reference is up to date."""
 
 import re
 import shlex
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def platform() -> Iterator[int]:
-    """Return the port of a key-value service of its own."""
+    """Start a key-value service for this test and return its port."""
     [port] = free_ports(1)
     command = [sys.executable, "-m", "crankhinge_standins.main", "platform", "--port", str(port)]
     proc = subprocess.Popen(command)
@@ -39,7 +39,7 @@
 
 
 class TestBundlesPage:
-    """docs/operators/bundles.md, from top to bottom."""
+    """The commands of docs/operators/bundles.md."""
 
     def test_every_command_works(
         self,
@@ -48,7 +48,7 @@
         monkeypatch: pytest.MonkeyPatch,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """Each command on the page ends with status 0, in the page's order."""
+        """Each command on the page exits with status 0 if they run in the order of the page."""
         monkeypatch.chdir(tmp_path)
         (tmp_path / "bundle.toml").write_text(TEXT.format(version=1))
         page = (PAGES / "bundles.md").read_text()
@@ -74,7 +74,7 @@
         monkeypatch: pytest.MonkeyPatch,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """The loser of a race has status 3 and is shown the difference."""
+        """The command of the operator who loses exits with status 3 and prints the difference."""
         monkeypatch.chdir(tmp_path)
         ctl_main(["key", "new", "p.key"])
         public = capsys.readouterr().out.split()[-1]
@@ -94,9 +94,9 @@
 
 
 class TestReference:
-    """docs/operators/reference.md."""
+    """The page docs/operators/reference.md."""
 
     def test_page_is_up_to_date(self, capsys: pytest.CaptureFixture[str]) -> None:
-        """The page is what the command prints."""
+        """The page is identical to the output of the command."""
         assert ctl_main(["reference"]) == 0
         assert capsys.readouterr().out == (PAGES / "reference.md").read_text()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the story of one request, and of the page that shows how to get it."""
+"""Tests of ``crankhinge-ctl explain`` and of the page that documents it."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 async def reset_connection(_: FakeReplica, exchange: Exchange) -> None:
-    """Take the request and close without an answer."""
+    """Receive the request and close the connection without a response."""
     raise HttpClosed("reset")
 
 
 async def break_stream(replica: FakeReplica, exchange: Exchange) -> None:
-    """Begin a stream and close."""
+    """Start a streamed response and close the connection in the middle."""
     await exchange.start_as_is(200, replica.head(exchange))
     await exchange.write(events(1, 2))
     raise HttpClosed("crash")
 
 
 def make_log(path: Path) -> None:
-    """Play requests that fail in five ways and write the gateway's log."""
+    """Run requests that fail in five ways and write the gateway's log to *path*."""
     world = World()
     world.add("i-plain", "plain", behave=reset_connection)
     world.add("i-reader", "llm", "prefill")
@@ -65,12 +65,12 @@
 
 
 class TestExplain:
-    """From an identity to the cause."""
+    """Output of the command for one request id."""
 
     def test_shows_state_and_events(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """The configuration's version, the server's entry, each step, the outcome."""
+        """The output has the configuration version, server entry, attempts and outcome."""
         log = tmp_path / "gateway.log"
         make_log(log)
         assert main(["explain", "unknown", str(log)]) == 0
@@ -81,7 +81,7 @@
         assert re.search(r"happened .* request_failed .* outcome=unknown status=502", out)
 
     def test_unknown_request_exits_with_status_2(self, tmp_path: Path) -> None:
-        """Status 2, and so for a file that is not there."""
+        """The exit status is 2 for an unknown request id and for a missing log."""
         log = tmp_path / "gateway.log"
         log.write_text("")
         assert main(["explain", "nobody", str(log)]) == 2
@@ -89,7 +89,7 @@
 
 
 class TestOperationsPage:
-    """docs/OPERATIONS.md, five failed requests from top to bottom."""
+    """The commands of docs/OPERATIONS.md for five failed requests."""
 
     def test_commands_print_the_lines_of_the_page(
         self,
@@ -97,7 +97,7 @@
         monkeypatch: pytest.MonkeyPatch,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """Each command ends well, and each pattern below it is in what it prints."""
+        """Each command succeeds and prints the words of the lines below it on the page."""
         monkeypatch.chdir(tmp_path)
         make_log(tmp_path / "gateway.log")
         page = PAGE.read_text()
--- a/tests/test_propagation.py
+++ b/tests/test_propagation.py
@@ -1,4 +1,4 @@
-"""Tests of how a bundle reaches every process: many processes in memory, links that are cut."""
+"""Tests of bundle propagation among many processes in memory whose links can be cut."""
 
 import io
 import random
@@ -20,7 +20,7 @@
 
 
 class Node:
-    """One process: its keeper and its spread."""
+    """One process with its bundle keeper and propagator."""
 
     def __init__(self, number: int, keys: dict[str, str], kv: MemoryKeyValue) -> None:
         self.keeper = BundleKeeper(keys)
@@ -32,7 +32,7 @@
 
 
 class FakeLink:
-    """One direction of a link: what is sent is handled by the other end at once."""
+    """One end of a link; the other end handles each sent message after 1 ms."""
 
     def __init__(self, receiver: Node, version: int) -> None:
         self.peer = Hello(1, "peer", "entry", "z", 1, bundle=version)
@@ -42,21 +42,21 @@
         self._receiver = receiver
 
     async def send(self, msg: Any) -> None:
-        """Deliver a message."""
+        """Deliver a message to the process at the other end."""
         if not self.closed:
             await curio.sleep(0.001)
             await self._receiver.propagator.handle_message(self.back, msg)
 
 
 class Network:
-    """Processes and the links between them."""
+    """A set of processes and the links between them."""
 
     def __init__(self, signers: Signers, kv: MemoryKeyValue) -> None:
         self.nodes = [Node(number, signers.keys, kv) for number in range(PROCESS_COUNT)]
         self.links: list[tuple[int, int, FakeLink, FakeLink]] = []
 
     async def link(self, a: int, b: int) -> None:
-        """Link two processes."""
+        """Create a link between two processes."""
         there = FakeLink(self.nodes[b], self.nodes[b].keeper.version)
         back = FakeLink(self.nodes[a], self.nodes[a].keeper.version)
         there.back, back.back = back, there
@@ -65,7 +65,7 @@
         await self.nodes[b].propagator.add_link(back)  # type: ignore[arg-type]
 
     async def cut(self, side: set[int]) -> None:
-        """Cut every link between *side* and the rest."""
+        """Cut all links between the processes of *side* and the others."""
         for a, b, there, back in self.links:
             if (a in side) != (b in side):
                 there.closed = back.closed = True
@@ -74,7 +74,7 @@
         self.links = [link for link in self.links if not link[2].closed]
 
     async def link_all(self) -> None:
-        """Link each process to the next ones in a ring, and a few at random."""
+        """Link each process to the next one in a ring and to some random ones."""
         rng = random.Random(7)
         for a in range(PROCESS_COUNT):
             for b in {
@@ -84,22 +84,22 @@
                 await self.link(a, b)
 
     def versions(self, side: set[int] | None = None) -> set[int]:
-        """Return the versions in force."""
+        """Return the bundle versions in force at *side*, or at all processes."""
         numbers = range(PROCESS_COUNT) if side is None else side
         return {self.nodes[number].keeper.version for number in numbers}
 
 
 @pytest.fixture
 def signers(tmp_path: Path) -> Signers:
-    """Return two new key pairs."""
+    """Return new key pairs of both partners."""
     return Signers(tmp_path)
 
 
 class TestPropagation:
-    """Peers carry a bundle."""
+    """Propagation of a bundle from peer to peer."""
 
     def test_bundle_reaches_all_processes_from_one(self, signers: Signers) -> None:
-        """With the key-value service out, a bundle that one process has reaches all."""
+        """During an outage of the key-value service, a bundle reaches all from one process."""
 
         async def scenario() -> set[int]:
             kv = MemoryKeyValue()
@@ -113,7 +113,7 @@
         assert run_virtual(scenario) == {1}
 
     def test_partitioned_processes_catch_up_over_one_link(self, signers: Signers) -> None:
-        """A side that was cut off has the newest as soon as one link is back."""
+        """A partition that missed a bundle receives it as soon as one link is restored."""
 
         async def scenario() -> tuple[set[int], set[int], set[int]]:
             kv = MemoryKeyValue()
@@ -134,7 +134,7 @@
         assert run_virtual(scenario, most_s=2 * 3600.0) == ({2}, {1}, {2})
 
     def test_stale_read_does_not_replace_a_newer_bundle(self, signers: Signers) -> None:
-        """A process that reads an old bundle after it had a newer one keeps the newer."""
+        """A process that reads an older bundle than the one in force keeps the newer one."""
 
         async def scenario() -> list[int]:
             kv = MemoryKeyValue()
@@ -150,7 +150,7 @@
         assert run_virtual(scenario) == [2]
 
     def test_heartbeat_with_old_version_gets_the_newer_bundle(self, signers: Signers) -> None:
-        """A peer whose heartbeat shows an older version is sent the newer one."""
+        """A peer whose heartbeat has an older bundle version is sent the newer bundle."""
 
         async def scenario() -> set[int]:
             network = Network(signers, MemoryKeyValue())
