--- a/src/crankhinge/burn/_caller_value.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -119,7 +119,7 @@
     Attributes:
         first_attempts: number of first attempts by outcome.
         retries: number of retries by outcome.
-        wasted_hold_s: total time that requests waited without being served afterwards, in seconds.
+        unserved_wait_s: total seconds that requests waited without being served afterwards.
         potential_value: value if all first attempts had been answered in time.
         earned_value: value of the first attempts that were answered.
         cost: total cost of waits in vain, failed retries and refusals without a query.
@@ -131,7 +131,7 @@
     retries: dict[CallerOutcome, int] = field(
         default_factory=lambda: dict.fromkeys(CallerOutcome, 0)
     )
-    wasted_hold_s: float = 0.0
+    unserved_wait_s: float = 0.0
     potential_value: float = 0.0
     earned_value: float = 0.0
     cost: float = 0.0
@@ -308,7 +308,7 @@
             )
     if attempt.outcome.is_served:
         return
-    value.wasted_hold_s += attempt.duration_ms / 1000
+    value.unserved_wait_s += attempt.duration_ms / 1000
     value.cost += request_value * weights.held_per_s * attempt.duration_ms / 1000
     if is_retry:
         value.cost += request_value * weights.failed_return
--- a/src/crankhinge/ctl/_callers.py
+++ b/src/crankhinge/ctl/_callers.py
@@ -65,7 +65,7 @@
             for outcome in CallerOutcome
             if outcome is not CallerOutcome.ABANDONED
         ),
-        f"{value.wasted_hold_s:.1f}",
+        f"{value.unserved_wait_s:.1f}",
         str(served),
         *map(str, refused),
         f"{value.relative_value:.3f}",
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -7,7 +7,7 @@
 
 from crankhinge.burn._log_events import parse_line
 from crankhinge.burn.main import main
-from test_config import TEXT
+from test_config import BUNDLE_TEMPLATE
 
 LOG_LINE = (
     "ts=2026-12-02T12:00:{second:02d}.000000Z level=info program=crankhinge-entry event={event} "
@@ -37,7 +37,7 @@
             )
         file.write("not a log line\n")
     bundle = tmp_path / "bundle.toml"
-    bundle.write_text(TEXT.format(version=4))
+    bundle.write_text(BUNDLE_TEMPLATE.format(version=4))
     return [str(log), "--bundle", str(bundle)]
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -23,7 +23,7 @@
 )
 from crankhinge.errors import BundleError, KeyFileError, KeyValueUnavailable, PublishConflict
 
-TEXT = """
+BUNDLE_TEMPLATE = """
 version = {version}
 [[partners]]
 name = "timbook"
@@ -53,7 +53,7 @@
 
     def envelope(self, version: int, extra: str = "", *, skip: str = "") -> bytes:
         """Return an encoded bundle that all partners except *skip* have signed."""
-        envelope = Envelope(TEXT.format(version=version) + extra)
+        envelope = Envelope(BUNDLE_TEMPLATE.format(version=version) + extra)
         for name in self.keys:
             if name != skip:
                 envelope = sign_envelope(
@@ -125,7 +125,7 @@
     def test_invalid_bundle_is_rejected_with_a_reason(self, extra: str, reason: str) -> None:
         """The error of an invalid bundle contains the reason."""
         with pytest.raises(BundleError, match=reason):
-            parse_bundle(TEXT.format(version=1) + extra)
+            parse_bundle(BUNDLE_TEMPLATE.format(version=1) + extra)
 
     @given(st.binary(max_size=200))
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -12,7 +12,7 @@
 
 from crankhinge.ctl.main import main as ctl_main
 from crankhinge_bench._procs import HOST, free_ports, http_json
-from test_config import TEXT
+from test_config import BUNDLE_TEMPLATE
 
 ROOT = Path(__file__).parent.parent
 PAGES = ROOT / "docs" / "operators"
@@ -50,7 +50,7 @@
     ) -> None:
         """Each command on the page exits with status 0 if they run in the order of the page."""
         monkeypatch.chdir(tmp_path)
-        (tmp_path / "bundle.toml").write_text(TEXT.format(version=1))
+        (tmp_path / "bundle.toml").write_text(BUNDLE_TEMPLATE.format(version=1))
         page = (PAGES / "bundles.md").read_text()
         commands = re.findall(r"^    crankhinge-ctl (.*)$", page, re.MULTILINE)
         assert len(commands) == 9
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -12,7 +12,7 @@
 from crankhinge.errors import BadCredentials, LinkClosed, RequestError, SlowCaller
 from crankhinge.http import HttpRequest
 from crankhinge.wire import Tokens
-from test_config import TEXT
+from test_config import BUNDLE_TEMPLATE
 from virtual_time import run_virtual
 
 
@@ -20,7 +20,7 @@
     """Return a bundle with one member."""
     digest = hash_credential("secret")
     member = f'[[members]]\nname = "m"\npartner = "timbook"\ncredential_sha256 = "{digest}"\n'
-    return BundleView(parse_bundle(TEXT.format(version=1) + member + "max_rank = 1\n"))
+    return BundleView(parse_bundle(BUNDLE_TEMPLATE.format(version=1) + member + "max_rank = 1\n"))
 
 
 def make_req(body: object, path: str = "/v1/completions", **headers: str) -> HttpRequest:
