--- a/src/crankhinge/burn/_caller_value.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -192,7 +192,7 @@
 def _parse_attempt(
     pairs: dict[str, str], *, refused_without_query: bool
 ) -> Iterator[CallerAttempt]:
-    """Yield the request that a log line describes, or nothing if the line has invalid numbers."""
+    """Yield the request that a log line describes, or nothing if a field is missing or invalid."""
     try:
         duration_ms = float(pairs["took_ms"])
         yield CallerAttempt(
@@ -262,7 +262,7 @@
 
 
 def _retry_thresholds_ms(attempts: list[CallerAttempt]) -> dict[str, float]:
-    """Return for each route the maximum wait below which a request is a retry, in milliseconds.
+    """Return for each route the wait below which a request counts as a retry, in milliseconds.
 
     Callers retry on new connections, so requests on reused connections are first attempts. If a
     route has enough of them, the threshold is just below their shortest wait. Otherwise it is just
--- a/src/crankhinge/config/_bundle.py
+++ b/src/crankhinge/config/_bundle.py
@@ -36,7 +36,12 @@
 
 
 class Partner(_BundleStruct, frozen=True):
-    """A partner; every partner signs every bundle."""
+    """A partner; every partner signs every bundle.
+
+    Attributes:
+        name: name of the partner.
+        weight: weight in the fair queues, relative to the other partners.
+    """
 
     name: Name
     weight: Positive = 1.0
