--- a/src/crankhinge/burn/_budget.py
+++ b/src/crankhinge/burn/_budget.py
@@ -1,7 +1,7 @@
-"""Error budgets and burn rates.
+"""Computes error budgets and burn rates.
 
-A burn rate of 1 spends the budget exactly over the objective's period; alerts look at a long and a
-short window together ("The Site Reliability Workbook", 2018, chapter 5).
+A burn rate of 1 spends the budget exactly over the period of the objective. Alerts compare the burn
+rates of a long and a short window ("The Site Reliability Workbook", 2018, chapter 5).
 """
 
 from __future__ import annotations
@@ -10,24 +10,25 @@
 
 import msgspec
 
-from crankhinge.burn._read import RequestEvent
+from crankhinge.burn._log_events import RequestEvent
 from crankhinge.config import Bundle, Model
 
 WINDOWS_S = {"5m": 300.0, "30m": 1800.0, "1h": 3600.0, "6h": 21_600.0}
-WHOLE = "whole log"
-NOT_COUNTED = frozenset(
+WHOLE_LOG = "whole log"
+# Causes for which the caller is responsible. These requests are left out of the budgets.
+UNCOUNTED_CAUSES = frozenset(
     {"caller-gone", "bad-request", "bad-credentials", "unknown-model", "prompt-too-long"}
 )
 
 
-class Window(msgspec.Struct, kw_only=True):
-    """One window, ending with the log.
+class BurnWindow(msgspec.Struct, kw_only=True):
+    """The burn rate in one time window that ends at the end of the log.
 
     Attributes:
-        name: its length.
-        requests: that ended in it.
-        bad: of these, those that missed the target.
-        burn: rate at which the budget is spent; 1 spends it exactly.
+        name: length of the window, such as ``5m``.
+        requests: number of requests that ended in the window.
+        bad: number of these requests that missed the target.
+        burn: rate at which the budget is spent; 1 spends it exactly over the objective's period.
     """
 
     name: str
@@ -36,18 +37,18 @@
     burn: float
 
 
-class Budget(msgspec.Struct, kw_only=True):
-    """The error budget of one member, model and target.
+class ErrorBudget(msgspec.Struct, kw_only=True):
+    """The error budget of one client account, model and target.
 
     Attributes:
-        member: who asks.
-        model: what for.
+        member: name of the client account.
+        model: name of the model.
         target: ``first token``, ``between tokens`` or ``answered``.
-        objective: part of the requests that must meet the target.
-        requests: counted.
-        bad: that missed it.
-        left: part of the budget that is left; negative when it is overspent.
-        windows: burn rates.
+        objective: fraction of the requests that must meet the target.
+        requests: number of counted requests.
+        bad: number of requests that missed the target.
+        left: fraction of the budget that is left; negative if the budget is overspent.
+        windows: burn rates by window, the whole log last.
     """
 
     member: str
@@ -57,23 +58,24 @@
     requests: int
     bad: int
     left: float
-    windows: list[Window]
+    windows: list[BurnWindow]
 
 
-class Report(msgspec.Struct, kw_only=True):
-    """The whole report.
+class BurnReport(msgspec.Struct, kw_only=True):
+    """The complete report.
 
     Attributes:
-        bundle: version whose objectives were taken.
-        seconds: length of the log.
-        requests: completions that ended.
-        in_time: answered within both targets.
-        goodput: of these, a second.
-        read_tokens: prompt tokens computed, as the entries know.
-        wasted_tokens: of these, without use.
-        causes: failures and refusals by cause.
-        budgets: by member, model and target.
-        series: per second of the log, requests in time and requests that were not.
+        bundle: version of the bundle whose objectives apply.
+        seconds: time between the first and the last counted request, in seconds.
+        requests: number of counted completion requests.
+        in_time: number of requests that were answered within both latency targets.
+        goodput: requests per second that were answered within both latency targets.
+        read_tokens: number of prompt tokens that engines prefilled, according to the entries.
+        wasted_tokens: number of these tokens whose prefill was not used.
+        causes: number of failed and refused requests by cause.
+        budgets: error budgets by client account, model and target.
+        series: for each second of the log, the number of requests that met all targets and the
+            number of requests that did not.
     """
 
     bundle: int
@@ -84,42 +86,44 @@
     read_tokens: int
     wasted_tokens: int
     causes: dict[str, int]
-    budgets: list[Budget]
+    budgets: list[ErrorBudget]
     series: list[tuple[int, int]]
 
 
-def _misses(event: RequestEvent, model: Model, target: str) -> bool:
+def _misses_target(event: RequestEvent, model: Model, target: str) -> bool:
     if event.cause:
         return True
     if target == "first token":
-        return event.first_s > model.first_token_s
+        return event.first_token_s > model.first_token_s
     if target == "between tokens":
-        return event.gap_s > model.between_tokens_s
+        return event.between_tokens_s > model.between_tokens_s
     return False
 
 
 TARGETS = ("first token", "between tokens", "answered")
 
 
-def _window(
+def _measure_window(
     name: str, events: list[RequestEvent], model: Model, target: str, since: float
-) -> Window:
-    inside = [event for event in events if event.at >= since]
-    bad = sum(_misses(event, model, target) for event in inside)
-    share = bad / len(inside) if inside else 0.0
-    burn = share / (1.0 - model.objective)
-    return Window(name=name, requests=len(inside), bad=bad, burn=burn)
-
-
-def _budget(member: str, model: Model, target: str, events: list[RequestEvent]) -> Budget:
-    begin, end = events[0].at, events[-1].at
-    whole = _window(WHOLE, events, model, target, begin)
+) -> BurnWindow:
+    inside = [event for event in events if event.ended_at >= since]
+    bad = sum(_misses_target(event, model, target) for event in inside)
+    bad_fraction = bad / len(inside) if inside else 0.0
+    burn = bad_fraction / (1.0 - model.objective)
+    return BurnWindow(name=name, requests=len(inside), bad=bad, burn=burn)
+
+
+def _measure_budget(
+    member: str, model: Model, target: str, events: list[RequestEvent]
+) -> ErrorBudget:
+    begin, end = events[0].ended_at, events[-1].ended_at
+    whole = _measure_window(WHOLE_LOG, events, model, target, begin)
     windows = [
-        _window(name, events, model, target, end - length)
+        _measure_window(name, events, model, target, end - length)
         for name, length in WINDOWS_S.items()
         if length < end - begin
     ]
-    return Budget(
+    return ErrorBudget(
         member=member,
         model=model.name,
         target=target,
@@ -131,35 +135,35 @@
     )
 
 
-def make_report(bundle: Bundle, events: Iterable[RequestEvent]) -> Report:
-    """Return the report on *events* by the objectives of *bundle*."""
+def make_report(bundle: Bundle, events: Iterable[RequestEvent]) -> BurnReport:
+    """Return the report on *events*, sorted by time, with the objectives of *bundle*."""
     models = {model.name: model for model in bundle.models}
-    counted = [e for e in events if e.model in models and e.cause not in NOT_COUNTED]
+    counted = [e for e in events if e.model in models and e.cause not in UNCOUNTED_CAUSES]
     groups: dict[tuple[str, str], list[RequestEvent]] = {}
     for event in counted:
         groups.setdefault((event.member, event.model), []).append(event)
     budgets = [
-        _budget(member, models[name], target, group)
+        _measure_budget(member, models[name], target, group)
         for (member, name), group in sorted(groups.items())
         for target in TARGETS
     ]
-    good = [e for e in counted if not any(_misses(e, models[e.model], t) for t in TARGETS)]
-    seconds = counted[-1].at - counted[0].at if counted else 0.0
-    return Report(
+    good = [e for e in counted if not any(_misses_target(e, models[e.model], t) for t in TARGETS)]
+    seconds = counted[-1].ended_at - counted[0].ended_at if counted else 0.0
+    return BurnReport(
         bundle=bundle.version,
         seconds=seconds,
         requests=len(counted),
         in_time=len(good),
         goodput=len(good) / seconds if seconds else 0.0,
-        read_tokens=sum(event.read_tokens for event in counted),
-        wasted_tokens=sum(event.wasted_tokens for event in counted),
-        causes=_causes(counted),
+        read_tokens=sum(event.prefill_tokens for event in counted),
+        wasted_tokens=sum(event.wasted_prefill_tokens for event in counted),
+        causes=_count_by_cause(counted),
         budgets=budgets,
-        series=_series(counted, good),
+        series=_count_per_second(counted, good),
     )
 
 
-def _causes(events: list[RequestEvent]) -> dict[str, int]:
+def _count_by_cause(events: list[RequestEvent]) -> dict[str, int]:
     causes: dict[str, int] = {}
     for event in events:
         if event.cause:
@@ -167,15 +171,17 @@
     return dict(sorted(causes.items()))
 
 
-def _series(counted: list[RequestEvent], good: list[RequestEvent]) -> list[tuple[int, int]]:
+def _count_per_second(
+    counted: list[RequestEvent], good: list[RequestEvent]
+) -> list[tuple[int, int]]:
     if not counted:
         return []
-    begin = counted[0].at
-    length = int(counted[-1].at - begin) + 1
-    fine = [0] * length
-    every = [0] * length
+    begin = counted[0].ended_at
+    length = int(counted[-1].ended_at - begin) + 1
+    in_time = [0] * length
+    total = [0] * length
     for event in counted:
-        every[int(event.at - begin)] += 1
+        total[int(event.ended_at - begin)] += 1
     for event in good:
-        fine[int(event.at - begin)] += 1
-    return [(ok, count - ok) for ok, count in zip(fine, every, strict=True)]
+        in_time[int(event.ended_at - begin)] += 1
+    return [(ok, count - ok) for ok, count in zip(in_time, total, strict=True)]
--- a/src/crankhinge/config/_keeper.py
+++ b/src/crankhinge/config/_keeper.py
@@ -6,52 +6,59 @@
 from dataclasses import dataclass
 
 from crankhinge.config._bundle import Bundle, Member, hash_credential
-from crankhinge.config._envelope import open_envelope
+from crankhinge.config._envelope import verify_envelope
 from crankhinge.errors import NotReady
 
 TrustedKeys = Mapping[str, str]
 
 
 @dataclass(frozen=True)
-class Weights:
-    """What a fair queue needs to know of a member."""
+class FairShareWeights:
+    """The weights that determine the share of a client account in the fair queues.
+
+    Attributes:
+        partner: name of the account's partner; empty for an unknown account.
+        member_weight: weight of the account among the accounts of its partner.
+        partner_weight: weight of the partner among all partners.
+    """
 
     partner: str
-    member: float
+    member_weight: float
     partner_weight: float
 
 
 class BundleView:
-    """A bundle with its members indexed."""
+    """A bundle with indexes of its client accounts."""
 
     def __init__(self, bundle: Bundle) -> None:
         self.bundle = bundle
-        self._by_hash = {member.credential_sha256: member for member in bundle.members}
+        self._by_credential_hash = {member.credential_sha256: member for member in bundle.members}
         self._by_name = {member.name: member for member in bundle.members}
-        self._partners = {partner.name: partner.weight for partner in bundle.partners}
+        self._partner_weights = {partner.name: partner.weight for partner in bundle.partners}
 
-    def member_with(self, credential: str) -> Member | None:
-        """Return the member with this bearer credential."""
-        return self._by_hash.get(hash_credential(credential))
+    def find_member_by_credential(self, credential: str) -> Member | None:
+        """Return the client account with this bearer credential, or None."""
+        return self._by_credential_hash.get(hash_credential(credential))
 
-    def weights(self, member: str) -> Weights:
-        """Return a member's place in the fair queues; an unknown one has weight 1."""
+    def fair_share_weights(self, member: str) -> FairShareWeights:
+        """Return the fair-queue weights of a client account; 1 for an unknown account."""
         known = self._by_name.get(member)
         if known is None:
-            return Weights("", 1.0, 1.0)
-        return Weights(known.partner, known.weight, self._partners[known.partner])
+            return FairShareWeights("", 1.0, 1.0)
+        return FairShareWeights(known.partner, known.weight, self._partner_weights[known.partner])
 
 
 class BundleKeeper:
-    """Holds the newest bundle seen; a version never goes back.
+    """Holds the bundle in force, which is the newest one received; versions never decrease.
 
     Args:
-        keys: public key of each partner, hex.
+        keys: public key of each partner, in hex.
 
     Attributes:
-        view: the bundle in force, indexed; None before the first.
-        envelope: as it was signed, for peers.
-        listeners: called with each new bundle.
+        view: the bundle in force with its indexes; None before the first bundle.
+        envelope: the encoded envelope of the bundle in force, to send to peers; empty before the
+            first bundle.
+        listeners: functions that are called with each bundle that comes into force.
     """
 
     def __init__(self, keys: TrustedKeys) -> None:
@@ -62,18 +69,18 @@
 
     @property
     def version(self) -> int:
-        """Version in force; 0 without one."""
+        """Version of the bundle in force; 0 before the first bundle."""
         return self.view.bundle.version if self.view else 0
 
-    def offer(self, envelope: bytes) -> bool:
-        """Take the bundle in force if it is newer; returns whether it was.
+    def install_if_newer(self, envelope: bytes) -> bool:
+        """Put the bundle into force if it is newer than the current one; return whether it was.
 
         Raises:
-            BundleError: when it is malformed or not signed by every partner.
+            BundleError: the bundle is malformed or not signed by every partner.
         """
         if envelope == self.envelope:
             return False
-        bundle = open_envelope(envelope, self._keys)
+        bundle = verify_envelope(envelope, self._keys)
         if bundle.version <= self.version:
             return False
         self.view = BundleView(bundle)
@@ -82,16 +89,16 @@
             listener(bundle)
         return True
 
-    def weights(self, member: str) -> Weights:
-        """Return a member's place in the fair queues."""
-        return self.view.weights(member) if self.view else Weights("", 1.0, 1.0)
+    def fair_share_weights(self, member: str) -> FairShareWeights:
+        """Return the fair-queue weights of a client account; 1 without a bundle."""
+        return self.view.fair_share_weights(member) if self.view else FairShareWeights("", 1.0, 1.0)
 
-    def require(self) -> BundleView:
-        """Return the bundle in force.
+    def require_view(self) -> BundleView:
+        """Return the bundle in force with its indexes.
 
         Raises:
-            NotReady: when there is none yet.
+            NotReady: no bundle is in force yet.
         """
         if self.view is None:
-            raise NotReady("no bundle in force", retry_after_s=1.0)
+            raise NotReady("no bundle is in force", retry_after_s=1.0)
         return self.view
--- a/src/crankhinge/ctl/_bundle.py
+++ b/src/crankhinge/ctl/_bundle.py
@@ -1,4 +1,4 @@
-"""``crankhinge-ctl bundle``: everything but publish."""
+"""The commands ``crankhinge-ctl bundle`` except for ``publish``."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from crankhinge.adapters.consul import ConsulKeyValue
 from crankhinge.config import (
     Envelope,
+    decode_envelope,
+    encode_envelope,
     load_private_key,
-    open_envelope,
     parse_bundle,
-    read_current,
-    read_envelope,
+    read_current_envelope,
     read_history,
-    seal,
-    sign,
+    sign_envelope,
+    verify_envelope,
 )
 from crankhinge.errors import BundleError
 from crankhinge.peers import parse_endpoint
@@ -33,9 +33,10 @@
 
     Attributes:
         key_value: ``host:port`` of the platform's key-value service.
-        keys: public key of each partner, hex.
-        seeds: ``host:port`` of some agents that are handed an accepted bundle at once, so that it
-            spreads even if the key-value service is out right after it was accepted.
+        keys: public key of each partner, in hex.
+        seeds: ``host:port`` of agents that ``bundle publish`` sends an accepted bundle to, so
+            that the bundle propagates even if the key-value service fails right after accepting
+            it.
     """
 
     key_value: HostPort
@@ -44,20 +45,22 @@
 
 
 def read_settings(args: argparse.Namespace) -> CtlSettings:
-    """Return the settings that the command line names."""
+    """Load the settings file that ``--settings`` names."""
     return load_settings(args.settings, CtlSettings)
 
 
-def connect(settings: CtlSettings) -> KeyValue:
-    """Return the key-value service."""
+def open_key_value(settings: CtlSettings) -> KeyValue:
+    """Return a client of the key-value service."""
     return ConsulKeyValue(*parse_endpoint(settings.key_value))
 
 
-def read_file(path: str) -> Envelope:
-    """Return a bundle file's envelope; plain TOML has no signatures yet.
+def read_envelope_file(path: str) -> Envelope:
+    """Read a bundle file, which contains either an envelope or the plain TOML of a bundle.
+
+    Plain TOML becomes an envelope without signatures.
 
     Raises:
-        BundleError: naming the file.
+        BundleError: the file cannot be read or decoded; the message names the file.
     """
     try:
         data = Path(path).read_bytes()
@@ -65,15 +68,15 @@
         raise BundleError(f"{path}: cannot be read: {exc.strerror}") from exc
     try:
         if data.lstrip().startswith(b"{"):
-            return read_envelope(data)
+            return decode_envelope(data)
         return Envelope(data.decode("utf-8"))
     except (BundleError, UnicodeDecodeError) as exc:
         raise BundleError(f"{path}: {exc}") from exc
 
 
 def check_bundle(args: argparse.Namespace) -> str:
-    """Validate a bundle whole."""
-    envelope = read_file(args.file)
+    """Validate a bundle file and summarize its contents."""
+    envelope = read_envelope_file(args.file)
     try:
         bundle = parse_bundle(envelope.text)
     except BundleError as exc:
@@ -87,51 +90,51 @@
 
 
 def sign_bundle(args: argparse.Namespace) -> str:
-    """Add a partner's signature."""
-    envelope = read_file(args.file)
+    """Add a partner's signature to a bundle file and write the result to ``--out``."""
+    envelope = read_envelope_file(args.file)
     bundle = parse_bundle(envelope.text)
     if args.partner not in {partner.name for partner in bundle.partners}:
         raise BundleError(f"{args.file}: no partner {args.partner!r}")
-    signed = sign(envelope, args.partner, load_private_key(Path(args.key)))
-    Path(args.out).write_bytes(seal(signed))
+    signed = sign_envelope(envelope, args.partner, load_private_key(Path(args.key)))
+    Path(args.out).write_bytes(encode_envelope(signed))
     names = ", ".join(sorted(signed.signatures))
     return f"{args.out}: version {bundle.version}, signed by {names}"
 
 
-def text_diff(old: str, new: str, old_name: str, new_name: str) -> str:
-    """Return a unified diff; empty when the texts are the same."""
+def diff_texts(old: str, new: str, old_name: str, new_name: str) -> str:
+    """Return a unified diff of two texts; empty if they are equal."""
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), old_name, new_name, lineterm=""
     )
     return "\n".join(lines)
 
 
-async def _current(kv: KeyValue) -> Value | None:
-    return await read_current(kv)
+async def _read_current(kv: KeyValue) -> Value | None:
+    return await read_current_envelope(kv)
 
 
 def diff_bundle(args: argparse.Namespace) -> str:
     """Compare a bundle file with the bundle in force."""
-    envelope = read_file(args.file)
-    current = curio.run(_current, connect(read_settings(args)))
-    old = read_envelope(current.data).text if current else ""
-    diff = text_diff(old, envelope.text, "in force", args.file)
+    envelope = read_envelope_file(args.file)
+    current = curio.run(_read_current, open_key_value(read_settings(args)))
+    old = decode_envelope(current.data).text if current else ""
+    diff = diff_texts(old, envelope.text, "in force", args.file)
     return diff or "no difference"
 
 
 def show_status(args: argparse.Namespace) -> str:
-    """Describe the bundle in force."""
+    """Verify the bundle in force and return its version and signers."""
     settings = read_settings(args)
-    current = curio.run(_current, connect(settings))
+    current = curio.run(_read_current, open_key_value(settings))
     if current is None:
         return "no bundle was accepted yet"
-    bundle = open_envelope(current.data, settings.keys)
+    bundle = verify_envelope(current.data, settings.keys)
     return f"version {bundle.version}, signed by {', '.join(sorted(settings.keys))}"
 
 
 def show_history(args: argparse.Namespace) -> str:
-    """List the accepted bundles that are kept, newest last."""
+    """List the history of accepted bundles, newest last."""
     settings = read_settings(args)
-    rows = curio.run(read_history, connect(settings))
+    rows = curio.run(read_history, open_key_value(settings))
     lines = [f"version {row.version}  sha256 {row.sha256[:16]}" for row in rows]
     return "\n".join(lines) or "no bundle was accepted yet"
--- a/src/crankhinge/ctl/_callers.py
+++ b/src/crankhinge/ctl/_callers.py
@@ -1,4 +1,4 @@
-"""``crankhinge-ctl callers``: the callers' account, from gateways' logs."""
+"""``crankhinge-ctl callers``: reports the value of the service to callers, from gateway logs."""
 
 from __future__ import annotations
 
@@ -6,13 +6,19 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from crankhinge.burn import CallersAccount, CallerWeights, Outcome, Tally, read_tries
-from crankhinge.burn import callers_account as make_account
+from crankhinge.burn import (
+    CallerOutcome,
+    CallerValue,
+    CallerValueReport,
+    CallerWeights,
+    compute_caller_value,
+    read_caller_attempts,
+)
 from crankhinge.errors import SettingsError
 from crankhinge.runtime import load_settings
 
 _COLUMNS = (
-    *(outcome.value for outcome in Outcome if outcome is not Outcome.LEFT),
+    *(outcome.value for outcome in CallerOutcome if outcome is not CallerOutcome.ABANDONED),
     "held in vain s",
     "returns served",
     "returns refused",
@@ -21,41 +27,47 @@
 )
 
 
-def callers_account(args: argparse.Namespace) -> str:
-    """Return the account as a table.
+def report_caller_value(args: argparse.Namespace) -> str:
+    """Return the value to callers as a Markdown table: in total, by route and by time window.
 
     Raises:
-        SettingsError: a log or the weights can't be read, or no log has an end of a request.
+        SettingsError: a log or the weights file cannot be read, or the logs contain no completed
+            request.
     """
     weights = load_settings(args.weights, CallerWeights) if args.weights else CallerWeights()
-    tries = read_tries(map(Path, args.logs))
-    if not tries:
-        raise SettingsError(f"no request ends in {len(args.logs)} logs")
-    return "\n".join(_tell(make_account(tries, weights, window_s=args.window)))
+    attempts = read_caller_attempts(map(Path, args.logs))
+    if not attempts:
+        raise SettingsError(f"the logs contain no completed request (logs read: {len(args.logs)})")
+    return "\n".join(_render_table(compute_caller_value(attempts, weights, window_s=args.window)))
 
 
-def _tell(account: CallersAccount) -> Iterator[str]:
+def _render_table(report: CallerValueReport) -> Iterator[str]:
     yield "| first tries | " + " | ".join(_COLUMNS) + " |"
     yield "|---" * (len(_COLUMNS) + 1) + "|"
-    yield _row("all", account.whole)
-    for name, tally in sorted(account.routes.items()):
-        yield _row(name, tally)
-    for number, tally in sorted(account.windows.items()):
-        yield _row(f"{number * account.window_s:g} s", tally)
+    yield _render_row("all", report.total)
+    for name, value in sorted(report.routes.items()):
+        yield _render_row(name, value)
+    for number, value in sorted(report.windows.items()):
+        yield _render_row(f"{number * report.window_s:g} s", value)
 
 
-def _row(name: str, tally: Tally) -> str:
+def _render_row(name: str, value: CallerValue) -> str:
     refused = (
-        tally.returns[Outcome.REFUSED_AT_ONCE] + tally.returns[Outcome.REFUSED_LATER],
-        tally.returns[Outcome.FAILED],
+        value.retries[CallerOutcome.REFUSED_IMMEDIATELY]
+        + value.retries[CallerOutcome.REFUSED_AFTER_WAIT],
+        value.retries[CallerOutcome.FAILED],
     )
-    served = tally.returns[Outcome.IN_TIME] + tally.returns[Outcome.LATE]
+    served = value.retries[CallerOutcome.IN_TIME] + value.retries[CallerOutcome.LATE]
     cells = [
         name,
-        *(str(tally.firsts[outcome]) for outcome in Outcome if outcome is not Outcome.LEFT),
-        f"{tally.held_s:.1f}",
+        *(
+            str(value.first_attempts[outcome])
+            for outcome in CallerOutcome
+            if outcome is not CallerOutcome.ABANDONED
+        ),
+        f"{value.unserved_wait_s:.1f}",
         str(served),
         *map(str, refused),
-        f"{tally.worth:.3f}",
+        f"{value.relative_value:.3f}",
     ]
     return "| " + " | ".join(cells) + " |"
--- a/src/crankhinge/ctl/_publish.py
+++ b/src/crankhinge/ctl/_publish.py
@@ -7,47 +7,62 @@
 
 import curio
 
-from crankhinge.config import publish, read_current, read_envelope, seal
-from crankhinge.ctl._bundle import connect, read_file, read_settings, text_diff
+from crankhinge.config import decode_envelope, encode_envelope, publish, read_current_envelope
+from crankhinge.ctl._bundle import diff_texts, open_key_value, read_envelope_file, read_settings
 from crankhinge.errors import LinkClosed, PublishConflict, WireError
 from crankhinge.peers import parse_endpoint
 from crankhinge.wire import WIRE_VERSION, Beat, BundleIs, Hello, Link, Message, connect_link
 
-HAND_S = 3.0
+# Maximum time to wait for one agent to confirm that the bundle is in force there.
+AGENT_CONFIRMATION_TIMEOUT_S = 3.0
 
 
 def publish_bundle(args: argparse.Namespace) -> str:
-    """Accept a signed bundle. The file is never changed, whatever the outcome."""
+    """Publish a signed bundle and send it to the agents that the settings name as seeds.
+
+    The bundle file is never changed, whether or not the bundle is accepted.
+
+    Raises:
+        PublishConflict: another bundle was accepted first; the message contains the differences.
+    """
     settings = read_settings(args)
-    envelope = read_file(args.file)
-    kv = connect(settings)
+    envelope = read_envelope_file(args.file)
+    kv = open_key_value(settings)
     try:
-        result = curio.run(publish, kv, seal(envelope), settings.keys)
+        result = curio.run(publish, kv, encode_envelope(envelope), settings.keys)
     except PublishConflict as exc:
-        raise PublishConflict(_explain(exc, envelope.text, connect(settings))) from exc
-    told = curio.run(_hand_to, settings.seeds, seal(envelope), result.version)
-    note = " (the answer was lost; read back)" if result.resolved else ""
-    line = f"version {result.version} is accepted{note}"
-    return f"{line}, handed to {told} agents" if settings.seeds else line
+        raise PublishConflict(
+            _describe_conflict(exc, envelope.text, open_key_value(settings))
+        ) from exc
+    sent = curio.run(_send_to_agents, settings.seeds, encode_envelope(envelope), result.version)
+    suffix = " (confirmed by reading it back)" if result.confirmed_by_read else ""
+    text = f"version {result.version} is accepted{suffix}"
+    return f"{text}, sent to {sent} agents" if settings.seeds else text
 
 
-async def _hand_to(seeds: tuple[str, ...], envelope: bytes, version: int) -> int:
-    """Send an accepted bundle to agents; returns how many took it."""
-    told = 0
+async def _send_to_agents(seeds: tuple[str, ...], envelope: bytes, version: int) -> int:
+    """Send an accepted bundle to agents and return how many it was sent to.
+
+    The command waits for each agent to confirm that the bundle is in force, but an agent that does
+    not confirm it in time is counted as well.
+    """
+    sent = 0
     for seed in seeds:
         hello = Hello(WIRE_VERSION, "ctl", "ctl", "", 0, bundle=version)
         try:
             link = await connect_link(*parse_endpoint(seed), hello)
             await link.send(BundleIs(envelope))
-            await curio.ignore_after(HAND_S, link.run, _until_it_has(version))
-            told += 1
+            await curio.ignore_after(
+                AGENT_CONFIRMATION_TIMEOUT_S, link.run, _close_when_installed(version)
+            )
+            sent += 1
         except (LinkClosed, WireError):
             continue
-    return told
+    return sent
 
 
-def _until_it_has(version: int) -> Callable[[Link, Message], Awaitable[None]]:
-    """Return a handler that ends the link once the agent says that it has the bundle."""
+def _close_when_installed(version: int) -> Callable[[Link, Message], Awaitable[None]]:
+    """Return a message handler that closes the link once a heartbeat has *version*."""
 
     async def handle(link: Link, msg: Message) -> None:
         if isinstance(msg, Beat) and msg.bundle >= version:
@@ -56,9 +71,13 @@
     return handle
 
 
-def _explain(exc: PublishConflict, text: str, kv: object) -> str:
-    """Say what the other operator's bundle changed; the loser's file is still theirs to rebase."""
-    current = curio.run(read_current, kv)
-    theirs = read_envelope(current.data).text if current else ""
-    diff = text_diff(theirs, text, "in force", "yours")
+def _describe_conflict(exc: PublishConflict, text: str, kv: object) -> str:
+    """Return the message for an operator whose publication lost to another one.
+
+    It contains the differences from the bundle in force, so that the operator can merge them into
+    the unchanged bundle file and publish it again.
+    """
+    current = curio.run(read_current_envelope, kv)
+    current_text = decode_envelope(current.data).text if current else ""
+    diff = diff_texts(current_text, text, "in force", "yours")
     return f"{exc.detail}\nnothing was written; yours differs from the bundle in force by:\n{diff}"
--- a/src/crankhinge/ctl/_reference.py
+++ b/src/crankhinge/ctl/_reference.py
@@ -1,4 +1,4 @@
-"""``crankhinge-ctl reference``: the settings and the bundle, from the models themselves."""
+"""``crankhinge-ctl reference``: documents settings and bundles from their models' docstrings."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from crankhinge.gateway import GatewaySettings
 from crankhinge.peers import PeerSettings
 
-_FIELD = re.compile(r"^ {4}(\w+): (.*)$")
+_ATTRIBUTE_LINE = re.compile(r"^ {4}(\w+): (.*)$")
 
-SETTINGS: dict[str, type[msgspec.Struct]] = {
+SETTINGS_MODELS: dict[str, type[msgspec.Struct]] = {
     "Every entry and agent": PeerSettings,
     "Entry": EntrySettings,
     "Agent": AgentSettings,
     "Gateway": GatewaySettings,
     "ctl": CtlSettings,
 }
-BUNDLE: dict[str, type[msgspec.Struct]] = {
+BUNDLE_MODELS: dict[str, type[msgspec.Struct]] = {
     "Top level": Bundle,
     "`[policy]`": Policy,
     "`[transfer]`": Transfer,
@@ -48,22 +48,22 @@
 }
 
 
-def _described(model: type[msgspec.Struct]) -> dict[str, str]:
-    """Return what a model's docstring says of each attribute."""
+def _attribute_descriptions(model: type[msgspec.Struct]) -> dict[str, str]:
+    """Return the description of each attribute in the docstring of a model."""
     text = inspect.getdoc(model) or ""
-    found: dict[str, str] = {}
+    descriptions: dict[str, str] = {}
     name = ""
     for line in text.partition("Attributes:\n")[2].splitlines():
-        match = _FIELD.match(line)
+        match = _ATTRIBUTE_LINE.match(line)
         if match:
             name = match[1]
-            found[name] = match[2]
+            descriptions[name] = match[2]
         elif name and line.strip():
-            found[name] += " " + line.strip()
-    return found
+            descriptions[name] += " " + line.strip()
+    return descriptions
 
 
-def _default(field: Any) -> str:
+def _format_default(field: Any) -> str:
     if field.default is not msgspec.NODEFAULT:
         return (
             f"`{field.default!r}`" if not isinstance(field.default, msgspec.Struct) else "as below"
@@ -73,25 +73,25 @@
     return "needed"
 
 
-def _table(model: type[msgspec.Struct]) -> list[str]:
-    described = _described(model)
+def _render_table(model: type[msgspec.Struct]) -> list[str]:
+    descriptions = _attribute_descriptions(model)
     fields = {field.name: field for field in msgspec.structs.fields(model)}
     lines = ["| key | default | meaning |", "|---|---|---|"]
-    for name, meaning in described.items():
-        lines.append(f"| `{name}` | {_default(fields[name])} | {meaning} |")
+    for name, meaning in descriptions.items():
+        lines.append(f"| `{name}` | {_format_default(fields[name])} | {meaning} |")
     return lines
 
 
-def _section(title: str, models: dict[str, type[msgspec.Struct]]) -> list[str]:
+def _render_section(title: str, models: dict[str, type[msgspec.Struct]]) -> list[str]:
     lines = [f"# {title}", ""]
     for name, model in models.items():
-        lines += [f"## {name}", "", *_table(model), ""]
+        lines += [f"## {name}", "", *_render_table(model), ""]
     return lines
 
 
-def reference(_args: argparse.Namespace) -> str:
-    """Return the page docs/operators/reference.md."""
+def render_reference(_args: argparse.Namespace) -> str:
+    """Return the text of the page docs/operators/reference.md."""
     head = ["<!-- Made by `crankhinge-ctl reference`; a test keeps it up to date. -->", ""]
-    settings = _section("Settings", SETTINGS)
-    bundle = _section("Bundle", BUNDLE)
+    settings = _render_section("Settings", SETTINGS_MODELS)
+    bundle = _render_section("Bundle", BUNDLE_MODELS)
     return "\n".join([*head, *settings, *bundle]).rstrip()
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,56 +1,58 @@
-"""Tests of the burn report."""
+"""Tests of the report of ``crankhinge-burn``."""
 
 from pathlib import Path
 
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from crankhinge.burn._read import parse_line
+from crankhinge.burn._log_events import parse_line
 from crankhinge.burn.main import main
-from test_config import TEXT
+from test_config import BUNDLE_TEMPLATE
 
-LINE = (
+LOG_LINE = (
     "ts=2026-12-02T12:00:{second:02d}.000000Z level=info program=crankhinge-entry event={event} "
-    'member={member} model=m1 {more} read_tokens=100 wasted_tokens={wasted} why="a \\"b\\" c"\n'
+    'member={member} model=m1 {fields} read_tokens=100 wasted_tokens={wasted} why="a \\"b\\" c"\n'
 )
 
 
 @pytest.fixture
 def files(tmp_path: Path) -> list[str]:
-    """Return a log of twenty requests and a bundle."""
+    """Return the command line for a log of 20 requests and a bundle."""
     log = tmp_path / "entry.log"
     with log.open("w") as file:
         for second in range(20):
             late = second == 3
-            more = f"first_ms={900 if late else 100} gap_ms=30"
+            fields = f"first_ms={900 if late else 100} gap_ms=30"
             event = "answered"
             if second == 7:
-                event, more = "request_failed", "code=overloaded"
+                event, fields = "request_failed", "code=overloaded"
             if second == 9:
-                event, more = "request_failed", "code=unknown-model"
+                event, fields = "request_failed", "code=unknown-model"
             member = "naas" if second % 2 else "swords"
             wasted = 100 if late else 0
             file.write(
-                LINE.format(second=second, event=event, member=member, more=more, wasted=wasted)
+                LOG_LINE.format(
+                    second=second, event=event, member=member, fields=fields, wasted=wasted
+                )
             )
         file.write("not a log line\n")
     bundle = tmp_path / "bundle.toml"
-    bundle.write_text(TEXT.format(version=4))
+    bundle.write_text(BUNDLE_TEMPLATE.format(version=4))
     return [str(log), "--bundle", str(bundle)]
 
 
 class TestReport:
-    """What the report says."""
+    """Contents of the report and its output formats."""
 
     def test_text(
         self, files: list[str], capsys: pytest.CaptureFixture[str], snapshot: SnapshotAssertion
     ) -> None:
-        """Late and refused requests spend the budget; a caller's own faults don't."""
+        """Late and refused requests spend the budget; errors of the caller do not."""
         assert main(files) == 0
         assert capsys.readouterr().out == snapshot
 
     def test_page_and_json(self, files: list[str], tmp_path: Path) -> None:
-        """The page holds its plots and needs nothing else."""
+        """The HTML page embeds its plots and refers to no other files."""
         page, data = tmp_path / "r.html", tmp_path / "r.json"
         assert main([*files, "--html", str(page), "--json", str(data)]) == 0
         text = page.read_text()
@@ -59,14 +61,14 @@
         assert '"wasted_tokens": 100' in data.read_text()
 
     def test_bad_input(self, files: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-        """A missing file is an error with its name and status 2."""
+        """A missing file is named in the error message, and the exit status is 2."""
         assert main(["/nowhere.log", *files[1:]]) == 2
         assert "/nowhere.log: cannot be read" in capsys.readouterr().err
 
 
 class TestLines:
-    """Key=value lines."""
+    """Parsing of log lines."""
 
     def test_quoted_values(self) -> None:
-        """Quotes and escapes are undone."""
+        """Quoted values lose their quotes and escapes."""
         assert parse_line(r'a=1 b="x \"y\" z" c=') == {"a": "1", "b": 'x "y" z', "c": ""}
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Tests of bundles: validation, signatures, acceptance."""
+"""Tests of bundles: validation, signatures and publication."""
 
 from pathlib import Path
 
@@ -12,18 +12,18 @@
     BUNDLE_KEY,
     BundleKeeper,
     Envelope,
+    create_key_pair,
+    encode_envelope,
     load_private_key,
-    new_key_pair,
-    open_envelope,
     parse_bundle,
     publish,
     read_history,
-    seal,
-    sign,
+    sign_envelope,
+    verify_envelope,
 )
 from crankhinge.errors import BundleError, KeyFileError, KeyValueUnavailable, PublishConflict
 
-TEXT = """
+BUNDLE_TEMPLATE = """
 version = {version}
 [[partners]]
 name = "timbook"
@@ -43,76 +43,78 @@
 
 
 class Signers:
-    """Both partners' keys."""
+    """The key pairs of both partners."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.keys = {
-            name: new_key_pair(path / f"{name}.key") for name in ("timbook", "heating-oil")
+            name: create_key_pair(path / f"{name}.key") for name in ("timbook", "heating-oil")
         }
 
     def envelope(self, version: int, extra: str = "", *, skip: str = "") -> bytes:
-        """Return a bundle signed by all but *skip*."""
-        envelope = Envelope(TEXT.format(version=version) + extra)
+        """Return an encoded bundle that all partners except *skip* have signed."""
+        envelope = Envelope(BUNDLE_TEMPLATE.format(version=version) + extra)
         for name in self.keys:
             if name != skip:
-                envelope = sign(envelope, name, load_private_key(self.path / f"{name}.key"))
-        return seal(envelope)
+                envelope = sign_envelope(
+                    envelope, name, load_private_key(self.path / f"{name}.key")
+                )
+        return encode_envelope(envelope)
 
 
 @pytest.fixture
 def signers(tmp_path: Path) -> Signers:
-    """Return two new key pairs."""
+    """Return new key pairs of both partners."""
     return Signers(tmp_path)
 
 
 class MemoryKeyValue(KeyValue):
-    """A key-value service in memory that can lose answers and be out."""
+    """A key-value service in memory that can lose responses and be unavailable."""
 
     def __init__(self) -> None:
         self.values: dict[str, Value] = {}
-        self.lose_answers = False
-        self.out = False
-        self.before_swap: list[bytes] = []
+        self.lose_responses = False
+        self.unavailable = False
+        self.competing_writes: list[bytes] = []
 
     async def get(self, key: str) -> Value | None:
-        """Return a value."""
-        if self.out:
-            raise KeyValueUnavailable("out")
+        """Return the value of a key."""
+        if self.unavailable:
+            raise KeyValueUnavailable("unavailable")
         return self.values.get(key)
 
     async def watch(self, key: str, index: int, wait_s: float) -> Value | None:
-        """Return a value at once."""
+        """Return the value of a key without waiting for a change."""
         return await self.get(key)
 
     async def swap(self, key: str, data: bytes, index: int) -> bool:
-        """Compare and swap; another's write may come first."""
-        if self.out:
-            raise KeyValueUnavailable("out")
-        if key == BUNDLE_KEY and self.before_swap:
-            self.write(key, self.before_swap.pop())
+        """Compare and swap, after the next competing write if one is planned."""
+        if self.unavailable:
+            raise KeyValueUnavailable("unavailable")
+        if key == BUNDLE_KEY and self.competing_writes:
+            self.write(key, self.competing_writes.pop())
         current = self.values.get(key)
         if (current.index if current else 0) != index:
             return False
         self.write(key, data)
-        if self.lose_answers:
-            raise KeyValueUnavailable("answer lost")
+        if self.lose_responses:
+            raise KeyValueUnavailable("response lost")
         return True
 
     def write(self, key: str, data: bytes) -> None:
-        """Write a value."""
+        """Write a value and increase its index."""
         index = self.values[key].index if key in self.values else 0
         self.values[key] = Value(data, index + 1)
 
 
-class TestBundle:
-    """A bundle is validated whole."""
+class TestBundleValidation:
+    """Validation of the text of a bundle."""
 
     @pytest.mark.parametrize(
         ("extra", "reason"),
         [
             ("\nsurprise = 1\n", "unknown field"),
-            ('\n[[pools]]\nname = "read"\nkind = "plain"\n', "stands twice"),
+            ('\n[[pools]]\nname = "read"\nkind = "plain"\n', "is defined more than once"),
             ('\n[[models]]\nname = "m2"\nprefill = ["write"]\ndecode = ["write"]\n', "not prefill"),
             ('\n[[models]]\nname = "m2"\nprefill = ["x"]\ndecode = ["write"]\n', "no pool 'x'"),
             ('\n[[services]]\nname = "s"\npath = "/s"\npool = "none"\n', "no pool"),
@@ -120,39 +122,39 @@
             ("\n[[", "not TOML"),
         ],
     )
-    def test_names_the_key_and_the_reason(self, extra: str, reason: str) -> None:
-        """A faulty bundle is refused with its reason."""
+    def test_invalid_bundle_is_rejected_with_a_reason(self, extra: str, reason: str) -> None:
+        """The error of an invalid bundle contains the reason."""
         with pytest.raises(BundleError, match=reason):
-            parse_bundle(TEXT.format(version=1) + extra)
+            parse_bundle(BUNDLE_TEMPLATE.format(version=1) + extra)
 
     @given(st.binary(max_size=200))
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
-    def test_garbage_is_a_typed_error(self, data: bytes) -> None:
-        """Whatever stands in the key-value service, the failure has a type."""
+    def test_random_bytes_raise_a_bundle_error(self, data: bytes) -> None:
+        """Data that is not an envelope raises BundleError, whatever its content."""
         with pytest.raises(BundleError):
-            open_envelope(data, {"timbook": "0" * 64})
+            verify_envelope(data, {"timbook": "0" * 64})
 
 
 class TestSignatures:
-    """All partners must have signed."""
+    """Every partner must have signed a bundle."""
 
-    def test_accepts_both_signatures(self, signers: Signers) -> None:
-        """A bundle signed by both opens."""
-        assert open_envelope(signers.envelope(3), signers.keys).version == 3
+    def test_bundle_signed_by_all_partners_is_accepted(self, signers: Signers) -> None:
+        """A bundle that both partners signed is verified and parsed."""
+        assert verify_envelope(signers.envelope(3), signers.keys).version == 3
 
-    def test_refuses_a_missing_signature(self, signers: Signers) -> None:
-        """A bundle that one partner has not signed is refused."""
+    def test_missing_signature_is_rejected(self, signers: Signers) -> None:
+        """A bundle that lacks the signature of one partner is rejected."""
         with pytest.raises(BundleError, match="not signed by timbook"):
-            open_envelope(signers.envelope(3, skip="timbook"), signers.keys)
+            verify_envelope(signers.envelope(3, skip="timbook"), signers.keys)
 
-    def test_refuses_a_changed_text(self, signers: Signers) -> None:
-        """A bundle changed after it was signed is refused."""
+    def test_text_changed_after_signing_is_rejected(self, signers: Signers) -> None:
+        """A bundle whose text was changed after signing is rejected."""
         changed = signers.envelope(3).replace(b"version = 3", b"version = 4")
-        with pytest.raises(BundleError, match="wrong"):
-            open_envelope(changed, signers.keys)
+        with pytest.raises(BundleError, match="is invalid"):
+            verify_envelope(changed, signers.keys)
 
-    def test_private_keys_are_private(self, signers: Signers) -> None:
-        """A key file is made with mode 0600, and one that others can read is refused."""
+    def test_private_key_file_is_accessible_only_to_its_owner(self, signers: Signers) -> None:
+        """A key file is created with mode 0600; a file that others can read is rejected."""
         path = signers.path / "timbook.key"
         assert path.stat().st_mode & 0o777 == 0o600
         path.chmod(0o644)
@@ -160,62 +162,62 @@
             load_private_key(path)
 
 
-class TestKeeper:
-    """The bundle in force in one process."""
+class TestBundleKeeper:
+    """Replacement of the bundle in force in one process."""
 
-    def test_never_goes_back(self, signers: Signers) -> None:
-        """An older or equal version changes nothing."""
+    def test_version_in_force_never_decreases(self, signers: Signers) -> None:
+        """A bundle with an older or equal version is not put into force."""
         keeper = BundleKeeper(signers.keys)
-        assert keeper.offer(signers.envelope(5))
-        assert not keeper.offer(signers.envelope(4))
-        assert not keeper.offer(signers.envelope(5, "\n[policy]\npatience = 3.0\n"))
+        assert keeper.install_if_newer(signers.envelope(5))
+        assert not keeper.install_if_newer(signers.envelope(4))
+        assert not keeper.install_if_newer(signers.envelope(5, "\n[policy]\npatience = 3.0\n"))
         assert keeper.version == 5
 
-    def test_an_unsigned_bundle_changes_nothing(self, signers: Signers) -> None:
-        """A newer bundle that isn't signed is refused and the old one stays."""
+    def test_bundle_without_all_signatures_changes_nothing(self, signers: Signers) -> None:
+        """A newer bundle without all signatures is rejected and the old one stays in force."""
         keeper = BundleKeeper(signers.keys)
-        keeper.offer(signers.envelope(5))
+        keeper.install_if_newer(signers.envelope(5))
         with pytest.raises(BundleError):
-            keeper.offer(signers.envelope(6, skip="heating-oil"))
+            keeper.install_if_newer(signers.envelope(6, skip="heating-oil"))
         assert keeper.version == 5
 
 
 class TestPublish:
-    """Acceptance by compare-and-swap."""
+    """Publication by compare-and-swap."""
 
-    def test_versions_follow_each_other(self, signers: Signers) -> None:
-        """The first version is 1, and none may be left out."""
+    def test_versions_must_be_consecutive(self, signers: Signers) -> None:
+        """The first version is 1, and no version may be skipped."""
         kv = MemoryKeyValue()
         assert curio.run(publish, kv, signers.envelope(1), signers.keys).version == 1
-        with pytest.raises(BundleError, match="doesn't follow"):
+        with pytest.raises(BundleError, match="does not directly follow"):
             curio.run(publish, kv, signers.envelope(3), signers.keys)
 
-    def test_of_two_operators_one_wins(self, signers: Signers) -> None:
-        """The one whose swap comes second is told, and nothing is overwritten."""
+    def test_one_of_two_concurrent_publications_fails(self, signers: Signers) -> None:
+        """The operator whose swap comes second gets an error, and nothing is overwritten."""
         kv = MemoryKeyValue()
-        theirs = signers.envelope(1, "\n[policy]\npatience = 2.0\n")
-        kv.before_swap = [theirs]
+        competing = signers.envelope(1, "\n[policy]\npatience = 2.0\n")
+        kv.competing_writes = [competing]
         with pytest.raises(PublishConflict):
             curio.run(publish, kv, signers.envelope(1), signers.keys)
-        assert kv.values[BUNDLE_KEY].data == theirs
+        assert kv.values[BUNDLE_KEY].data == competing
 
-    def test_a_lost_answer_is_read_back(self, signers: Signers) -> None:
-        """When the swap took effect and its answer was lost, the operator learns that it did."""
+    def test_success_is_confirmed_after_a_lost_response(self, signers: Signers) -> None:
+        """The publication succeeds if the swap took effect although its response was lost."""
         kv = MemoryKeyValue()
-        kv.lose_answers = True
+        kv.lose_responses = True
         result = curio.run(publish, kv, signers.envelope(1), signers.keys)
-        assert result.resolved
+        assert result.confirmed_by_read
 
-    def test_publishing_again_is_safe(self, signers: Signers) -> None:
-        """The same file a second time is accepted as done."""
+    def test_publishing_the_same_bundle_again_succeeds(self, signers: Signers) -> None:
+        """Publishing the same file a second time reports success and adds no history row."""
         kv = MemoryKeyValue()
         curio.run(publish, kv, signers.envelope(1), signers.keys)
-        assert curio.run(publish, kv, signers.envelope(1), signers.keys).resolved
+        assert curio.run(publish, kv, signers.envelope(1), signers.keys).confirmed_by_read
         assert [row.version for row in curio.run(read_history, kv)] == [1]
 
-    def test_an_outage_is_not_guessed(self, signers: Signers) -> None:
-        """With the service out the outcome is unknown, and said to be."""
+    def test_outage_raises_key_value_unavailable(self, signers: Signers) -> None:
+        """While the service is unavailable, the outcome is unknown and an error says so."""
         kv = MemoryKeyValue()
-        kv.out = True
+        kv.unavailable = True
         with pytest.raises(KeyValueUnavailable):
             curio.run(publish, kv, signers.envelope(1), signers.keys)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages' commands are run, and the reference page is that of the models."""
+"""Tests that the commands of the operators' pages work and that the reference is up to date."""
 
 import re
 import shlex
@@ -12,7 +12,7 @@
 
 from crankhinge.ctl.main import main as ctl_main
 from crankhinge_bench._procs import HOST, free_ports, http_json
-from test_config import TEXT
+from test_config import BUNDLE_TEMPLATE
 
 ROOT = Path(__file__).parent.parent
 PAGES = ROOT / "docs" / "operators"
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def platform() -> Iterator[int]:
-    """Return the port of a key-value service of its own."""
+    """Start a key-value service for this test and return its port."""
     [port] = free_ports(1)
     command = [sys.executable, "-m", "crankhinge_standins.main", "platform", "--port", str(port)]
     proc = subprocess.Popen(command)
@@ -32,14 +32,14 @@
             time.sleep(0.05)
     else:
         proc.kill()
-        pytest.fail(f"nobody answers at port {port}: {command}, status {proc.wait()}")
+        pytest.fail(f"no response on port {port}: {command}, status {proc.wait()}")
     yield port
     proc.kill()
     proc.wait()
 
 
 class TestBundlesPage:
-    """docs/operators/bundles.md, from top to bottom."""
+    """The commands of docs/operators/bundles.md."""
 
     def test_every_command_works(
         self,
@@ -48,9 +48,9 @@
         monkeypatch: pytest.MonkeyPatch,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """Each command on the page ends with status 0, in the page's order."""
+        """Each command on the page exits with status 0 if they run in the order of the page."""
         monkeypatch.chdir(tmp_path)
-        (tmp_path / "bundle.toml").write_text(TEXT.format(version=1))
+        (tmp_path / "bundle.toml").write_text(BUNDLE_TEMPLATE.format(version=1))
         page = (PAGES / "bundles.md").read_text()
         commands = re.findall(r"^    crankhinge-ctl (.*)$", page, re.MULTILINE)
         assert len(commands) == 9
@@ -67,14 +67,14 @@
                 (tmp_path / "ctl.toml").write_text("\n".join(lines))
         assert "version 1" in out
 
-    def test_a_race_shows_what_the_winner_changed(
+    def test_lost_race_shows_the_difference(
         self,
         platform: int,
         tmp_path: Path,
         monkeypatch: pytest.MonkeyPatch,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """The loser of a race has status 3 and is shown the difference."""
+        """The command of the operator who loses exits with status 3 and prints the difference."""
         monkeypatch.chdir(tmp_path)
         ctl_main(["key", "new", "p.key"])
         public = capsys.readouterr().out.split()[-1]
@@ -94,9 +94,9 @@
 
 
 class TestReference:
-    """docs/operators/reference.md."""
+    """The page docs/operators/reference.md."""
 
-    def test_is_up_to_date(self, capsys: pytest.CaptureFixture[str]) -> None:
-        """The page is what the command prints."""
+    def test_page_is_up_to_date(self, capsys: pytest.CaptureFixture[str]) -> None:
+        """The page is identical to the output of the command."""
         assert ctl_main(["reference"]) == 0
         assert capsys.readouterr().out == (PAGES / "reference.md").read_text()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the story of one request, and of the page that shows how to get it."""
+"""Tests of ``crankhinge-ctl explain`` and of the page that documents it."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 ONCE = route("r-once", "/once/", "unsafe", "plain")
 STREAM = route("r-stream", "/stream/", "streaming", "llm")
 CRASH = route("r-crash", "/crash/", "unsafe", "fragile")
-NEEDY = route("r-needy", "/needy/", "unsafe", "needy")
+LIMITED = route("r-needy", "/needy/", "unsafe", "needy")
 TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
 
 
-async def reset(_: FakeReplica, exchange: Exchange) -> None:
-    """Take the request and close without an answer."""
+async def reset_connection(_: FakeReplica, exchange: Exchange) -> None:
+    """Receive the request and close the connection without a response."""
     raise HttpClosed("reset")
 
 
-async def broken(replica: FakeReplica, exchange: Exchange) -> None:
-    """Begin a stream and close."""
+async def break_stream(replica: FakeReplica, exchange: Exchange) -> None:
+    """Start a streamed response and close the connection in the middle."""
     await exchange.start_as_is(200, replica.head(exchange))
     await exchange.write(events(1, 2))
     raise HttpClosed("crash")
 
 
 def make_log(path: Path) -> None:
-    """Play requests that fail in five ways and write the gateway's log."""
+    """Run requests that fail in five ways and write the gateway's log to *path*."""
     world = World()
-    world.add("i-plain", "plain", behave=reset)
+    world.add("i-plain", "plain", behave=reset_connection)
     world.add("i-reader", "llm", "prefill")
     for number in range(3):
         world.add(f"i-c{number}", "fragile", behave=crash)
     world.add("i-needy", "needy", limit="0")
-    writer = world.add("i-writer", "llm", "decode", behave=broken)
+    writer = world.add("i-writer", "llm", "decode", behave=break_stream)
 
-    async def story() -> None:
+    async def scenario() -> None:
         assert (await world.call("unknown", "/once/a"))[0] == 502
         answer = await world.open("cut", "/stream/a", **TOKENS)
         with pytest.raises((BadHttp, HttpClosed)):
@@ -60,17 +60,17 @@
         assert (await world.call("first", "/needy/a"))[0] == 200
         assert (await world.call("over", "/needy/a"))[0] == 503
 
-    run_virtual(world.play, story, ONCE, STREAM, CRASH, NEEDY, settle_s=0.003)
+    run_virtual(world.play, scenario, ONCE, STREAM, CRASH, LIMITED, settle_s=0.003)
     path.write_text("".join(world.lines.text))
 
 
 class TestExplain:
-    """From an identity to the cause."""
+    """Output of the command for one request id."""
 
-    def test_shows_what_was_believed_and_what_happened(
+    def test_shows_state_and_events(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """The configuration's version, the server's entry, each step, the outcome."""
+        """The output has the configuration version, server entry, attempts and outcome."""
         log = tmp_path / "gateway.log"
         make_log(log)
         assert main(["explain", "unknown", str(log)]) == 0
@@ -80,8 +80,8 @@
         assert re.search(r"happened .* leg_failed  server=i-plain outcome=broken", out)
         assert re.search(r"happened .* request_failed .* outcome=unknown status=502", out)
 
-    def test_an_identity_that_no_log_knows_is_bad_input(self, tmp_path: Path) -> None:
-        """Status 2, and so for a file that is not there."""
+    def test_unknown_request_exits_with_status_2(self, tmp_path: Path) -> None:
+        """The exit status is 2 for an unknown request id and for a missing log."""
         log = tmp_path / "gateway.log"
         log.write_text("")
         assert main(["explain", "nobody", str(log)]) == 2
@@ -89,15 +89,15 @@
 
 
 class TestOperationsPage:
-    """docs/OPERATIONS.md, five failed requests from top to bottom."""
+    """The commands of docs/OPERATIONS.md for five failed requests."""
 
-    def test_commands_show_the_lines_of_the_page(
+    def test_commands_print_the_lines_of_the_page(
         self,
         tmp_path: Path,
         monkeypatch: pytest.MonkeyPatch,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """Each command ends well, and each pattern below it is in what it prints."""
+        """Each command succeeds and prints the words of the lines below it on the page."""
         monkeypatch.chdir(tmp_path)
         make_log(tmp_path / "gateway.log")
         page = PAGE.read_text()
