--- a/src/crankhinge/_early.py
+++ b/src/crankhinge/_signals.py
@@ -5,7 +5,7 @@
 import signal
 
 
-def ignore_reloads() -> None:
+def ignore_sighup() -> None:
     """Ignore SIGHUP until the process can act on it; left alone it ends the process.
 
     Whatever changed by then is read at the start, and a later change of the file is seen without
--- a/src/crankhinge/adapters/consul.py
+++ b/src/crankhinge/adapters/consul.py
@@ -16,7 +16,7 @@
 from crankhinge.adapters._instances import Instance, InstanceList
 from crankhinge.adapters._keyvalue import KeyValue, Value
 from crankhinge.errors import BadHttp, HttpClosed, KeyValueUnavailable
-from crankhinge.http import HttpClient, Patience, Response
+from crankhinge.http import HttpClient, Response, ResponseTimeouts
 
 # Seconds until the first byte of an answer, and between its pieces.
 CALL_S = 2.0
@@ -73,11 +73,13 @@
     client: HttpClient, method: str, target: str, body: bytes = b"", *, wait_s: float = 0.0
 ) -> Response:
     """Make a call that the service may hold back for *wait_s* seconds."""
-    patience = Patience(first_s=wait_s + CALL_S, next_s=CALL_S, whole_s=wait_s + ANSWER_S)
+    patience = ResponseTimeouts(
+        first_byte_s=wait_s + CALL_S, next_byte_s=CALL_S, total_s=wait_s + ANSWER_S
+    )
     # A kept connection may be dead; a fresh one leaves less doubt about a write.
     fresh = method != "GET"
     try:
-        return await client.call(method, target, body=body, fresh=fresh, patience=patience)
+        return await client.call(method, target, body=body, new_connection=fresh, timeouts=patience)
     except (HttpClosed, BadHttp, OSError) as exc:
         raise KeyValueUnavailable(str(exc)) from exc
 
--- a/src/crankhinge/adapters/http_service.py
+++ b/src/crankhinge/adapters/http_service.py
@@ -7,7 +7,7 @@
 from crankhinge.adapters._engine import EngineFailed
 from crankhinge.adapters._service import PlainService, ServiceAnswer
 from crankhinge.errors import BadHttp, HttpClosed
-from crankhinge.http import ConnectFailed, HttpClient, retry_after_s
+from crankhinge.http import ConnectFailed, HttpClient, parse_retry_after
 
 UNAVAILABLE = 503
 HOP_BY_HOP = frozenset(
@@ -29,7 +29,7 @@
 
     async def alive(self) -> bool:
         """Whether the service takes connections."""
-        return await self._client.reachable()
+        return await self._client.is_reachable()
 
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
@@ -41,11 +41,11 @@
         """
         try:
             resp = await self._client.call(
-                method, target, headers=end_to_end(headers), body=body, fresh=True
+                method, target, headers=end_to_end(headers), body=body, new_connection=True
             )
         except ConnectFailed as exc:
             raise EngineFailed(exc.detail, ran=False) from exc
         except (HttpClosed, BadHttp) as exc:
             raise EngineFailed(exc.detail) from exc
-        rest_s = retry_after_s(resp.headers) if resp.status == UNAVAILABLE else None
+        rest_s = parse_retry_after(resp.headers) if resp.status == UNAVAILABLE else None
         return ServiceAnswer(resp.status, end_to_end(resp.headers), resp.body, rest_s)
--- a/src/crankhinge/adapters/openai_engine.py
+++ b/src/crankhinge/adapters/openai_engine.py
@@ -92,7 +92,9 @@
     async def _open(self, path: str, body: bytes, req: int) -> ClientStream:
         headers = {**_JSON, "x-request-id": f"{req:016x}"}
         try:
-            stream = await self._client.open("POST", path, headers=headers, body=body, fresh=True)
+            stream = await self._client.open(
+                "POST", path, headers=headers, body=body, new_connection=True
+            )
         except ConnectFailed as exc:
             raise EngineFailed(exc.detail, ran=False) from exc
         except (HttpClosed, BadHttp) as exc:
@@ -111,7 +113,7 @@
                 "/v1/load_lora_adapter",
                 headers=headers,
                 body=msgspec.json.encode(order),
-                fresh=True,
+                new_connection=True,
             )
         except (HttpClosed, BadHttp) as exc:
             raise EngineFailed(exc.detail) from exc
--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -22,7 +22,7 @@
 from crankhinge.config import Bundle, BundleKeeper
 from crankhinge.decisions import SlotTable, WorkQueue, mechanisms
 from crankhinge.peers import BundleSpread, Roster, parse_endpoint
-from crankhinge.runtime import Metrics, run_process, until_first
+from crankhinge.runtime import Metrics, run_process, run_until_first_ends
 
 PROGRAM = "crankhinge-agent"
 
@@ -79,7 +79,7 @@
         log=log,
     )
     log.info("started", role=settings.role, pool=settings.pool, port=settings.port)
-    await until_first(agent.run, partial(_drain_on, stopping, agent))
+    await run_until_first_ends(agent.run, partial(_drain_on, stopping, agent))
 
 
 async def _drain_on(stopping: curio.Event, agent: Agent) -> None:
@@ -91,8 +91,8 @@
     """Run the program; returns its exit status."""
     return run_process(
         program=PROGRAM,
-        about="the process beside a backend server",
-        model=AgentSettings,
+        description="the process beside a backend server",
+        settings_type=AgentSettings,
         serve=serve,
         argv=argv,
     )
--- a/src/crankhinge/agent/main.py
+++ b/src/crankhinge/agent/main.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from crankhinge._early import ignore_reloads
-from crankhinge._slim import keep_out_unused_modules
+from crankhinge._signals import ignore_sighup
+from crankhinge._unused_modules import keep_out_unused_modules
 
 
 def main(argv: list[str] | None = None) -> int:
     """Run the program; returns its exit status."""
-    ignore_reloads()
+    ignore_sighup()
     keep_out_unused_modules()
     # Only now: importing the program imports the libraries.
     from crankhinge.agent._program import run
--- a/src/crankhinge/entry/_answer.py
+++ b/src/crankhinge/entry/_answer.py
@@ -9,7 +9,7 @@
 
 from crankhinge.entry._ask import CompletionAsk
 from crankhinge.errors import CrankhingeError, Outcome
-from crankhinge.http import Exchange, sse_event
+from crankhinge.http import Exchange, encode_sse_event
 
 TEXT_MARK = "\u2063text\u2063"
 OUTCOME_HEADER = "x-request-outcome"
@@ -82,7 +82,7 @@
     @property
     def streaming(self) -> bool:
         """Whether the head of a streamed answer has been sent."""
-        return self._exchange.started
+        return self._exchange.response_started
 
     def note_prompt(self, tokens: int) -> None:
         """Note the prompt's length, for the usage."""
@@ -93,7 +93,7 @@
         self._texts.extend(texts)
         if not self._ask.stream:
             return
-        if not self._exchange.started:
+        if not self._exchange.response_started:
             await self._exchange.start(200, {**SSE_HEAD, "x-request-id": self._ident})
         head, tail = self._head, self._tail
         events = [head + msgspec.json.encode(text) + tail for text in texts]
@@ -102,7 +102,9 @@
     async def finish(self, reason: str) -> None:
         """End the answer."""
         if self._ask.stream:
-            await self._exchange.write(sse_event(self._chunk("", reason)) + sse_event(b"[DONE]"))
+            await self._exchange.write(
+                encode_sse_event(self._chunk("", reason)) + encode_sse_event(b"[DONE]")
+            )
             await self._exchange.finish()
             return
         body = msgspec.json.encode(self._whole(reason))
@@ -111,12 +113,12 @@
     async def break_off(self, exc: CrankhingeError) -> None:
         """Tell a streaming caller that its answer is not whole; no ``[DONE]`` follows."""
         body = msgspec.json.encode(error_body(exc, Outcome.UNKNOWN))
-        await self._exchange.write(sse_event(body))
+        await self._exchange.write(encode_sse_event(body))
         await self._exchange.finish()
 
     def _frame(self) -> tuple[bytes, bytes]:
         """Return what stands before and behind the text in the event of each token."""
-        event = sse_event(self._chunk(TEXT_MARK, None))
+        event = encode_sse_event(self._chunk(TEXT_MARK, None))
         head, _, tail = event.partition(msgspec.json.encode(TEXT_MARK))
         return head, tail
 
--- a/src/crankhinge/entry/_entry.py
+++ b/src/crankhinge/entry/_entry.py
@@ -84,9 +84,9 @@
             settings.host,
             settings.port,
             self._handle,
-            on_bad=self._on_bad,
+            on_malformed=self._on_bad,
             log=self._log,
-            limits=HttpLimits(body_bytes=settings.body_bytes),
+            limits=HttpLimits(max_body_bytes=settings.body_bytes),
         )
 
     async def drain(self) -> None:
@@ -134,7 +134,7 @@
         try:
             async with curio.TaskGroup(wait=any) as group:
                 work = await group.spawn(self._answer, exchange, number, ident)
-                await group.spawn(exchange.wait_gone)
+                await group.spawn(exchange.wait_for_disconnect)
             if group.completed is not work or work.exception is not None:
                 self._note_unanswered(ident, work.exception)
                 raise HttpClosed("not answered")
@@ -171,7 +171,7 @@
                 read_tokens=progress.computed,
                 wasted_tokens=progress.wasted,
             )
-            if not exchange.started:
+            if not exchange.response_started:
                 await send_error(exchange, exc, outcome=progress.outcome, request_id=ident)
 
     async def _route(self, exchange: Exchange, about: dict[str, Any], progress: Progress) -> None:
--- a/src/crankhinge/entry/_program.py
+++ b/src/crankhinge/entry/_program.py
@@ -22,7 +22,7 @@
 from crankhinge.entry._progress import RequestIds
 from crankhinge.entry._settings import EntrySettings
 from crankhinge.peers import BundleSpread, Roster, parse_endpoint
-from crankhinge.runtime import Metrics, Supervisor, run_process, until_first
+from crankhinge.runtime import Metrics, Supervisor, run_process, run_until_first_ends
 
 PROGRAM = "crankhinge-entry"
 
@@ -78,7 +78,7 @@
     supervisor.add("bundle", spread.watch)
     supervisor.add("streams", calls.watch)
     log.info("started", port=settings.port)
-    await until_first(supervisor.run, partial(_drain_on, stopping, entry))
+    await run_until_first_ends(supervisor.run, partial(_drain_on, stopping, entry))
 
 
 async def _drain_on(stopping: curio.Event, entry: Entry) -> None:
@@ -90,8 +90,8 @@
     """Run the program; returns its exit status."""
     return run_process(
         program=PROGRAM,
-        about="a thin entry instance for callers",
-        model=EntrySettings,
+        description="a thin entry instance for callers",
+        settings_type=EntrySettings,
         serve=serve,
         argv=argv,
     )
--- a/src/crankhinge/gateway/_admission.py
+++ b/src/crankhinge/gateway/_admission.py
@@ -56,7 +56,9 @@
         relay = Relay(exchange, ask, route, service, table.version, began, until)
         relay.keyed, relay.account = table.accounts is not None, account
         relay.fingerprint = _fingerprint(relay, exchange.req)
-        relay.returned = self._first_tries.returned(route.name, caller_s, kept=exchange.kept)
+        relay.returned = self._first_tries.returned(
+            route.name, caller_s, kept=exchange.connection_reused
+        )
         self._note_facts(relay, caller_s)
         return relay
 
@@ -81,7 +83,7 @@
             target_ms=round(relay.route.target_s * 1000),
             within_ms=round(caller_s * 1000),
             returned=relay.returned,
-            kept=relay.exchange.kept,
+            kept=relay.exchange.connection_reused,
         )
         if relay.route.pause_s:
             relay.facts["pause_ms"] = round(relay.route.pause_s * 1000)
--- a/src/crankhinge/gateway/_backends.py
+++ b/src/crankhinge/gateway/_backends.py
@@ -81,7 +81,9 @@
     def client(self, server: Server) -> HttpClient:
         """Return the connections to a server."""
         if server.ident not in self._clients:
-            self._clients[server.ident] = HttpClient(server.host, server.port, connect_s=CONNECT_S)
+            self._clients[server.ident] = HttpClient(
+                server.host, server.port, connect_timeout_s=CONNECT_S
+            )
         client = self._clients[server.ident]
         client.pool_size = self._most_kept(server.service)
         return client
--- a/src/crankhinge/gateway/_crashes.py
+++ b/src/crankhinge/gateway/_crashes.py
@@ -88,7 +88,7 @@
             await self._crashed(server, fingerprints, "entry_gone")
             return
         try:
-            crashed = not await self._backends.client(server).listens()
+            crashed = not await self._backends.client(server).is_listening()
         except ConnectFailed as exc:
             why = exc.detail
             self._log.info("server_unreached", server=server.ident, cut=len(fingerprints), why=why)
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -29,7 +29,7 @@
 from crankhinge.gateway._stream import StreamRelay
 from crankhinge.http import Exchange, HttpLimits, serve_http
 from crankhinge.runtime import split_host_port
-from crankhinge.runtime._exposed import ExposedMetrics
+from crankhinge.runtime._prometheus import PrometheusMetrics
 
 HTTP_OK = 200
 # A request that is not told otherwise comes back after this many seconds.
@@ -76,7 +76,7 @@
         plain: PlainRelay,
         streams: StreamRelay,
         log: Any,
-        metrics: ExposedMetrics,
+        metrics: PrometheusMetrics,
     ) -> None:
         self._settings = settings
         self._directory = directory
@@ -101,11 +101,11 @@
             host,
             port,
             self._handle,
-            on_bad=self.refuse_malformed,
+            on_malformed=self.refuse_malformed,
             log=self._log,
             limits=self._caller_limits,
-            closing=lambda: self._draining,
-            closed=self._closed,
+            is_closing=lambda: self._draining,
+            stop_accepting=self._closed,
         )
 
     def _caller_limits(self) -> HttpLimits:
@@ -114,10 +114,10 @@
             return HttpLimits()
         limits = table.limits
         return HttpLimits(
-            body_bytes=limits.body_bytes,
-            header_bytes=limits.header_bytes,
-            idle_s=limits.idle_s,
-            read_s=limits.header_s + limits.idle_s,
+            max_body_bytes=limits.body_bytes,
+            max_header_bytes=limits.header_bytes,
+            idle_timeout_s=limits.idle_s,
+            read_timeout_s=limits.header_s + limits.idle_s,
         )
 
     @property
@@ -171,7 +171,7 @@
         """Answer one request while its caller is there; returns whether it has a whole answer."""
         # An instance that stood still finds requests and their callers' closes together. Handed on
         # first, each would run for nobody, and the caller has sent it elsewhere.
-        if exchange.gone:
+        if exchange.is_disconnected:
             self._metrics.count("callers_gone")
             self._log.info("caller_gone", request=ask.ident, why="left_before")
             raise HttpClosed("the caller has gone")
@@ -189,7 +189,7 @@
         """Run one request while its caller is there; returns whether it has a whole answer."""
         async with curio.TaskGroup(wait=any) as group:
             work = await group.spawn(self._answer, relay)
-            await group.spawn(exchange.wait_gone)
+            await group.spawn(exchange.wait_for_disconnect)
         if group.completed is work:
             return bool(work.result)
         self._metrics.count("callers_gone")
@@ -280,7 +280,7 @@
             facts["keys_age_s"] = round(self._directory.keys_age_s(await curio.clock()), 2)
         facts.update(code=exc.code, why=exc.detail, outcome=outcome.value, status=status)
         self._metrics.count(f"failed.{exc.code}")
-        if exchange.started or isinstance(exc, HttpClosed):
+        if exchange.response_started or isinstance(exc, HttpClosed):
             facts.pop("status")
             self._log.warning("broken_off", request=ask.ident, **facts)
             return False
@@ -292,7 +292,7 @@
             after = math.ceil(round(after * 100, 6)) / 100
             fields.append(("retry-after", f"{after:.2f}"))
         try:
-            await exchange.respond_as_is(status, fields, _body(exc, outcome))
+            await exchange.respond_with_fields(status, fields, _body(exc, outcome))
         except HttpClosed as closed:
             self._log.info("caller_gone", request=ask.ident, why=closed.detail)
             return False
--- a/src/crankhinge/gateway/_legs.py
+++ b/src/crankhinge/gateway/_legs.py
@@ -82,12 +82,12 @@
         stream: ClientStream | None = None
         whole = False
         try:
-            stream = await self._backends.client(server).open_as_is(
+            stream = await self._backends.client(server).open_with_fields(
                 req.method,
                 req.target,
                 fields=dialect.leg_fields(req, leg, relay.account_name),
                 body=req.body,
-                owns=_owner_is(dialect, relay.ask.ident),
+                is_own_response=_owner_is(dialect, relay.ask.ident),
             )
             word = dialect.word(stream.status, stream.headers)
             if word.other_server:
--- a/src/crankhinge/gateway/_plain.py
+++ b/src/crankhinge/gateway/_plain.py
@@ -74,7 +74,7 @@
         answer = await self._answer(relay)
         relay.facts["status"] = answer.status
         fields = self._backends.dialect.answer_fields(answer.fields)
-        await relay.exchange.respond_as_is(answer.status, fields, answer.body)
+        await relay.exchange.respond_with_fields(answer.status, fields, answer.body)
 
     async def _answer(self, relay: Relay) -> Answer:
         self._budget_of(relay.service.name).first_attempt()
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -51,10 +51,10 @@
     Supervisor,
     get_log,
     run_process,
+    run_until_first_ends,
     steady_s,
-    until_first,
 )
-from crankhinge.runtime._exposed import ExposedMetrics
+from crankhinge.runtime._prometheus import PrometheusMetrics
 
 PROGRAM = "crankhinge-gateway"
 STDOUT = 1
@@ -102,7 +102,9 @@
 ) -> None:
     """Run the gateway until *stopping*, then drain."""
     rng = random.Random(secrets.randbits(64))
-    metrics = ExposedMetrics(prefix=f"crankhinge.gateway.{settings.name}", address=settings.statsd)
+    metrics = PrometheusMetrics(
+        prefix=f"crankhinge.gateway.{settings.name}", address=settings.statsd
+    )
     platform = make_platform(settings, log)
     dialect = platform.dialect
     directory = Directory(platform.source, settings.freshness, log, rng)
@@ -208,17 +210,19 @@
         log=log,
     )
     # The runtime's clock is the steady clock; a page is made outside of any task's trap.
-    metrics.ask("config_heard_s_ago", partial(_age, directory.config))
-    metrics.ask("servers_heard_s_ago", partial(_age, directory.list))
-    metrics.ask("config_version", lambda: directory.table.version if directory.table else 0)
-    metrics.ask("requests_quarantined", quarantine.__len__)
-    metrics.ask("servers_limited", limit_news.__len__)
-    metrics.ask("servers_leaving", lambda: backends.barred(Bar.LEAVING, steady_s()))
-    metrics.ask("servers_resting", lambda: backends.barred(Bar.RESTING, steady_s()))
-    metrics.ask("servers_known", lambda: len(list(directory.servers.all())))
-    metrics.ask("servers_doubted", lambda: len(directory.servers.doubted()))
-    metrics.ask("source_bytes", lambda: platform.source.received)
-    metrics.ask("source_calls", lambda: sum(platform.source.calls.values()))
+    metrics.set_gauge_function("config_heard_s_ago", partial(_age, directory.config))
+    metrics.set_gauge_function("servers_heard_s_ago", partial(_age, directory.list))
+    metrics.set_gauge_function(
+        "config_version", lambda: directory.table.version if directory.table else 0
+    )
+    metrics.set_gauge_function("requests_quarantined", quarantine.__len__)
+    metrics.set_gauge_function("servers_limited", limit_news.__len__)
+    metrics.set_gauge_function("servers_leaving", lambda: backends.barred(Bar.LEAVING, steady_s()))
+    metrics.set_gauge_function("servers_resting", lambda: backends.barred(Bar.RESTING, steady_s()))
+    metrics.set_gauge_function("servers_known", lambda: len(list(directory.servers.all())))
+    metrics.set_gauge_function("servers_doubted", lambda: len(directory.servers.doubted()))
+    metrics.set_gauge_function("source_bytes", lambda: platform.source.received)
+    metrics.set_gauge_function("source_calls", lambda: sum(platform.source.calls.values()))
     supervisor = Supervisor(log)
     supervisor.add("listener", gateway.listen)
     supervisor.add("ready", status.listen_ready)
@@ -235,7 +239,7 @@
     supervisor.add("limits", permits.tell_use)
     supervisor.add("calls", CallLog(platform.source, log).run)
     log.info("started", listen=settings.listen, zone=settings.zone, source=settings.source)
-    await until_first(supervisor.run, partial(_drain_on, stopping, gateway))
+    await run_until_first_ends(supervisor.run, partial(_drain_on, stopping, gateway))
     log.info("stopped")
 
 
@@ -265,10 +269,10 @@
     log = get_log(program=PROGRAM, stream=LineSink(STDOUT))
     return run_process(
         program=PROGRAM,
-        about="relays requests to backend servers",
-        model=GatewaySettings,
+        description="relays requests to backend servers",
+        settings_type=GatewaySettings,
         serve=partial(serve, make_platform=make_platform),
         argv=argv,
         log=log,
-        reload=lambda settings: None,
+        on_reload=lambda settings: None,
     )
--- a/src/crankhinge/gateway/_status.py
+++ b/src/crankhinge/gateway/_status.py
@@ -12,7 +12,7 @@
 from crankhinge.gateway._settings import GatewaySettings
 from crankhinge.http import Exchange, serve_http
 from crankhinge.runtime import split_host_port
-from crankhinge.runtime._exposed import ExposedMetrics
+from crankhinge.runtime._prometheus import PrometheusMetrics
 
 METRICS_PATH = "/metrics"
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -36,7 +36,7 @@
         directory: Directory,
         gateway: Gateway,
         log: Any,
-        metrics: ExposedMetrics,
+        metrics: PrometheusMetrics,
     ) -> None:
         self._settings = settings
         self._directory = directory
@@ -48,7 +48,7 @@
         """Tell the balancer whether to send new connections, until cancelled."""
         host, port = split_host_port(self._settings.ready)
         on_bad = self._gateway.refuse_malformed
-        await serve_http(host, port, self._ready, on_bad=on_bad, log=self._log)
+        await serve_http(host, port, self._ready, on_malformed=on_bad, log=self._log)
 
     async def listen_metrics(self) -> None:
         """Show the metrics, until cancelled; nothing without an address."""
@@ -56,13 +56,13 @@
             await curio.Event().wait()
         host, port = split_host_port(self._settings.metrics)
         on_bad = self._gateway.refuse_malformed
-        await serve_http(host, port, self._show, on_bad=on_bad, log=self._log)
+        await serve_http(host, port, self._show, on_malformed=on_bad, log=self._log)
 
     async def _show(self, exchange: Exchange) -> None:
         if exchange.req.path != METRICS_PATH:
             await exchange.respond(404, b"{}")
             return
-        await exchange.respond(200, self._metrics.page(), {"content-type": METRICS_TYPE})
+        await exchange.respond(200, self._metrics.render(), {"content-type": METRICS_TYPE})
 
     async def _ready(self, exchange: Exchange) -> None:
         ready = self._directory.known and not self._gateway.draining
--- a/src/crankhinge/gateway/_stream.py
+++ b/src/crankhinge/gateway/_stream.py
@@ -91,7 +91,7 @@
         try:
             await curio.timeout_after(max(0.001, await relay.left()), self._run, relay, budget)
         except curio.TaskTimeout as exc:
-            if relay.exchange.started:
+            if relay.exchange.response_started:
                 raise HttpClosed("the route's time is over in mid-stream") from exc
             raise DeadlinePassed("not answered in time") from exc
 
@@ -127,7 +127,7 @@
             )
 
     def _failure(self, relay: Relay, end: _End, why: str) -> Exception:
-        if relay.exchange.started:
+        if relay.exchange.response_started:
             return HttpClosed(f"broken off: {why}")
         if relay.may_have_run:
             return BackendFailed(why)
@@ -162,7 +162,7 @@
                     return await self._at_place(relay, other, memory, events, budget)
             except BaseException:
                 # Nobody can tell whether the memory was fetched; freeing it twice does no harm.
-                if memory is not None and not relay.exchange.started:
+                if memory is not None and not relay.exchange.response_started:
                     await self._reading.free(memory)
                 raise
 
@@ -270,14 +270,14 @@
             # A failure that the server reports has no events.
             body = await stream.read_all()
             fields = self._backends.dialect.answer_fields(stream.fields)
-            if exchange.started:
+            if exchange.response_started:
                 raise HttpClosed(f"status {stream.status} to a resumed stream")
-            await exchange.respond_as_is(stream.status, fields, body)
+            await exchange.respond_with_fields(stream.status, fields, body)
             relay.facts["status"] = stream.status
             return
-        if not exchange.started:
+        if not exchange.response_started:
             fields = self._backends.dialect.answer_fields(stream.fields)
-            await exchange.start_as_is(stream.status, fields)
+            await exchange.start_with_fields(stream.status, fields)
         while chunk := await stream.next_chunk():
             whole = events.feed(chunk)
             if whole:
--- a/src/crankhinge/http/__init__.py
+++ b/src/crankhinge/http/__init__.py
@@ -7,10 +7,10 @@
     HttpClient,
     Response,
 )
-from crankhinge.http._client_stream import ClientStream, HttpSilent, Patience
-from crankhinge.http._retry_after import retry_after_s
+from crankhinge.http._client_stream import ClientStream, HttpSilent, ResponseTimeouts
+from crankhinge.http._retry_after import parse_retry_after
 from crankhinge.http._server import Exchange, HttpLimits, HttpRequest, serve_http
-from crankhinge.http._sse import SseParser, sse_event
+from crankhinge.http._sse import SseParser, encode_sse_event
 
 __all__ = [
     "AnswerTooLong",
@@ -22,10 +22,10 @@
     "HttpLimits",
     "HttpRequest",
     "HttpSilent",
-    "Patience",
     "Response",
+    "ResponseTimeouts",
     "SseParser",
-    "retry_after_s",
+    "encode_sse_event",
+    "parse_retry_after",
     "serve_http",
-    "sse_event",
 ]
--- a/src/crankhinge/http/_client.py
+++ b/src/crankhinge/http/_client.py
@@ -13,11 +13,11 @@
 from crankhinge.errors import CrankhingeError, HttpClosed
 from crankhinge.http._client_stream import (
     ClientStream,
-    ConnOwner,
-    Fields,
+    ConnectionOwner,
+    HeaderFields,
     HttpSilent,
-    Owns,
-    Patience,
+    ResponseMatcher,
+    ResponseTimeouts,
 )
 from crankhinge.runtime import open_tcp, steady_s
 
@@ -93,20 +93,20 @@
     code = "connect-refused"
 
 
-class HttpClient(ConnOwner):
+class HttpClient(ConnectionOwner):
     """Calls one server.
 
     Args:
         host: address of the server.
         port: its TCP port.
         pool_size: kept idle connections.
-        connect_s: seconds that a connection may take to come up.
+        connect_timeout_s: seconds that a connection may take to come up.
 
     Attributes:
-        opened: connections made so far.
+        opened_connections: connections made so far.
         pool_size: idle connections that are kept from now on.
-        received: bytes that came on all of them, those of answers that were given up too.
-        kept_heard: how often something came on a connection that was used before.
+        received_bytes: bytes that came on all of them, those of answers that were given up too.
+        reused_receives: how often something came on a connection that was used before.
     """
 
     def __init__(
@@ -115,15 +115,15 @@
         port: int,
         *,
         pool_size: int = POOL_SIZE,
-        connect_s: float = CONNECT_TIMEOUT_S,
+        connect_timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> None:
         self.host = host
         self.port = port
-        self.opened = 0
-        self.received = 0
-        self.kept_heard = 0
+        self.opened_connections = 0
+        self.received_bytes = 0
+        self.reused_receives = 0
         self.pool_size = pool_size
-        self._connect_s = connect_s
+        self._connect_s = connect_timeout_s
         self._idle: list[_Kept] = []
 
     async def _connect(self) -> Any:
@@ -133,7 +133,7 @@
             raise ConnectRefused(f"{self.host}:{self.port}: {exc}") from exc
         except OSError as exc:
             raise ConnectFailed(f"{self.host}:{self.port}: {exc}") from exc
-        self.opened += 1
+        self.opened_connections += 1
         return sock
 
     async def _take_idle(self) -> Any:
@@ -145,7 +145,7 @@
             await kept.sock.close()
         return None
 
-    async def reachable(self) -> bool:
+    async def is_reachable(self) -> bool:
         """Whether the server takes connections."""
         try:
             sock = await self._connect()
@@ -154,7 +154,7 @@
         await sock.close()
         return True
 
-    async def listens(self) -> bool:
+    async def is_listening(self) -> bool:
         """Whether anybody listens at the address; the connection is kept for the next call.
 
         Raises:
@@ -164,15 +164,17 @@
             sock = await self._connect()
         except ConnectRefused:
             return False
-        await self.give_back(sock, reusable=True, headers={})
+        await self.release_connection(sock, reusable=True, headers={})
         return True
 
-    def heard(self, size: int, *, reused: bool) -> None:
+    def record_received(self, size: int, *, reused: bool) -> None:
         """Note that something came on a connection of this client."""
-        self.received += size
-        self.kept_heard += reused
+        self.received_bytes += size
+        self.reused_receives += reused
 
-    async def give_back(self, sock: Any, *, reusable: bool, headers: Mapping[str, str]) -> None:
+    async def release_connection(
+        self, sock: Any, *, reusable: bool, headers: Mapping[str, str]
+    ) -> None:
         """Keep *sock* for the next call, or close it."""
         kept_s = _kept_s(headers)
         if reusable and kept_s > 0 and len(self._idle) < self.pool_size:
@@ -188,8 +190,8 @@
         *,
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
-        fresh: bool = False,
-        patience: Patience | None = None,
+        new_connection: bool = False,
+        timeouts: ResponseTimeouts | None = None,
     ) -> ClientStream:
         """Send a request and return its response, head read and body unread.
 
@@ -198,9 +200,9 @@
             target: path and query.
             headers: beyond host and content-length.
             body: the whole body.
-            fresh: use a new connection; a kept one may have been closed by the other end, and
-                then nobody can tell whether the request arrived.
-            patience: how long the answer is waited for.
+            new_connection: use a new connection; a kept one may have been closed by the other end,
+                and then nobody can tell whether the request arrived.
+            timeouts: how long the answer is waited for.
 
         Raises:
             ConnectFailed: nothing was sent.
@@ -208,40 +210,48 @@
         """
         head = {"host": f"{self.host}:{self.port}", **(headers or {})}
         head["content-length"] = str(len(body))
-        return await self.open_as_is(
-            method, target, fields=head.items(), body=body, fresh=fresh, patience=patience
+        return await self.open_with_fields(
+            method,
+            target,
+            fields=head.items(),
+            body=body,
+            new_connection=new_connection,
+            timeouts=timeouts,
         )
 
-    async def open_as_is(
+    async def open_with_fields(
         self,
         method: str,
         target: str,
         *,
-        fields: Fields,
+        fields: HeaderFields,
         body: bytes = b"",
-        fresh: bool = False,
-        owns: Owns | None = None,
-        patience: Patience | None = None,
+        new_connection: bool = False,
+        is_own_response: ResponseMatcher | None = None,
+        timeouts: ResponseTimeouts | None = None,
     ) -> ClientStream:
         """Send a request whose header fields are all given; returns and raises as :meth:`open`.
 
         Args:
             fields: every header field, host and framing included, in order.
-            owns: whether an answer with these headers is this request's; others are skipped.
-            patience: how long the answer is waited for.
+            is_own_response: whether an answer with these headers is this request's; others are
+                skipped.
+            timeouts: how long the answer is waited for.
         """
-        sock = None if fresh else await self._take_idle()
+        sock = None if new_connection else await self._take_idle()
         reused = sock is not None
         if sock is None:
             sock = await self._connect()
-        stream = ClientStream(self, sock, reused=reused, owns=owns, patience=patience)
+        stream = ClientStream(
+            self, sock, reused=reused, is_own_response=is_own_response, timeouts=timeouts
+        )
         began = steady_s()
-        heard = self.kept_heard
+        heard = self.reused_receives
         try:
             await stream.send(method, target, fields, body)
         except BaseException as exc:
             await sock.close()
-            if reused and self.kept_heard == heard and isinstance(exc, SILENCE):
+            if reused and self.reused_receives == heard and isinstance(exc, SILENCE):
                 # Open connections may fall silent together, with nothing else to show it: without
                 # this each one that was kept costs a request its time.
                 await self.close()
@@ -259,27 +269,32 @@
         *,
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
-        fresh: bool = False,
-        patience: Patience | None = None,
-        most_bytes: int | None = None,
+        new_connection: bool = False,
+        timeouts: ResponseTimeouts | None = None,
+        max_body_bytes: int | None = None,
     ) -> Response:
         """Send a request and return the whole response.
 
         Args:
             method, target, headers, body, fresh, patience: as for :meth:`open`.
-            most_bytes: longest body that is wanted; without one, any.
+            max_body_bytes: longest body that is wanted; without one, any.
 
         Raises:
             AnswerTooLong: it says that its body is longer.
             ConnectFailed, HttpClosed: as :meth:`open` does.
         """
         stream = await self.open(
-            method, target, headers=headers, body=body, fresh=fresh, patience=patience
+            method,
+            target,
+            headers=headers,
+            body=body,
+            new_connection=new_connection,
+            timeouts=timeouts,
         )
         try:
             length = int(stream.headers.get("content-length", 0))
-            if most_bytes is not None and length > most_bytes:
-                raise AnswerTooLong(f"{length} bytes, {most_bytes} wanted")
+            if max_body_bytes is not None and length > max_body_bytes:
+                raise AnswerTooLong(f"{length} bytes, {max_body_bytes} wanted")
             data = await stream.read_all()
         finally:
             await stream.close()
--- a/src/crankhinge/http/_client_stream.py
+++ b/src/crankhinge/http/_client_stream.py
@@ -14,12 +14,12 @@
 
 RECV_BYTES = 65536
 
-Owns = Callable[[Mapping[str, str]], bool]
-Fields = Iterable[tuple[str, str]]
+ResponseMatcher = Callable[[Mapping[str, str]], bool]
+HeaderFields = Iterable[tuple[str, str]]
 
 
 @dataclass(frozen=True)
-class Patience:
+class ResponseTimeouts:
     """How long an answer is waited for, in seconds.
 
     Silence is bounded, not the whole answer: how long that takes follows from its size and the
@@ -27,14 +27,14 @@
     5 Mbit/s link, which takes 1.7 s, after each 1.5 s for ever.
 
     Attributes:
-        first_s: from the sending of the request to the first byte.
-        next_s: from one piece to the next.
-        whole_s: all of it; ends an answer that only trickles.
+        first_byte_s: from the sending of the request to the first byte.
+        next_byte_s: from one piece to the next.
+        total_s: all of it; ends an answer that only trickles.
     """
 
-    first_s: float
-    next_s: float
-    whole_s: float
+    first_byte_s: float
+    next_byte_s: float
+    total_s: float
 
 
 class HttpSilent(HttpClosed):
@@ -43,15 +43,17 @@
     code = "http-silent"
 
 
-class ConnOwner(abc.ABC):
+class ConnectionOwner(abc.ABC):
     """Whoever opened a connection and takes it back."""
 
     @abc.abstractmethod
-    def heard(self, size: int, *, reused: bool) -> None:
+    def record_received(self, size: int, *, reused: bool) -> None:
         """Note that *size* bytes came on a connection, and whether it was used before."""
 
     @abc.abstractmethod
-    async def give_back(self, sock: Any, *, reusable: bool, headers: Mapping[str, str]) -> None:
+    async def release_connection(
+        self, sock: Any, *, reusable: bool, headers: Mapping[str, str]
+    ) -> None:
         """Keep a connection for the next call, or close it.
 
         Args:
@@ -68,24 +70,24 @@
         owner: to whom the connection returns.
         sock: the connection.
         reused: whether it carried an earlier request.
-        owns: tells from a head whether an answer is this request's; a server may send an
+        is_own_response: tells from a head whether an answer is this request's; a server may send an
             answer to an earlier request late, in the place of the one that is due.
-        patience: how long the answer is waited for; without one, until the caller gives up.
+        timeouts: how long the answer is waited for; without one, until the caller gives up.
     """
 
     def __init__(
         self,
-        owner: ConnOwner,
+        owner: ConnectionOwner,
         sock: Any,
         *,
         reused: bool = False,
-        owns: Owns | None = None,
-        patience: Patience | None = None,
+        is_own_response: ResponseMatcher | None = None,
+        timeouts: ResponseTimeouts | None = None,
     ) -> None:
         self._owner = owner
         self._sock = sock
-        self._owns = owns
-        self._patience = patience
+        self._owns = is_own_response
+        self._patience = timeouts
         self._received = 0
         self._until: float | None = None
         self._ended = False
@@ -96,7 +98,7 @@
         self.headers: Mapping[str, str] = {}
         self.fields: list[tuple[str, str]] = []
 
-    async def send(self, method: str, target: str, headers: Fields, body: bytes) -> None:
+    async def send(self, method: str, target: str, headers: HeaderFields, body: bytes) -> None:
         """Send the request and read the head of the response.
 
         Raises:
@@ -193,7 +195,7 @@
             raise HttpClosed(str(exc)) from exc
         self._ended = not data
         self._received += len(data)
-        self._owner.heard(len(data), reused=self.reused)
+        self._owner.record_received(len(data), reused=self.reused)
         return data
 
     async def _recv_in_time(self) -> bytes:
@@ -202,8 +204,8 @@
             return data
         now = await curio.clock()
         if self._until is None:
-            self._until = now + self._patience.whole_s
-        wait_s = self._patience.next_s if self._received else self._patience.first_s
+            self._until = now + self._patience.total_s
+        wait_s = self._patience.next_byte_s if self._received else self._patience.first_byte_s
         wait_s = max(0.0, min(wait_s, self._until - now))
         try:
             data = await curio.timeout_after(wait_s, self._sock.recv, RECV_BYTES)
@@ -237,8 +239,8 @@
         """Give the connection back when it can be reused, else close it."""
         done = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
         clean = done and self._all_sent and not self._h11.trailing_data[0]
-        await self._owner.give_back(self._sock, reusable=clean, headers=self.headers)
+        await self._owner.release_connection(self._sock, reusable=clean, headers=self.headers)
 
     async def abort(self) -> None:
         """Close the connection, whatever state it is in."""
-        await self._owner.give_back(self._sock, reusable=False, headers=self.headers)
+        await self._owner.release_connection(self._sock, reusable=False, headers=self.headers)
--- a/src/crankhinge/http/_retry_after.py
+++ b/src/crankhinge/http/_retry_after.py
@@ -8,7 +8,7 @@
 RETRY_AFTER = "retry-after"
 
 
-def retry_after_s(headers: Mapping[str, str]) -> float | None:
+def parse_retry_after(headers: Mapping[str, str]) -> float | None:
     """Return the seconds that an answer names; None for none, or for what is no time to wait.
 
     A date is taken for none: the clocks of two machines need not agree.
--- a/src/crankhinge/http/_server.py
+++ b/src/crankhinge/http/_server.py
@@ -20,7 +20,7 @@
 # Most bytes of later requests that are taken in while one is answered.
 EARLY_BYTES = 256 * 1024
 
-Fields = Iterable[tuple[str, str]]
+HeaderFields = Iterable[tuple[str, str]]
 
 
 @dataclass(frozen=True)
@@ -28,18 +28,18 @@
     """Bounds on what a caller may send.
 
     Attributes:
-        body_bytes: largest body.
-        header_bytes: largest header block.
-        idle_s: seconds a connection may stay without the first byte of a request.
-        read_s: seconds from that byte to the end of the request.
-        send_s: seconds for which a caller may take nothing of an answer.
+        max_body_bytes: largest body.
+        max_header_bytes: largest header block.
+        idle_timeout_s: seconds a connection may stay without the first byte of a request.
+        read_timeout_s: seconds from that byte to the end of the request.
+        send_timeout_s: seconds for which a caller may take nothing of an answer.
     """
 
-    body_bytes: int = 4 * 1024 * 1024
-    header_bytes: int = 16 * 1024
-    idle_s: float = 75.0
-    read_s: float = 75.0
-    send_s: float = 15.0
+    max_body_bytes: int = 4 * 1024 * 1024
+    max_header_bytes: int = 16 * 1024
+    idle_timeout_s: float = 75.0
+    read_timeout_s: float = 75.0
+    send_timeout_s: float = 15.0
 
 
 @dataclass(frozen=True)
@@ -69,14 +69,16 @@
     Args:
         conn: the caller's connection.
         req: the request.
-        kept: whether earlier requests came on this connection.
+        connection_reused: whether earlier requests came on this connection.
     """
 
-    def __init__(self, conn: _ServerConn, req: HttpRequest, *, kept: bool = False) -> None:
+    def __init__(
+        self, conn: _ServerConn, req: HttpRequest, *, connection_reused: bool = False
+    ) -> None:
         self._conn = conn
         self.req = req
-        self.kept = kept
-        self.started = False
+        self.connection_reused = connection_reused
+        self.response_started = False
 
     async def respond(
         self, status: int, body: bytes, headers: Mapping[str, str] | None = None
@@ -84,15 +86,15 @@
         """Send a whole response."""
         head = {"content-type": "application/json", **(headers or {})}
         head["content-length"] = str(len(body))
-        self.started = True
+        self.response_started = True
         out = self._conn.encode_head(status, head)
         out += self._conn.encode(h11.Data(data=body))
         out += self._conn.encode(h11.EndOfMessage())
         await self._conn.send(out)
 
-    async def respond_as_is(self, status: int, fields: Fields, body: bytes) -> None:
+    async def respond_with_fields(self, status: int, fields: HeaderFields, body: bytes) -> None:
         """Send a whole response with the given header fields; only its length is added."""
-        self.started = True
+        self.response_started = True
         out = self._conn.encode_fields(status, [*fields, ("content-length", str(len(body)))])
         # Nothing follows the head of an answer to HEAD, or of one without content.
         if self.req.method != "HEAD" and status not in (204, 304):
@@ -102,11 +104,11 @@
 
     async def start(self, status: int, headers: Mapping[str, str]) -> None:
         """Send the head of a streamed response."""
-        await self.start_as_is(status, headers.items())
+        await self.start_with_fields(status, headers.items())
 
-    async def start_as_is(self, status: int, fields: Fields) -> None:
+    async def start_with_fields(self, status: int, fields: HeaderFields) -> None:
         """Send the head of a streamed response with the given header fields."""
-        self.started = True
+        self.response_started = True
         await self._conn.send(self._conn.encode_fields(status, fields))
 
     async def write(self, chunk: bytes) -> None:
@@ -117,12 +119,12 @@
         """End a streamed response."""
         await self._conn.send(self._conn.encode(h11.EndOfMessage()))
 
-    async def wait_gone(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return when the caller has closed its end."""
         await self._conn.wait_gone()
 
     @property
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the caller has closed its end already; nothing is waited for."""
         return self._conn.is_gone()
 
@@ -140,12 +142,12 @@
         self._fd = sock.fileno()
         self._limits = limits
         self._closing = closing
-        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
+        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.max_header_bytes)
 
     def encode_head(self, status: int, headers: Mapping[str, str]) -> bytes:
         return self.encode_fields(status, headers.items())
 
-    def encode_fields(self, status: int, fields: Fields) -> bytes:
+    def encode_fields(self, status: int, fields: HeaderFields) -> bytes:
         head = list(fields)
         if self._closing():
             head.append(("connection", "close"))
@@ -167,7 +169,7 @@
 
     async def _send_rest(self, data: memoryview) -> None:
         try:
-            await send_all(self._sock, data, self._limits.send_s)
+            await send_all(self._sock, data, self._limits.send_timeout_s)
         except OSError as exc:
             raise CallerGone(str(exc)) from exc
 
@@ -202,8 +204,8 @@
         if not isinstance(head, h11.Request):
             raise BadHttp("not a request")
         declared = dict(head.headers).get(b"content-length", b"0")
-        if int(declared) > self._limits.body_bytes:
-            raise BodyTooLarge(f"body over {self._limits.body_bytes} bytes")
+        if int(declared) > self._limits.max_body_bytes:
+            raise BodyTooLarge(f"body over {self._limits.max_body_bytes} bytes")
         if self._h11.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             await self.send(self.encode(go_on))
@@ -221,8 +223,8 @@
             if not isinstance(event, h11.Data):
                 raise HttpClosed("closed in mid-body")
             body += event.data
-            if len(body) > self._limits.body_bytes:
-                raise BodyTooLarge(f"body over {self._limits.body_bytes} bytes")
+            if len(body) > self._limits.max_body_bytes:
+                raise BodyTooLarge(f"body over {self._limits.max_body_bytes} bytes")
 
     def is_gone(self) -> bool:
         try:
@@ -274,7 +276,7 @@
 
 
 Handler = Callable[[Exchange], Awaitable[None]]
-OnBadHttp = Callable[[Exchange, BadHttp], Awaitable[None]]
+MalformedRequestHandler = Callable[[Exchange, BadHttp], Awaitable[None]]
 
 
 async def serve_http(
@@ -282,11 +284,11 @@
     port: int,
     handler: Handler,
     *,
-    on_bad: OnBadHttp,
+    on_malformed: MalformedRequestHandler,
     log: Any,
     limits: HttpLimits | Callable[[], HttpLimits] | None = None,
-    closing: Callable[[], bool] = lambda: False,
-    closed: curio.Event | None = None,
+    is_closing: Callable[[], bool] = lambda: False,
+    stop_accepting: curio.Event | None = None,
 ) -> None:
     """Serve until cancelled.
 
@@ -294,31 +296,31 @@
         host: address to bind.
         port: TCP port.
         handler: answers one exchange.
-        on_bad: answers a malformed request.
+        on_malformed: answers a malformed request.
         log: where unexpected failures go.
         limits: bounds on what callers may send; a callable is asked for each connection.
-        closing: whether connections end with the answer that is due on them.
-        closed: when set, no more connections are accepted.
+        is_closing: whether connections end with the answer that is due on them.
+        stop_accepting: when set, no more connections are accepted.
     """
 
     async def serve_one(sock: Any, _addr: Any) -> None:
         bounds = limits() if callable(limits) else limits or HttpLimits()
-        await _serve_conn(_ServerConn(sock, bounds, closing), bounds, handler, on_bad)
+        await _serve_conn(_ServerConn(sock, bounds, is_closing), bounds, handler, on_malformed)
 
-    await serve_tcp(host, port, serve_one, log=log, closed=closed)
+    await serve_tcp(host, port, serve_one, log=log, stop_accepting=stop_accepting)
 
 
 async def _serve_conn(
-    conn: _ServerConn, limits: HttpLimits, handler: Handler, on_bad: OnBadHttp
+    conn: _ServerConn, limits: HttpLimits, handler: Handler, on_bad: MalformedRequestHandler
 ) -> None:
     kept = False
     try:
         while True:
-            await curio.timeout_after(limits.idle_s, conn.wait_first_byte)
-            req = await curio.timeout_after(limits.read_s, conn.next_request)
+            await curio.timeout_after(limits.idle_timeout_s, conn.wait_first_byte)
+            req = await curio.timeout_after(limits.read_timeout_s, conn.next_request)
             if req is None:
                 return
-            await handler(Exchange(conn, req, kept=kept))
+            await handler(Exchange(conn, req, connection_reused=kept))
             kept = True
             if not conn.reusable():
                 return
@@ -330,7 +332,7 @@
         return
 
 
-async def _answer_bad(conn: _ServerConn, exc: BadHttp, on_bad: OnBadHttp) -> None:
+async def _answer_bad(conn: _ServerConn, exc: BadHttp, on_bad: MalformedRequestHandler) -> None:
     try:
         await on_bad(Exchange(conn, HttpRequest("", "", {}, b"")), exc)
     except (HttpClosed, h11.LocalProtocolError):
--- a/src/crankhinge/http/_sse.py
+++ b/src/crankhinge/http/_sse.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-def sse_event(data: bytes) -> bytes:
+def encode_sse_event(data: bytes) -> bytes:
     """Return one event that carries *data* (no line breaks in it)."""
     return b"data: " + data + b"\n\n"
 
--- a/src/crankhinge/runtime/__init__.py
+++ b/src/crankhinge/runtime/__init__.py
@@ -7,7 +7,12 @@
 from crankhinge.runtime._metrics import Metrics
 from crankhinge.runtime._process import load_settings, run_process
 from crankhinge.runtime._sink import LineSink
-from crankhinge.runtime._supervisor import Child, RestartLimitReached, Supervisor, until_first
+from crankhinge.runtime._supervisor import (
+    Child,
+    RestartLimitReached,
+    Supervisor,
+    run_until_first_ends,
+)
 from crankhinge.runtime._tcp import open_tcp, send_all, serve_tcp
 from crankhinge.runtime._wall import wall_ms
 
@@ -25,11 +30,11 @@
     "load_settings",
     "open_tcp",
     "run_process",
+    "run_until_first_ends",
     "send_all",
     "serve_tcp",
     "split_host_port",
     "steady_s",
-    "until_first",
     "wall_ms",
     "write_json",
 ]
--- a/src/crankhinge/runtime/_process.py
+++ b/src/crankhinge/runtime/_process.py
@@ -31,8 +31,8 @@
 S = TypeVar("S", bound=msgspec.Struct)
 
 
-def load_settings(path: str, model: type[S]) -> S:
-    """Read a TOML settings file into a validated *model*.
+def load_settings(path: str, settings_type: type[S]) -> S:
+    """Read a TOML settings file into a validated *settings_type*.
 
     Raises:
         SettingsError: naming the file, the key and the reason.
@@ -44,7 +44,7 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
         raise SettingsError(f"{path}: not TOML: {exc}") from exc
     try:
-        return msgspec.convert(data, model)
+        return msgspec.convert(data, settings_type)
     except msgspec.ValidationError as exc:
         raise SettingsError(f"{path}: {exc}") from exc
 
@@ -52,34 +52,34 @@
 def run_process(
     *,
     program: str,
-    about: str,
-    model: type[S],
+    description: str,
+    settings_type: type[S],
     serve: Callable[[S, Any, curio.Event], Awaitable[None]],
     argv: list[str] | None = None,
     log: Any = None,
-    reload: Callable[[S], None] | None = None,
+    on_reload: Callable[[S], None] | None = None,
 ) -> int:
     """Parse the command line, read the settings and run *serve* until a signal.
 
     Args:
         program: name of the binary.
-        about: one line for ``--help``.
-        model: the settings model.
+        description: one line for ``--help``.
+        settings_type: the settings model.
         serve: the program; it returns once drained after SIGTERM.
         argv: arguments; those of the process by default.
         log: for events; lines on standard error by default.
-        reload: given the new settings after SIGHUP, and when the file changed without one.
+        on_reload: given the new settings after SIGHUP, and when the file changed without one.
 
     Returns:
         The exit status: 0, or 2 for bad input.
     """
-    parser = argparse.ArgumentParser(prog=program, description=about)
+    parser = argparse.ArgumentParser(prog=program, description=description)
     parser.add_argument("settings", help="TOML settings file")
     parser.add_argument("--check", action="store_true", help="check the settings and exit")
     parser.add_argument("--version", action="version", version=f"{program} {__version__}")
     args = parser.parse_args(argv)
     try:
-        settings = load_settings(args.settings, model)
+        settings = load_settings(args.settings, settings_type)
     except SettingsError as exc:
         print(f"{program}: {exc.detail}", file=sys.stderr)
         return EXIT_BAD_INPUT
@@ -89,7 +89,7 @@
     log = log or get_log(program=program)
     # curio warns of each operation that ends just after its time-out; nothing is wrong with that.
     logging.getLogger("curio").setLevel(logging.ERROR)
-    reader = _Reader(args.settings, model, log, reload) if reload else None
+    reader = _Reader(args.settings, settings_type, log, on_reload) if on_reload else None
     count_suspensions()
     try:
         curio.run(_until_signal, serve, settings, log, reader)
--- a/src/crankhinge/runtime/_exposed.py
+++ b/src/crankhinge/runtime/_prometheus.py
@@ -13,7 +13,7 @@
 BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.9, 1.5, 3.0, 6.0, 14.0)
 
 
-class ExposedMetrics(Metrics):
+class PrometheusMetrics(Metrics):
     """Metrics that also go to a registry of their own.
 
     Args:
@@ -53,10 +53,10 @@
         super().timing(name, seconds)
         self._seconds.labels(name).observe(seconds)
 
-    def ask(self, name: str, value: Callable[[], float]) -> None:
+    def set_gauge_function(self, name: str, value: Callable[[], float]) -> None:
         """Have the gauge *name* ask *value* whenever it is read."""
         self._values.labels(name).set_function(value)
 
-    def page(self) -> bytes:
+    def render(self) -> bytes:
         """Return everything in the text form."""
         return generate_latest(self._registry)
--- a/src/crankhinge/runtime/_supervisor.py
+++ b/src/crankhinge/runtime/_supervisor.py
@@ -21,7 +21,7 @@
     code = "restart-limit"
 
 
-async def until_first(*starts: Callable[[], Awaitable[Any]]) -> None:
+async def run_until_first_ends(*starts: Callable[[], Awaitable[Any]]) -> None:
     """Run coroutines side by side until one ends, then cancel the others.
 
     Raises:
@@ -68,7 +68,7 @@
 
     async def run(self) -> None:
         """Run all children until one gives up or the supervisor is cancelled."""
-        await until_first(*(partial(self._keep, child) for child in self.children))
+        await run_until_first_ends(*(partial(self._keep, child) for child in self.children))
 
     async def _keep(self, child: Child) -> None:
         failures: deque[float] = deque()
--- a/src/crankhinge/runtime/_tcp.py
+++ b/src/crankhinge/runtime/_tcp.py
@@ -23,7 +23,12 @@
 
 
 async def serve_tcp(
-    host: str, port: int, handler: ConnHandler, *, log: Any, closed: curio.Event | None = None
+    host: str,
+    port: int,
+    handler: ConnHandler,
+    *,
+    log: Any,
+    stop_accepting: curio.Event | None = None,
 ) -> None:
     """Accept connections until cancelled, each handled by a task of its own.
 
@@ -32,13 +37,13 @@
         port: TCP port.
         handler: called with the socket and the peer's address.
         log: where unexpected failures of a handler go.
-        closed: when set, no more connections are accepted; those that are open go on.
+        stop_accepting: when set, no more connections are accepted; those that are open go on.
     """
     listener = curio.tcp_server_socket(host, port, backlog=BACKLOG, reuse_address=True)
     async with listener, curio.TaskGroup() as group:
         accepting = await group.spawn(_accept, listener, handler, log, group)
-        if closed is not None:
-            await group.spawn(_close_on, closed, accepting, listener)
+        if stop_accepting is not None:
+            await group.spawn(_close_on, stop_accepting, accepting, listener)
         async for task in group:
             task.joined = True
 
@@ -96,19 +101,19 @@
     return sock
 
 
-async def send_all(sock: Any, data: memoryview, silent_s: float) -> None:
+async def send_all(sock: Any, data: memoryview, stall_timeout_s: float) -> None:
     """Send all of *data* as long as the other end takes some of it.
 
     Only the silence is bounded: how long all of it takes follows from its size and the link.
 
     Raises:
-        OSError: when the connection ends, or when nothing was taken for *silent_s* seconds.
+        OSError: when the connection ends, or when nothing was taken for *stall_timeout_s* seconds.
     """
     while data:
         try:
-            sent = await curio.timeout_after(silent_s, sock.send, data)
+            sent = await curio.timeout_after(stall_timeout_s, sock.send, data)
         except curio.TaskTimeout as exc:
-            raise TimeoutError(f"nothing taken for {silent_s} s") from exc
+            raise TimeoutError(f"nothing taken for {stall_timeout_s} s") from exc
         data = data[sent:]
 
 
--- a/src/crankhinge_bench/_load.py
+++ b/src/crankhinge_bench/_load.py
@@ -172,7 +172,7 @@
             "/v1/completions",
             headers=self._headers(arrival),
             body=msgspec.json.encode(body),
-            fresh=True,
+            new_connection=True,
         )
         try:
             seen.status = stream.status
@@ -188,7 +188,7 @@
         seen.key = seen.key or str(uuid6.uuid7())
         headers = {**self._headers(arrival), "idempotency-key": seen.key}
         resp = await client.call(
-            "POST", arrival.path, headers=headers, body=seen.key.encode(), fresh=True
+            "POST", arrival.path, headers=headers, body=seen.key.encode(), new_connection=True
         )
         seen.status = resp.status
         seen.whole = resp.status == 200
--- a/src/crankhinge_soak/_fleet.py
+++ b/src/crankhinge_soak/_fleet.py
@@ -261,7 +261,7 @@
         client = HttpClient(HOST, port)
         try:
             resp = await curio.timeout_after(
-                CALL_S, lambda: client.call("PUT", target, body=body, fresh=True)
+                CALL_S, lambda: client.call("PUT", target, body=body, new_connection=True)
             )
         except (HttpClosed, BadHttp, curio.TaskTimeout):
             # A stand-in that was just killed, or a store that is down; the caller decides.
--- a/src/crankhinge_soak/_load.py
+++ b/src/crankhinge_soak/_load.py
@@ -250,7 +250,8 @@
         headers |= {"x-request-id": ident, "x-deadline-ms": str(int(PROBE_PATIENCE_S * 1000))}
     try:
         resp = await curio.timeout_after(
-            PROBE_PATIENCE_S, lambda: client.call("GET", target, headers=headers, fresh=True)
+            PROBE_PATIENCE_S,
+            lambda: client.call("GET", target, headers=headers, new_connection=True),
         )
     except (HttpClosed, BadHttp, curio.TaskTimeout):
         return 0
--- a/src/crankhinge_standins/_web.py
+++ b/src/crankhinge_standins/_web.py
@@ -85,5 +85,5 @@
             return
         await handler(exchange)
 
-    limits = HttpLimits(body_bytes=16 * 1024 * 1024, idle_s=3600.0)
-    await serve_http(host, port, handle, on_bad=_on_bad, log=log, limits=limits)
+    limits = HttpLimits(max_body_bytes=16 * 1024 * 1024, idle_timeout_s=3600.0)
+    await serve_http(host, port, handle, on_malformed=_on_bad, log=log, limits=limits)
--- a/src/crankhinge_standins/engine.py
+++ b/src/crankhinge_standins/engine.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from crankhinge.errors import CrankhingeError, HttpClosed
-from crankhinge.http import Exchange, HttpClient, sse_event
-from crankhinge.runtime import until_first
+from crankhinge.http import Exchange, HttpClient, encode_sse_event
+from crankhinge.runtime import run_until_first_ends
 from crankhinge_standins._model import context_of, next_token
 from crankhinge_standins._web import Faults, Recorder, reply, serve
 
@@ -126,7 +126,7 @@
         """Serve until cancelled."""
         cfg = self.cfg
         listen = partial(serve, cfg.host, cfg.port, self._handle, self.faults, self.log)
-        await until_first(self._step_loop, self._report_loop, listen)
+        await run_until_first_ends(self._step_loop, self._report_loop, listen)
 
     async def _report_loop(self) -> None:
         while True:
@@ -204,7 +204,7 @@
         self._recorder.write(kind="load", name=name, version=version, token=token)
         if self.cfg.weights:
             host, _, port = self.cfg.weights.rpartition(":")
-            await HttpClient(host, int(port)).call("GET", f"/weights/{name}", fresh=True)
+            await HttpClient(host, int(port)).call("GET", f"/weights/{name}", new_connection=True)
         self.adapters.add(name)
         self._recorder.write(kind="loaded", name=name, version=version, token=token)
         await reply(exchange, {"ok": True})
@@ -299,7 +299,7 @@
             await watcher.cancel()
 
     async def _watch(self, exchange: Exchange, run: _Running) -> None:
-        await exchange.wait_gone()
+        await exchange.wait_for_disconnect()
         run.gone = True
 
     async def _write_answer(
@@ -335,7 +335,9 @@
         """Fetch a reading; returns the tokens that were computed for it, None when it is gone."""
         client = HttpClient(params["remote_host"], int(params["remote_port"]))
         try:
-            resp = await client.call("GET", f"/kv/{params['remote_block_ids'][0]}", fresh=True)
+            resp = await client.call(
+                "GET", f"/kv/{params['remote_block_ids'][0]}", new_connection=True
+            )
         except HttpClosed:
             return None
         if resp.status != 200:
@@ -355,12 +357,12 @@
             out = b""
             while sent < len(run.tokens):
                 last = run.left == 0 and sent == len(run.tokens) - 1
-                out += sse_event(_chunk(run.tokens[sent], "length" if last else None, chat))
+                out += encode_sse_event(_chunk(run.tokens[sent], "length" if last else None, chat))
                 sent += 1
             if out:
                 record["sent"] = sent
                 done = run.left == 0
-                await exchange.write(out + (sse_event(b"[DONE]") if done else b""))
+                await exchange.write(out + (encode_sse_event(b"[DONE]") if done else b""))
                 if done:
                     await exchange.finish()
                     return
--- a/src/crankhinge_standins/platform.py
+++ b/src/crankhinge_standins/platform.py
@@ -16,7 +16,7 @@
 
 from crankhinge.errors import HttpClosed
 from crankhinge.http import Exchange
-from crankhinge.runtime import until_first
+from crankhinge.runtime import run_until_first_ends
 from crankhinge_standins._web import Faults, reply, serve
 
 SERVICE_PATH = "/v1/health/service/crankhinge-agent"
@@ -80,7 +80,7 @@
     async def run(self) -> None:
         """Serve until cancelled."""
         listen = partial(serve, self._host, self._port, self._handle, self.faults, self._log)
-        await until_first(self._lag_loop, listen)
+        await run_until_first_ends(self._lag_loop, listen)
 
     async def _lag_loop(self) -> None:
         while True:
--- a/src/crankhinge_standins/replica.py
+++ b/src/crankhinge_standins/replica.py
@@ -146,7 +146,7 @@
         target = f"/v1/kv-key?private_key=servers/{self.ident}"
         try:
             resp = await curio.timeout_after(
-                SIDE_CALL_S, lambda: self._store.call("PUT", target, body=body, fresh=True)
+                SIDE_CALL_S, lambda: self._store.call("PUT", target, body=body, new_connection=True)
             )
         except (HttpClosed, BadHttp, KeyValueUnavailable, curio.TaskTimeout) as exc:
             self._log.info("entry_not_written", why=repr(exc))
@@ -178,7 +178,7 @@
             await reply(exchange, {"held": self._memory.used, "running": self._running})
             return
         if req.headers.get("x-expect-instance", self.ident) != self.ident:
-            await exchange.respond_as_is(421, [("x-instance-id", self.ident)], b"")
+            await exchange.respond_with_fields(421, [("x-instance-id", self.ident)], b"")
         elif req.path.startswith("/v1/"):
             await self._side(exchange)
         else:
@@ -253,7 +253,7 @@
         ident = exchange.req.headers["x-request-id"]
         head = [("x-request-id", ident), ("x-not-executed", "1"), ("x-instance-id", self.ident)]
         rest_s = self.faults.rest_s if status == FULL else 0.0
-        await exchange.respond_as_is(status, head + self._words(ident, rest_s), b"")
+        await exchange.respond_with_fields(status, head + self._words(ident, rest_s), b"")
 
     async def _work(self, exchange: Exchange) -> None:
         ident = self._ran(exchange.req)
@@ -261,15 +261,15 @@
         if self._by_chance(self.faults.resets):
             raise HttpClosed("lost on purpose")
         if self._by_chance(self.faults.errors):
-            await exchange.respond_as_is(500, self._head(ident), b"failed")
+            await exchange.respond_with_fields(500, self._head(ident), b"failed")
             return
         body = body_of(ident)
         if self._by_chance(self.faults.garbles):
             length = ("content-length", str(len(body)))
-            await exchange.start_as_is(200, [*self._head(ident), length])
+            await exchange.start_with_fields(200, [*self._head(ident), length])
             await exchange.write(body[: len(body) // 2])
             raise HttpClosed("broken off on purpose")
-        await exchange.respond_as_is(200, self._head(ident), body)
+        await exchange.respond_with_fields(200, self._head(ident), body)
 
     async def _read(self, exchange: Exchange) -> None:
         tokens = int(exchange.req.headers["x-token-count"].partition(",")[0])
@@ -279,7 +279,9 @@
         await curio.spawn(self._lapse, self._memory.handles, handle, HANDLE_S, daemon=True)
         body = msgspec.json.encode({"kv_handle": handle, "tokens": tokens, "version": 1})
         ident = exchange.req.headers["x-request-id"]
-        await exchange.respond_as_is(200, [("x-request-id", ident), *self._words(ident)], body)
+        await exchange.respond_with_fields(
+            200, [("x-request-id", ident), *self._words(ident)], body
+        )
 
     async def _lapse(self, tied: dict[str, int], name: str, after_s: float) -> None:
         await curio.sleep(after_s)
@@ -305,7 +307,7 @@
             ident = self._ran(req)
             async with curio.TaskGroup(wait=any) as group:
                 writer = await group.spawn(self._stream, exchange, ident)
-                await group.spawn(exchange.wait_gone)
+                await group.spawn(exchange.wait_for_disconnect)
             if group.completed is not writer or not writer.result:
                 raise HttpClosed("the caller has gone or the answer was broken off")
         finally:
@@ -318,7 +320,8 @@
         client = HttpClient(host, int(port))
         try:
             resp = await curio.timeout_after(
-                SIDE_CALL_S, lambda: client.call("DELETE", f"/v1/kv-handle/{handle}", fresh=True)
+                SIDE_CALL_S,
+                lambda: client.call("DELETE", f"/v1/kv-handle/{handle}", new_connection=True),
             )
         except (HttpClosed, BadHttp, curio.TaskTimeout):
             return False
@@ -339,7 +342,7 @@
     async def _send_events(self, exchange: Exchange, ident: str) -> bool:
         events = events_of(ident)
         begin = int(exchange.req.headers.get("last-event-id") or "0")
-        await exchange.start_as_is(200, self._head(ident))
+        await exchange.start_with_fields(200, self._head(ident))
         broken_at = self._rng.randrange(len(events)) if self._by_chance(self.faults.garbles) else -1
         for number, event in enumerate(events[begin:], start=begin):
             await curio.sleep(EVENT_S * self.faults.slow)
--- a/src/crankhinge_standins/store.py
+++ b/src/crankhinge_standins/store.py
@@ -317,7 +317,7 @@
 
 async def _start(exchange: Exchange, status: int, data: bytes) -> None:
     fields = [("content-type", "application/json"), ("content-length", str(len(data)))]
-    await exchange.start_as_is(status, fields)
+    await exchange.start_with_fields(status, fields)
 
 
 async def _respond_slowly(exchange: Exchange, status: int, data: bytes, per_s: int) -> None:
@@ -332,5 +332,5 @@
 
 async def _fall_silent(exchange: Exchange) -> None:
     """Say nothing more on this connection; it ends when the other side closes it."""
-    await exchange.wait_gone()
+    await exchange.wait_for_disconnect()
     raise HttpClosed("silent")
--- a/tests/behaviours.py
+++ b/tests/behaviours.py
@@ -50,7 +50,7 @@
         self.told.append((now, now + rest_s))
         ident = exchange.req.headers["x-request-id"]
         told = [("x-request-id", ident), ("retry-after", f"{rest_s:g}"), *self.fields]
-        await exchange.respond_as_is(self.status, told, b"")
+        await exchange.respond_with_fields(self.status, told, b"")
 
     def most_in_rest(self, replica: FakeReplica) -> int:
         """Return the most requests that reached the server within one rest."""
@@ -69,11 +69,11 @@
 
 async def fail(replica: FakeReplica, exchange: Exchange) -> None:
     """Run the request and answer that it failed."""
-    await exchange.respond_as_is(500, replica.head(exchange), b"failed")
+    await exchange.respond_with_fields(500, replica.head(exchange), b"failed")
 
 
 async def break_off(replica: FakeReplica, exchange: Exchange) -> None:
     """Answer with two events and close the connection."""
-    await exchange.start_as_is(200, replica.head(exchange))
+    await exchange.start_with_fields(200, replica.head(exchange))
     await exchange.write(events(1, 2))
     raise HttpClosed("broken off")
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -25,7 +25,7 @@
 from crankhinge.gateway._quarantine import QuarantineDesk
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ClientStream, Exchange, HttpClient, serve_http
-from crankhinge.runtime import Metrics, get_log, split_host_port, until_first
+from crankhinge.runtime import Metrics, get_log, run_until_first_ends, split_host_port
 from crankhinge_bench._procs import free_ports
 from crankhinge_platform.board import PlatformWorkBoard
 from crankhinge_platform.dialect import PlatformDialect
@@ -193,7 +193,9 @@
 
 async def sealed(replica: FakeReplica, exchange: Exchange) -> None:
     """Run the request and answer it whole."""
-    await exchange.respond_as_is(200, replica.head(exchange), b"whole:" + replica.ident.encode())
+    await exchange.respond_with_fields(
+        200, replica.head(exchange), b"whole:" + replica.ident.encode()
+    )
 
 
 def events(first: int, last: int) -> bytes:
@@ -204,7 +206,7 @@
 async def stream(replica: FakeReplica, exchange: Exchange) -> None:
     """Answer with five events, from the one after Last-Event-Id."""
     begin = int(exchange.req.headers.get("last-event-id", "0")) + 1
-    await exchange.start_as_is(200, replica.head(exchange))
+    await exchange.start_with_fields(200, replica.head(exchange))
     await exchange.write(events(begin, 5))
     await exchange.finish()
 
@@ -287,14 +289,16 @@
     async def run(self) -> None:
         """Serve until cancelled, one life after the other."""
         while True:
-            await until_first(self._serve, self.crashed.wait)
+            await run_until_first_ends(self._serve, self.crashed.wait)
             if math.isinf(self.back_s):
                 await curio.Event().wait()
             await curio.sleep(self.back_s)
             await self._begin_life()
 
     async def _serve(self) -> None:
-        await serve_http(HOST, self.port, self._handle, on_bad=refuse_bad, log=get_log(program="r"))
+        await serve_http(
+            HOST, self.port, self._handle, on_malformed=refuse_bad, log=get_log(program="r")
+        )
 
     async def _begin_life(self) -> None:
         """Take a new identity; the entry of the last life has gone with it."""
@@ -341,12 +345,12 @@
             )
         )
         if req.headers.get("x-expect-instance") != self.ident:
-            await exchange.respond_as_is(421, [("x-instance-id", self.ident)], b"")
+            await exchange.respond_with_fields(421, [("x-instance-id", self.ident)], b"")
         elif "x-stage" in req.headers and self.read is not None:
             await self.read(self, exchange)
         elif "x-stage" in req.headers and self.refuses_to_read:
             ident = ("x-request-id", req.headers["x-request-id"])
-            await exchange.respond_as_is(503, [ident, ("x-not-executed", "1")], b"")
+            await exchange.respond_with_fields(503, [ident, ("x-not-executed", "1")], b"")
         elif "x-stage" in req.headers and self.crashes_on_reading == req.body:
             await self.crash()
         elif "x-stage" in req.headers:
@@ -354,13 +358,13 @@
             handle = f"h{len(self.arrivals)}"
             body = json.dumps({"kv_handle": handle, "tokens": 1, "version": 1}).encode()
             ident = ("x-request-id", req.headers["x-request-id"])
-            await exchange.respond_as_is(200, [ident, *self.named], body)
+            await exchange.respond_with_fields(200, [ident, *self.named], body)
         else:
             await self.behave(self, exchange)
 
     async def _side(self, exchange: Exchange) -> None:
         if self.dark:
-            await exchange.wait_gone()
+            await exchange.wait_for_disconnect()
         self.side_calls.append(f"{exchange.req.method} {exchange.req.path}")
         if exchange.req.path == "/v1/hold-take":
             if self.room <= 0:
@@ -441,12 +445,14 @@
 
         gateways = [self, *self.others]
         replicas = (replica.run for replica in self.replicas)
-        await until_first(self.store.run, *replicas, *(each.lives for each in gateways), told)
+        await run_until_first_ends(
+            self.store.run, *replicas, *(each.lives for each in gateways), told
+        )
 
     async def lives(self) -> None:
         """Run the gateway, and again whenever it was killed."""
         while True:
-            await until_first(self.gateway, self._killed.wait)
+            await run_until_first_ends(self.gateway, self._killed.wait)
             self._killed = curio.Event()
 
     async def kill(self) -> None:
@@ -510,7 +516,9 @@
         """
         extra = {name.replace("_", "-"): value for name, value in more.items()}
         headers = {"host": "h.example", "x-request-id": ident, "x-deadline-ms": "4000", **extra}
-        return await self._client.open(method, path, headers=headers, body=body, fresh=fresh)
+        return await self._client.open(
+            method, path, headers=headers, body=body, new_connection=fresh
+        )
 
     async def call(self, ident: str, path: str, **more: Any) -> tuple[int, dict[str, str], bytes]:
         """Send a request and return status, headers and body of its answer."""
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -9,7 +9,7 @@
 
 from crankhinge.adapters import Note
 from crankhinge.errors import KeyValueUnavailable
-from crankhinge.runtime import get_log, until_first
+from crankhinge.runtime import get_log, run_until_first_ends
 from crankhinge_platform.board import PlatformWorkBoard
 from crankhinge_platform.store import StoreClient
 from platform_fakes import HOST, FakeStore
@@ -29,7 +29,7 @@
         await story(store, board)
 
     async def main() -> None:
-        await until_first(store.run, told)
+        await run_until_first_ends(store.run, told)
 
     run_virtual(main, settle_s=0.003)
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -63,6 +63,8 @@
             passed.append(await curio.clock() - before)
 
         monkeypatch.setattr(time, "clock_gettime", suspended)
-        status = run_process(program="t", about="t", model=Nothing, serve=serve, argv=[str(path)])
+        status = run_process(
+            program="t", description="t", settings_type=Nothing, serve=serve, argv=[str(path)]
+        )
         assert status == 0
         assert passed[0] == pytest.approx(SUSPENDED_S, abs=0.5)
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -9,7 +9,7 @@
 import curio
 
 from crankhinge.adapters.consul import ConsulKeyValue
-from crankhinge.runtime import get_log, serve_tcp, until_first
+from crankhinge.runtime import get_log, run_until_first_ends, serve_tcp
 from crankhinge_bench._procs import free_ports
 from platform_fakes import HOST
 from virtual_time import run_virtual
@@ -46,6 +46,6 @@
 
         async def main() -> None:
             log = get_log(program="t")
-            await until_first(lambda: serve_tcp(HOST, port, handle, log=log), story)
+            await run_until_first_ends(lambda: serve_tcp(HOST, port, handle, log=log), story)
 
         run_virtual(main, settle_s=0.003)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -71,7 +71,7 @@
             await world.store.remove("servers/i-1")
             await curio.sleep(1.0)
 
-        monkeypatch.setattr(HttpClient, "listens", silent)
+        monkeypatch.setattr(HttpClient, "is_listening", silent)
         run_virtual(world.play, story, ONCE, settle_s=0.003)
         return world.lines.having("event=server_crashed", "server=i-1", "why=entry_gone")
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -30,7 +30,7 @@
 
 async def broken(replica: FakeReplica, exchange: Exchange) -> None:
     """Begin a stream and close."""
-    await exchange.start_as_is(200, replica.head(exchange))
+    await exchange.start_with_fields(200, replica.head(exchange))
     await exchange.write(events(1, 2))
     raise HttpClosed("crash")
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -45,24 +45,24 @@
 async def full(_: FakeReplica, exchange: Exchange) -> None:
     """Say that the request was not run."""
     ident = exchange.req.headers["x-request-id"]
-    await exchange.respond_as_is(503, [("x-request-id", ident), ("x-not-executed", "1")], b"")
+    await exchange.respond_with_fields(503, [("x-request-id", ident), ("x-not-executed", "1")], b"")
 
 
 async def failing(replica: FakeReplica, exchange: Exchange) -> None:
     """Run the request and report a failure."""
-    await exchange.respond_as_is(500, replica.head(exchange), b"failed")
+    await exchange.respond_with_fields(500, replica.head(exchange), b"failed")
 
 
 async def broken(replica: FakeReplica, exchange: Exchange) -> None:
     """Send two events and a part of the third, then close."""
-    await exchange.start_as_is(200, replica.head(exchange))
+    await exchange.start_with_fields(200, replica.head(exchange))
     await exchange.write(events(1, 2) + b"id: 3\nda")
     raise HttpClosed("crash")
 
 
 async def mute(_: FakeReplica, exchange: Exchange) -> None:
     """Never answer; end when the connection does."""
-    await exchange.wait_gone()
+    await exchange.wait_for_disconnect()
     raise HttpClosed("gone")
 
 
@@ -322,7 +322,7 @@
         ended = curio.Event()
 
         async def waiting(_: FakeReplica, exchange: Exchange) -> None:
-            await exchange.wait_gone()
+            await exchange.wait_for_disconnect()
             await ended.set()
 
         world.add("i-1", "plain", behave=waiting)
@@ -437,7 +437,7 @@
                 return
             refused.append(exchange)
             ident = ("x-request-id", exchange.req.headers["x-request-id"])
-            await exchange.respond_as_is(503, [ident, ("x-not-executed", "1")], b"")
+            await exchange.respond_with_fields(503, [ident, ("x-not-executed", "1")], b"")
 
         world.add("i-1", "plain", behave=once_full)
         none = route("r-none", "/none/", "unsafe", "plain", target_latency_ms=0)
@@ -577,7 +577,7 @@
         world.add("i-r", "llm", "prefill")
 
         async def slow(replica: FakeReplica, exchange: Exchange) -> None:
-            await exchange.start_as_is(200, replica.head(exchange))
+            await exchange.start_with_fields(200, replica.head(exchange))
             await exchange.write(events(1, 1))
             await curio.sleep(20.0)
 
@@ -654,7 +654,7 @@
         world.add("i-r", "llm", "prefill")
 
         async def pausing(replica: FakeReplica, exchange: Exchange) -> None:
-            await exchange.start_as_is(200, replica.head(exchange))
+            await exchange.start_with_fields(200, replica.head(exchange))
             await exchange.write(events(1, 2))
             await curio.sleep(2.0)
             await exchange.write(events(3, 5))
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -139,7 +139,7 @@
 TOLD_AT_ONCE = """
 import os, signal, sys
 import curio, msgspec
-from crankhinge._early import ignore_reloads
+from crankhinge._signals import ignore_sighup
 from crankhinge.runtime import run_process
 
 class Settings(msgspec.Struct):
@@ -151,9 +151,9 @@
     os.kill(os.getpid(), signal.SIGTERM)
     await stopping.wait()
 
-ignore_reloads()
-sys.exit(run_process(program="p", about="p", model=Settings, serve=serve, argv=sys.argv[1:],
-                     reload=lambda settings: print("reloaded")))
+ignore_sighup()
+sys.exit(run_process(program="p", description="p", settings_type=Settings, serve=serve,
+                     argv=sys.argv[1:], on_reload=lambda settings: print("reloaded")))
 """
 
 
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -19,10 +19,10 @@
     HttpClient,
     HttpLimits,
     HttpSilent,
-    Patience,
+    ResponseTimeouts,
     serve_http,
 )
-from crankhinge.runtime import get_log, serve_tcp, until_first
+from crankhinge.runtime import get_log, run_until_first_ends, serve_tcp
 from crankhinge_bench._procs import free_ports
 from platform_fakes import HOST, refuse_bad
 from virtual_time import run_virtual
@@ -49,7 +49,7 @@
 
     async def main() -> None:
         log = get_log(program="t")
-        await until_first(lambda: serve_tcp(HOST, port, handle, log=log), told)
+        await run_until_first_ends(lambda: serve_tcp(HOST, port, handle, log=log), told)
 
     run_virtual(main, settle_s=0.003)
 
@@ -57,8 +57,12 @@
 async def ask(client: HttpClient, ident: str, body: bytes = b"") -> tuple[bytes, bool]:
     """Send a request; return the answer's body and whether a kept connection was used."""
     fields = [("host", "h"), ("content-length", str(len(body)))]
-    stream = await client.open_as_is(
-        "POST", "/", fields=fields, body=body, owns=lambda headers: headers["x-id"] == ident
+    stream = await client.open_with_fields(
+        "POST",
+        "/",
+        fields=fields,
+        body=body,
+        is_own_response=lambda headers: headers["x-id"] == ident,
     )
     try:
         return await stream.read_all(), stream.reused
@@ -69,7 +73,7 @@
 # Seconds in which a caller has to take something of an answer.
 SEND_S = 1.0
 LONG_HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n"
-PATIENCE = Patience(first_s=2.0, next_s=1.0, whole_s=20.0)
+PATIENCE = ResponseTimeouts(first_byte_s=2.0, next_byte_s=1.0, total_s=20.0)
 
 
 def pieces(number: int, pause_s: float) -> Server:
@@ -146,12 +150,12 @@
         async def story(client: HttpClient) -> None:
             began = await curio.clock()
             if not until:
-                body = (await client.call("GET", "/", patience=PATIENCE)).body
+                body = (await client.call("GET", "/", timeouts=PATIENCE)).body
                 assert len(body) == 100
                 assert await curio.clock() - began > 10.0
                 return
             with pytest.raises(HttpSilent) as caught:
-                await client.call("GET", "/", patience=PATIENCE)
+                await client.call("GET", "/", timeouts=PATIENCE)
             assert await curio.clock() - began == pytest.approx(until, abs=0.2)
             head = len(LONG_HEAD) if came else 0
             assert f"after {head + came} bytes" in caught.value.detail
@@ -195,9 +199,11 @@
 
         async def main() -> None:
             log = get_log(program="t")
-            limits = HttpLimits(send_s=SEND_S)
-            serve = partial(serve_http, HOST, port, give, on_bad=refuse_bad, log=log, limits=limits)
-            await until_first(serve, told)
+            limits = HttpLimits(send_timeout_s=SEND_S)
+            serve = partial(
+                serve_http, HOST, port, give, on_malformed=refuse_bad, log=log, limits=limits
+            )
+            await run_until_first_ends(serve, told)
 
         # The kernel's own clock says when it takes more of an answer: no other may jump ahead.
         curio.run(main)
@@ -233,7 +239,7 @@
         async def story(client: HttpClient) -> None:
             assert await ask(client, "q1") == (b"body", False)
             assert await ask(client, "q1") == (b"body", False)
-            assert client.opened == 2
+            assert client.opened_connections == 2
 
         play(server, story)
 
@@ -414,10 +420,15 @@
             assert sock._socket.recv(1) == b""
 
         async def main() -> None:
-            limits = HttpLimits(idle_s=5.0)
-            await until_first(
+            limits = HttpLimits(idle_timeout_s=5.0)
+            await run_until_first_ends(
                 lambda: serve_http(
-                    HOST, port, handle, on_bad=refuse_bad, log=get_log(program="t"), limits=limits
+                    HOST,
+                    port,
+                    handle,
+                    on_malformed=refuse_bad,
+                    log=get_log(program="t"),
+                    limits=limits,
                 ),
                 story,
             )
--- a/tests/test_http_service.py
+++ b/tests/test_http_service.py
@@ -9,7 +9,7 @@
 from crankhinge.adapters.http_service import HttpService
 from crankhinge.errors import BadHttp
 from crankhinge.http import Exchange, serve_http
-from crankhinge.runtime import get_log, until_first
+from crankhinge.runtime import get_log, run_until_first_ends
 from crankhinge_bench._procs import HOST, free_ports
 
 
@@ -19,13 +19,13 @@
     answers: list[ServiceAnswer] = []
 
     async def handle(exchange: Exchange) -> None:
-        await exchange.respond_as_is(status, fields, b"")
+        await exchange.respond_with_fields(status, fields, b"")
 
     async def on_bad(exchange: Exchange, exc: BadHttp) -> None:
         await exchange.respond(400, exc.detail.encode())
 
     async def serve() -> None:
-        await serve_http(HOST, port, handle, on_bad=on_bad, log=get_log(program="t"))
+        await serve_http(HOST, port, handle, on_malformed=on_bad, log=get_log(program="t"))
 
     async def call() -> None:
         service = HttpService(HOST, port)
@@ -33,7 +33,7 @@
             await curio.sleep(0.01)
         answers.append(await service.call("POST", "/x", {}, b""))
 
-    curio.run(until_first, serve, call)
+    curio.run(run_until_first_ends, serve, call)
     return answers[0]
 
 
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -226,7 +226,7 @@
     """Answer a certain request late, with what the server had to say when it began."""
     head = replica.head(exchange)
     await curio.sleep(1.0 if exchange.req.body == b"slow" else 0.0)
-    await exchange.respond_as_is(200, head, b"whole")
+    await exchange.respond_with_fields(200, head, b"whole")
 
 
 class TestChanges:
@@ -519,7 +519,7 @@
     """Refuse a request at once."""
     ident = exchange.req.headers["x-request-id"]
     fields = [("x-request-id", ident), ("x-not-executed", "1"), *told]
-    await exchange.respond_as_is(503, fields, b"")
+    await exchange.respond_with_fields(503, fields, b"")
 
 
 async def shed_for_now(replica: FakeReplica, exchange: Exchange) -> None:
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -11,7 +11,7 @@
 from crankhinge.decisions import Phase
 from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._peer_messages import EngineOrdered
-from crankhinge.runtime import get_log, until_first
+from crankhinge.runtime import get_log, run_until_first_ends
 from platform_fakes import HOST, Lines, World, free_port, route, stream
 from virtual_time import run_virtual
 
@@ -42,7 +42,7 @@
     def play(self, story: Any, running: int | None = None) -> None:
         """Run *story* while the first *running* instances take notices."""
         runs = [notices.run for notices in self.notices[:running]]
-        run_virtual(lambda: until_first(*runs, story), settle_s=0.003)
+        run_virtual(lambda: run_until_first_ends(*runs, story), settle_s=0.003)
 
 
 class TestNotices:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -58,7 +58,7 @@
         await stream(replica, exchange)
         return
     first = int(exchange.req.headers.get("last-event-id", "0")) + 1
-    await exchange.start_as_is(200, replica.head(exchange))
+    await exchange.start_with_fields(200, replica.head(exchange))
     await exchange.write(events(first, first))
     await replica.crash()
 
--- a/tests/test_server_words.py
+++ b/tests/test_server_words.py
@@ -459,4 +459,4 @@
     ident = exchange.req.headers["x-request-id"]
     rest = [("retry-after", "3")] if what == "rest" else []
     fields = [("x-request-id", ident), ("x-not-executed", "1"), *rest]
-    await exchange.respond_as_is(503, fields, b"")
+    await exchange.respond_with_fields(503, fields, b"")
--- a/tests/test_shared_work.py
+++ b/tests/test_shared_work.py
@@ -11,7 +11,7 @@
 from crankhinge.decisions import NOTE_S, Members, WorkMeter, WorkSheet
 from crankhinge.errors import KeyValueUnavailable
 from crankhinge.gateway._shared_work import AGAIN_S, LATEST_S, SharedWork
-from crankhinge.runtime import get_log, until_first
+from crankhinge.runtime import get_log, run_until_first_ends
 from platform_fakes import Lines, lone_backends, lone_desk, lone_limits
 from virtual_time import run_virtual
 
@@ -91,7 +91,7 @@
 
     def play(self, story: object) -> None:
         """Run the task under *story*."""
-        run_virtual(until_first, self.work.run, self.work.follow_peers, story)
+        run_virtual(run_until_first_ends, self.work.run, self.work.follow_peers, story)
 
 
 class TestNote:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,7 +12,7 @@
 
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.http import Exchange, HttpClient, serve_http
-from crankhinge.runtime import get_log, until_first
+from crankhinge.runtime import get_log, run_until_first_ends
 from crankhinge_bench._procs import HOST, free_ports
 from crankhinge_soak._check import check
 from crankhinge_soak._faults import Faults, Trouble
@@ -297,13 +297,13 @@
         proxy, log = Proxy(port, target), get_log(program="t")
 
         async def server() -> None:
-            await serve_http(HOST, target, _echo, on_bad=_on_bad, log=log)
+            await serve_http(HOST, target, _echo, on_malformed=_on_bad, log=log)
 
         async def told() -> None:
             await curio.sleep(0.1)
             await story(proxy, HttpClient(HOST, port, pool_size=1))
 
-        curio.run(until_first, server, proxy.run, told)
+        curio.run(run_until_first_ends, server, proxy.run, told)
 
     @pytest.mark.parametrize("harm", [Harm.SILENT, Harm.CUT_THERE, Harm.CUT_BACK])
     def test_a_cut_holds_bytes_up_until_it_is_over(self, harm: Harm) -> None:
@@ -345,7 +345,7 @@
             call = await curio.spawn(client.call, "GET", "/b")
             await curio.sleep(0.5)
             assert not call.terminated
-            assert (await client.call("GET", "/c", fresh=True)).body == b"/c"
+            assert (await client.call("GET", "/c", new_connection=True)).body == b"/c"
             await call.cancel()
             assert (await client.call("GET", "/d")).body == b"/d"
 
@@ -365,8 +365,8 @@
             assert 0.4 < await curio.clock() - began < 3.0
 
         log = get_log(program="t")
-        server = partial(serve_http, HOST, target, serve_long, on_bad=_on_bad, log=log)
-        curio.run(until_first, server, Proxy(port, target, 100_000).run, story)
+        server = partial(serve_http, HOST, target, serve_long, on_malformed=_on_bad, log=log)
+        curio.run(run_until_first_ends, server, Proxy(port, target, 100_000).run, story)
 
     def test_a_port_that_nobody_listens_on_resets(self) -> None:
         """As it does without a path between."""
@@ -377,7 +377,7 @@
             with pytest.raises(HttpClosed):
                 await HttpClient(HOST, port).call("GET", "/a")
 
-        curio.run(until_first, Proxy(port, target).run, story)
+        curio.run(run_until_first_ends, Proxy(port, target).run, story)
 
 
 class TestRun:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -128,7 +128,7 @@
             await curio.sleep(1)
             return (*apart, net.versions())
 
-        assert run_virtual(scenario, most_s=2 * 3600.0) == ({2}, {1}, {2})
+        assert run_virtual(scenario, max_virtual_s=2 * 3600.0) == ({2}, {1}, {2})
 
     def test_a_stale_read_changes_nothing(self, signers: Signers) -> None:
         """A process that reads an old bundle after it had a newer one keeps the newer."""
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -125,7 +125,7 @@
 
 
 def run_virtual(
-    main: Callable[..., Any], *args: Any, settle_s: float = 0.0, most_s: float = MOST_S
+    main: Callable[..., Any], *args: Any, settle_s: float = 0.0, max_virtual_s: float = MOST_S
 ) -> Any:
     """Return what ``main(*args)`` returns, its sleeps taking no time.
 
@@ -134,12 +134,12 @@
         args: its arguments.
         settle_s: real seconds that the kernel gets to deliver what was sent over loopback, before
             the time jumps; spent only after sockets were used and where delivery takes its time.
-        most_s: virtual seconds within which it ends.
+        max_virtual_s: virtual seconds within which it ends.
 
     Raises:
         NeverEnds: it did not; with where each of its tasks stood.
     """
-    clock, traffic = VirtualClock(most_s), Traffic()
+    clock, traffic = VirtualClock(max_virtual_s), Traffic()
     fake = types.SimpleNamespace(monotonic=clock.monotonic)
     selector = JumpingSelector(clock, traffic, settle_s)
     time_jumps = mock.patch.object(curio.kernel, "time", fake)
