--- a/src/crankhinge/_unused_modules.py
+++ b/src/crankhinge/_unused_modules.py
@@ -12,7 +12,7 @@
 import types
 from typing import Any
 
-UNUSED = (
+UNUSED_MODULES = (
     "asyncio",
     "multiprocessing",
     "multiprocessing.connection",
@@ -31,10 +31,10 @@
     def __getattr__(self, name: str) -> Any:
         if name.startswith("__"):
             raise AttributeError(name)
-        return type(name, (_KeptOut,), {"module": self.__name__})
+        return type(name, (_KeptOutClass,), {"module": self.__name__})
 
 
-class _KeptOut(BaseException):
+class _KeptOutClass(BaseException):
     """Stands in for a class of such a module; also in the place of an exception."""
 
     module = ""
@@ -44,12 +44,12 @@
 
 
 def keep_out_unused_modules() -> list[str]:
-    """Put empty modules in the places of those in ``UNUSED`` that aren't loaded yet.
+    """Put empty modules in the places of those in ``UNUSED_MODULES`` that aren't loaded yet.
 
     Returns:
         The names of the modules that were kept out.
     """
-    kept_out = [name for name in UNUSED if name not in sys.modules]
+    kept_out = [name for name in UNUSED_MODULES if name not in sys.modules]
     for name in kept_out:
         module = sys.modules[name] = _KeptOutModule(name)
         parent, _, child = name.rpartition(".")
--- a/src/crankhinge/http/_client.py
+++ b/src/crankhinge/http/_client.py
@@ -21,28 +21,28 @@
 )
 from crankhinge.runtime import open_tcp, steady_s
 
-POOL_SIZE = 8
+DEFAULT_POOL_SIZE = 8
 CONNECT_TIMEOUT_S = 2.0
 # Seconds a kept connection is trusted when its server names no time; servers of the usual
 # frameworks close idle connections after 5 s or more.
-KEPT_S = 4.0
+DEFAULT_KEEP_ALIVE_S = 4.0
 # A kept connection is left alone this many seconds before its server would close it, so that a
 # request does not cross the close.
-CLOSE_MARGIN_S = 1.0
+KEEP_ALIVE_MARGIN_S = 1.0
 
-_TIMEOUT = re.compile(r"timeout=(\d+)")
+_KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
 @dataclass(frozen=True)
-class _Kept:
+class _IdleConnection:
     """An idle connection: when it was last used and the end of its trusted time, steady clock."""
 
     sock: Any
-    until: float
-    used: float
+    reusable_until: float
+    last_used_at: float
 
 
-def _still_quiet(sock: Any) -> bool:
+def _is_open_without_input(sock: Any) -> bool:
     """Whether an idle connection is open with nothing to read.
 
     An end of file or bytes that nobody asked for both mean that it must not be used again.
@@ -56,10 +56,10 @@
     return False
 
 
-def _kept_s(headers: Mapping[str, str]) -> float:
+def _keep_alive_s(headers: Mapping[str, str]) -> float:
     """Return how long a connection may be kept after an answer with these headers, in seconds."""
-    stated = _TIMEOUT.search(headers.get("keep-alive", ""))
-    return float(stated.group(1)) - CLOSE_MARGIN_S if stated else KEPT_S
+    stated = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
+    return float(stated.group(1)) - KEEP_ALIVE_MARGIN_S if stated else DEFAULT_KEEP_ALIVE_S
 
 
 @dataclass(frozen=True)
@@ -72,7 +72,7 @@
 
 
 # How a call that waits in vain ends: by its own patience, or by a time-out around it.
-SILENCE = (HttpSilent, curio.TaskTimeout, curio.TimeoutCancellationError)
+TIMEOUT_ERRORS = (HttpSilent, curio.TaskTimeout, curio.TimeoutCancellationError)
 
 
 class AnswerTooLong(CrankhingeError):
@@ -114,7 +114,7 @@
         host: str,
         port: int,
         *,
-        pool_size: int = POOL_SIZE,
+        pool_size: int = DEFAULT_POOL_SIZE,
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> None:
         self.host = host
@@ -123,12 +123,12 @@
         self.received_bytes = 0
         self.reused_receives = 0
         self.pool_size = pool_size
-        self._connect_s = connect_timeout_s
-        self._idle: list[_Kept] = []
+        self._connect_timeout_s = connect_timeout_s
+        self._idle: list[_IdleConnection] = []
 
     async def _connect(self) -> Any:
         try:
-            sock = await open_tcp(self.host, self.port, self._connect_s)
+            sock = await open_tcp(self.host, self.port, self._connect_timeout_s)
         except ConnectionRefusedError as exc:
             raise ConnectRefused(f"{self.host}:{self.port}: {exc}") from exc
         except OSError as exc:
@@ -136,11 +136,11 @@
         self.opened_connections += 1
         return sock
 
-    async def _take_idle(self) -> Any:
+    async def _pop_idle_connection(self) -> Any:
         """Return the kept connection used last that is still good, or None."""
         while self._idle:
             kept = self._idle.pop()
-            if kept.until > steady_s() and _still_quiet(kept.sock):
+            if kept.reusable_until > steady_s() and _is_open_without_input(kept.sock):
                 return kept.sock
             await kept.sock.close()
         return None
@@ -176,10 +176,10 @@
         self, sock: Any, *, reusable: bool, headers: Mapping[str, str]
     ) -> None:
         """Keep *sock* for the next call, or close it."""
-        kept_s = _kept_s(headers)
+        kept_s = _keep_alive_s(headers)
         if reusable and kept_s > 0 and len(self._idle) < self.pool_size:
             now = steady_s()
-            self._idle.append(_Kept(sock, now + kept_s, now))
+            self._idle.append(_IdleConnection(sock, now + kept_s, now))
             return
         await sock.close()
 
@@ -238,7 +238,7 @@
                 skipped.
             timeouts: how long the answer is waited for.
         """
-        sock = None if new_connection else await self._take_idle()
+        sock = None if new_connection else await self._pop_idle_connection()
         reused = sock is not None
         if sock is None:
             sock = await self._connect()
@@ -251,14 +251,14 @@
             await stream.send(method, target, fields, body)
         except BaseException as exc:
             await sock.close()
-            if reused and self.reused_receives == heard and isinstance(exc, SILENCE):
+            if reused and self.reused_receives == heard and isinstance(exc, TIMEOUT_ERRORS):
                 # Open connections may fall silent together, with nothing else to show it: without
                 # this each one that was kept costs a request its time.
                 await self.close()
-            elif reused and isinstance(exc, SILENCE):
+            elif reused and isinstance(exc, TIMEOUT_ERRORS):
                 # Others were heard since, on connections made or used since: the older ones are as
                 # doubtful as this one was.
-                await self._close_unused_since(began)
+                await self._close_last_used_before(began)
             raise
         return stream
 
@@ -300,10 +300,10 @@
             await stream.close()
         return Response(stream.status, stream.headers, data)
 
-    async def _close_unused_since(self, moment: float) -> None:
+    async def _close_last_used_before(self, moment: float) -> None:
         """Close the idle connections that were last used before *moment*, on the steady clock."""
-        doubtful = [kept for kept in self._idle if kept.used < moment]
-        self._idle = [kept for kept in self._idle if kept.used >= moment]
+        doubtful = [kept for kept in self._idle if kept.last_used_at < moment]
+        self._idle = [kept for kept in self._idle if kept.last_used_at >= moment]
         for kept in doubtful:
             await kept.sock.close()
 
--- a/src/crankhinge/http/_client_stream.py
+++ b/src/crankhinge/http/_client_stream.py
@@ -12,7 +12,7 @@
 
 from crankhinge.errors import BadHttp, HttpClosed
 
-RECV_BYTES = 65536
+MAX_RECV_BYTES = 65536
 
 ResponseMatcher = Callable[[Mapping[str, str]], bool]
 HeaderFields = Iterable[tuple[str, str]]
@@ -86,13 +86,13 @@
     ) -> None:
         self._owner = owner
         self._sock = sock
-        self._owns = is_own_response
-        self._patience = timeouts
-        self._received = 0
-        self._until: float | None = None
-        self._ended = False
+        self._is_own_response = is_own_response
+        self._timeouts = timeouts
+        self._received_bytes = 0
+        self._deadline: float | None = None
+        self._reached_eof = False
         self._h11 = h11.Connection(h11.CLIENT)
-        self._all_sent = False
+        self._request_sent = False
         self.reused = reused
         self.status = 0
         self.headers: Mapping[str, str] = {}
@@ -107,11 +107,11 @@
         """
         request = h11.Request(method=method, target=target, headers=list(headers))
         out = self._encode(request, body)
-        taken = self._send_now(out)
+        taken = self._send_without_waiting(out)
         if taken < len(out):
             await self._send_while_reading(memoryview(out)[taken:], request, body)
             return
-        self._all_sent = True
+        self._request_sent = True
         await self._read_head(request, body)
 
     def _encode(self, request: Any, body: bytes) -> bytes:
@@ -120,7 +120,7 @@
             out += self._h11.send(h11.Data(data=body)) or b""
         return out + (self._h11.send(h11.EndOfMessage()) or b"")
 
-    def _send_now(self, out: bytes) -> int:
+    def _send_without_waiting(self, out: bytes) -> int:
         try:
             return int(self._sock._socket.send(out))
         except BlockingIOError:
@@ -134,38 +134,38 @@
         A server may refuse a request early and stop reading; whoever only writes would then wait
         for ever. The connection is not used again unless everything was sent.
         """
-        writer = await curio.spawn(self._send_rest, rest)
+        writer = await curio.spawn(self._send_remaining, rest)
         try:
             await self._read_head(request, body)
         finally:
             await writer.cancel()
 
-    async def _send_rest(self, rest: memoryview) -> None:
+    async def _send_remaining(self, rest: memoryview) -> None:
         try:
             await self._sock.sendall(rest)
         except OSError:
             # The reading side reports how the connection ended.
             return
-        self._all_sent = True
+        self._request_sent = True
 
     async def _read_head(self, request: Any, body: bytes) -> None:
         while True:
-            event = await self._event()
+            event = await self._next_event()
             while isinstance(event, h11.InformationalResponse):
-                event = await self._event()
+                event = await self._next_event()
             if not isinstance(event, h11.Response):
                 raise HttpClosed("closed before a response")
             headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in event.headers}
-            if self._owns is None or self._owns(headers):
+            if self._is_own_response is None or self._is_own_response(headers):
                 self.status = event.status_code
                 self.headers = headers
                 self.fields = [(k.decode("latin-1"), v.decode("latin-1")) for k, v in event.headers]
                 return
-            await self._skip_foreign(request, body)
+            await self._skip_earlier_response(request, body)
 
-    async def _skip_foreign(self, request: Any, body: bytes) -> None:
+    async def _skip_earlier_response(self, request: Any, body: bytes) -> None:
         """Read past an answer to an earlier request and wait for the next one."""
-        while not isinstance(await self._event(), h11.EndOfMessage):
+        while not isinstance(await self._next_event(), h11.EndOfMessage):
             pass
         if self._h11.their_state is not h11.DONE:
             raise HttpClosed("closed after an answer to another request")
@@ -175,12 +175,12 @@
         if rest:
             self._h11.receive_data(rest)
 
-    async def _event(self) -> Any:
+    async def _next_event(self) -> Any:
         while True:
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as exc:
-                if self._ended:
+                if self._reached_eof:
                     # Nothing that came was wrong: it came to an end too soon.
                     raise HttpClosed("closed before the end of an answer") from exc
                 raise BadHttp(str(exc)) from exc
@@ -190,27 +190,27 @@
 
     async def _receive(self) -> bytes:
         try:
-            data = await self._recv_in_time()
+            data = await self._receive_with_timeout()
         except OSError as exc:
             raise HttpClosed(str(exc)) from exc
-        self._ended = not data
-        self._received += len(data)
+        self._reached_eof = not data
+        self._received_bytes += len(data)
         self._owner.record_received(len(data), reused=self.reused)
         return data
 
-    async def _recv_in_time(self) -> bytes:
-        if self._patience is None:
-            data: bytes = await self._sock.recv(RECV_BYTES)
+    async def _receive_with_timeout(self) -> bytes:
+        if self._timeouts is None:
+            data: bytes = await self._sock.recv(MAX_RECV_BYTES)
             return data
         now = await curio.clock()
-        if self._until is None:
-            self._until = now + self._patience.total_s
-        wait_s = self._patience.next_byte_s if self._received else self._patience.first_byte_s
-        wait_s = max(0.0, min(wait_s, self._until - now))
+        if self._deadline is None:
+            self._deadline = now + self._timeouts.total_s
+        wait_s = self._timeouts.next_byte_s if self._received_bytes else self._timeouts.first_byte_s
+        wait_s = max(0.0, min(wait_s, self._deadline - now))
         try:
-            data = await curio.timeout_after(wait_s, self._sock.recv, RECV_BYTES)
+            data = await curio.timeout_after(wait_s, self._sock.recv, MAX_RECV_BYTES)
         except curio.TaskTimeout as exc:
-            why = f"nothing for {wait_s:.3f} s after {self._received} bytes"
+            why = f"nothing for {wait_s:.3f} s after {self._received_bytes} bytes"
             raise HttpSilent(why) from exc
         return data
 
@@ -221,7 +221,7 @@
             HttpClosed: when the connection ends before the body does.
             BadHttp: when its framing is broken.
         """
-        event = await self._event()
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -238,7 +238,7 @@
     async def close(self) -> None:
         """Give the connection back when it can be reused, else close it."""
         done = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
-        clean = done and self._all_sent and not self._h11.trailing_data[0]
+        clean = done and self._request_sent and not self._h11.trailing_data[0]
         await self._owner.release_connection(self._sock, reusable=clean, headers=self.headers)
 
     async def abort(self) -> None:
--- a/src/crankhinge/http/_server.py
+++ b/src/crankhinge/http/_server.py
@@ -14,11 +14,11 @@
 from crankhinge.errors import BadHttp, BodyTooLarge, CallerGone, HttpClosed
 from crankhinge.runtime import send_all, serve_tcp
 
-RECV_BYTES = 65536
-LINGER_S = 1.0
-LINGER_BYTES = 16 * 1024 * 1024
+MAX_RECV_BYTES = 65536
+MAX_LINGER_S = 1.0
+MAX_LINGER_BYTES = 16 * 1024 * 1024
 # Most bytes of later requests that are taken in while one is answered.
-EARLY_BYTES = 256 * 1024
+MAX_PIPELINED_BYTES = 256 * 1024
 
 HeaderFields = Iterable[tuple[str, str]]
 
@@ -73,7 +73,7 @@
     """
 
     def __init__(
-        self, conn: _ServerConn, req: HttpRequest, *, connection_reused: bool = False
+        self, conn: _ServerConnection, req: HttpRequest, *, connection_reused: bool = False
     ) -> None:
         self._conn = conn
         self.req = req
@@ -121,12 +121,12 @@
 
     async def wait_for_disconnect(self) -> None:
         """Return when the caller has closed its end."""
-        await self._conn.wait_gone()
+        await self._conn.wait_for_disconnect()
 
     @property
     def is_disconnected(self) -> bool:
         """Whether the caller has closed its end already; nothing is waited for."""
-        return self._conn.is_gone()
+        return self._conn.is_disconnected()
 
     @property
     def conn(self) -> object:
@@ -134,14 +134,14 @@
         return self._conn
 
 
-class _ServerConn:
+class _ServerConnection:
     """A connection from a caller."""
 
-    def __init__(self, sock: Any, limits: HttpLimits, closing: Callable[[], bool]) -> None:
+    def __init__(self, sock: Any, limits: HttpLimits, is_closing: Callable[[], bool]) -> None:
         self._sock = sock
         self._fd = sock.fileno()
         self._limits = limits
-        self._closing = closing
+        self._is_closing = is_closing
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.max_header_bytes)
 
     def encode_head(self, status: int, headers: Mapping[str, str]) -> bytes:
@@ -149,7 +149,7 @@
 
     def encode_fields(self, status: int, fields: HeaderFields) -> bytes:
         head = list(fields)
-        if self._closing():
+        if self._is_closing():
             head.append(("connection", "close"))
         return self.encode(h11.Response(status_code=status, headers=head))
 
@@ -165,15 +165,15 @@
         except OSError as exc:
             raise CallerGone(str(exc)) from exc
         if taken < len(data):
-            await self._send_rest(memoryview(data)[taken:])
+            await self._send_remaining(memoryview(data)[taken:])
 
-    async def _send_rest(self, data: memoryview) -> None:
+    async def _send_remaining(self, data: memoryview) -> None:
         try:
             await send_all(self._sock, data, self._limits.send_timeout_s)
         except OSError as exc:
             raise CallerGone(str(exc)) from exc
 
-    async def _event(self) -> Any:
+    async def _next_event(self) -> Any:
         while True:
             try:
                 event = self._h11.next_event()
@@ -186,19 +186,19 @@
 
     async def _receive(self) -> None:
         try:
-            data = await self._sock.recv(RECV_BYTES)
+            data = await self._sock.recv(MAX_RECV_BYTES)
         except OSError as exc:
             raise HttpClosed(str(exc)) from exc
         self._h11.receive_data(data)
 
-    async def wait_first_byte(self) -> None:
+    async def wait_for_first_byte(self) -> None:
         """Return when something of the next request is here, or the caller has closed."""
         if not self._h11.trailing_data[0]:
             await self._receive()
 
-    async def next_request(self) -> HttpRequest | None:
+    async def read_request(self) -> HttpRequest | None:
         """Return the next request, or None when the caller is done."""
-        head = await self._event()
+        head = await self._next_event()
         if isinstance(head, h11.ConnectionClosed):
             return None
         if not isinstance(head, h11.Request):
@@ -209,15 +209,15 @@
         if self._h11.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             await self.send(self.encode(go_on))
-        body = await self._body()
+        body = await self._read_body()
         fields = tuple((k.decode("latin-1"), v.decode("latin-1")) for k, v in head.headers)
         method = head.method.decode("ascii")
         return HttpRequest(method, head.target.decode("latin-1"), dict(fields), body, fields)
 
-    async def _body(self) -> bytes:
+    async def _read_body(self) -> bytes:
         body = bytearray()
         while True:
-            event = await self._event()
+            event = await self._next_event()
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
@@ -226,7 +226,7 @@
             if len(body) > self._limits.max_body_bytes:
                 raise BodyTooLarge(f"body over {self._limits.max_body_bytes} bytes")
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         try:
             return not self._sock._socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -234,11 +234,11 @@
         except OSError:
             return True
 
-    async def wait_gone(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         early = 0
-        while early < EARLY_BYTES:
+        while early < MAX_PIPELINED_BYTES:
             try:
-                data = await self._sock.recv(RECV_BYTES)
+                data = await self._sock.recv(MAX_RECV_BYTES)
             except OSError:
                 return
             if not data:
@@ -248,30 +248,30 @@
         # Whoever sends this much before its answer is heard again once the answer is out.
         await curio.Event().wait()
 
-    async def linger(self) -> None:
+    async def drain_after_refusal(self) -> None:
         """Read on for a while after a refusal, so that the caller gets to see it.
 
         Closing with bytes unread would reset the connection and take the answer back.
         """
         try:
             await self._sock.shutdown(socket.SHUT_WR)
-            await curio.ignore_after(LINGER_S, self._discard)
+            await curio.ignore_after(MAX_LINGER_S, self._discard_input)
         except OSError:
             return
 
-    async def _discard(self) -> None:
-        left = LINGER_BYTES
-        while left > 0 and (data := await self._sock.recv(RECV_BYTES)):
+    async def _discard_input(self) -> None:
+        left = MAX_LINGER_BYTES
+        while left > 0 and (data := await self._sock.recv(MAX_RECV_BYTES)):
             left -= len(data)
 
-    def reusable(self) -> bool:
+    def start_next_cycle(self) -> bool:
         """Whether another request may follow on this connection."""
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
             return True
         return False
 
-    def can_answer(self) -> bool:
+    def can_respond(self) -> bool:
         return self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
 
@@ -305,35 +305,42 @@
 
     async def serve_one(sock: Any, _addr: Any) -> None:
         bounds = limits() if callable(limits) else limits or HttpLimits()
-        await _serve_conn(_ServerConn(sock, bounds, is_closing), bounds, handler, on_malformed)
+        await _serve_connection(
+            _ServerConnection(sock, bounds, is_closing), bounds, handler, on_malformed
+        )
 
     await serve_tcp(host, port, serve_one, log=log, stop_accepting=stop_accepting)
 
 
-async def _serve_conn(
-    conn: _ServerConn, limits: HttpLimits, handler: Handler, on_bad: MalformedRequestHandler
+async def _serve_connection(
+    conn: _ServerConnection,
+    limits: HttpLimits,
+    handler: Handler,
+    on_malformed: MalformedRequestHandler,
 ) -> None:
     kept = False
     try:
         while True:
-            await curio.timeout_after(limits.idle_timeout_s, conn.wait_first_byte)
-            req = await curio.timeout_after(limits.read_timeout_s, conn.next_request)
+            await curio.timeout_after(limits.idle_timeout_s, conn.wait_for_first_byte)
+            req = await curio.timeout_after(limits.read_timeout_s, conn.read_request)
             if req is None:
                 return
             await handler(Exchange(conn, req, connection_reused=kept))
             kept = True
-            if not conn.reusable():
+            if not conn.start_next_cycle():
                 return
     except BadHttp as exc:
-        if conn.can_answer():
-            await _answer_bad(conn, exc, on_bad)
-            await conn.linger()
+        if conn.can_respond():
+            await _respond_to_malformed(conn, exc, on_malformed)
+            await conn.drain_after_refusal()
     except (HttpClosed, curio.TaskTimeout, h11.LocalProtocolError):
         return
 
 
-async def _answer_bad(conn: _ServerConn, exc: BadHttp, on_bad: MalformedRequestHandler) -> None:
+async def _respond_to_malformed(
+    conn: _ServerConnection, exc: BadHttp, on_malformed: MalformedRequestHandler
+) -> None:
     try:
-        await on_bad(Exchange(conn, HttpRequest("", "", {}, b"")), exc)
+        await on_malformed(Exchange(conn, HttpRequest("", "", {}, b"")), exc)
     except (HttpClosed, h11.LocalProtocolError):
         return
--- a/src/crankhinge/http/_sse.py
+++ b/src/crankhinge/http/_sse.py
@@ -12,15 +12,15 @@
     """Splits a byte stream into the data of its events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, chunk: bytes) -> list[bytes]:
         """Return the data of each event that *chunk* completes."""
-        self._rest += chunk.replace(b"\r\n", b"\n")
-        *whole, self._rest = self._rest.split(b"\n\n")
-        return [data for event in whole if (data := _data_of(event)) is not None]
+        self._buffer += chunk.replace(b"\r\n", b"\n")
+        *whole, self._buffer = self._buffer.split(b"\n\n")
+        return [data for event in whole if (data := _parse_event_data(event)) is not None]
 
 
-def _data_of(event: bytes) -> bytes | None:
-    lines = [line[5:].lstrip(b" ") for line in event.split(b"\n") if line.startswith(b"data:")]
+def _parse_event_data(event_text: bytes) -> bytes | None:
+    lines = [line[5:].lstrip(b" ") for line in event_text.split(b"\n") if line.startswith(b"data:")]
     return b"\n".join(lines) if lines else None
--- a/src/crankhinge/runtime/_clock.py
+++ b/src/crankhinge/runtime/_clock.py
@@ -12,15 +12,15 @@
 import curio.kernel
 
 # Systems other than Linux have none of this name; their monotonic clock is taken.
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def steady_s() -> float:
     """Return seconds since the boot, those of suspensions included."""
-    return time.clock_gettime(_CLOCK)
+    return time.clock_gettime(_CLOCK_ID)
 
 
-class _KernelTime:
+class _SteadyTimeModule:
     """Stands in the place of the module ``time`` in curio's kernel, which takes no other clock."""
 
     @staticmethod
@@ -29,6 +29,6 @@
         return steady_s()
 
 
-def count_suspensions() -> None:
+def use_steady_clock_in_curio() -> None:
     """Have the runtime's clock count the time for which the machine is suspended."""
-    curio.kernel.time = _KernelTime
+    curio.kernel.time = _SteadyTimeModule
--- a/src/crankhinge/runtime/_process.py
+++ b/src/crankhinge/runtime/_process.py
@@ -19,14 +19,14 @@
 
 from crankhinge import __version__
 from crankhinge.errors import CrankhingeError, SettingsError
-from crankhinge.runtime._clock import count_suspensions
+from crankhinge.runtime._clock import use_steady_clock_in_curio
 from crankhinge.runtime._logs import get_log
 
 EXIT_BAD_INPUT = 2
 # Seconds between looks at the settings file, for changes that come without a signal.
-POLL_S = 1.0
+SETTINGS_POLL_S = 1.0
 # Signals taken from the wake-up descriptor at once.
-SIGNAL_BYTES = 64
+MAX_SIGNALS_PER_READ = 64
 
 S = TypeVar("S", bound=msgspec.Struct)
 
@@ -89,30 +89,32 @@
     log = log or get_log(program=program)
     # curio warns of each operation that ends just after its time-out; nothing is wrong with that.
     logging.getLogger("curio").setLevel(logging.ERROR)
-    reader = _Reader(args.settings, settings_type, log, on_reload) if on_reload else None
-    count_suspensions()
+    reader = _SettingsReloader(args.settings, settings_type, log, on_reload) if on_reload else None
+    use_steady_clock_in_curio()
     try:
-        curio.run(_until_signal, serve, settings, log, reader)
+        curio.run(_serve_until_signal, serve, settings, log, reader)
     except CrankhingeError as exc:
         log.error("stopped", kind=type(exc).__name__, why=exc.detail)
         return 1
     return 0
 
 
-class _Reader:
+class _SettingsReloader:
     """Reads a settings file again when it has changed.
 
     Settings that can't be read change nothing: the process goes on with those it has.
     """
 
-    def __init__(self, path: str, model: type[S], log: Any, reload: Callable[[S], None]) -> None:
+    def __init__(
+        self, path: str, settings_type: type[S], log: Any, on_reload: Callable[[S], None]
+    ) -> None:
         self._path = path
-        self._model = model
+        self._settings_type = settings_type
         self._log = log
-        self._reload = reload
-        self._seen = self._stamp()
+        self._on_reload = on_reload
+        self._last_stamp = self._read_stamp()
 
-    def _stamp(self) -> tuple[int, int]:
+    def _read_stamp(self) -> tuple[int, int]:
         try:
             stat = Path(self._path).stat()
         except OSError as exc:
@@ -120,23 +122,23 @@
             return (0, 0)
         return stat.st_mtime_ns, stat.st_size
 
-    def read(self, *, cause: str) -> None:
+    def reload(self, *, cause: str) -> None:
         """Read the file and hand the settings on."""
-        self._seen = self._stamp()
+        self._last_stamp = self._read_stamp()
         try:
-            settings = load_settings(self._path, self._model)
+            settings = load_settings(self._path, self._settings_type)
         except SettingsError as exc:
             self._log.error("reload_failed", cause=cause, why=exc.detail)
             return
         self._log.info("reloaded", cause=cause, path=self._path)
-        self._reload(settings)
+        self._on_reload(settings)
 
-    async def poll(self) -> None:
+    async def poll_file(self) -> None:
         """Look for a change that no signal told of, until cancelled."""
         while True:
-            await curio.sleep(POLL_S)
-            if self._stamp() != self._seen:
-                self.read(cause="file")
+            await curio.sleep(SETTINGS_POLL_S)
+            if self._read_stamp() != self._last_stamp:
+                self.reload(cause="file")
 
 
 @dataclass(frozen=True)
@@ -147,25 +149,25 @@
     sender: socket.socket
 
 
-async def _until_signal(
+async def _serve_until_signal(
     serve: Callable[[S, Any, curio.Event], Awaitable[None]],
     settings: S,
     log: Any,
-    reader: _Reader | None = None,
+    reloader: _SettingsReloader | None = None,
 ) -> None:
     """Run *serve*; the event it is given is set on SIGTERM or SIGINT."""
     stopping = curio.Event()
     # Before the program does anything: until the handlers stand SIGHUP is ignored and lost.
-    pipe = _catch_signals()
-    watchers = [await curio.spawn(_watch_signals, pipe, stopping, reader, daemon=True)]
-    if reader is not None:
-        watchers.append(await curio.spawn(reader.poll, daemon=True))
+    pipe = _open_signal_pipe()
+    watchers = [await curio.spawn(_handle_signals, pipe, stopping, reloader, daemon=True)]
+    if reloader is not None:
+        watchers.append(await curio.spawn(reloader.poll_file, daemon=True))
     await serve(settings, log, stopping)
     for watcher in watchers:
         await watcher.cancel()
 
 
-def _catch_signals() -> _SignalPipe:
+def _open_signal_pipe() -> _SignalPipe:
     """Have signals written to the interpreter's wake-up descriptor."""
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
@@ -177,16 +179,18 @@
     return _SignalPipe(receiver, sender)
 
 
-async def _watch_signals(pipe: _SignalPipe, stopping: curio.Event, reader: _Reader | None) -> None:
+async def _handle_signals(
+    pipe: _SignalPipe, stopping: curio.Event, reloader: _SettingsReloader | None
+) -> None:
     """Act on signals as they come."""
     conn = curio.io.Socket(pipe.receiver)
     try:
         while True:
-            for signum in await conn.recv(SIGNAL_BYTES):
+            for signum in await conn.recv(MAX_SIGNALS_PER_READ):
                 if signum != signal.SIGHUP:
                     await stopping.set()
-                elif reader is not None:
-                    reader.read(cause="sighup")
+                elif reloader is not None:
+                    reloader.reload(cause="sighup")
     finally:
         signal.set_wakeup_fd(-1)
         pipe.sender.close()
--- a/src/crankhinge/runtime/_prometheus.py
+++ b/src/crankhinge/runtime/_prometheus.py
@@ -10,7 +10,7 @@
 
 # Upper bounds in seconds: around the objectives of plain calls (0.15 to 0.4), of first events
 # (0.9), and of whole streams (some seconds).
-BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.9, 1.5, 3.0, 6.0, 14.0)
+HISTOGRAM_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.9, 1.5, 3.0, 6.0, 14.0)
 
 
 class PrometheusMetrics(Metrics):
@@ -24,38 +24,38 @@
     def __init__(self, *, prefix: str, address: str = "") -> None:
         super().__init__(prefix=prefix, address=address)
         self._registry = CollectorRegistry()
-        self._events = Counter(
+        self._event_counter = Counter(
             "crankhinge_events", "What happened, by name", ["event"], registry=self._registry
         )
-        self._seconds = Histogram(
+        self._duration_histogram = Histogram(
             "crankhinge_seconds",
             "How long things took",
             ["what"],
             registry=self._registry,
-            buckets=BUCKETS_S,
+            buckets=HISTOGRAM_BUCKETS_S,
         )
-        self._values = Gauge(
+        self._value_gauge = Gauge(
             "crankhinge_value", "What is believed now", ["what"], registry=self._registry
         )
 
     def count(self, name: str, by: int = 1) -> None:
         """Add *by* to the counter *name*."""
         super().count(name, by)
-        self._events.labels(name).inc(by)
+        self._event_counter.labels(name).inc(by)
 
     def gauge(self, name: str, value: float) -> None:
         """Set the gauge *name*."""
         super().gauge(name, value)
-        self._values.labels(name).set(value)
+        self._value_gauge.labels(name).set(value)
 
     def timing(self, name: str, seconds: float) -> None:
         """Record a duration in seconds."""
         super().timing(name, seconds)
-        self._seconds.labels(name).observe(seconds)
+        self._duration_histogram.labels(name).observe(seconds)
 
     def set_gauge_function(self, name: str, value: Callable[[], float]) -> None:
         """Have the gauge *name* ask *value* whenever it is read."""
-        self._values.labels(name).set_function(value)
+        self._value_gauge.labels(name).set_function(value)
 
     def render(self) -> bytes:
         """Return everything in the text form."""
--- a/src/crankhinge/runtime/_sink.py
+++ b/src/crankhinge/runtime/_sink.py
@@ -13,11 +13,11 @@
 
 # Ordinary lines a second that are kept, and how many may come at once. An instance at its peak
 # answers some 60 requests a second with two lines each.
-LINES_PER_S = 400.0
-LINES_AT_ONCE = 2000.0
+MAX_ORDINARY_LINES_PER_S = 400.0
+MAX_ORDINARY_BURST_LINES = 2000.0
 # Bytes kept for a reader that has stopped; two seconds of an instance at its peak.
-PENDING_BYTES = 128 * 1024
-_ORDINARY = (" level=info ", " level=debug ")
+MAX_PENDING_BYTES = 128 * 1024
+_ORDINARY_LEVELS = (" level=info ", " level=debug ")
 
 
 class LineSink:
@@ -32,12 +32,12 @@
         self.dropped = 0
         self._fd = fd
         self._pending = bytearray()
-        self._allowed = LINES_AT_ONCE
-        self._at = steady_s()
+        self._allowed_lines = MAX_ORDINARY_BURST_LINES
+        self._refilled_at = steady_s()
 
     def write(self, text: str) -> int:
         """Take a line; it is written at once if the reader keeps up."""
-        if self._spare(text):
+        if self._must_drop(text):
             self.dropped += 1
             return 0
         if self.dropped:
@@ -46,18 +46,21 @@
         self._pending += text.encode()
         return len(text)
 
-    def _spare(self, text: str) -> bool:
+    def _must_drop(self, text: str) -> bool:
         """Whether the line has to be left out."""
-        if len(self._pending) + len(text) > PENDING_BYTES:
+        if len(self._pending) + len(text) > MAX_PENDING_BYTES:
             return True
-        if not any(mark in text for mark in _ORDINARY):
+        if not any(mark in text for mark in _ORDINARY_LEVELS):
             return False
         now = steady_s()
-        self._allowed = min(LINES_AT_ONCE, self._allowed + (now - self._at) * LINES_PER_S)
-        self._at = now
-        if self._allowed < 1.0:
+        self._allowed_lines = min(
+            MAX_ORDINARY_BURST_LINES,
+            self._allowed_lines + (now - self._refilled_at) * MAX_ORDINARY_LINES_PER_S,
+        )
+        self._refilled_at = now
+        if self._allowed_lines < 1.0:
             return True
-        self._allowed -= 1.0
+        self._allowed_lines -= 1.0
         return False
 
     def flush(self) -> None:
--- a/src/crankhinge/runtime/_supervisor.py
+++ b/src/crankhinge/runtime/_supervisor.py
@@ -12,7 +12,7 @@
 
 from crankhinge.errors import CrankhingeError
 
-RESTART_PAUSE_S = 0.2
+RESTART_DELAY_S = 0.2
 
 
 class RestartLimitReached(CrankhingeError):
@@ -68,9 +68,11 @@
 
     async def run(self) -> None:
         """Run all children until one gives up or the supervisor is cancelled."""
-        await run_until_first_ends(*(partial(self._keep, child) for child in self.children))
+        await run_until_first_ends(
+            *(partial(self._run_with_restarts, child) for child in self.children)
+        )
 
-    async def _keep(self, child: Child) -> None:
+    async def _run_with_restarts(self, child: Child) -> None:
         failures: deque[float] = deque()
         while True:
             try:
@@ -81,10 +83,10 @@
             except Exception as exc:
                 now = await curio.clock()
                 failures.append(now)
-                self._check_limit(child, failures, now, exc)
-            await curio.sleep(RESTART_PAUSE_S)
+                self._check_restart_limit(child, failures, now, exc)
+            await curio.sleep(RESTART_DELAY_S)
 
-    def _check_limit(
+    def _check_restart_limit(
         self, child: Child, failures: deque[float], now: float, exc: Exception
     ) -> None:
         while failures and failures[0] < now - child.window_s:
--- a/src/crankhinge/runtime/_tcp.py
+++ b/src/crankhinge/runtime/_tcp.py
@@ -9,15 +9,15 @@
 import curio
 import curio.socket
 
-ACCEPT_PAUSE_S = 0.05
-BACKLOG = 1024
+ACCEPT_RETRY_DELAY_S = 0.05
+ACCEPT_BACKLOG = 1024
 # A peer behind a silent cut is noticed after IDLE + COUNT x INTERVAL seconds while nothing is
 # under way, and after UNACKNOWLEDGED_MS while something is: within the three seconds after which
 # an instance counts as out of touch.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
-UNACKNOWLEDGED_MS = 3000
+MAX_UNACKNOWLEDGED_MS = 3000
 
 ConnHandler = Callable[[Any, Any], Awaitable[None]]
 
@@ -39,38 +39,38 @@
         log: where unexpected failures of a handler go.
         stop_accepting: when set, no more connections are accepted; those that are open go on.
     """
-    listener = curio.tcp_server_socket(host, port, backlog=BACKLOG, reuse_address=True)
+    listener = curio.tcp_server_socket(host, port, backlog=ACCEPT_BACKLOG, reuse_address=True)
     async with listener, curio.TaskGroup() as group:
-        accepting = await group.spawn(_accept, listener, handler, log, group)
+        accepting = await group.spawn(_accept_connections, listener, handler, log, group)
         if stop_accepting is not None:
-            await group.spawn(_close_on, stop_accepting, accepting, listener)
+            await group.spawn(_close_when_stopped, stop_accepting, accepting, listener)
         async for task in group:
             task.joined = True
 
 
-async def _close_on(closed: curio.Event, accepting: Any, listener: Any) -> None:
-    await closed.wait()
+async def _close_when_stopped(stop_accepting: curio.Event, accepting: Any, listener: Any) -> None:
+    await stop_accepting.wait()
     await accepting.cancel()
     await listener.close()
     # The group ends with its last task; this one keeps it until the group is cancelled.
     await curio.Event().wait()
 
 
-async def _accept(listener: Any, handler: ConnHandler, log: Any, group: Any) -> None:
+async def _accept_connections(listener: Any, handler: ConnHandler, log: Any, group: Any) -> None:
     while True:
         try:
             sock, addr = await listener.accept()
         except OSError as exc:
             log.error("accept_failed", why=str(exc))
-            await curio.sleep(ACCEPT_PAUSE_S)
+            await curio.sleep(ACCEPT_RETRY_DELAY_S)
             continue
-        await group.spawn(_handle, sock, addr, handler, log)
+        await group.spawn(_handle_connection, sock, addr, handler, log)
 
 
-async def _handle(sock: Any, addr: Any, handler: ConnHandler, log: Any) -> None:
+async def _handle_connection(sock: Any, addr: Any, handler: ConnHandler, log: Any) -> None:
     async with sock:
         try:
-            set_nodelay(sock)
+            disable_nagle(sock)
             await handler(sock, addr)
         except OSError as exc:
             log.info("connection_failed", peer=str(addr), why=str(exc))
@@ -96,8 +96,8 @@
     except BaseException:
         await sock.close()
         raise
-    set_nodelay(sock)
-    set_liveness(sock)
+    disable_nagle(sock)
+    enable_peer_timeouts(sock)
     return sock
 
 
@@ -117,15 +117,15 @@
         data = data[sent:]
 
 
-def set_nodelay(sock: Any) -> None:
+def disable_nagle(sock: Any) -> None:
     """Send small segments at once: tokens must not wait for an acknowledgement."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def set_liveness(sock: Any) -> None:
+def enable_peer_timeouts(sock: Any) -> None:
     """Have the kernel report a peer that fell silent; without it a cut hangs a read for hours."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS)
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -27,16 +27,16 @@
 from platform_fakes import HOST, refuse_bad
 from virtual_time import run_virtual
 
-Server = Callable[[Any], Awaitable[None]]
+ConnectionHandler = Callable[[Any], Awaitable[None]]
 
 
-def answer(ident: str, body: bytes, *more: str) -> bytes:
+def encode_response(request_id: str, body: bytes, *more: str) -> bytes:
     """Return an answer with a length."""
-    lines = ["HTTP/1.1 200 OK", f"x-id: {ident}", f"content-length: {len(body)}", *more]
+    lines = ["HTTP/1.1 200 OK", f"x-id: {request_id}", f"content-length: {len(body)}", *more]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-def play(server: Server, story: Callable[[HttpClient], Awaitable[None]]) -> None:
+def run_scenario(server: ConnectionHandler, story: Callable[[HttpClient], Awaitable[None]]) -> None:
     """Run *story* against a server that handles raw connections."""
     [port] = free_ports(1)
 
@@ -54,7 +54,9 @@
     run_virtual(main, settle_s=0.003)
 
 
-async def ask(client: HttpClient, ident: str, body: bytes = b"") -> tuple[bytes, bool]:
+async def send_request(
+    client: HttpClient, request_id: str, body: bytes = b""
+) -> tuple[bytes, bool]:
     """Send a request; return the answer's body and whether a kept connection was used."""
     fields = [("host", "h"), ("content-length", str(len(body)))]
     stream = await client.open_with_fields(
@@ -62,7 +64,7 @@
         "/",
         fields=fields,
         body=body,
-        is_own_response=lambda headers: headers["x-id"] == ident,
+        is_own_response=lambda headers: headers["x-id"] == request_id,
     )
     try:
         return await stream.read_all(), stream.reused
@@ -71,17 +73,17 @@
 
 
 # Seconds in which a caller has to take something of an answer.
-SEND_S = 1.0
-LONG_HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n"
-PATIENCE = ResponseTimeouts(first_byte_s=2.0, next_byte_s=1.0, total_s=20.0)
+SEND_TIMEOUT_S = 1.0
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n"
+TIMEOUTS = ResponseTimeouts(first_byte_s=2.0, next_byte_s=1.0, total_s=20.0)
 
 
-def pieces(number: int, pause_s: float) -> Server:
+def respond_in_pieces(number: int, pause_s: float) -> ConnectionHandler:
     """Return a server whose answer comes in *number* pieces after pauses, and then no more."""
 
     async def serve(sock: Any) -> None:
         await sock.recv(65536)
-        for piece in [LONG_HEAD, *([b"x"] * number)]:
+        for piece in [RESPONSE_HEAD, *([b"x"] * number)]:
             await curio.sleep(pause_s)
             await sock.sendall(piece)
         await curio.Event().wait()
@@ -97,7 +99,7 @@
 
     @pytest.mark.parametrize(
         "begun",
-        [b"", b"HTTP/1.1 200 OK\r\ncont", answer("q", b"whole", "x: y")[:-3]],
+        [b"", b"HTTP/1.1 200 OK\r\ncont", encode_response("q", b"whole", "x: y")[:-3]],
         ids=["nothing", "half a head", "half a body"],
     )
     def test_is_told_as_closed_not_as_malformed(self, begun: bytes) -> None:
@@ -112,7 +114,7 @@
             with pytest.raises(HttpClosed, match="closed before the end of an answer"):
                 await client.call("GET", "/")
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_bytes_that_are_no_answer_stay_malformed(self) -> None:
         """Also when the connection ends behind them."""
@@ -126,7 +128,7 @@
             with pytest.raises(BadHttp):
                 await client.call("GET", "/")
 
-        play(server, story)
+        run_scenario(server, story)
 
 
 class TestPatience:
@@ -150,17 +152,17 @@
         async def story(client: HttpClient) -> None:
             began = await curio.clock()
             if not until:
-                body = (await client.call("GET", "/", timeouts=PATIENCE)).body
+                body = (await client.call("GET", "/", timeouts=TIMEOUTS)).body
                 assert len(body) == 100
                 assert await curio.clock() - began > 10.0
                 return
             with pytest.raises(HttpSilent) as caught:
-                await client.call("GET", "/", timeouts=PATIENCE)
+                await client.call("GET", "/", timeouts=TIMEOUTS)
             assert await curio.clock() - began == pytest.approx(until, abs=0.2)
-            head = len(LONG_HEAD) if came else 0
+            head = len(RESPONSE_HEAD) if came else 0
             assert f"after {head + came} bytes" in caught.value.detail
 
-        play(pieces(number, pause_s), story)
+        run_scenario(respond_in_pieces(number, pause_s), story)
 
 
 class TestSlowReaders:
@@ -194,12 +196,12 @@
             await curio.sleep(0.01)
             began = await curio.clock()
             assert await whole(repeat(0.1))
-            assert await curio.clock() - began > 2 * SEND_S
-            assert not await whole(chain([2.5 * SEND_S], repeat(0.0)))
+            assert await curio.clock() - began > 2 * SEND_TIMEOUT_S
+            assert not await whole(chain([2.5 * SEND_TIMEOUT_S], repeat(0.0)))
 
         async def main() -> None:
             log = get_log(program="t")
-            limits = HttpLimits(send_timeout_s=SEND_S)
+            limits = HttpLimits(send_timeout_s=SEND_TIMEOUT_S)
             serve = partial(
                 serve_http, HOST, port, give, on_malformed=refuse_bad, log=log, limits=limits
             )
@@ -217,31 +219,31 @@
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
-            await sock.sendall(answer("q1", b"first"))
+            await sock.sendall(encode_response("q1", b"first"))
             await sock.recv(65536)
-            await sock.sendall(answer("q1", b"again") + answer("q2", b"second"))
+            await sock.sendall(encode_response("q1", b"again") + encode_response("q2", b"second"))
             await sock.recv(65536)
 
         async def story(client: HttpClient) -> None:
-            assert await ask(client, "q1") == (b"first", False)
-            assert await ask(client, "q2") == (b"second", True)
+            assert await send_request(client, "q1") == (b"first", False)
+            assert await send_request(client, "q2") == (b"second", True)
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_bytes_behind_an_answer_end_the_connection(self) -> None:
         """Nobody knows whose they are; the next request gets a connection of its own."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
-            await sock.sendall(answer("q1", b"body") + b"more")
+            await sock.sendall(encode_response("q1", b"body") + b"more")
             await sock.recv(65536)
 
         async def story(client: HttpClient) -> None:
-            assert await ask(client, "q1") == (b"body", False)
-            assert await ask(client, "q1") == (b"body", False)
+            assert await send_request(client, "q1") == (b"body", False)
+            assert await send_request(client, "q1") == (b"body", False)
             assert client.opened_connections == 2
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_an_answer_without_length_ends_with_its_connection(self) -> None:
         """It is whole when the connection ends in order."""
@@ -251,9 +253,9 @@
             await sock.sendall(b"HTTP/1.1 200 OK\r\nx-id: q1\r\n\r\nbody")
 
         async def story(client: HttpClient) -> None:
-            assert (await ask(client, "q1"))[0] == b"body"
+            assert (await send_request(client, "q1"))[0] == b"body"
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_an_answer_without_length_that_is_reset_is_not_whole(self) -> None:
         """A reset is a failure, however much has come."""
@@ -266,9 +268,9 @@
 
         async def story(client: HttpClient) -> None:
             with pytest.raises(HttpClosed):
-                await ask(client, "q1")
+                await send_request(client, "q1")
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_what_is_no_answer_is_a_typed_failure(self) -> None:
         """Bytes that are not HTTP."""
@@ -279,9 +281,9 @@
 
         async def story(client: HttpClient) -> None:
             with pytest.raises(BadHttp):
-                await ask(client, "q1")
+                await send_request(client, "q1")
 
-        play(server, story)
+        run_scenario(server, story)
 
 
 class TestRequests:
@@ -294,30 +296,30 @@
         async def server(sock: Any) -> None:
             connections.append(sock)
             await sock.recv(100)
-            await sock.sendall(answer("q1", b"too long"))
+            await sock.sendall(encode_response("q1", b"too long"))
             await curio.Event().wait()
 
         async def story(client: HttpClient) -> None:
-            body, _ = await curio.timeout_after(5.0, ask, client, "q1", b"x" * 30_000_000)
+            body, _ = await curio.timeout_after(5.0, send_request, client, "q1", b"x" * 30_000_000)
             assert body == b"too long"
-            await ask(client, "q1")
+            await send_request(client, "q1")
             assert len(connections) == 2
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_a_kept_connection_that_was_closed_is_not_used(self) -> None:
         """It is looked at first, so the request is not lost on it."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
-            await sock.sendall(answer("q1", b"x"))
+            await sock.sendall(encode_response("q1", b"x"))
 
         async def story(client: HttpClient) -> None:
-            await ask(client, "q1")
+            await send_request(client, "q1")
             await curio.sleep(0.1)
-            assert await ask(client, "q1") == (b"x", False)
+            assert await send_request(client, "q1") == (b"x", False)
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_one_silent_kept_connection_has_the_others_dropped(self) -> None:
         """All may have been cut off together, with nothing to show it but the silence."""
@@ -327,18 +329,18 @@
             while await sock.recv(65536):
                 if sock not in mute:
                     await curio.sleep(0.1)
-                    await sock.sendall(answer("q1", b"x"))
+                    await sock.sendall(encode_response("q1", b"x"))
 
         async def story(client: HttpClient) -> None:
             async with curio.TaskGroup() as group:
                 for _ in range(4):
-                    await group.spawn(ask, client, "q1")
+                    await group.spawn(send_request, client, "q1")
             assert len(sockets) == 4
             mute.extend(sockets)
             with pytest.raises(curio.TaskTimeout):
-                await curio.timeout_after(1.0, ask, client, "q1")
+                await curio.timeout_after(1.0, send_request, client, "q1")
             for _ in range(3):
-                body, _ = await curio.timeout_after(1.0, ask, client, "q1")
+                body, _ = await curio.timeout_after(1.0, send_request, client, "q1")
                 assert body == b"x"
 
         sockets: list[Any] = []
@@ -347,7 +349,7 @@
             sockets.append(sock)
             await server(sock)
 
-        play(noted, story)
+        run_scenario(noted, story)
 
     def test_a_server_that_is_only_slow_keeps_its_connections(self) -> None:
         """Others of them answer meanwhile, so the silence is this request's alone."""
@@ -357,34 +359,34 @@
             opened.append(sock)
             while request := await sock.recv(65536):
                 await curio.sleep(5.0 if b"slow" in request else 0.1)
-                await sock.sendall(answer("q1", b"x"))
+                await sock.sendall(encode_response("q1", b"x"))
 
         async def story(client: HttpClient) -> None:
             async with curio.TaskGroup() as group:
                 for _ in range(3):
-                    await group.spawn(ask, client, "q1")
-            slow = await curio.spawn(curio.ignore_after, 1.0, ask, client, "q1", b"slow")
+                    await group.spawn(send_request, client, "q1")
+            slow = await curio.spawn(curio.ignore_after, 1.0, send_request, client, "q1", b"slow")
             await curio.sleep(0.2)
-            await ask(client, "q1")
+            await send_request(client, "q1")
             await slow.join()
-            await ask(client, "q1")
-            await ask(client, "q1")
+            await send_request(client, "q1")
+            await send_request(client, "q1")
             assert len(opened) == 3
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_a_connection_is_left_alone_before_its_server_closes_it(self) -> None:
         """Keep-Alive says one second: nothing is kept at all."""
 
         async def server(sock: Any) -> None:
             while await sock.recv(65536):
-                await sock.sendall(answer("q1", b"x", "keep-alive: timeout=1"))
+                await sock.sendall(encode_response("q1", b"x", "keep-alive: timeout=1"))
 
         async def story(client: HttpClient) -> None:
-            await ask(client, "q1")
-            assert await ask(client, "q1") == (b"x", False)
+            await send_request(client, "q1")
+            assert await send_request(client, "q1") == (b"x", False)
 
-        play(server, story)
+        run_scenario(server, story)
 
     def test_a_closed_port_means_that_nothing_was_sent(self) -> None:
         """Told apart from a request that may have arrived."""
--- a/tests/test_sink.py
+++ b/tests/test_sink.py
@@ -6,7 +6,7 @@
 import os
 
 from crankhinge.runtime import LineSink, get_log
-from crankhinge.runtime._sink import LINES_AT_ONCE, PENDING_BYTES
+from crankhinge.runtime._sink import MAX_ORDINARY_BURST_LINES, MAX_PENDING_BYTES
 
 
 def read_all(fd: int) -> str:
@@ -47,7 +47,7 @@
         for number in range(5000):
             log.warning("request_failed", request=str(number), why="x" * 100)
         assert sink.dropped > 0
-        assert len(sink._pending) <= PENDING_BYTES
+        assert len(sink._pending) <= MAX_PENDING_BYTES
         told = sink.dropped
         text = ""
         while sink._pending:
@@ -64,9 +64,9 @@
         os.set_blocking(reader, False)
         fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 1 << 20)
         log = get_log(program="p", stream=LineSink(writer))
-        for _ in range(int(LINES_AT_ONCE) + 500):
+        for _ in range(int(MAX_ORDINARY_BURST_LINES) + 500):
             log.info("answered")
         log.warning("request_failed", request="q")
         text = read_all(reader)
-        assert text.count("event=answered") < LINES_AT_ONCE + 100
+        assert text.count("event=answered") < MAX_ORDINARY_BURST_LINES + 100
         assert "event=request_failed request=q" in text
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -13,7 +13,7 @@
 import curio.kernel
 
 # Virtual seconds after which a story is taken never to end, unless it says that it lasts longer.
-MOST_S = 600.0
+MAX_VIRTUAL_S = 600.0
 
 
 class NeverEnds(AssertionError):
@@ -23,47 +23,47 @@
 class VirtualClock:
     """The kernel's clock."""
 
-    def __init__(self, most_s: float) -> None:
+    def __init__(self, max_virtual_s: float) -> None:
         self.now = 1000.0
-        self.most_s = most_s
-        self.end = self.now + most_s
+        self.max_virtual_s = max_virtual_s
+        self.end = self.now + max_virtual_s
 
     def monotonic(self) -> float:
         """Return the virtual time."""
         return self.now
 
 
-class Traffic:
+class SocketActivity:
     """Notes that something was done to a socket, of which its peer may be yet to hear."""
 
-    CALLS = (
+    RECORDED_CALLS = (
         *("send", "sendto", "sendmsg", "connect", "connect_ex", "shutdown", "close", "detach"),
         # Reading makes room, which a peer that could send no more hears of.
         *("recv", "recv_into", "recvfrom", "recvfrom_into", "recvmsg"),
     )
 
     def __init__(self) -> None:
-        self.under_way = True
+        self.may_be_undelivered = True
 
     @contextlib.contextmanager
-    def watched(self) -> Iterator[None]:
+    def recorded(self) -> Iterator[None]:
         """Note what is done to sockets meanwhile."""
         with contextlib.ExitStack() as stack:
-            for name in self.CALLS:
-                noting = self._noting(getattr(socket.socket, name))
+            for name in self.RECORDED_CALLS:
+                noting = self._recording(getattr(socket.socket, name))
                 stack.enter_context(mock.patch.object(socket.socket, name, noting))
             yield
 
-    def _noting(self, call: Callable[..., Any]) -> Callable[..., Any]:
+    def _recording(self, call: Callable[..., Any]) -> Callable[..., Any]:
         @functools.wraps(call)
         def noting(*args: Any, **options: Any) -> Any:
-            self.under_way = True
+            self.may_be_undelivered = True
             return call(*args, **options)
 
         return noting
 
 
-class Loopback:
+class LoopbackProbe:
     """Tells whether what was sent over loopback is delivered by the time that sending returns."""
 
     def __init__(self) -> None:
@@ -86,19 +86,21 @@
         self._sock.close()
 
 
-class JumpingSelector(selectors.DefaultSelector):  # type: ignore[misc,valid-type]
+class VirtualTimeSelector(selectors.DefaultSelector):  # type: ignore[misc,valid-type]
     """Advances the clock by the time that it was asked to wait."""
 
-    def __init__(self, clock: VirtualClock, traffic: Traffic, settle_s: float = 0.0) -> None:
+    def __init__(
+        self, clock: VirtualClock, activity: SocketActivity, settle_s: float = 0.0
+    ) -> None:
         super().__init__()
         self._clock = clock
-        self._traffic = traffic
-        self._loopback = Loopback()
+        self._activity = activity
+        self._loopback = LoopbackProbe()
         self._settle_s = settle_s
 
     def select(self, timeout: float | None = None) -> Any:
         """Return what is ready; else let the time pass at once."""
-        events = super().select(0) or self._settled(timeout)
+        events = super().select(0) or self._wait_for_delivery(timeout)
         if events:
             return events
         if timeout is None:
@@ -106,16 +108,16 @@
         self._clock.now += max(0.0, timeout)
         if self._clock.now > self._clock.end:
             # The kernel ends its tasks then; where one does not end, this comes once more.
-            self._clock.end = self._clock.now + self._clock.most_s
-            raise NeverEnds(f"no end within {self._clock.most_s:g} s")
+            self._clock.end = self._clock.now + self._clock.max_virtual_s
+            raise NeverEnds(f"no end within {self._clock.max_virtual_s:g} s")
         return []
 
-    def _settled(self, timeout: float | None) -> Any:
+    def _wait_for_delivery(self, timeout: float | None) -> Any:
         # Waiting at each jump would make a run as slow as the machine's timers are coarse.
-        if not self._traffic.under_way or timeout == 0.0:
+        if not self._activity.may_be_undelivered or timeout == 0.0:
             return []
         events = super().select(0.0 if self._loopback.delivers_at_once() else self._settle_s)
-        self._traffic.under_way = bool(events)
+        self._activity.may_be_undelivered = bool(events)
         return events
 
     def close(self) -> None:
@@ -125,7 +127,10 @@
 
 
 def run_virtual(
-    main: Callable[..., Any], *args: Any, settle_s: float = 0.0, max_virtual_s: float = MOST_S
+    main: Callable[..., Any],
+    *args: Any,
+    settle_s: float = 0.0,
+    max_virtual_s: float = MAX_VIRTUAL_S,
 ) -> Any:
     """Return what ``main(*args)`` returns, its sleeps taking no time.
 
@@ -139,19 +144,19 @@
     Raises:
         NeverEnds: it did not; with where each of its tasks stood.
     """
-    clock, traffic = VirtualClock(max_virtual_s), Traffic()
+    clock, traffic = VirtualClock(max_virtual_s), SocketActivity()
     fake = types.SimpleNamespace(monotonic=clock.monotonic)
-    selector = JumpingSelector(clock, traffic, settle_s)
+    selector = VirtualTimeSelector(clock, traffic, settle_s)
     time_jumps = mock.patch.object(curio.kernel, "time", fake)
-    with time_jumps, traffic.watched(), curio.Kernel(selector=selector) as kernel:
+    with time_jumps, traffic.recorded(), curio.Kernel(selector=selector) as kernel:
         try:
             return kernel.run(main, *args)
         except NeverEnds as exc:
-            waits = sorted(_waits(task.coro) for task in kernel._tasks.values())
+            waits = sorted(_describe_wait(task.coro) for task in kernel._tasks.values())
             raise NeverEnds("\n".join([str(exc), *waits])) from exc
 
 
-def _waits(coro: Any) -> str:
+def _describe_wait(coro: Any) -> str:
     """Return where a task stands, from its outermost call to its innermost."""
     calls = []
     while coro is not None and (frame := getattr(coro, "cr_frame", None)):
