--- a/src/crankhinge/_signals.py
+++ b/src/crankhinge/_signals.py
@@ -1,4 +1,4 @@
-"""What a process does before it imports anything that takes time."""
+"""Signal set-up for the very start of a process, before slow imports."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def ignore_sighup() -> None:
-    """Ignore SIGHUP until the process can act on it; left alone it ends the process.
+    """Ignores SIGHUP until the process can handle it; its default action ends the process.
 
-    Whatever changed by then is read at the start, and a later change of the file is seen without
-    a signal.
+    No change of the settings is lost: the process reads the settings file after this call, and
+    later polls the file for changes.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/src/crankhinge/_unused_modules.py
+++ b/src/crankhinge/_unused_modules.py
@@ -1,9 +1,10 @@
-"""Keeps modules out of memory that a library imports and this project never uses.
+"""Replaces modules that libraries import but this project never uses, to save memory.
 
 curio imports ``asyncio``, ``multiprocessing`` and ``ssl`` for bridges, process pools and TLS, and
-structlog imports ``asyncio``; together they cost several megabytes in each process (see
-docs/PERFORMANCE.md). Their places are taken by empty modules whose every attribute is a class
-that fails when it is used. Call this first, before anything imports curio.
+structlog imports ``asyncio``. Together they cost several megabytes in each process (see
+docs/PERFORMANCE.md). Empty modules take their places; every attribute of an empty module is a class
+that raises when it is instantiated. A process must call :func:`keep_out_unused_modules` before it
+imports curio.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 
 class KeptOutError(RuntimeError):
-    """A module that was kept out is needed after all."""
+    """Code uses a module that was replaced by an empty one."""
 
 
 class _KeptOutModule(types.ModuleType):
-    """Stands in for a module that isn't loaded."""
+    """An empty module that replaces an unused one."""
 
     def __getattr__(self, name: str) -> Any:
         if name.startswith("__"):
@@ -35,19 +36,24 @@
 
 
 class _KeptOutClass(BaseException):
-    """Stands in for a class of such a module; also in the place of an exception."""
+    """Replaces a class of an unused module.
+
+    It is an exception class, so that ``except`` clauses may name the replaced class.
+    """
 
     module = ""
 
     def __init__(self, *_: object, **__: object) -> None:
-        raise KeptOutError(f"{self.module}.{type(self).__name__} was kept out of this process")
+        raise KeptOutError(
+            f"{self.module}.{type(self).__name__} is replaced by an empty stand-in in this process"
+        )
 
 
 def keep_out_unused_modules() -> list[str]:
-    """Put empty modules in the places of those in ``UNUSED_MODULES`` that aren't loaded yet.
+    """Replaces the modules in :data:`UNUSED_MODULES` that aren't loaded yet by empty ones.
 
     Returns:
-        The names of the modules that were kept out.
+        The names of the replaced modules.
     """
     kept_out = [name for name in UNUSED_MODULES if name not in sys.modules]
     for name in kept_out:
@@ -56,6 +62,6 @@
         if parent in kept_out:
             setattr(sys.modules[parent], child, module)
     if "multiprocessing" in kept_out:
-        # Asked for when curio is imported, to size a pool that is never made.
+        # curio calls it on import, for the size of a process pool that is never created.
         sys.modules["multiprocessing"].cpu_count = lambda: 1  # type: ignore[attr-defined]
     return kept_out
--- a/src/crankhinge/errors.py
+++ b/src/crankhinge/errors.py
@@ -1,7 +1,7 @@
-"""Typed failures shared by every part of the product.
+"""Exception classes shared by all parts of the project.
 
-Each class carries a stable ``code`` for logs and error bodies, and an ``outcome``: what a caller
-may conclude about its request.
+Each class has a stable ``code`` for logs and error bodies, the HTTP ``status`` of the response, and
+an ``outcome``: what a caller may conclude about whether its request ran.
 """
 
 from __future__ import annotations
@@ -10,14 +10,31 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about whether a request ran."""
+    """What is known about whether a request ran.
+
+    Attributes:
+        NOT_RUN: the request was not run.
+        UNKNOWN: the request may have run.
+    """
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
 class CrankhingeError(Exception):
-    """Base class of all failures of this project."""
+    """Base class of all exceptions of this project.
+
+    Args:
+        detail: free text for logs and error bodies; the class's ``code`` by default.
+        retry_after_s: seconds after which a retry may succeed, if known.
+
+    Attributes:
+        code: stable identifier of the failure.
+        status: HTTP status of a response that reports the failure.
+        outcome: whether the request is known not to have run.
+        detail: free text for logs and error bodies.
+        retry_after_s: seconds after which a retry may succeed, or None.
+    """
 
     code = "internal"
     status = 500
@@ -30,19 +47,19 @@
 
 
 class SettingsError(CrankhingeError):
-    """A settings file is unusable. The detail names file, key and reason."""
+    """A settings file is unusable; the detail states the file, the key and the reason."""
 
     code = "bad-settings"
 
 
 class RequestNotFound(CrankhingeError):
-    """No log tells of the request."""
+    """None of the searched logs mentions the request."""
 
     code = "request-not-found"
 
 
 class BundleError(CrankhingeError):
-    """A configuration bundle is unusable: malformed, inconsistent, unsigned or too old."""
+    """A configuration bundle is malformed, inconsistent, unsigned or too old."""
 
     code = "bad-bundle"
 
@@ -54,31 +71,31 @@
 
 
 class PublishConflict(CrankhingeError):
-    """Another operator's bundle was accepted first; nothing was written."""
+    """Another operator's bundle was published first; nothing was written."""
 
     code = "publish-conflict"
 
 
 class KeyValueUnavailable(CrankhingeError):
-    """The key-value service did not answer, or answered with an error."""
+    """The key-value service did not respond, or responded with an error."""
 
     code = "key-value-unavailable"
 
 
 class WireError(CrankhingeError):
-    """A peer sent something that is not a message of ours."""
+    """A peer sent bytes that are not a valid message of this protocol."""
 
     code = "bad-message"
 
 
 class LinkClosed(CrankhingeError):
-    """The connection to a peer is gone."""
+    """The connection to a peer is closed."""
 
     code = "link-closed"
 
 
 class BadHttp(CrankhingeError):
-    """Malformed HTTP."""
+    """A request or response is malformed HTTP."""
 
     code = "bad-http"
     status = 400
@@ -86,7 +103,7 @@
 
 
 class BodyTooLarge(BadHttp):
-    """An HTTP body or header block is over the limit."""
+    """The body or header block of an HTTP request is over the size limit."""
 
     code = "too-large"
     status = 413
@@ -99,13 +116,13 @@
 
 
 class CallerGone(HttpClosed):
-    """The connection of whoever asked is gone; no server is to blame."""
+    """The caller closed its connection; this is not a failure of a backend server."""
 
     code = "caller-gone"
 
 
 class RequestError(CrankhingeError):
-    """A caller's request is refused before anything was done for it."""
+    """A caller's request is refused before any work was done for it."""
 
     code = "bad-request"
     status = 400
@@ -113,83 +130,83 @@
 
 
 class BadCredentials(RequestError):
-    """No member has the given credential."""
+    """No client account has the given credential."""
 
     code = "bad-credentials"
     status = 401
 
 
 class UnknownModel(RequestError):
-    """The bundle has no such model or adapter."""
+    """The bundle defines no such model or adapter."""
 
     code = "unknown-model"
     status = 404
 
 
 class UnknownRoute(RequestError):
-    """No service of the bundle takes this path."""
+    """No service of the bundle accepts requests with this path."""
 
     code = "unknown-route"
     status = 404
 
 
 class PromptTooLong(RequestError):
-    """The prompt is over the model's limit."""
+    """The prompt is longer than the model's limit."""
 
     code = "prompt-too-long"
     status = 400
 
 
 class NotReady(RequestError):
-    """This instance has no bundle yet."""
+    """This instance cannot serve requests yet, for example because it has no configuration."""
 
     code = "not-ready"
     status = 503
 
 
 class ConfigTooOld(NotReady):
-    """What is known of keys is too old to run a request by; nothing was run."""
+    """This instance's copy of the API keys is too old to authorize a request; nothing was run."""
 
     code = "config-too-old"
 
 
 class Stopping(CrankhingeError):
-    """This instance ends; whether the request ran depends on how far it had come."""
+    """This instance is shutting down; the request may or may not have run."""
 
     code = "stopping"
     status = 503
 
 
 class Overloaded(RequestError):
-    """The targets cannot be met now; nothing was run."""
+    """The latency target cannot be met at the current load; nothing was run."""
 
     code = "overloaded"
     status = 503
 
 
 class ServerBarred(RequestError):
-    """A backend server takes no request now, by its own word; the request was not sent to it."""
+    """A backend server takes no requests now, as it announced; the request was not sent to it."""
 
     code = "server-barred"
     status = 503
 
 
 class ServerAtLimit(ServerBarred):
-    """Backend servers say that they take no more; the request was not sent."""
+    """Backend servers are at their advertised limits; the request was not sent."""
 
     code = "server-at-limit"
     status = 503
 
 
 class ServersRest(ServerBarred):
-    """All backend servers want no request for a while; the request was not sent."""
+    """All backend servers asked for no requests for some time; the request was not sent."""
 
     code = "servers-rest"
     status = 503
 
 
 class LimitReached(RequestError):
-    """The member is at its own limit; nothing was run."""
+    """The client account is at its own limit; nothing was run."""
 
     code = "limit-reached"
     status = 429
@@ -203,23 +220,26 @@
 
 
 class Quarantined(RequestError):
-    """Servers crashed while they ran attempts at this request; this attempt was not run."""
+    """Backend servers crashed while they ran earlier attempts; this attempt was not run."""
 
     code = "quarantined"
     status = 503
 
 
 class AlreadyTaken(CrankhingeError):
-    """A non-repeatable request with this key was taken before; how it ended is not known."""
+    """A non-repeatable request with this idempotency key was accepted before.
+
+    How that request ended is not known.
+    """
 
     code = "already-taken"
     status = 409
 
 
 class FenceUnavailable(CrankhingeError):
-    """The record that keeps a non-repeatable request from running twice can't be reached.
+    """The record that keeps a non-repeatable request from running twice cannot be reached.
 
-    This attempt was not run; whether an earlier one with the same key was, is not known.
+    This attempt was not run; an earlier attempt with the same idempotency key may have run.
     """
 
     code = "fence-unavailable"
@@ -227,14 +247,14 @@
 
 
 class KeyReused(CrankhingeError):
-    """The idempotency key was used before, for another request."""
+    """The idempotency key was already used for a different request."""
 
     code = "key-reused"
     status = 422
 
 
 class KeyTooOld(CrankhingeError):
-    """Whether this idempotency key was used before is no longer known."""
+    """The idempotency key is so old that its earlier use can no longer be ruled out."""
 
     code = "key-too-old"
     status = 409
@@ -255,14 +275,14 @@
 
 
 class DeadlinePassed(CrankhingeError):
-    """The deadline went by while the request was being run."""
+    """The deadline passed while the request was running."""
 
     code = "deadline-passed"
     status = 504
 
 
 class SlowCaller(CrankhingeError):
-    """The caller reads more slowly than its answer is written and its buffer is full."""
+    """The caller reads its response too slowly, and the buffer for it is full."""
 
     code = "slow-caller"
     status = 499
--- a/src/crankhinge/http/__init__.py
+++ b/src/crankhinge/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over curio sockets, parsed and written by h11."""
+"""HTTP/1.1 client and server on curio sockets; h11 parses and encodes the messages."""
 
 from crankhinge.http._client import (
     AnswerTooLong,
--- a/src/crankhinge/http/_client.py
+++ b/src/crankhinge/http/_client.py
@@ -1,4 +1,4 @@
-"""The calling side of HTTP/1.1, with a small pool of kept connections."""
+"""HTTP/1.1 client for one server, with a small pool of idle keep-alive connections."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 DEFAULT_POOL_SIZE = 8
 CONNECT_TIMEOUT_S = 2.0
-# Seconds a kept connection is trusted when its server names no time; servers of the usual
-# frameworks close idle connections after 5 s or more.
+# How long an idle connection is reused if the server's response states no keep-alive timeout.
+# Servers of the usual frameworks close idle connections after 5 s or more.
 DEFAULT_KEEP_ALIVE_S = 4.0
-# A kept connection is left alone this many seconds before its server would close it, so that a
-# request does not cross the close.
+# An idle connection is no longer reused this long before the server would close it, so that no
+# request is sent while the server closes the connection.
 KEEP_ALIVE_MARGIN_S = 1.0
 
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
@@ -35,7 +35,13 @@
 
 @dataclass(frozen=True)
 class _IdleConnection:
-    """An idle connection: when it was last used and the end of its trusted time, steady clock."""
+    """An idle connection in the pool.
+
+    Attributes:
+        sock: the connection.
+        reusable_until: time on the steady clock after which it is not reused.
+        last_used_at: time on the steady clock at which it was returned to the pool.
+    """
 
     sock: Any
     reusable_until: float
@@ -43,9 +49,10 @@
 
 
 def _is_open_without_input(sock: Any) -> bool:
-    """Whether an idle connection is open with nothing to read.
+    """Returns whether an idle connection is open and has nothing to read.
 
-    An end of file or bytes that nobody asked for both mean that it must not be used again.
+    An end of file means that the server closed it, and unexpected bytes belong to no request; in
+    both cases the connection must not be reused.
     """
     try:
         sock._socket.recv(1, socket.MSG_PEEK)
@@ -57,56 +64,57 @@
 
 
 def _keep_alive_s(headers: Mapping[str, str]) -> float:
-    """Return how long a connection may be kept after an answer with these headers, in seconds."""
+    """Returns for how many seconds a connection may stay idle after a response with *headers*."""
     stated = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
     return float(stated.group(1)) - KEEP_ALIVE_MARGIN_S if stated else DEFAULT_KEEP_ALIVE_S
 
 
 @dataclass(frozen=True)
 class Response:
-    """A whole response. Header names are lower case."""
+    """A complete response. Header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
 
 
-# How a call that waits in vain ends: by its own patience, or by a time-out around it.
+# What a request without a response ends with: its own timeouts, or a timeout around the call.
 TIMEOUT_ERRORS = (HttpSilent, curio.TaskTimeout, curio.TimeoutCancellationError)
 
 
 class AnswerTooLong(CrankhingeError):
-    """The answer is longer than is wanted; its body was not read."""
+    """The response body is longer than the caller accepts; it was not read."""
 
     code = "answer-too-long"
 
 
 class ConnectFailed(HttpClosed):
-    """No connection was made, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
     code = "connect-failed"
 
 
 class ConnectRefused(ConnectFailed):
-    """Nobody listens at the address."""
+    """No process listens at the address."""
 
     code = "connect-refused"
 
 
 class HttpClient(ConnectionOwner):
-    """Calls one server.
+    """Sends requests to one server.
 
     Args:
-        host: address of the server.
-        port: its TCP port.
-        pool_size: kept idle connections.
-        connect_timeout_s: seconds that a connection may take to come up.
+        host: IP address of the server.
+        port: TCP port of the server.
+        pool_size: largest number of idle connections that are kept.
+        connect_timeout_s: seconds within which a connection must be established.
 
     Attributes:
-        opened_connections: connections made so far.
-        pool_size: idle connections that are kept from now on.
-        received_bytes: bytes that came on all of them, those of answers that were given up too.
-        reused_receives: how often something came on a connection that was used before.
+        opened_connections: number of connections opened so far.
+        pool_size: largest number of idle connections; a new value applies to connections that are
+            released later.
+        received_bytes: bytes received on all connections, including responses that were abandoned.
+        reused_receives: how often data or an end of file arrived on a reused connection.
     """
 
     def __init__(
@@ -137,16 +145,16 @@
         return sock
 
     async def _pop_idle_connection(self) -> Any:
-        """Return the kept connection used last that is still good, or None."""
+        """Returns the most recently used idle connection that can be reused, or None."""
         while self._idle:
-            kept = self._idle.pop()
-            if kept.reusable_until > steady_s() and _is_open_without_input(kept.sock):
-                return kept.sock
-            await kept.sock.close()
+            conn = self._idle.pop()
+            if conn.reusable_until > steady_s() and _is_open_without_input(conn.sock):
+                return conn.sock
+            await conn.sock.close()
         return None
 
     async def is_reachable(self) -> bool:
-        """Whether the server takes connections."""
+        """Returns whether the server accepts connections."""
         try:
             sock = await self._connect()
         except ConnectFailed:
@@ -155,10 +163,10 @@
         return True
 
     async def is_listening(self) -> bool:
-        """Whether anybody listens at the address; the connection is kept for the next call.
+        """Returns whether a process listens at the address; keeps the connection for reuse.
 
         Raises:
-            ConnectFailed: nobody can tell.
+            ConnectFailed: the attempt did not tell, for example because it timed out.
         """
         try:
             sock = await self._connect()
@@ -168,18 +176,18 @@
         return True
 
     def record_received(self, size: int, *, reused: bool) -> None:
-        """Note that something came on a connection of this client."""
+        """Counts *size* received bytes, and one receive on a reused connection if *reused*."""
         self.received_bytes += size
         self.reused_receives += reused
 
     async def release_connection(
         self, sock: Any, *, reusable: bool, headers: Mapping[str, str]
     ) -> None:
-        """Keep *sock* for the next call, or close it."""
-        kept_s = _keep_alive_s(headers)
-        if reusable and kept_s > 0 and len(self._idle) < self.pool_size:
+        """Returns *sock* to the pool if it can be reused and the pool has room, else closes it."""
+        keep_alive_s = _keep_alive_s(headers)
+        if reusable and keep_alive_s > 0 and len(self._idle) < self.pool_size:
             now = steady_s()
-            self._idle.append(_IdleConnection(sock, now + kept_s, now))
+            self._idle.append(_IdleConnection(sock, now + keep_alive_s, now))
             return
         await sock.close()
 
@@ -193,20 +201,21 @@
         new_connection: bool = False,
         timeouts: ResponseTimeouts | None = None,
     ) -> ClientStream:
-        """Send a request and return its response, head read and body unread.
+        """Sends a request and returns the response after reading its head, but not its body.
 
         Args:
             method: HTTP method.
             target: path and query.
-            headers: beyond host and content-length.
-            body: the whole body.
-            new_connection: use a new connection; a kept one may have been closed by the other end,
-                and then nobody can tell whether the request arrived.
-            timeouts: how long the answer is waited for.
+            headers: header fields other than ``host`` and ``content-length``, which are added.
+            body: the complete request body.
+            new_connection: don't reuse an idle connection. The server may be closing an idle
+                connection, and then it is unknown whether the request arrived.
+            timeouts: limits on the wait for the response; None waits without limit.
 
         Raises:
             ConnectFailed: nothing was sent.
-            HttpClosed: the request may have arrived.
+            HttpClosed: the connection ended, but the request may have arrived.
+            BadHttp: the response is malformed.
         """
         head = {"host": f"{self.host}:{self.port}", **(headers or {})}
         head["content-length"] = str(len(body))
@@ -230,13 +239,15 @@
         is_own_response: ResponseMatcher | None = None,
         timeouts: ResponseTimeouts | None = None,
     ) -> ClientStream:
-        """Send a request whose header fields are all given; returns and raises as :meth:`open`.
+        """Sends a request with exactly the given header fields.
+
+        Returns and raises the same as :meth:`open`.
 
         Args:
-            fields: every header field, host and framing included, in order.
-            is_own_response: whether an answer with these headers is this request's; others are
-                skipped.
-            timeouts: how long the answer is waited for.
+            method, target, body, new_connection, timeouts: as for :meth:`open`.
+            fields: all header fields in order, including ``host`` and those that frame the body.
+            is_own_response: returns whether a response with the given headers belongs to this
+                request; a response that does not is skipped.
         """
         sock = None if new_connection else await self._pop_idle_connection()
         reused = sock is not None
@@ -245,20 +256,24 @@
         stream = ClientStream(
             self, sock, reused=reused, is_own_response=is_own_response, timeouts=timeouts
         )
-        began = steady_s()
-        heard = self.reused_receives
+        started_at = steady_s()
+        reused_receives = self.reused_receives
         try:
             await stream.send(method, target, fields, body)
         except BaseException as exc:
             await sock.close()
-            if reused and self.reused_receives == heard and isinstance(exc, TIMEOUT_ERRORS):
-                # Open connections may fall silent together, with nothing else to show it: without
-                # this each one that was kept costs a request its time.
+            if (
+                reused
+                and self.reused_receives == reused_receives
+                and isinstance(exc, TIMEOUT_ERRORS)
+            ):
+                # All idle connections may have failed together, and nothing but a timeout reveals
+                # it. Unless all are closed here, each of them costs another request its timeout.
                 await self.close()
             elif reused and isinstance(exc, TIMEOUT_ERRORS):
-                # Others were heard since, on connections made or used since: the older ones are as
-                # doubtful as this one was.
-                await self._close_last_used_before(began)
+                # Other reused connections received data during this request, so connections used
+                # since its start work. Those last used earlier are as doubtful as this one.
+                await self._close_last_used_before(started_at)
             raise
         return stream
 
@@ -273,15 +288,15 @@
         timeouts: ResponseTimeouts | None = None,
         max_body_bytes: int | None = None,
     ) -> Response:
-        """Send a request and return the whole response.
+        """Sends a request and returns the complete response.
 
         Args:
-            method, target, headers, body, fresh, patience: as for :meth:`open`.
-            max_body_bytes: longest body that is wanted; without one, any.
+            method, target, headers, body, new_connection, timeouts: as for :meth:`open`.
+            max_body_bytes: longest response body that is accepted; None accepts any length.
 
         Raises:
-            AnswerTooLong: it says that its body is longer.
-            ConnectFailed, HttpClosed: as :meth:`open` does.
+            AnswerTooLong: the ``content-length`` of the response is over *max_body_bytes*.
+            ConnectFailed, HttpClosed, BadHttp: as for :meth:`open`.
         """
         stream = await self.open(
             method,
@@ -294,20 +309,22 @@
         try:
             length = int(stream.headers.get("content-length", 0))
             if max_body_bytes is not None and length > max_body_bytes:
-                raise AnswerTooLong(f"{length} bytes, {max_body_bytes} wanted")
+                raise AnswerTooLong(
+                    f"response body has {length} bytes; at most {max_body_bytes} are accepted"
+                )
             data = await stream.read_all()
         finally:
             await stream.close()
         return Response(stream.status, stream.headers, data)
 
     async def _close_last_used_before(self, moment: float) -> None:
-        """Close the idle connections that were last used before *moment*, on the steady clock."""
-        doubtful = [kept for kept in self._idle if kept.last_used_at < moment]
-        self._idle = [kept for kept in self._idle if kept.last_used_at >= moment]
-        for kept in doubtful:
-            await kept.sock.close()
+        """Closes the idle connections last used before *moment*, a time on the steady clock."""
+        doubtful = [conn for conn in self._idle if conn.last_used_at < moment]
+        self._idle = [conn for conn in self._idle if conn.last_used_at >= moment]
+        for conn in doubtful:
+            await conn.sock.close()
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Closes all idle connections."""
         while self._idle:
             await self._idle.pop().sock.close()
--- a/src/crankhinge/http/_client_stream.py
+++ b/src/crankhinge/http/_client_stream.py
@@ -1,4 +1,4 @@
-"""One request of ours and its response, read piece by piece."""
+"""One request of the HTTP client, and its response read in chunks."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 
 @dataclass(frozen=True)
 class ResponseTimeouts:
-    """How long an answer is waited for, in seconds.
+    """Limits in seconds on the wait for a response.
 
-    Silence is bounded, not the whole answer: how long that takes follows from its size and the
-    link, which nobody here knows. A bound on the whole once gave up an answer of 1 MB on a
-    5 Mbit/s link, which takes 1.7 s, after each 1.5 s for ever.
+    The gaps between received bytes are limited tightly, and the complete response only loosely:
+    how long it takes depends on its size and the link, and both are unknown here. With a limit of
+    1.5 s on the complete response, a response of 1 MB over a link of 5 Mbit/s, which takes 1.7 s,
+    was abandoned at every retry.
 
     Attributes:
-        first_byte_s: from the sending of the request to the first byte.
-        next_byte_s: from one piece to the next.
-        total_s: all of it; ends an answer that only trickles.
+        first_byte_s: from the end of the sent request to the first byte of the response.
+        next_byte_s: from one received piece to the next.
+        total_s: for the complete response; ends one that arrives in tiny pieces for too long.
     """
 
     first_byte_s: float
@@ -38,41 +39,48 @@
 
 
 class HttpSilent(HttpClosed):
-    """The other end stopped sending; the connection was given up."""
+    """The server sent nothing within a timeout; the connection was abandoned."""
 
     code = "http-silent"
 
 
 class ConnectionOwner(abc.ABC):
-    """Whoever opened a connection and takes it back."""
+    """Opens connections for client streams and takes them back."""
 
     @abc.abstractmethod
     def record_received(self, size: int, *, reused: bool) -> None:
-        """Note that *size* bytes came on a connection, and whether it was used before."""
+        """Records *size* bytes received on a connection, and whether the connection was reused."""
 
     @abc.abstractmethod
     async def release_connection(
         self, sock: Any, *, reusable: bool, headers: Mapping[str, str]
     ) -> None:
-        """Keep a connection for the next call, or close it.
+        """Keeps a connection for a later request, or closes it.
 
         Args:
             sock: the connection.
-            reusable: whether the answer on it was read to its end.
-            headers: of that answer.
+            reusable: whether its request was sent and its response read, both to the end.
+            headers: header fields of that response.
         """
 
 
 class ClientStream:
-    """A response whose body is read piece by piece.
+    """A request on one connection, and its response whose body is read in chunks.
 
     Args:
-        owner: to whom the connection returns.
+        owner: takes the connection back.
         sock: the connection.
-        reused: whether it carried an earlier request.
-        is_own_response: tells from a head whether an answer is this request's; a server may send an
-            answer to an earlier request late, in the place of the one that is due.
-        timeouts: how long the answer is waited for; without one, until the caller gives up.
+        reused: whether the connection carried an earlier request.
+        is_own_response: returns whether a response with the given headers belongs to this request;
+            None accepts any. A server may send a late response to an earlier request first.
+        timeouts: limits on the wait for the response; None waits until the caller cancels.
+
+    Attributes:
+        reused: whether the connection carried an earlier request.
+        status: status code of the response.
+        headers: header fields of the response by name in lower case; a repeated name has its last
+            value.
+        fields: all header fields of the response in order.
     """
 
     def __init__(
@@ -99,11 +107,11 @@
         self.fields: list[tuple[str, str]] = []
 
     async def send(self, method: str, target: str, headers: HeaderFields, body: bytes) -> None:
-        """Send the request and read the head of the response.
+        """Sends the request and reads the head of the response.
 
         Raises:
-            HttpClosed: the connection ended first; the request may have arrived.
-            BadHttp: what came back is no answer.
+            HttpClosed: the connection ended before the head; the request may have arrived.
+            BadHttp: the received bytes are not an HTTP response.
         """
         request = h11.Request(method=method, target=target, headers=list(headers))
         out = self._encode(request, body)
@@ -121,6 +129,7 @@
         return out + (self._h11.send(h11.EndOfMessage()) or b"")
 
     def _send_without_waiting(self, out: bytes) -> int:
+        """Returns how many bytes of *out* the kernel accepted at once."""
         try:
             return int(self._sock._socket.send(out))
         except BlockingIOError:
@@ -129,10 +138,11 @@
             raise HttpClosed(str(exc)) from exc
 
     async def _send_while_reading(self, rest: memoryview, request: Any, body: bytes) -> None:
-        """Send a long body and take an answer that comes before all of it is in.
+        """Sends the remaining bytes of a request while reading the head of the response.
 
-        A server may refuse a request early and stop reading; whoever only writes would then wait
-        for ever. The connection is not used again unless everything was sent.
+        A server may refuse a request before it has read all of it, and then stop reading; a client
+        that sends everything first would wait forever. The connection is not reused unless the
+        complete request was sent.
         """
         writer = await curio.spawn(self._send_remaining, rest)
         try:
@@ -144,7 +154,7 @@
         try:
             await self._sock.sendall(rest)
         except OSError:
-            # The reading side reports how the connection ended.
+            # The task that reads the response reports how the connection ended.
             return
         self._request_sent = True
 
@@ -154,7 +164,7 @@
             while isinstance(event, h11.InformationalResponse):
                 event = await self._next_event()
             if not isinstance(event, h11.Response):
-                raise HttpClosed("closed before a response")
+                raise HttpClosed("connection closed before a response")
             headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in event.headers}
             if self._is_own_response is None or self._is_own_response(headers):
                 self.status = event.status_code
@@ -164,11 +174,11 @@
             await self._skip_earlier_response(request, body)
 
     async def _skip_earlier_response(self, request: Any, body: bytes) -> None:
-        """Read past an answer to an earlier request and wait for the next one."""
+        """Reads a response to an earlier request to its end and prepares to parse the next one."""
         while not isinstance(await self._next_event(), h11.EndOfMessage):
             pass
         if self._h11.their_state is not h11.DONE:
-            raise HttpClosed("closed after an answer to another request")
+            raise HttpClosed("connection closed after a response to another request")
         rest = self._h11.trailing_data[0]
         self._h11 = h11.Connection(h11.CLIENT)
         self._encode(request, body)
@@ -181,8 +191,8 @@
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as exc:
                 if self._reached_eof:
-                    # Nothing that came was wrong: it came to an end too soon.
-                    raise HttpClosed("closed before the end of an answer") from exc
+                    # The received bytes were valid, but the response is incomplete.
+                    raise HttpClosed("connection closed before the end of the response") from exc
                 raise BadHttp(str(exc)) from exc
             if event is not h11.NEED_DATA:
                 return event
@@ -210,37 +220,37 @@
         try:
             data = await curio.timeout_after(wait_s, self._sock.recv, MAX_RECV_BYTES)
         except curio.TaskTimeout as exc:
-            why = f"nothing for {wait_s:.3f} s after {self._received_bytes} bytes"
+            why = f"received nothing for {wait_s:.3f} s after {self._received_bytes} bytes"
             raise HttpSilent(why) from exc
         return data
 
     async def next_chunk(self) -> bytes:
-        """Return the next piece of the body; empty at its end.
+        """Returns the next chunk of the body, or empty bytes at its end.
 
         Raises:
-            HttpClosed: when the connection ends before the body does.
-            BadHttp: when its framing is broken.
+            HttpClosed: the connection ended before the body did.
+            BadHttp: the framing of the body is invalid.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return b""
-        raise HttpClosed("closed in mid-body")
+        raise HttpClosed("connection closed before the end of the body")
 
     async def read_all(self) -> bytes:
-        """Return the whole rest of the body."""
+        """Returns the rest of the body."""
         body = bytearray()
         while chunk := await self.next_chunk():
             body += chunk
         return bytes(body)
 
     async def close(self) -> None:
-        """Give the connection back when it can be reused, else close it."""
+        """Releases the connection, which is closed unless it can be reused."""
         done = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
-        clean = done and self._request_sent and not self._h11.trailing_data[0]
-        await self._owner.release_connection(self._sock, reusable=clean, headers=self.headers)
+        reusable = done and self._request_sent and not self._h11.trailing_data[0]
+        await self._owner.release_connection(self._sock, reusable=reusable, headers=self.headers)
 
     async def abort(self) -> None:
-        """Close the connection, whatever state it is in."""
+        """Closes the connection in any state."""
         await self._owner.release_connection(self._sock, reusable=False, headers=self.headers)
--- a/src/crankhinge/http/_retry_after.py
+++ b/src/crankhinge/http/_retry_after.py
@@ -1,4 +1,4 @@
-"""When a server that refuses wants to be asked again (RFC 9110, section 10.2.3)."""
+"""Parses the ``retry-after`` header of a response (RFC 9110, section 10.2.3)."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 
 def parse_retry_after(headers: Mapping[str, str]) -> float | None:
-    """Return the seconds that an answer names; None for none, or for what is no time to wait.
+    """Returns the delay in seconds after which the server asks for a retry.
 
-    A date is taken for none: the clocks of two machines need not agree.
+    Returns None if the header is missing, is not a positive finite number, or is a date. Dates are
+    ignored because the clocks of two machines may disagree.
 
     Args:
-        headers: of the answer, names in lower case.
+        headers: header fields of the response, with names in lower case.
     """
     try:
         seconds = float(headers.get(RETRY_AFTER, ""))
--- a/src/crankhinge/http/_server.py
+++ b/src/crankhinge/http/_server.py
@@ -1,4 +1,4 @@
-"""The serving side of HTTP/1.1."""
+"""HTTP/1.1 server: reads requests with limits and writes responses."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from crankhinge.runtime import send_all, serve_tcp
 
 MAX_RECV_BYTES = 65536
+# How long, and how many bytes, the rest of a refused request is read before its connection closes.
 MAX_LINGER_S = 1.0
 MAX_LINGER_BYTES = 16 * 1024 * 1024
-# Most bytes of later requests that are taken in while one is answered.
+# How many bytes of later requests are buffered while the server responds to one.
 MAX_PIPELINED_BYTES = 256 * 1024
 
 HeaderFields = Iterable[tuple[str, str]]
@@ -25,14 +26,14 @@
 
 @dataclass(frozen=True)
 class HttpLimits:
-    """Bounds on what a caller may send.
+    """Limits on a caller's requests, and on its time to send them and to read responses.
 
     Attributes:
-        max_body_bytes: largest body.
+        max_body_bytes: largest request body.
         max_header_bytes: largest header block.
-        idle_timeout_s: seconds a connection may stay without the first byte of a request.
+        idle_timeout_s: seconds that a connection may wait for the first byte of a request.
         read_timeout_s: seconds from that byte to the end of the request.
-        send_timeout_s: seconds for which a caller may take nothing of an answer.
+        send_timeout_s: seconds for which a caller may accept no bytes of a response.
     """
 
     max_body_bytes: int = 4 * 1024 * 1024
@@ -44,11 +45,14 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """One whole request. Header names are lower case.
+    """A complete request. Header names are in lower case.
 
     Attributes:
-        headers: by name; of a repeated name the last value.
-        fields: every header field in order.
+        method: HTTP method.
+        target: path and query.
+        headers: header values by name; a repeated name has its last value.
+        body: the complete body.
+        fields: all header fields in order.
     """
 
     method: str
@@ -59,17 +63,22 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The request target without its query."""
         return self.target.partition("?")[0]
 
 
 class Exchange:
-    """One request and the way to answer it.
+    """One request, and the methods that send its response.
 
     Args:
         conn: the caller's connection.
         req: the request.
-        connection_reused: whether earlier requests came on this connection.
+        connection_reused: whether an earlier request arrived on this connection.
+
+    Attributes:
+        req: the request.
+        connection_reused: whether an earlier request arrived on this connection.
+        response_started: whether sending the response has begun.
     """
 
     def __init__(
@@ -83,7 +92,7 @@
     async def respond(
         self, status: int, body: bytes, headers: Mapping[str, str] | None = None
     ) -> None:
-        """Send a whole response."""
+        """Sends a complete response; its content type is JSON unless *headers* state another."""
         head = {"content-type": "application/json", **(headers or {})}
         head["content-length"] = str(len(body))
         self.response_started = True
@@ -93,44 +102,47 @@
         await self._conn.send(out)
 
     async def respond_with_fields(self, status: int, fields: HeaderFields, body: bytes) -> None:
-        """Send a whole response with the given header fields; only its length is added."""
+        """Sends a complete response with the given header fields and a ``content-length``."""
         self.response_started = True
         out = self._conn.encode_fields(status, [*fields, ("content-length", str(len(body)))])
-        # Nothing follows the head of an answer to HEAD, or of one without content.
+        # A response to HEAD, or with one of these statuses, has no body.
         if self.req.method != "HEAD" and status not in (204, 304):
             out += self._conn.encode(h11.Data(data=body))
         out += self._conn.encode(h11.EndOfMessage())
         await self._conn.send(out)
 
     async def start(self, status: int, headers: Mapping[str, str]) -> None:
-        """Send the head of a streamed response."""
+        """Sends the head of a streamed response."""
         await self.start_with_fields(status, headers.items())
 
     async def start_with_fields(self, status: int, fields: HeaderFields) -> None:
-        """Send the head of a streamed response with the given header fields."""
+        """Sends the head of a streamed response with the given header fields."""
         self.response_started = True
         await self._conn.send(self._conn.encode_fields(status, fields))
 
     async def write(self, chunk: bytes) -> None:
-        """Send one chunk of a streamed response."""
+        """Sends one chunk of a streamed response."""
         await self._conn.send(self._conn.encode(h11.Data(data=chunk)))
 
     async def finish(self) -> None:
-        """End a streamed response."""
+        """Ends a streamed response."""
         await self._conn.send(self._conn.encode(h11.EndOfMessage()))
 
     async def wait_for_disconnect(self) -> None:
-        """Return when the caller has closed its end."""
+        """Waits until the caller has closed its end of the connection.
+
+        Never returns once the caller has sent :data:`MAX_PIPELINED_BYTES` meanwhile.
+        """
         await self._conn.wait_for_disconnect()
 
     @property
     def is_disconnected(self) -> bool:
-        """Whether the caller has closed its end already; nothing is waited for."""
+        """Whether the caller has closed its end of the connection; checked without waiting."""
         return self._conn.is_disconnected()
 
     @property
     def conn(self) -> object:
-        """The connection, the same object for all its requests."""
+        """The caller's connection; requests on the same connection share this object."""
         return self._conn
 
 
@@ -148,6 +160,7 @@
         return self.encode_fields(status, headers.items())
 
     def encode_fields(self, status: int, fields: HeaderFields) -> bytes:
+        """Returns an encoded response head; asks the caller to close if the server is closing."""
         head = list(fields)
         if self._is_closing():
             head.append(("connection", "close"))
@@ -157,7 +170,7 @@
         return self._h11.send(event) or b""
 
     async def send(self, data: bytes) -> None:
-        # Nearly always the kernel takes all of it at once: no timer is set for that.
+        # The kernel nearly always accepts all data at once, so this path sets no timer.
         try:
             taken = os.write(self._fd, data)
         except BlockingIOError:
@@ -192,23 +205,23 @@
         self._h11.receive_data(data)
 
     async def wait_for_first_byte(self) -> None:
-        """Return when something of the next request is here, or the caller has closed."""
+        """Waits until a byte of the next request has arrived or the caller has closed."""
         if not self._h11.trailing_data[0]:
             await self._receive()
 
     async def read_request(self) -> HttpRequest | None:
-        """Return the next request, or None when the caller is done."""
+        """Returns the next request, or None if the caller has closed the connection."""
         head = await self._next_event()
         if isinstance(head, h11.ConnectionClosed):
             return None
         if not isinstance(head, h11.Request):
-            raise BadHttp("not a request")
+            raise BadHttp("received bytes are not an HTTP request")
         declared = dict(head.headers).get(b"content-length", b"0")
         if int(declared) > self._limits.max_body_bytes:
-            raise BodyTooLarge(f"body over {self._limits.max_body_bytes} bytes")
+            raise BodyTooLarge(f"request body is over {self._limits.max_body_bytes} bytes")
         if self._h11.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await self.send(self.encode(go_on))
+            proceed = h11.InformationalResponse(status_code=100, headers=[])
+            await self.send(self.encode(proceed))
         body = await self._read_body()
         fields = tuple((k.decode("latin-1"), v.decode("latin-1")) for k, v in head.headers)
         method = head.method.decode("ascii")
@@ -221,10 +234,10 @@
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
-                raise HttpClosed("closed in mid-body")
+                raise HttpClosed("connection closed before the end of the request body")
             body += event.data
             if len(body) > self._limits.max_body_bytes:
-                raise BodyTooLarge(f"body over {self._limits.max_body_bytes} bytes")
+                raise BodyTooLarge(f"request body is over {self._limits.max_body_bytes} bytes")
 
     def is_disconnected(self) -> bool:
         try:
@@ -235,23 +248,23 @@
             return True
 
     async def wait_for_disconnect(self) -> None:
-        early = 0
-        while early < MAX_PIPELINED_BYTES:
+        pipelined_bytes = 0
+        while pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 data = await self._sock.recv(MAX_RECV_BYTES)
             except OSError:
                 return
             if not data:
                 return
-            early += len(data)
+            pipelined_bytes += len(data)
             self._h11.receive_data(data)
-        # Whoever sends this much before its answer is heard again once the answer is out.
+        # From here the server reads no more from the caller until it has sent the response.
         await curio.Event().wait()
 
     async def drain_after_refusal(self) -> None:
-        """Read on for a while after a refusal, so that the caller gets to see it.
+        """Reads and discards input for a while after a refusal, so that the caller can read it.
 
-        Closing with bytes unread would reset the connection and take the answer back.
+        Closing a connection with unread input resets it, and the caller may lose the response.
         """
         try:
             await self._sock.shutdown(socket.SHUT_WR)
@@ -260,12 +273,12 @@
             return
 
     async def _discard_input(self) -> None:
-        left = MAX_LINGER_BYTES
-        while left > 0 and (data := await self._sock.recv(MAX_RECV_BYTES)):
-            left -= len(data)
+        remaining = MAX_LINGER_BYTES
+        while remaining > 0 and (data := await self._sock.recv(MAX_RECV_BYTES)):
+            remaining -= len(data)
 
     def start_next_cycle(self) -> bool:
-        """Whether another request may follow on this connection."""
+        """Prepares for another request; returns whether one may follow on this connection."""
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
             return True
@@ -290,26 +303,26 @@
     is_closing: Callable[[], bool] = lambda: False,
     stop_accepting: curio.Event | None = None,
 ) -> None:
-    """Serve until cancelled.
+    """Serves HTTP requests until cancelled.
 
     Args:
         host: address to bind.
-        port: TCP port.
-        handler: answers one exchange.
-        on_malformed: answers a malformed request.
-        log: where unexpected failures go.
-        limits: bounds on what callers may send; a callable is asked for each connection.
-        is_closing: whether connections end with the answer that is due on them.
-        stop_accepting: when set, no more connections are accepted.
+        port: TCP port to bind.
+        handler: responds to one request.
+        on_malformed: responds to a malformed request.
+        log: logs unexpected failures.
+        limits: limits on callers; a callable is called for each new connection.
+        is_closing: while it returns true, each response closes its connection.
+        stop_accepting: when set, the server accepts no more connections.
     """
 
-    async def serve_one(sock: Any, _addr: Any) -> None:
-        bounds = limits() if callable(limits) else limits or HttpLimits()
+    async def serve_connection(sock: Any, _addr: Any) -> None:
+        current = limits() if callable(limits) else limits or HttpLimits()
         await _serve_connection(
-            _ServerConnection(sock, bounds, is_closing), bounds, handler, on_malformed
+            _ServerConnection(sock, current, is_closing), current, handler, on_malformed
         )
 
-    await serve_tcp(host, port, serve_one, log=log, stop_accepting=stop_accepting)
+    await serve_tcp(host, port, serve_connection, log=log, stop_accepting=stop_accepting)
 
 
 async def _serve_connection(
@@ -318,15 +331,15 @@
     handler: Handler,
     on_malformed: MalformedRequestHandler,
 ) -> None:
-    kept = False
+    reused = False
     try:
         while True:
             await curio.timeout_after(limits.idle_timeout_s, conn.wait_for_first_byte)
             req = await curio.timeout_after(limits.read_timeout_s, conn.read_request)
             if req is None:
                 return
-            await handler(Exchange(conn, req, connection_reused=kept))
-            kept = True
+            await handler(Exchange(conn, req, connection_reused=reused))
+            reused = True
             if not conn.start_next_cycle():
                 return
     except BadHttp as exc:
--- a/src/crankhinge/runtime/__init__.py
+++ b/src/crankhinge/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""Supervision, logs, metrics and process start-up."""
+"""Process start-up, supervised tasks, TCP, clocks, logs and metrics."""
 
 from crankhinge.runtime._clock import steady_s
 from crankhinge.runtime._fields import HostPort, Port, Seconds, split_host_port
--- a/src/crankhinge/runtime/_clock.py
+++ b/src/crankhinge/runtime/_clock.py
@@ -1,8 +1,8 @@
-"""The clock by which ages, leases and deadlines are measured.
+"""The steady clock, which measures ages, leases and deadlines.
 
-The monotonic clock stands still while a machine is suspended. An instance that wakes would believe
-what it knew as young, and a lease that has ended as held: it would run requests by keys that were
-taken away meanwhile. The clock of the boot counts that time; it never jumps either.
+The usual monotonic clock stops while a machine is suspended. After a resume an instance would take
+outdated data for recent and an expired lease for valid, and would run requests with keys that were
+revoked during the suspension. The boot-time clock counts suspended time and never jumps either.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 
 import curio.kernel
 
-# Systems other than Linux have none of this name; their monotonic clock is taken.
+# Only Linux has CLOCK_BOOTTIME; other systems use their monotonic clock.
 _CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def steady_s() -> float:
-    """Return seconds since the boot, those of suspensions included."""
+    """Returns seconds since the machine's boot, including time spent suspended."""
     return time.clock_gettime(_CLOCK_ID)
 
 
 class _SteadyTimeModule:
-    """Stands in the place of the module ``time`` in curio's kernel, which takes no other clock."""
+    """Replaces the module ``time`` in curio's kernel, which has no setting for its clock."""
 
     @staticmethod
     def monotonic() -> float:
-        """Return the kernel's time."""
+        """Returns the time on the steady clock in seconds."""
         return steady_s()
 
 
 def use_steady_clock_in_curio() -> None:
-    """Have the runtime's clock count the time for which the machine is suspended."""
+    """Makes curio's kernel, with its sleeps and timeouts, use the steady clock."""
     curio.kernel.time = _SteadyTimeModule
--- a/src/crankhinge/runtime/_fields.py
+++ b/src/crankhinge/runtime/_fields.py
@@ -1,4 +1,4 @@
-"""Types of settings that several programs share."""
+"""Types of settings fields that several programs share."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 
 
 def split_host_port(text: str) -> tuple[str, int]:
-    """Return host and port of a ``host:port`` that was checked."""
+    """Returns host and port of *text*, which must already match :data:`HostPort`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/src/crankhinge/runtime/_files.py
+++ b/src/crankhinge/runtime/_files.py
@@ -1,4 +1,4 @@
-"""Result files."""
+"""Writes result files."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def write_json(path: str, value: Any) -> None:
-    """Write *value* as indented JSON; an empty *path* writes nothing."""
+    """Writes *value* to *path* as indented JSON; does nothing if *path* is empty."""
     if path:
         Path(path).write_bytes(msgspec.json.format(msgspec.json.encode(value), indent=1))
--- a/src/crankhinge/runtime/_logs.py
+++ b/src/crankhinge/runtime/_logs.py
@@ -1,4 +1,4 @@
-"""One key=value line per event, on standard error."""
+"""Structured logs: one line of ``key=value`` pairs per event, on standard error by default."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class LineStream(Protocol):
-    """Where lines go: a text file, or a sink that never waits."""
+    """Output for log lines: a text file, or a :class:`LineSink` that never blocks."""
 
     def write(self, text: str, /) -> int:
-        """Take a line."""
+        """Accepts text and returns the number of accepted characters."""
 
     def flush(self) -> None:
-        """Pass on what was taken."""
+        """Writes out accepted text."""
 
 
 Log = structlog.stdlib.BoundLogger
@@ -24,19 +24,19 @@
 
 
 def _redact(_: Any, __: str, event: Any) -> Any:
-    """Replace the value of every key that names a secret."""
+    """Replaces the value of every key that holds a secret (a structlog processor)."""
     for key in _SECRET_KEYS & event.keys():
         event[key] = "[redacted]"
     return event
 
 
 def get_log(*, program: str, stream: LineStream | None = None, **fields: object) -> Any:
-    """Return a logger that writes logfmt lines.
+    """Returns a logger that writes lines in logfmt.
 
     Args:
-        program: name of the binary, in each line.
-        stream: where lines go; standard error by default.
-        fields: key=value pairs in each line.
+        program: name of the program, added to each line.
+        stream: output for the lines; standard error by default.
+        fields: further key=value pairs, added to each line.
     """
     return structlog.wrap_logger(
         structlog.WriteLogger(cast(TextIO, stream or sys.stderr)),
--- a/src/crankhinge/runtime/_process.py
+++ b/src/crankhinge/runtime/_process.py
@@ -1,4 +1,4 @@
-"""Settings files, command line and the main loop that every binary shares."""
+"""Settings file, command line, signals and main loop that all programs share."""
 
 from __future__ import annotations
 
@@ -23,19 +23,20 @@
 from crankhinge.runtime._logs import get_log
 
 EXIT_BAD_INPUT = 2
-# Seconds between looks at the settings file, for changes that come without a signal.
+# How often the settings file is polled, for changes that no signal announces.
 SETTINGS_POLL_S = 1.0
-# Signals taken from the wake-up descriptor at once.
+# How many signals, a byte each, one read of the wake-up descriptor returns at most.
 MAX_SIGNALS_PER_READ = 64
 
 S = TypeVar("S", bound=msgspec.Struct)
 
 
 def load_settings(path: str, settings_type: type[S]) -> S:
-    """Read a TOML settings file into a validated *settings_type*.
+    """Reads a TOML settings file and returns it as a validated *settings_type*.
 
     Raises:
-        SettingsError: naming the file, the key and the reason.
+        SettingsError: the file cannot be read or is invalid; the detail states the file, the key
+            and the reason.
     """
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
@@ -59,19 +60,22 @@
     log: Any = None,
     on_reload: Callable[[S], None] | None = None,
 ) -> int:
-    """Parse the command line, read the settings and run *serve* until a signal.
+    """Parses the command line, reads the settings and runs *serve* until a signal ends it.
 
     Args:
-        program: name of the binary.
+        program: name of the program.
         description: one line for ``--help``.
-        settings_type: the settings model.
-        serve: the program; it returns once drained after SIGTERM.
-        argv: arguments; those of the process by default.
-        log: for events; lines on standard error by default.
-        on_reload: given the new settings after SIGHUP, and when the file changed without one.
+        settings_type: the msgspec struct that the settings file is decoded into.
+        serve: runs the program, given the settings, the log, and an event that is set on SIGTERM
+            or SIGINT; it returns once the program has drained.
+        argv: command-line arguments; those of the process by default.
+        log: logger for events; by default it writes lines to standard error.
+        on_reload: called with the new settings after SIGHUP and after a change of the file; None
+            ignores both.
 
     Returns:
-        The exit status: 0, or 2 for bad input.
+        The exit status: 0 after a normal stop, 1 after a :class:`CrankhingeError`, 2 for invalid
+        settings.
     """
     parser = argparse.ArgumentParser(prog=program, description=description)
     parser.add_argument("settings", help="TOML settings file")
@@ -87,12 +91,14 @@
         print(f"{args.settings}: ok")
         return 0
     log = log or get_log(program=program)
-    # curio warns of each operation that ends just after its time-out; nothing is wrong with that.
+    # curio warns about each operation that finishes just after its timeout, which is harmless.
     logging.getLogger("curio").setLevel(logging.ERROR)
-    reader = _SettingsReloader(args.settings, settings_type, log, on_reload) if on_reload else None
+    reloader = (
+        _SettingsReloader(args.settings, settings_type, log, on_reload) if on_reload else None
+    )
     use_steady_clock_in_curio()
     try:
-        curio.run(_serve_until_signal, serve, settings, log, reader)
+        curio.run(_serve_until_signal, serve, settings, log, reloader)
     except CrankhingeError as exc:
         log.error("stopped", kind=type(exc).__name__, why=exc.detail)
         return 1
@@ -100,9 +106,9 @@
 
 
 class _SettingsReloader:
-    """Reads a settings file again when it has changed.
+    """Reloads the settings file after SIGHUP and when the file changes.
 
-    Settings that can't be read change nothing: the process goes on with those it has.
+    If the new settings cannot be read, the process keeps its current ones.
     """
 
     def __init__(
@@ -115,6 +121,7 @@
         self._last_stamp = self._read_stamp()
 
     def _read_stamp(self) -> tuple[int, int]:
+        """Returns the file's modification time in nanoseconds and its size in bytes."""
         try:
             stat = Path(self._path).stat()
         except OSError as exc:
@@ -123,7 +130,7 @@
         return stat.st_mtime_ns, stat.st_size
 
     def reload(self, *, cause: str) -> None:
-        """Read the file and hand the settings on."""
+        """Reads the file and passes valid settings to the program; *cause* is logged."""
         self._last_stamp = self._read_stamp()
         try:
             settings = load_settings(self._path, self._settings_type)
@@ -134,7 +141,7 @@
         self._on_reload(settings)
 
     async def poll_file(self) -> None:
-        """Look for a change that no signal told of, until cancelled."""
+        """Reloads the file whenever its modification time or size changes, until cancelled."""
         while True:
             await curio.sleep(SETTINGS_POLL_S)
             if self._read_stamp() != self._last_stamp:
@@ -143,7 +150,12 @@
 
 @dataclass(frozen=True)
 class _SignalPipe:
-    """Where signals can be read, each a byte, and where the interpreter writes them."""
+    """A socket pair that carries signals, one byte each.
+
+    Attributes:
+        receiver: end from which the program reads signals.
+        sender: end to which the interpreter writes them.
+    """
 
     receiver: socket.socket
     sender: socket.socket
@@ -155,9 +167,9 @@
     log: Any,
     reloader: _SettingsReloader | None = None,
 ) -> None:
-    """Run *serve*; the event it is given is set on SIGTERM or SIGINT."""
+    """Runs *serve* with an event that is set on SIGTERM or SIGINT."""
     stopping = curio.Event()
-    # Before the program does anything: until the handlers stand SIGHUP is ignored and lost.
+    # This comes before the program runs: SIGHUP is ignored until its handler is installed.
     pipe = _open_signal_pipe()
     watchers = [await curio.spawn(_handle_signals, pipe, stopping, reloader, daemon=True)]
     if reloader is not None:
@@ -168,11 +180,11 @@
 
 
 def _open_signal_pipe() -> _SignalPipe:
-    """Have signals written to the interpreter's wake-up descriptor."""
+    """Installs handlers so that the interpreter writes signals to a socket pair."""
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
     sender.setblocking(False)
-    # First of all: a signal between a handler and the descriptor would be lost.
+    # The descriptor is set before the handlers; a signal that came in between would be lost.
     signal.set_wakeup_fd(sender.fileno())
     for signum in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(signum, lambda *_: None)
@@ -182,7 +194,7 @@
 async def _handle_signals(
     pipe: _SignalPipe, stopping: curio.Event, reloader: _SettingsReloader | None
 ) -> None:
-    """Act on signals as they come."""
+    """Sets *stopping* on SIGTERM or SIGINT and reloads the settings on SIGHUP."""
     conn = curio.io.Socket(pipe.receiver)
     try:
         while True:
--- a/src/crankhinge/runtime/_sink.py
+++ b/src/crankhinge/runtime/_sink.py
@@ -1,7 +1,8 @@
-"""Writes log lines to a descriptor without ever waiting for its reader.
+"""Writes log lines to a file descriptor without ever waiting for its reader.
 
-What is kept: every line of level warning or above as long as PENDING_BYTES hold it, and other
-lines up to a rate. What is not kept is counted, and the count is told as soon as lines pass again.
+Lines of level warning and above are kept as long as they fit into :data:`MAX_PENDING_BYTES`; lines
+of lower levels are also limited in rate. Other lines are dropped and counted, and the next accepted
+line is preceded by a line with their number.
 """
 
 from __future__ import annotations
@@ -11,20 +12,23 @@
 
 from crankhinge.runtime._clock import steady_s
 
-# Ordinary lines a second that are kept, and how many may come at once. An instance at its peak
-# answers some 60 requests a second with two lines each.
+# Rate and burst size up to which ordinary lines (levels info and debug) are kept. An instance at
+# peak load completes about 60 requests per second and logs two lines for each.
 MAX_ORDINARY_LINES_PER_S = 400.0
 MAX_ORDINARY_BURST_LINES = 2000.0
-# Bytes kept for a reader that has stopped; two seconds of an instance at its peak.
+# How many bytes are buffered while the reader is stopped: two seconds of logs at peak load.
 MAX_PENDING_BYTES = 128 * 1024
 _ORDINARY_LEVELS = (" level=info ", " level=debug ")
 
 
 class LineSink:
-    """A text stream for a logger, bounded in rate and in memory.
+    """A text stream for a logger, with limits on its rate and memory.
 
     Args:
-        fd: the descriptor; it is made non-blocking.
+        fd: the file descriptor, which is set to non-blocking.
+
+    Attributes:
+        dropped: number of lines dropped since the last accepted line.
     """
 
     def __init__(self, fd: int) -> None:
@@ -36,7 +40,11 @@
         self._refilled_at = steady_s()
 
     def write(self, text: str) -> int:
-        """Take a line; it is written at once if the reader keeps up."""
+        """Buffers a line for the next :meth:`flush`, or drops it.
+
+        Returns:
+            The number of accepted characters: the length of *text*, or 0 if it is dropped.
+        """
         if self._must_drop(text):
             self.dropped += 1
             return 0
@@ -47,7 +55,7 @@
         return len(text)
 
     def _must_drop(self, text: str) -> bool:
-        """Whether the line has to be left out."""
+        """Returns whether a line must be dropped; counts an ordinary line against the rate."""
         if len(self._pending) + len(text) > MAX_PENDING_BYTES:
             return True
         if not any(mark in text for mark in _ORDINARY_LEVELS):
@@ -64,13 +72,13 @@
         return False
 
     def flush(self) -> None:
-        """Write what the reader takes."""
+        """Writes buffered bytes until none are left or the reader accepts no more."""
         try:
             while self._pending:
                 del self._pending[: os.write(self._fd, self._pending)]
         except BlockingIOError:
-            # The reader is behind; what is pending goes out with a later line.
+            # The reader is slow; the remaining bytes are written by a later flush.
             return
         except OSError:
-            # Nobody reads any more, so nobody can be told either.
+            # The reader is gone, so the buffered lines and a report of their loss are useless.
             self._pending.clear()
--- a/src/crankhinge/runtime/_supervisor.py
+++ b/src/crankhinge/runtime/_supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor: restarts the tasks it owns, within a limit."""
+"""A supervisor that runs tasks and restarts those that fail, up to a limit."""
 
 from __future__ import annotations
 
@@ -16,16 +16,19 @@
 
 
 class RestartLimitReached(CrankhingeError):
-    """A child failed more often than its supervisor allows."""
+    """A supervised task failed more often than its limit allows."""
 
     code = "restart-limit"
 
 
 async def run_until_first_ends(*starts: Callable[[], Awaitable[Any]]) -> None:
-    """Run coroutines side by side until one ends, then cancel the others.
+    """Runs coroutines concurrently until one ends, then cancels the others.
+
+    Args:
+        starts: functions that each return a coroutine.
 
     Raises:
-        Exception: what the first one failed with.
+        Exception: the exception of the coroutine that ended first, if it failed.
     """
     async with curio.TaskGroup(wait=any) as group:
         for start in starts:
@@ -39,10 +42,11 @@
     """A supervised task.
 
     Attributes:
-        name: for logs.
-        start: makes the coroutine; it runs until cancelled.
-        max_restarts: how many failures within ``window_s`` are tolerated.
-        window_s: seconds.
+        name: name of the task in logs.
+        start: returns a new coroutine for the task, which runs until it is cancelled.
+        max_restarts: how many failures within ``window_s`` lead to a restart; one more ends the
+            supervisor.
+        window_s: seconds for which a failure counts.
     """
 
     name: str
@@ -53,21 +57,26 @@
 
 @dataclass
 class Supervisor:
-    """Runs children side by side, restarting each that fails, until cancelled.
+    """Runs child tasks concurrently and restarts each one that fails.
 
-    Raises:
-        RestartLimitReached: when one child fails too often; the others are cancelled first.
+    Attributes:
+        log: logs each failure.
+        children: the tasks to run.
     """
 
     log: Any
     children: list[Child] = field(default_factory=list)
 
     def add(self, name: str, start: Callable[[], Awaitable[Any]]) -> None:
-        """Add a child. Call before :meth:`run`."""
+        """Adds a child task with default limits; call it before :meth:`run`."""
         self.children.append(Child(name, start))
 
     async def run(self) -> None:
-        """Run all children until one gives up or the supervisor is cancelled."""
+        """Runs all children until one of them ends or the supervisor is cancelled.
+
+        Raises:
+            RestartLimitReached: a child failed too often; the others were cancelled first.
+        """
         await run_until_first_ends(
             *(partial(self._run_with_restarts, child) for child in self.children)
         )
--- a/src/crankhinge/runtime/_tcp.py
+++ b/src/crankhinge/runtime/_tcp.py
@@ -1,4 +1,7 @@
-"""A TCP accept loop that outlives failing connections and a full descriptor table."""
+"""TCP connections, and an accept loop that survives failed connections.
+
+The accept loop also survives a full table of file descriptors, during which ``accept`` fails.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +14,10 @@
 
 ACCEPT_RETRY_DELAY_S = 0.05
 ACCEPT_BACKLOG = 1024
-# A peer behind a silent cut is noticed after IDLE + COUNT x INTERVAL seconds while nothing is
-# under way, and after UNACKNOWLEDGED_MS while something is: within the three seconds after which
-# an instance counts as out of touch.
+# If packets to a peer are lost silently, the kernel closes the connection after KEEPALIVE_IDLE_S +
+# KEEPALIVE_COUNT x KEEPALIVE_INTERVAL_S seconds when no sent data is unacknowledged, and after
+# MAX_UNACKNOWLEDGED_MS when some is. Both are within the three seconds after which an instance
+# counts as unresponsive.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
@@ -30,14 +34,14 @@
     log: Any,
     stop_accepting: curio.Event | None = None,
 ) -> None:
-    """Accept connections until cancelled, each handled by a task of its own.
+    """Accepts connections until cancelled, and handles each in a task of its own.
 
     Args:
         host: address to bind.
-        port: TCP port.
-        handler: called with the socket and the peer's address.
-        log: where unexpected failures of a handler go.
-        stop_accepting: when set, no more connections are accepted; those that are open go on.
+        port: TCP port to bind.
+        handler: called with the socket and the peer's address; the socket is closed afterwards.
+        log: logs failures of handlers and of ``accept``.
+        stop_accepting: when set, no more connections are accepted; open connections continue.
     """
     listener = curio.tcp_server_socket(host, port, backlog=ACCEPT_BACKLOG, reuse_address=True)
     async with listener, curio.TaskGroup() as group:
@@ -52,7 +56,7 @@
     await stop_accepting.wait()
     await accepting.cancel()
     await listener.close()
-    # The group ends with its last task; this one keeps it until the group is cancelled.
+    # The task group would end with its last task; this task keeps it open until it is cancelled.
     await curio.Event().wait()
 
 
@@ -79,12 +83,13 @@
 
 
 async def open_tcp(host: str, port: int, timeout_s: float) -> Any:
-    """Connect to an IP address.
+    """Connects to an IP address and returns the socket.
 
-    curio's own call looks names up on a thread, for each connection; we have IP numbers only.
+    curio's own function resolves the host name on a thread for each connection, which is needless
+    here because all addresses are numeric.
 
     Raises:
-        OSError: when no connection is made in time.
+        OSError: the connection failed or was not established within *timeout_s* seconds.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = curio.socket.socket(family, socket.SOCK_STREAM)
@@ -92,7 +97,7 @@
         await curio.timeout_after(timeout_s, sock.connect, (host, port))
     except curio.TaskTimeout as exc:
         await sock.close()
-        raise OSError(f"no connection in {timeout_s} s") from exc
+        raise OSError(f"no connection within {timeout_s} s") from exc
     except BaseException:
         await sock.close()
         raise
@@ -102,28 +107,31 @@
 
 
 async def send_all(sock: Any, data: memoryview, stall_timeout_s: float) -> None:
-    """Send all of *data* as long as the other end takes some of it.
+    """Sends all of *data* as long as the peer keeps accepting parts of it.
 
-    Only the silence is bounded: how long all of it takes follows from its size and the link.
+    The total time is not limited, because it depends on the size of the data and on the link.
 
     Raises:
-        OSError: when the connection ends, or when nothing was taken for *stall_timeout_s* seconds.
+        OSError: the connection ended, or the peer accepted nothing for *stall_timeout_s* seconds.
     """
     while data:
         try:
             sent = await curio.timeout_after(stall_timeout_s, sock.send, data)
         except curio.TaskTimeout as exc:
-            raise TimeoutError(f"nothing taken for {stall_timeout_s} s") from exc
+            raise TimeoutError(f"peer accepted nothing for {stall_timeout_s} s") from exc
         data = data[sent:]
 
 
 def disable_nagle(sock: Any) -> None:
-    """Send small segments at once: tokens must not wait for an acknowledgement."""
+    """Sends small segments at once, so that tokens don't wait for an acknowledgement."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def enable_peer_timeouts(sock: Any) -> None:
-    """Have the kernel report a peer that fell silent; without it a cut hangs a read for hours."""
+    """Makes the kernel close the connection of a peer that stops responding.
+
+    Without these options a read on a connection whose packets are lost hangs for hours.
+    """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
--- a/src/crankhinge/runtime/_wall.py
+++ b/src/crankhinge/runtime/_wall.py
@@ -1,4 +1,7 @@
-"""The wall clock, for what processes compare across starts; durations use the runtime's clock."""
+"""The wall clock, for times that are compared across processes and restarts.
+
+Durations are measured with the steady clock instead.
+"""
 
 from __future__ import annotations
 
@@ -8,5 +11,5 @@
 
 
 def wall_ms() -> int:
-    """Return milliseconds since the epoch."""
+    """Returns milliseconds since the Unix epoch."""
     return time.time_ns() // NS_PER_MS
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -111,7 +111,7 @@
             await sock.close()
 
         async def story(client: HttpClient) -> None:
-            with pytest.raises(HttpClosed, match="closed before the end of an answer"):
+            with pytest.raises(HttpClosed, match="closed before the end of the response"):
                 await client.call("GET", "/")
 
         run_scenario(server, story)
