--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,13 +1,10 @@
-"""Tests of the runtime's clock.
+"""Tests of the steady clock.
 
-What users may see: an instance that was suspended for seconds, and woke, runs a request by a key
-that was taken away meanwhile, or hands out tokens that another instance hands out already.
-
-Order of events: the instance's machine is suspended; its steady clock stands still; a key is taken
-away, a lease ends, another instance acts in its place; the instance wakes, and finds its belief as
-young and its lease as long as before.
-
-Cause: ages and leases were measured by a clock that does not count the time of a suspension.
+They guard against an instance that, after its machine was suspended for some seconds, runs a
+request with a key that was revoked meanwhile, or grants tokens that another instance already
+grants. It happens if ages and leases are measured with a clock that stops during a suspension: the
+key is revoked, the lease ends and another instance takes over, but after the resume the instance
+still takes its data for recent and its lease for valid.
 """
 
 from __future__ import annotations
@@ -28,7 +25,7 @@
 
 @pytest.fixture(autouse=True)
 def handlers() -> Iterator[None]:
-    """Put the handlers of signals back that a program sets."""
+    """Restores the signal handlers that a program replaces."""
     signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     before = [signal.getsignal(signum) for signum in signals]
     yield
@@ -36,35 +33,37 @@
         signal.signal(signum, handler)
 
 
-class Nothing(msgspec.Struct):
-    """No settings."""
+class EmptySettings(msgspec.Struct):
+    """Settings without fields."""
 
 
 class TestSuspension:
-    """The machine was suspended: its monotonic clock stood still, that of its boot went on."""
+    """A suspension, in which the monotonic clock stops and the boot-time clock continues."""
 
-    def test_counts_in_the_ages_of_what_is_believed(
+    def test_steady_clock_counts_suspended_time(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The runtime's clock goes on with it, so leases and ages end as they would otherwise."""
+        """The clock of curio's kernel counts it, so leases and ages end as without it."""
         path = tmp_path / "settings.toml"
         path.write_text("")
         suspended_s = 0.0
-        real = time.clock_gettime
-        passed: list[float] = []
+        real_clock_gettime = time.clock_gettime
+        elapsed: list[float] = []
 
-        def suspended(clock: int) -> float:
-            return real(clock) + (suspended_s if clock == time.CLOCK_BOOTTIME else 0.0)
+        def suspended_clock_gettime(clock: int) -> float:
+            return real_clock_gettime(clock) + (
+                suspended_s if clock == time.CLOCK_BOOTTIME else 0.0
+            )
 
-        async def serve(settings: Nothing, log: object, stopping: curio.Event) -> None:
+        async def serve(settings: EmptySettings, log: object, stopping: curio.Event) -> None:
             nonlocal suspended_s
             before = await curio.clock()
             suspended_s = SUSPENDED_S
-            passed.append(await curio.clock() - before)
+            elapsed.append(await curio.clock() - before)
 
-        monkeypatch.setattr(time, "clock_gettime", suspended)
+        monkeypatch.setattr(time, "clock_gettime", suspended_clock_gettime)
         status = run_process(
-            program="t", description="t", settings_type=Nothing, serve=serve, argv=[str(path)]
+            program="t", description="t", settings_type=EmptySettings, serve=serve, argv=[str(path)]
         )
         assert status == 0
-        assert passed[0] == pytest.approx(SUSPENDED_S, abs=0.5)
+        assert elapsed[0] == pytest.approx(SUSPENDED_S, abs=0.5)
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP layer where servers and callers misbehave."""
+"""Tests of the HTTP client and server with peers that misbehave or are slow."""
 
 from __future__ import annotations
 
@@ -31,25 +31,27 @@
 
 
 def encode_response(request_id: str, body: bytes, *more: str) -> bytes:
-    """Return an answer with a length."""
+    """Returns an encoded 200 response with a request id, a body and *more* header lines."""
     lines = ["HTTP/1.1 200 OK", f"x-id: {request_id}", f"content-length: {len(body)}", *more]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-def run_scenario(server: ConnectionHandler, story: Callable[[HttpClient], Awaitable[None]]) -> None:
-    """Run *story* against a server that handles raw connections."""
+def run_scenario(
+    server: ConnectionHandler, scenario: Callable[[HttpClient], Awaitable[None]]
+) -> None:
+    """Runs *scenario* with a client of a server whose connections *server* handles."""
     [port] = free_ports(1)
 
     async def handle(sock: Any, _: Any) -> None:
         await server(sock)
 
-    async def told() -> None:
+    async def run_client() -> None:
         await curio.sleep(0.01)
-        await story(HttpClient(HOST, port))
+        await scenario(HttpClient(HOST, port))
 
     async def main() -> None:
         log = get_log(program="t")
-        await run_until_first_ends(lambda: serve_tcp(HOST, port, handle, log=log), told)
+        await run_until_first_ends(lambda: serve_tcp(HOST, port, handle, log=log), run_client)
 
     run_virtual(main, settle_s=0.003)
 
@@ -57,7 +59,7 @@
 async def send_request(
     client: HttpClient, request_id: str, body: bytes = b""
 ) -> tuple[bytes, bool]:
-    """Send a request; return the answer's body and whether a kept connection was used."""
+    """Sends a request; returns the response body and whether an idle connection was reused."""
     fields = [("host", "h"), ("content-length", str(len(body)))]
     stream = await client.open_with_fields(
         "POST",
@@ -72,14 +74,17 @@
         await stream.close()
 
 
-# Seconds in which a caller has to take something of an answer.
+# Seconds within which a caller must accept some bytes of a response.
 SEND_TIMEOUT_S = 1.0
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n"
 TIMEOUTS = ResponseTimeouts(first_byte_s=2.0, next_byte_s=1.0, total_s=20.0)
 
 
 def respond_in_pieces(number: int, pause_s: float) -> ConnectionHandler:
-    """Return a server whose answer comes in *number* pieces after pauses, and then no more."""
+    """Returns a server that sends a response head and *number* bytes of its body.
+
+    It pauses before each of them and sends nothing afterwards.
+    """
 
     async def serve(sock: Any) -> None:
         await sock.recv(65536)
@@ -92,9 +97,10 @@
 
 
 class TestClosedEarly:
-    """A server that closes its connection before its answer is whole.
+    """A server that closes its connection before the end of its response.
 
-    Callers were told of a malformed answer, in the words of the parser, where a server had crashed.
+    Guards against reporting a crash of the server to callers as a malformed response, with an error
+    text of the HTTP parser.
     """
 
     @pytest.mark.parametrize(
@@ -102,37 +108,37 @@
         [b"", b"HTTP/1.1 200 OK\r\ncont", encode_response("q", b"whole", "x: y")[:-3]],
         ids=["nothing", "half a head", "half a body"],
     )
-    def test_is_told_as_closed_not_as_malformed(self, begun: bytes) -> None:
-        """Whatever came before the end."""
+    def test_incomplete_response_is_reported_as_closed_connection(self, begun: bytes) -> None:
+        """This holds for any part of a response that arrives before the close."""
 
         async def server(sock: Any) -> None:
             await sock.recv(1000)
             await sock.sendall(begun)
             await sock.close()
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             with pytest.raises(HttpClosed, match="closed before the end of the response"):
                 await client.call("GET", "/")
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_bytes_that_are_no_answer_stay_malformed(self) -> None:
-        """Also when the connection ends behind them."""
+    def test_invalid_bytes_before_close_are_reported_as_malformed(self) -> None:
+        """Invalid bytes are malformed HTTP even if the connection ends after them."""
 
         async def server(sock: Any) -> None:
             await sock.recv(1000)
             await sock.sendall(b"no answer at all\r\n\r\n")
             await sock.close()
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             with pytest.raises(BadHttp):
                 await client.call("GET", "/")
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
 
-class TestPatience:
-    """How long an answer is waited for."""
+class TestResponseTimeouts:
+    """Limits on the wait for a response."""
 
     @pytest.mark.parametrize(
         ("number", "pause_s", "until", "came"),
@@ -144,40 +150,40 @@
         ],
         ids=["whole", "silent", "silent in its middle", "trickles"],
     )
-    def test_silence_and_trickles_end_it_a_long_answer_does_not(
+    def test_only_gaps_and_total_time_end_the_wait(
         self, number: int, pause_s: float, until: float, came: int
     ) -> None:
-        """Only bytes that stop coming, or come for too long, count against an answer."""
+        """A long response succeeds; one that stops or takes longer than the total limit fails."""
 
-        async def story(client: HttpClient) -> None:
-            began = await curio.clock()
+        async def scenario(client: HttpClient) -> None:
+            started_at = await curio.clock()
             if not until:
                 body = (await client.call("GET", "/", timeouts=TIMEOUTS)).body
                 assert len(body) == 100
-                assert await curio.clock() - began > 10.0
+                assert await curio.clock() - started_at > 10.0
                 return
             with pytest.raises(HttpSilent) as caught:
                 await client.call("GET", "/", timeouts=TIMEOUTS)
-            assert await curio.clock() - began == pytest.approx(until, abs=0.2)
+            assert await curio.clock() - started_at == pytest.approx(until, abs=0.2)
             head = len(RESPONSE_HEAD) if came else 0
             assert f"after {head + came} bytes" in caught.value.detail
 
-        run_scenario(respond_in_pieces(number, pause_s), story)
+        run_scenario(respond_in_pieces(number, pause_s), scenario)
 
 
 class TestSlowReaders:
-    """Callers on thin links, who take longer for an answer than any of its pieces may wait."""
+    """Callers on slow links, to which a response takes longer than ``send_timeout_s``."""
 
-    def test_a_long_answer_is_sent_as_long_as_its_caller_reads(self) -> None:
-        """Only a caller that takes nothing for ``send_s`` is given up."""
+    def test_response_is_sent_as_long_as_caller_reads(self) -> None:
+        """The server drops only a caller that accepts nothing for ``send_timeout_s``."""
         [port] = free_ports(1)
         body = b"b" * 24_000_000
         got = bytearray()
 
-        async def give(exchange: Exchange) -> None:
+        async def respond(exchange: Exchange) -> None:
             await exchange.respond(200, body)
 
-        async def whole(pauses_s: Iterator[float]) -> bool:
+        async def receives_all(pauses_s: Iterator[float]) -> bool:
             sock = curio.socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1_000_000)
             await sock.connect((HOST, port))
@@ -192,30 +198,30 @@
             await sock.close()
             return len(got) > len(body)
 
-        async def told() -> None:
+        async def run_client() -> None:
             await curio.sleep(0.01)
-            began = await curio.clock()
-            assert await whole(repeat(0.1))
-            assert await curio.clock() - began > 2 * SEND_TIMEOUT_S
-            assert not await whole(chain([2.5 * SEND_TIMEOUT_S], repeat(0.0)))
+            started_at = await curio.clock()
+            assert await receives_all(repeat(0.1))
+            assert await curio.clock() - started_at > 2 * SEND_TIMEOUT_S
+            assert not await receives_all(chain([2.5 * SEND_TIMEOUT_S], repeat(0.0)))
 
         async def main() -> None:
             log = get_log(program="t")
             limits = HttpLimits(send_timeout_s=SEND_TIMEOUT_S)
             serve = partial(
-                serve_http, HOST, port, give, on_malformed=refuse_bad, log=log, limits=limits
+                serve_http, HOST, port, respond, on_malformed=refuse_bad, log=log, limits=limits
             )
-            await run_until_first_ends(serve, told)
+            await run_until_first_ends(serve, run_client)
 
-        # The kernel's own clock says when it takes more of an answer: no other may jump ahead.
+        # This runs in real time, because the kernel's TCP timers decide when it accepts more data.
         curio.run(main)
 
 
-class TestAnswers:
-    """Which bytes belong to which request."""
+class TestResponses:
+    """Which received bytes belong to which request."""
 
-    def test_a_late_second_answer_is_not_taken_for_the_next_request(self) -> None:
-        """The answer that names another request is read past."""
+    def test_late_response_to_earlier_request_is_skipped(self) -> None:
+        """A response with the id of another request is skipped."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
@@ -224,73 +230,73 @@
             await sock.sendall(encode_response("q1", b"again") + encode_response("q2", b"second"))
             await sock.recv(65536)
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             assert await send_request(client, "q1") == (b"first", False)
             assert await send_request(client, "q2") == (b"second", True)
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_bytes_behind_an_answer_end_the_connection(self) -> None:
-        """Nobody knows whose they are; the next request gets a connection of its own."""
+    def test_connection_with_surplus_bytes_is_not_reused(self) -> None:
+        """Bytes after a response belong to no request, so the next request opens a connection."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
             await sock.sendall(encode_response("q1", b"body") + b"more")
             await sock.recv(65536)
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             assert await send_request(client, "q1") == (b"body", False)
             assert await send_request(client, "q1") == (b"body", False)
             assert client.opened_connections == 2
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_an_answer_without_length_ends_with_its_connection(self) -> None:
-        """It is whole when the connection ends in order."""
+    def test_response_without_length_ends_when_connection_closes(self) -> None:
+        """The response is complete if the connection closes in order."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
             await sock.sendall(b"HTTP/1.1 200 OK\r\nx-id: q1\r\n\r\nbody")
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             assert (await send_request(client, "q1"))[0] == b"body"
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_an_answer_without_length_that_is_reset_is_not_whole(self) -> None:
-        """A reset is a failure, however much has come."""
+    def test_response_without_length_fails_when_connection_is_reset(self) -> None:
+        """A reset is a failure even if the complete body arrived before."""
 
         async def server(sock: Any) -> None:
-            # Bytes left unread make the close a reset.
+            # Closing a connection with unread bytes resets it.
             await sock.recv(10)
             await sock.sendall(b"HTTP/1.1 200 OK\r\nx-id: q1\r\n\r\nbody")
             await curio.sleep(0.1)
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             with pytest.raises(HttpClosed):
                 await send_request(client, "q1")
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_what_is_no_answer_is_a_typed_failure(self) -> None:
-        """Bytes that are not HTTP."""
+    def test_bytes_that_are_not_http_raise_bad_http(self) -> None:
+        """The client raises the error class for malformed HTTP."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
             await sock.sendall(b"\x00\x01garbage\r\n\r\n")
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             with pytest.raises(BadHttp):
                 await send_request(client, "q1")
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
 
 class TestRequests:
-    """How requests are sent."""
+    """How the client sends requests and reuses connections."""
 
-    def test_an_early_refusal_of_a_long_body_is_heard(self) -> None:
-        """The server answers and stops reading; the connection is not used again."""
+    def test_early_refusal_of_long_body_is_received(self) -> None:
+        """The server responds and stops reading; the client does not reuse the connection."""
         connections = []
 
         async def server(sock: Any) -> None:
@@ -299,44 +305,44 @@
             await sock.sendall(encode_response("q1", b"too long"))
             await curio.Event().wait()
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             body, _ = await curio.timeout_after(5.0, send_request, client, "q1", b"x" * 30_000_000)
             assert body == b"too long"
             await send_request(client, "q1")
             assert len(connections) == 2
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_a_kept_connection_that_was_closed_is_not_used(self) -> None:
-        """It is looked at first, so the request is not lost on it."""
+    def test_idle_connection_closed_by_server_is_not_reused(self) -> None:
+        """The client checks an idle connection first, so that no request is lost on it."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
             await sock.sendall(encode_response("q1", b"x"))
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             await send_request(client, "q1")
             await curio.sleep(0.1)
             assert await send_request(client, "q1") == (b"x", False)
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_one_silent_kept_connection_has_the_others_dropped(self) -> None:
-        """All may have been cut off together, with nothing to show it but the silence."""
-        mute: list[Any] = []
+    def test_timeout_on_reused_connection_closes_idle_connections(self) -> None:
+        """All idle connections may have failed together, and only a timeout reveals it."""
+        unresponsive: list[Any] = []
 
         async def server(sock: Any) -> None:
             while await sock.recv(65536):
-                if sock not in mute:
+                if sock not in unresponsive:
                     await curio.sleep(0.1)
                     await sock.sendall(encode_response("q1", b"x"))
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             async with curio.TaskGroup() as group:
                 for _ in range(4):
                     await group.spawn(send_request, client, "q1")
             assert len(sockets) == 4
-            mute.extend(sockets)
+            unresponsive.extend(sockets)
             with pytest.raises(curio.TaskTimeout):
                 await curio.timeout_after(1.0, send_request, client, "q1")
             for _ in range(3):
@@ -345,14 +351,14 @@
 
         sockets: list[Any] = []
 
-        async def noted(sock: Any) -> None:
+        async def record_and_serve(sock: Any) -> None:
             sockets.append(sock)
             await server(sock)
 
-        run_scenario(noted, story)
+        run_scenario(record_and_serve, scenario)
 
-    def test_a_server_that_is_only_slow_keeps_its_connections(self) -> None:
-        """Others of them answer meanwhile, so the silence is this request's alone."""
+    def test_slow_response_keeps_idle_connections_of_responsive_server(self) -> None:
+        """Other connections received responses meanwhile, so only this request timed out."""
         opened: list[Any] = []
 
         async def server(sock: Any) -> None:
@@ -361,7 +367,7 @@
                 await curio.sleep(5.0 if b"slow" in request else 0.1)
                 await sock.sendall(encode_response("q1", b"x"))
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             async with curio.TaskGroup() as group:
                 for _ in range(3):
                     await group.spawn(send_request, client, "q1")
@@ -373,42 +379,42 @@
             await send_request(client, "q1")
             assert len(opened) == 3
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_a_connection_is_left_alone_before_its_server_closes_it(self) -> None:
-        """Keep-Alive says one second: nothing is kept at all."""
+    def test_idle_connection_is_not_reused_shortly_before_server_closes_it(self) -> None:
+        """With a keep-alive timeout of one second no connection is kept at all."""
 
         async def server(sock: Any) -> None:
             while await sock.recv(65536):
                 await sock.sendall(encode_response("q1", b"x", "keep-alive: timeout=1"))
 
-        async def story(client: HttpClient) -> None:
+        async def scenario(client: HttpClient) -> None:
             await send_request(client, "q1")
             assert await send_request(client, "q1") == (b"x", False)
 
-        run_scenario(server, story)
+        run_scenario(server, scenario)
 
-    def test_a_closed_port_means_that_nothing_was_sent(self) -> None:
-        """Told apart from a request that may have arrived."""
+    def test_closed_port_raises_connect_failed(self) -> None:
+        """The error differs from that of a request that may have arrived."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             with pytest.raises(ConnectFailed):
                 await HttpClient(HOST, free_ports(1)[0]).call("GET", "/")
 
-        run_virtual(story, settle_s=0.003)
+        run_virtual(scenario, settle_s=0.003)
 
 
 class TestServing:
-    """The serving side."""
+    """The HTTP server."""
 
-    def test_an_idle_connection_lives_its_time_and_no_longer(self) -> None:
-        """The limit counts from the last answer."""
+    def test_idle_connection_is_closed_after_idle_timeout(self) -> None:
+        """The idle time counts from the last response."""
         [port] = free_ports(1)
 
         async def handle(exchange: Exchange) -> None:
             await exchange.respond(200, b"{}")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(0.01)
             client = HttpClient(HOST, port)
             stream = await client.open("GET", "/")
@@ -432,7 +438,7 @@
                     log=get_log(program="t"),
                     limits=limits,
                 ),
-                story,
+                scenario,
             )
 
         run_virtual(main, settle_s=0.003)
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -13,10 +13,10 @@
 
 
 class TestSupervisor:
-    """Restarts within a limit."""
+    """Restarts of failed tasks, up to a limit."""
 
-    def test_restarts_a_failing_child(self) -> None:
-        """A child that fails is started again; the others go on."""
+    def test_failed_child_is_restarted(self) -> None:
+        """A child that fails twice is started a third time."""
         starts: list[float] = []
 
         async def fails_twice() -> None:
@@ -29,8 +29,8 @@
         run_virtual(supervisor.run)
         assert len(starts) == 3
 
-    def test_gives_up_at_the_limit(self) -> None:
-        """A child that keeps failing ends the supervisor with a typed failure."""
+    def test_too_many_failures_end_the_supervisor(self) -> None:
+        """A child that keeps failing ends the supervisor with RestartLimitReached."""
 
         async def fails() -> None:
             raise ValueError("no")
@@ -45,10 +45,10 @@
 
 
 class TestLogs:
-    """One key=value line per event."""
+    """Log lines of key=value pairs, one per event."""
 
     def test_secrets_are_redacted(self) -> None:
-        """The value of a key that names a secret never reaches the log."""
+        """The value of a key that holds a secret is not written to the log."""
         out = io.StringIO()
         get_log(program="test", stream=out).info("seen", authorization="Bearer abc", size=3)
         assert "abc" not in out.getvalue()
@@ -56,7 +56,7 @@
 
 
 class FakeLink:
-    """A link that records what is sent."""
+    """A link that records the frames it is given."""
 
     def __init__(self) -> None:
         self.heard = 0.0
@@ -65,19 +65,19 @@
         self.sent: list[bytes] = []
 
     async def send_frame(self, frame: bytes) -> None:
-        """Record a frame."""
+        """Records a frame."""
         self.sent.append(frame)
 
     async def close(self) -> None:
-        """Record the end."""
+        """Records that the link was closed."""
         self.closed = True
 
 
 class TestBeater:
     """Heartbeats."""
 
-    def test_a_silent_link_is_closed(self) -> None:
-        """A peer that is heard no more for some beats loses its link; a live one keeps it."""
+    def test_unresponsive_link_is_closed(self) -> None:
+        """A peer that sends nothing for some heartbeats loses its link; a live peer keeps it."""
 
         async def scenario() -> tuple[bool, bool, int]:
             beater = Beater(1.0, lambda _now: Beat(1))
@@ -96,8 +96,8 @@
         assert silent and not lively
         assert beats in (9, 10)
 
-    def test_a_pause_of_our_own_is_forgiven(self) -> None:
-        """A process that was itself paused doesn't blame its peers for the silence."""
+    def test_links_survive_a_pause_of_this_process(self) -> None:
+        """A process that was paused itself does not close links for the silence meanwhile."""
 
         async def scenario() -> bool:
             beater = Beater(1.0, lambda _now: Beat(1))
--- a/tests/test_sink.py
+++ b/tests/test_sink.py
@@ -1,4 +1,4 @@
-"""Tests of the log sink."""
+"""Tests of the log sink, which drops lines instead of blocking."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def read_all(fd: int) -> str:
-    """Return what a pipe holds."""
+    """Returns the bytes that can be read from a pipe without waiting, decoded."""
     out = b""
     while True:
         try:
@@ -23,7 +23,7 @@
 
 
 def pipe() -> tuple[int, int]:
-    """Return a small pipe whose reading end does not block."""
+    """Returns the two ends of a small pipe; reading from it does not block."""
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
@@ -31,16 +31,16 @@
 
 
 class TestSink:
-    """Lines to a reader that may stop."""
+    """Lines written to a reader that may stop reading."""
 
-    def test_lines_pass_while_they_are_read(self) -> None:
-        """One line an event."""
+    def test_line_is_written_while_reader_keeps_up(self) -> None:
+        """An event is written as one line."""
         reader, writer = pipe()
         get_log(program="p", stream=LineSink(writer)).info("started", a=1)
         assert "event=started a=1" in read_all(reader)
 
-    def test_a_reader_that_stopped_stops_nobody(self) -> None:
-        """Writing returns; memory stays bounded; the count is told when reading goes on."""
+    def test_stopped_reader_does_not_block_writer(self) -> None:
+        """Writes return, memory stays limited, and the number of dropped lines is logged later."""
         reader, writer = pipe()
         sink = LineSink(writer)
         log = get_log(program="p", stream=sink)
@@ -48,18 +48,18 @@
             log.warning("request_failed", request=str(number), why="x" * 100)
         assert sink.dropped > 0
         assert len(sink._pending) <= MAX_PENDING_BYTES
-        told = sink.dropped
+        dropped = sink.dropped
         text = ""
         while sink._pending:
             text += read_all(reader)
             sink.flush()
         log.warning("last")
         text += read_all(reader)
-        assert f"event=lines_dropped level=warning count={told}" in text
+        assert f"event=lines_dropped level=warning count={dropped}" in text
         assert "event=last" in text
 
-    def test_failures_are_kept_when_ordinary_lines_are_too_many(self) -> None:
-        """Only ordinary lines count against the rate."""
+    def test_warnings_are_kept_when_ordinary_lines_are_dropped(self) -> None:
+        """The rate limit applies only to ordinary lines."""
         reader, writer = os.pipe()
         os.set_blocking(reader, False)
         fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 1 << 20)
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""The clock that jumps: what was sent is delivered first, and a jump takes no real time."""
+"""Tests of the virtual clock: sent data is delivered before a jump, which takes no real time."""
 
 import selectors
 from typing import Any
@@ -10,18 +10,18 @@
 
 from virtual_time import NeverEnds, run_virtual
 
-# Real seconds that what was sent gets to be delivered.
+# Real seconds to wait for the delivery of sent data.
 SETTLE_S = 0.003
 
 
 class TestJumps:
-    """When the clock jumps, and when it waits."""
+    """When the clock jumps, and when it waits for the delivery of sent data."""
 
     @pytest.mark.parametrize("sent", [b"x", b"x" * 5_000_000], ids=["a-byte", "more-than-fits"])
-    def test_what_was_sent_is_received_at_the_time_of_sending(self, sent: bytes) -> None:
-        """However much it is, and though the sender has to wait for room."""
+    def test_sent_data_is_received_without_delay(self, sent: bytes) -> None:
+        """This holds for any amount, even if the sender must wait for buffer space."""
 
-        async def story() -> tuple[int, float]:
+        async def scenario() -> tuple[int, float]:
             mine, other = socket.socketpair()
             began = await curio.clock()
             sender = await curio.spawn(mine.sendall, sent)
@@ -31,31 +31,31 @@
             await sender.join()
             return got, await curio.clock() - began
 
-        assert run_virtual(story, settle_s=SETTLE_S) == (len(sent), 0.0)
+        assert run_virtual(scenario, settle_s=SETTLE_S) == (len(sent), 0.0)
 
-    def test_a_sleep_after_which_nothing_was_sent_waits_for_nothing(self) -> None:
-        """Of a hundred jumps at most the first gives time to what may be under way."""
+    def test_sleep_without_sent_data_does_not_wait_for_delivery(self) -> None:
+        """Of a hundred jumps, at most the first waits for data that may not be delivered yet."""
         waits: list[float] = []
         select = selectors.DefaultSelector.select
 
-        def noting(selector: Any, timeout: float | None = None) -> Any:
+        def recording_select(selector: Any, timeout: float | None = None) -> Any:
             waits.append(timeout or 0.0)
             return select(selector, timeout)
 
-        async def story() -> float:
+        async def scenario() -> float:
             for _ in range(100):
                 await curio.sleep(1.0)
             return float(await curio.clock())
 
-        with mock.patch.object(selectors.DefaultSelector, "select", noting):
-            assert run_virtual(story, settle_s=SETTLE_S) == pytest.approx(1100.0)
+        with mock.patch.object(selectors.DefaultSelector, "select", recording_select):
+            assert run_virtual(scenario, settle_s=SETTLE_S) == pytest.approx(1100.0)
         assert [wait for wait in waits if wait] in ([], [SETTLE_S])
         assert len(waits) > 100
 
-    def test_what_is_sent_after_a_jump_is_waited_for_again(self) -> None:
-        """A datagram sent at each second is there before the next second."""
+    def test_data_sent_after_a_jump_is_delivered_before_the_next(self) -> None:
+        """A datagram sent at each second arrives before the next second."""
 
-        async def story() -> list[float]:
+        async def scenario() -> list[float]:
             inbox = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             inbox.bind(("127.0.0.1", 0))
             sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -73,22 +73,22 @@
             await task.join()
             return arrived
 
-        assert run_virtual(story, settle_s=SETTLE_S) == [float(n) for n in range(1, 21)]
+        assert run_virtual(scenario, settle_s=SETTLE_S) == [float(n) for n in range(1, 21)]
 
 
 class TestNeverEnds:
-    """Stories that would go on until somebody ends the run."""
+    """Runs that would never end by themselves."""
 
-    def test_what_it_waits_for_is_told(self) -> None:
-        """A task that looks again and again for what never comes."""
+    def test_error_names_the_waiting_task(self) -> None:
+        """A task that polls forever ends the run, and the error names its function."""
 
-        async def looks_again() -> None:
+        async def polls_forever() -> None:
             while True:
                 await curio.sleep(0.5)
 
-        async def story() -> None:
-            task = await curio.spawn(looks_again)
+        async def scenario() -> None:
+            task = await curio.spawn(polls_forever)
             await task.join()
 
-        with pytest.raises(NeverEnds, match="looks_again:"):
-            run_virtual(story)
+        with pytest.raises(NeverEnds, match="polls_forever:"):
+            run_virtual(scenario)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine under a clock that jumps to the next event instead of waiting."""
+"""Runs a coroutine with a virtual clock that jumps to the next timer instead of waiting."""
 
 import contextlib
 import functools
@@ -12,16 +12,22 @@
 import curio
 import curio.kernel
 
-# Virtual seconds after which a story is taken never to end, unless it says that it lasts longer.
+# Default limit on the virtual seconds of a run; a longer run fails as one that never ends.
 MAX_VIRTUAL_S = 600.0
 
 
 class NeverEnds(AssertionError):
-    """A story goes on and on; tells what its tasks wait for."""
+    """A run exceeded its limit of virtual time; the message says what its tasks wait for."""
 
 
 class VirtualClock:
-    """The kernel's clock."""
+    """The virtual clock of curio's kernel.
+
+    Attributes:
+        now: virtual time in seconds.
+        max_virtual_s: limit on the virtual seconds of a run.
+        end: virtual time at which the limit is exceeded.
+    """
 
     def __init__(self, max_virtual_s: float) -> None:
         self.now = 1000.0
@@ -29,16 +35,16 @@
         self.end = self.now + max_virtual_s
 
     def monotonic(self) -> float:
-        """Return the virtual time."""
+        """Returns the virtual time in seconds."""
         return self.now
 
 
 class SocketActivity:
-    """Notes that something was done to a socket, of which its peer may be yet to hear."""
+    """Records that a socket was used, so that data may not have reached its peer yet."""
 
     RECORDED_CALLS = (
         *("send", "sendto", "sendmsg", "connect", "connect_ex", "shutdown", "close", "detach"),
-        # Reading makes room, which a peer that could send no more hears of.
+        # Reading frees buffer space, which lets a blocked peer send more.
         *("recv", "recv_into", "recvfrom", "recvfrom_into", "recvmsg"),
     )
 
@@ -47,24 +53,24 @@
 
     @contextlib.contextmanager
     def recorded(self) -> Iterator[None]:
-        """Note what is done to sockets meanwhile."""
+        """Records the use of sockets inside the context."""
         with contextlib.ExitStack() as stack:
             for name in self.RECORDED_CALLS:
-                noting = self._recording(getattr(socket.socket, name))
-                stack.enter_context(mock.patch.object(socket.socket, name, noting))
+                recording = self._recording(getattr(socket.socket, name))
+                stack.enter_context(mock.patch.object(socket.socket, name, recording))
             yield
 
     def _recording(self, call: Callable[..., Any]) -> Callable[..., Any]:
         @functools.wraps(call)
-        def noting(*args: Any, **options: Any) -> Any:
+        def recording(*args: Any, **options: Any) -> Any:
             self.may_be_undelivered = True
             return call(*args, **options)
 
-        return noting
+        return recording
 
 
 class LoopbackProbe:
-    """Tells whether what was sent over loopback is delivered by the time that sending returns."""
+    """Checks whether data sent over the loopback device was delivered already."""
 
     def __init__(self) -> None:
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -73,7 +79,7 @@
         self._sock.setblocking(False)
 
     def delivers_at_once(self) -> bool:
-        """Return whether a datagram to oneself is there; what was sent earlier went ahead of it."""
+        """Returns whether a datagram to itself arrives at once; then earlier data arrived, too."""
         self._sock.send(b".")
         try:
             self._sock.recv(1)
@@ -82,12 +88,18 @@
         return True
 
     def close(self) -> None:
-        """Give the socket back."""
+        """Closes the socket."""
         self._sock.close()
 
 
 class VirtualTimeSelector(selectors.DefaultSelector):  # type: ignore[misc,valid-type]
-    """Advances the clock by the time that it was asked to wait."""
+    """A selector that advances the virtual clock instead of waiting.
+
+    Args:
+        clock: the clock to advance.
+        activity: whether sockets were used since the last check.
+        settle_s: real seconds to wait for the delivery of sent data.
+    """
 
     def __init__(
         self, clock: VirtualClock, activity: SocketActivity, settle_s: float = 0.0
@@ -99,21 +111,23 @@
         self._settle_s = settle_s
 
     def select(self, timeout: float | None = None) -> Any:
-        """Return what is ready; else let the time pass at once."""
+        """Returns ready events; without any, advances the clock by *timeout* at once."""
         events = super().select(0) or self._wait_for_delivery(timeout)
         if events:
             return events
         if timeout is None:
-            raise RuntimeError("nothing will ever happen")
+            raise RuntimeError("no socket is ready and no timer is set")
         self._clock.now += max(0.0, timeout)
         if self._clock.now > self._clock.end:
-            # The kernel ends its tasks then; where one does not end, this comes once more.
+            # The kernel now cancels its tasks; if one does not end, the run exceeds the new limit.
             self._clock.end = self._clock.now + self._clock.max_virtual_s
-            raise NeverEnds(f"no end within {self._clock.max_virtual_s:g} s")
+            raise NeverEnds(
+                f"the run did not end within {self._clock.max_virtual_s:g} virtual seconds"
+            )
         return []
 
     def _wait_for_delivery(self, timeout: float | None) -> Any:
-        # Waiting at each jump would make a run as slow as the machine's timers are coarse.
+        # A wait before each jump would slow the run down to the resolution of the system's timers.
         if not self._activity.may_be_undelivered or timeout == 0.0:
             return []
         events = super().select(0.0 if self._loopback.delivers_at_once() else self._settle_s)
@@ -121,7 +135,7 @@
         return events
 
     def close(self) -> None:
-        """Close the probe with the selector."""
+        """Closes the selector and its loopback probe."""
         self._loopback.close()
         super().close()
 
@@ -132,23 +146,26 @@
     settle_s: float = 0.0,
     max_virtual_s: float = MAX_VIRTUAL_S,
 ) -> Any:
-    """Return what ``main(*args)`` returns, its sleeps taking no time.
+    """Runs ``main(*args)`` in virtual time, in which sleeps take no real time.
 
     Args:
         main: a coroutine function.
-        args: its arguments.
-        settle_s: real seconds that the kernel gets to deliver what was sent over loopback, before
-            the time jumps; spent only after sockets were used and where delivery takes its time.
-        max_virtual_s: virtual seconds within which it ends.
+        args: arguments of *main*.
+        settle_s: real seconds before each jump in which the system may deliver data sent over the
+            loopback device; spent only after sockets were used and if delivery is not immediate.
+        max_virtual_s: virtual seconds within which the run must end.
+
+    Returns:
+        What *main* returns.
 
     Raises:
-        NeverEnds: it did not; with where each of its tasks stood.
+        NeverEnds: the run exceeded its limit; the message lists where each task waits.
     """
-    clock, traffic = VirtualClock(max_virtual_s), SocketActivity()
+    clock, activity = VirtualClock(max_virtual_s), SocketActivity()
     fake = types.SimpleNamespace(monotonic=clock.monotonic)
-    selector = VirtualTimeSelector(clock, traffic, settle_s)
+    selector = VirtualTimeSelector(clock, activity, settle_s)
     time_jumps = mock.patch.object(curio.kernel, "time", fake)
-    with time_jumps, traffic.recorded(), curio.Kernel(selector=selector) as kernel:
+    with time_jumps, activity.recorded(), curio.Kernel(selector=selector) as kernel:
         try:
             return kernel.run(main, *args)
         except NeverEnds as exc:
@@ -157,7 +174,7 @@
 
 
 def _describe_wait(coro: Any) -> str:
-    """Return where a task stands, from its outermost call to its innermost."""
+    """Returns the calls in which a task waits, from the outermost to the innermost."""
     calls = []
     while coro is not None and (frame := getattr(coro, "cr_frame", None)):
         calls.append(f"{frame.f_code.co_qualname}:{frame.f_lineno}")
