--- a/src/crankhinge/http/_client.py
+++ b/src/crankhinge/http/_client.py
@@ -310,7 +310,7 @@
             length = int(stream.headers.get("content-length", 0))
             if max_body_bytes is not None and length > max_body_bytes:
                 raise AnswerTooLong(
-                    f"response body has {length} bytes; at most {max_body_bytes} are accepted"
+                    f"{length} bytes in the response body; at most {max_body_bytes} are accepted"
                 )
             data = await stream.read_all()
         finally:
