--- a/src/crankhinge/http/_client.py
+++ b/src/crankhinge/http/_client.py
@@ -26,8 +26,8 @@
 # How long an idle connection is reused if the server's response states no keep-alive timeout.
 # Servers of the usual frameworks close idle connections after 5 s or more.
 DEFAULT_KEEP_ALIVE_S = 4.0
-# An idle connection is no longer reused this long before the server would close it, so that no
-# request is sent while the server closes the connection.
+# Reuse of an idle connection ends this long before the server would close it, so that no request
+# is sent while the server closes the connection.
 KEEP_ALIVE_MARGIN_S = 1.0
 
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
--- a/src/crankhinge/http/_client_stream.py
+++ b/src/crankhinge/http/_client_stream.py
@@ -45,7 +45,7 @@
 
 
 class ConnectionOwner(abc.ABC):
-    """Opens connections for client streams and takes them back."""
+    """Opens connections for client streams, and keeps or closes them after use."""
 
     @abc.abstractmethod
     def record_received(self, size: int, *, reused: bool) -> None:
@@ -68,7 +68,7 @@
     """A request on one connection, and its response whose body is read in chunks.
 
     Args:
-        owner: takes the connection back.
+        owner: receives the connection after use.
         sock: the connection.
         reused: whether the connection carried an earlier request.
         is_own_response: returns whether a response with the given headers belongs to this request;
@@ -115,9 +115,9 @@
         """
         request = h11.Request(method=method, target=target, headers=list(headers))
         out = self._encode(request, body)
-        taken = self._send_without_waiting(out)
-        if taken < len(out):
-            await self._send_while_reading(memoryview(out)[taken:], request, body)
+        sent_bytes = self._send_without_waiting(out)
+        if sent_bytes < len(out):
+            await self._send_while_reading(memoryview(out)[sent_bytes:], request, body)
             return
         self._request_sent = True
         await self._read_head(request, body)
--- a/src/crankhinge/http/_server.py
+++ b/src/crankhinge/http/_server.py
@@ -172,13 +172,13 @@
     async def send(self, data: bytes) -> None:
         # The kernel nearly always accepts all data at once, so this path sets no timer.
         try:
-            taken = os.write(self._fd, data)
+            sent_bytes = os.write(self._fd, data)
         except BlockingIOError:
-            taken = 0
+            sent_bytes = 0
         except OSError as exc:
             raise CallerGone(str(exc)) from exc
-        if taken < len(data):
-            await self._send_remaining(memoryview(data)[taken:])
+        if sent_bytes < len(data):
+            await self._send_remaining(memoryview(data)[sent_bytes:])
 
     async def _send_remaining(self, data: memoryview) -> None:
         try:
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -127,7 +127,8 @@
         return []
 
     def _wait_for_delivery(self, timeout: float | None) -> Any:
-        # A wait before each jump would slow the run down to the resolution of the system's timers.
+        # A real wait before every jump, not only after the use of sockets, would take at least the
+        # resolution of the system's timers each time and make runs slow.
         if not self._activity.may_be_undelivered or timeout == 0.0:
             return []
         events = super().select(0.0 if self._loopback.delivers_at_once() else self._settle_s)
