--- a/src/crankhinge/http/_client.py
+++ b/src/crankhinge/http/_client.py
@@ -1,4 +1,4 @@
-"""The calling side of HTTP/1.1, with a small pool of kept connections."""
+"""HTTP/1.1 client for one server, with a small pool of idle keep-alive connections."""
 
 from __future__ import annotations
 
@@ -13,39 +13,46 @@
 from crankhinge.errors import CrankhingeError, HttpClosed
 from crankhinge.http._client_stream import (
     ClientStream,
-    ConnOwner,
-    Fields,
+    ConnectionOwner,
+    HeaderFields,
     HttpSilent,
-    Owns,
-    Patience,
+    ResponseMatcher,
+    ResponseTimeouts,
 )
 from crankhinge.runtime import open_tcp, steady_s
 
-POOL_SIZE = 8
+DEFAULT_POOL_SIZE = 8
 CONNECT_TIMEOUT_S = 2.0
-# Seconds a kept connection is trusted when its server names no time; servers of the usual
-# frameworks close idle connections after 5 s or more.
-KEPT_S = 4.0
-# A kept connection is left alone this many seconds before its server would close it, so that a
-# request does not cross the close.
-CLOSE_MARGIN_S = 1.0
+# How long an idle connection is reused if the server's response states no keep-alive timeout.
+# Servers of the usual frameworks close idle connections after 5 s or more.
+DEFAULT_KEEP_ALIVE_S = 4.0
+# Reuse of an idle connection ends this long before the server would close it, so that no request
+# is sent while the server closes the connection.
+KEEP_ALIVE_MARGIN_S = 1.0
 
-_TIMEOUT = re.compile(r"timeout=(\d+)")
+_KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
 @dataclass(frozen=True)
-class _Kept:
-    """An idle connection: when it was last used and the end of its trusted time, steady clock."""
+class _IdleConnection:
+    """An idle connection in the pool.
+
+    Attributes:
+        sock: the connection.
+        reusable_until: time on the steady clock after which it is not reused.
+        last_used_at: time on the steady clock at which it was returned to the pool.
+    """
 
     sock: Any
-    until: float
-    used: float
+    reusable_until: float
+    last_used_at: float
 
 
-def _still_quiet(sock: Any) -> bool:
-    """Whether an idle connection is open with nothing to read.
+def _is_open_without_input(sock: Any) -> bool:
+    """Returns whether an idle connection is open and has nothing to read.
 
-    An end of file or bytes that nobody asked for both mean that it must not be used again.
+    An end of file means that the server closed it, and unexpected bytes belong to no request; in
+    both cases the connection must not be reused.
     """
     try:
         sock._socket.recv(1, socket.MSG_PEEK)
@@ -56,57 +63,58 @@
     return False
 
 
-def _kept_s(headers: Mapping[str, str]) -> float:
-    """Return how long a connection may be kept after an answer with these headers, in seconds."""
-    stated = _TIMEOUT.search(headers.get("keep-alive", ""))
-    return float(stated.group(1)) - CLOSE_MARGIN_S if stated else KEPT_S
+def _keep_alive_s(headers: Mapping[str, str]) -> float:
+    """Returns for how many seconds a connection may stay idle after a response with *headers*."""
+    stated = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
+    return float(stated.group(1)) - KEEP_ALIVE_MARGIN_S if stated else DEFAULT_KEEP_ALIVE_S
 
 
 @dataclass(frozen=True)
 class Response:
-    """A whole response. Header names are lower case."""
+    """A complete response. Header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
 
 
-# How a call that waits in vain ends: by its own patience, or by a time-out around it.
-SILENCE = (HttpSilent, curio.TaskTimeout, curio.TimeoutCancellationError)
+# What a request without a response ends with: its own timeouts, or a timeout around the call.
+TIMEOUT_ERRORS = (HttpSilent, curio.TaskTimeout, curio.TimeoutCancellationError)
 
 
 class AnswerTooLong(CrankhingeError):
-    """The answer is longer than is wanted; its body was not read."""
+    """The response body is longer than the caller accepts; it was not read."""
 
     code = "answer-too-long"
 
 
 class ConnectFailed(HttpClosed):
-    """No connection was made, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
     code = "connect-failed"
 
 
 class ConnectRefused(ConnectFailed):
-    """Nobody listens at the address."""
+    """No process listens at the address."""
 
     code = "connect-refused"
 
 
-class HttpClient(ConnOwner):
-    """Calls one server.
+class HttpClient(ConnectionOwner):
+    """Sends requests to one server.
 
     Args:
-        host: address of the server.
-        port: its TCP port.
-        pool_size: kept idle connections.
-        connect_s: seconds that a connection may take to come up.
+        host: IP address of the server.
+        port: TCP port of the server.
+        pool_size: largest number of idle connections that are kept.
+        connect_timeout_s: seconds within which a connection must be established.
 
     Attributes:
-        opened: connections made so far.
-        pool_size: idle connections that are kept from now on.
-        received: bytes that came on all of them, those of answers that were given up too.
-        kept_heard: how often something came on a connection that was used before.
+        opened_connections: number of connections opened so far.
+        pool_size: largest number of idle connections; a new value applies to connections that are
+            released later.
+        received_bytes: bytes received on all connections, including responses that were abandoned.
+        reused_receives: how often data or an end of file arrived on a reused connection.
     """
 
     def __init__(
@@ -114,39 +122,39 @@
         host: str,
         port: int,
         *,
-        pool_size: int = POOL_SIZE,
-        connect_s: float = CONNECT_TIMEOUT_S,
+        pool_size: int = DEFAULT_POOL_SIZE,
+        connect_timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> None:
         self.host = host
         self.port = port
-        self.opened = 0
-        self.received = 0
-        self.kept_heard = 0
+        self.opened_connections = 0
+        self.received_bytes = 0
+        self.reused_receives = 0
         self.pool_size = pool_size
-        self._connect_s = connect_s
-        self._idle: list[_Kept] = []
+        self._connect_timeout_s = connect_timeout_s
+        self._idle: list[_IdleConnection] = []
 
     async def _connect(self) -> Any:
         try:
-            sock = await open_tcp(self.host, self.port, self._connect_s)
+            sock = await open_tcp(self.host, self.port, self._connect_timeout_s)
         except ConnectionRefusedError as exc:
             raise ConnectRefused(f"{self.host}:{self.port}: {exc}") from exc
         except OSError as exc:
             raise ConnectFailed(f"{self.host}:{self.port}: {exc}") from exc
-        self.opened += 1
+        self.opened_connections += 1
         return sock
 
-    async def _take_idle(self) -> Any:
-        """Return the kept connection used last that is still good, or None."""
+    async def _pop_idle_connection(self) -> Any:
+        """Returns the most recently used idle connection that can be reused, or None."""
         while self._idle:
-            kept = self._idle.pop()
-            if kept.until > steady_s() and _still_quiet(kept.sock):
-                return kept.sock
-            await kept.sock.close()
+            conn = self._idle.pop()
+            if conn.reusable_until > steady_s() and _is_open_without_input(conn.sock):
+                return conn.sock
+            await conn.sock.close()
         return None
 
-    async def reachable(self) -> bool:
-        """Whether the server takes connections."""
+    async def is_reachable(self) -> bool:
+        """Returns whether the server accepts connections."""
         try:
             sock = await self._connect()
         except ConnectFailed:
@@ -154,30 +162,32 @@
         await sock.close()
         return True
 
-    async def listens(self) -> bool:
-        """Whether anybody listens at the address; the connection is kept for the next call.
+    async def is_listening(self) -> bool:
+        """Returns whether a process listens at the address; keeps the connection for reuse.
 
         Raises:
-            ConnectFailed: nobody can tell.
+            ConnectFailed: the attempt did not tell, for example because it timed out.
         """
         try:
             sock = await self._connect()
         except ConnectRefused:
             return False
-        await self.give_back(sock, reusable=True, headers={})
+        await self.release_connection(sock, reusable=True, headers={})
         return True
 
-    def heard(self, size: int, *, reused: bool) -> None:
-        """Note that something came on a connection of this client."""
-        self.received += size
-        self.kept_heard += reused
+    def record_received(self, size: int, *, reused: bool) -> None:
+        """Counts *size* received bytes, and one receive on a reused connection if *reused*."""
+        self.received_bytes += size
+        self.reused_receives += reused
 
-    async def give_back(self, sock: Any, *, reusable: bool, headers: Mapping[str, str]) -> None:
-        """Keep *sock* for the next call, or close it."""
-        kept_s = _kept_s(headers)
-        if reusable and kept_s > 0 and len(self._idle) < self.pool_size:
+    async def release_connection(
+        self, sock: Any, *, reusable: bool, headers: Mapping[str, str]
+    ) -> None:
+        """Returns *sock* to the pool if it can be reused and the pool has room, else closes it."""
+        keep_alive_s = _keep_alive_s(headers)
+        if reusable and keep_alive_s > 0 and len(self._idle) < self.pool_size:
             now = steady_s()
-            self._idle.append(_Kept(sock, now + kept_s, now))
+            self._idle.append(_IdleConnection(sock, now + keep_alive_s, now))
             return
         await sock.close()
 
@@ -188,67 +198,82 @@
         *,
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
-        fresh: bool = False,
-        patience: Patience | None = None,
+        new_connection: bool = False,
+        timeouts: ResponseTimeouts | None = None,
     ) -> ClientStream:
-        """Send a request and return its response, head read and body unread.
+        """Sends a request and returns the response after reading its head, but not its body.
 
         Args:
             method: HTTP method.
             target: path and query.
-            headers: beyond host and content-length.
-            body: the whole body.
-            fresh: use a new connection; a kept one may have been closed by the other end, and
-                then nobody can tell whether the request arrived.
-            patience: how long the answer is waited for.
+            headers: header fields other than ``host`` and ``content-length``, which are added.
+            body: the complete request body.
+            new_connection: don't reuse an idle connection. The server may be closing an idle
+                connection, and then it is unknown whether the request arrived.
+            timeouts: limits on the wait for the response; None waits without limit.
 
         Raises:
             ConnectFailed: nothing was sent.
-            HttpClosed: the request may have arrived.
+            HttpClosed: the connection ended, but the request may have arrived.
+            BadHttp: the response is malformed.
         """
         head = {"host": f"{self.host}:{self.port}", **(headers or {})}
         head["content-length"] = str(len(body))
-        return await self.open_as_is(
-            method, target, fields=head.items(), body=body, fresh=fresh, patience=patience
+        return await self.open_with_fields(
+            method,
+            target,
+            fields=head.items(),
+            body=body,
+            new_connection=new_connection,
+            timeouts=timeouts,
         )
 
-    async def open_as_is(
+    async def open_with_fields(
         self,
         method: str,
         target: str,
         *,
-        fields: Fields,
+        fields: HeaderFields,
         body: bytes = b"",
-        fresh: bool = False,
-        owns: Owns | None = None,
-        patience: Patience | None = None,
+        new_connection: bool = False,
+        is_own_response: ResponseMatcher | None = None,
+        timeouts: ResponseTimeouts | None = None,
     ) -> ClientStream:
-        """Send a request whose header fields are all given; returns and raises as :meth:`open`.
+        """Sends a request with exactly the given header fields.
+
+        Returns and raises the same as :meth:`open`.
 
         Args:
-            fields: every header field, host and framing included, in order.
-            owns: whether an answer with these headers is this request's; others are skipped.
-            patience: how long the answer is waited for.
+            method, target, body, new_connection, timeouts: as for :meth:`open`.
+            fields: all header fields in order, including ``host`` and those that frame the body.
+            is_own_response: returns whether a response with the given headers belongs to this
+                request; a response that does not is skipped.
         """
-        sock = None if fresh else await self._take_idle()
+        sock = None if new_connection else await self._pop_idle_connection()
         reused = sock is not None
         if sock is None:
             sock = await self._connect()
-        stream = ClientStream(self, sock, reused=reused, owns=owns, patience=patience)
-        began = steady_s()
-        heard = self.kept_heard
+        stream = ClientStream(
+            self, sock, reused=reused, is_own_response=is_own_response, timeouts=timeouts
+        )
+        started_at = steady_s()
+        reused_receives = self.reused_receives
         try:
             await stream.send(method, target, fields, body)
         except BaseException as exc:
             await sock.close()
-            if reused and self.kept_heard == heard and isinstance(exc, SILENCE):
-                # Open connections may fall silent together, with nothing else to show it: without
-                # this each one that was kept costs a request its time.
+            if (
+                reused
+                and self.reused_receives == reused_receives
+                and isinstance(exc, TIMEOUT_ERRORS)
+            ):
+                # All idle connections may have failed together, and nothing but a timeout reveals
+                # it. Unless all are closed here, each of them costs another request its timeout.
                 await self.close()
-            elif reused and isinstance(exc, SILENCE):
-                # Others were heard since, on connections made or used since: the older ones are as
-                # doubtful as this one was.
-                await self._close_unused_since(began)
+            elif reused and isinstance(exc, TIMEOUT_ERRORS):
+                # Other reused connections received data during this request, so connections used
+                # since its start work. Those last used earlier are as doubtful as this one.
+                await self._close_last_used_before(started_at)
             raise
         return stream
 
@@ -259,40 +284,47 @@
         *,
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
-        fresh: bool = False,
-        patience: Patience | None = None,
-        most_bytes: int | None = None,
+        new_connection: bool = False,
+        timeouts: ResponseTimeouts | None = None,
+        max_body_bytes: int | None = None,
     ) -> Response:
-        """Send a request and return the whole response.
+        """Sends a request and returns the complete response.
 
         Args:
-            method, target, headers, body, fresh, patience: as for :meth:`open`.
-            most_bytes: longest body that is wanted; without one, any.
+            method, target, headers, body, new_connection, timeouts: as for :meth:`open`.
+            max_body_bytes: longest response body that is accepted; None accepts any length.
 
         Raises:
-            AnswerTooLong: it says that its body is longer.
-            ConnectFailed, HttpClosed: as :meth:`open` does.
+            AnswerTooLong: the ``content-length`` of the response is over *max_body_bytes*.
+            ConnectFailed, HttpClosed, BadHttp: as for :meth:`open`.
         """
         stream = await self.open(
-            method, target, headers=headers, body=body, fresh=fresh, patience=patience
+            method,
+            target,
+            headers=headers,
+            body=body,
+            new_connection=new_connection,
+            timeouts=timeouts,
         )
         try:
             length = int(stream.headers.get("content-length", 0))
-            if most_bytes is not None and length > most_bytes:
-                raise AnswerTooLong(f"{length} bytes, {most_bytes} wanted")
+            if max_body_bytes is not None and length > max_body_bytes:
+                raise AnswerTooLong(
+                    f"{length} bytes in the response body; at most {max_body_bytes} are accepted"
+                )
             data = await stream.read_all()
         finally:
             await stream.close()
         return Response(stream.status, stream.headers, data)
 
-    async def _close_unused_since(self, moment: float) -> None:
-        """Close the idle connections that were last used before *moment*, on the steady clock."""
-        doubtful = [kept for kept in self._idle if kept.used < moment]
-        self._idle = [kept for kept in self._idle if kept.used >= moment]
-        for kept in doubtful:
-            await kept.sock.close()
+    async def _close_last_used_before(self, moment: float) -> None:
+        """Closes the idle connections last used before *moment*, a time on the steady clock."""
+        doubtful = [conn for conn in self._idle if conn.last_used_at < moment]
+        self._idle = [conn for conn in self._idle if conn.last_used_at >= moment]
+        for conn in doubtful:
+            await conn.sock.close()
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Closes all idle connections."""
         while self._idle:
             await self._idle.pop().sock.close()
--- a/src/crankhinge/runtime/_process.py
+++ b/src/crankhinge/runtime/_process.py
@@ -1,4 +1,4 @@
-"""Settings files, command line and the main loop that every binary shares."""
+"""Settings file, command line, signals and main loop that all programs share."""
 
 from __future__ import annotations
 
@@ -19,23 +19,24 @@
 
 from crankhinge import __version__
 from crankhinge.errors import CrankhingeError, SettingsError
-from crankhinge.runtime._clock import count_suspensions
+from crankhinge.runtime._clock import use_steady_clock_in_curio
 from crankhinge.runtime._logs import get_log
 
 EXIT_BAD_INPUT = 2
-# Seconds between looks at the settings file, for changes that come without a signal.
-POLL_S = 1.0
-# Signals taken from the wake-up descriptor at once.
-SIGNAL_BYTES = 64
+# How often the settings file is polled, for changes that no signal announces.
+SETTINGS_POLL_S = 1.0
+# How many signals, a byte each, one read of the wake-up descriptor returns at most.
+MAX_SIGNALS_PER_READ = 64
 
 S = TypeVar("S", bound=msgspec.Struct)
 
 
-def load_settings(path: str, model: type[S]) -> S:
-    """Read a TOML settings file into a validated *model*.
+def load_settings(path: str, settings_type: type[S]) -> S:
+    """Reads a TOML settings file and returns it as a validated *settings_type*.
 
     Raises:
-        SettingsError: naming the file, the key and the reason.
+        SettingsError: the file cannot be read or is invalid; the detail states the file, the key
+            and the reason.
     """
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
@@ -44,7 +45,7 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
         raise SettingsError(f"{path}: not TOML: {exc}") from exc
     try:
-        return msgspec.convert(data, model)
+        return msgspec.convert(data, settings_type)
     except msgspec.ValidationError as exc:
         raise SettingsError(f"{path}: {exc}") from exc
 
@@ -52,34 +53,37 @@
 def run_process(
     *,
     program: str,
-    about: str,
-    model: type[S],
+    description: str,
+    settings_type: type[S],
     serve: Callable[[S, Any, curio.Event], Awaitable[None]],
     argv: list[str] | None = None,
     log: Any = None,
-    reload: Callable[[S], None] | None = None,
+    on_reload: Callable[[S], None] | None = None,
 ) -> int:
-    """Parse the command line, read the settings and run *serve* until a signal.
+    """Parses the command line, reads the settings and runs *serve* until a signal ends it.
 
     Args:
-        program: name of the binary.
-        about: one line for ``--help``.
-        model: the settings model.
-        serve: the program; it returns once drained after SIGTERM.
-        argv: arguments; those of the process by default.
-        log: for events; lines on standard error by default.
-        reload: given the new settings after SIGHUP, and when the file changed without one.
+        program: name of the program.
+        description: one line for ``--help``.
+        settings_type: the msgspec struct that the settings file is decoded into.
+        serve: runs the program, given the settings, the log, and an event that is set on SIGTERM
+            or SIGINT; it returns once the program has drained.
+        argv: command-line arguments; those of the process by default.
+        log: logger for events; by default it writes lines to standard error.
+        on_reload: called with the new settings after SIGHUP and after a change of the file; None
+            ignores both.
 
     Returns:
-        The exit status: 0, or 2 for bad input.
+        The exit status: 0 after a normal stop, 1 after a :class:`CrankhingeError`, 2 for invalid
+        settings.
     """
-    parser = argparse.ArgumentParser(prog=program, description=about)
+    parser = argparse.ArgumentParser(prog=program, description=description)
     parser.add_argument("settings", help="TOML settings file")
     parser.add_argument("--check", action="store_true", help="check the settings and exit")
     parser.add_argument("--version", action="version", version=f"{program} {__version__}")
     args = parser.parse_args(argv)
     try:
-        settings = load_settings(args.settings, model)
+        settings = load_settings(args.settings, settings_type)
     except SettingsError as exc:
         print(f"{program}: {exc.detail}", file=sys.stderr)
         return EXIT_BAD_INPUT
@@ -87,32 +91,37 @@
         print(f"{args.settings}: ok")
         return 0
     log = log or get_log(program=program)
-    # curio warns of each operation that ends just after its time-out; nothing is wrong with that.
+    # curio warns about each operation that finishes just after its timeout, which is harmless.
     logging.getLogger("curio").setLevel(logging.ERROR)
-    reader = _Reader(args.settings, model, log, reload) if reload else None
-    count_suspensions()
+    reloader = (
+        _SettingsReloader(args.settings, settings_type, log, on_reload) if on_reload else None
+    )
+    use_steady_clock_in_curio()
     try:
-        curio.run(_until_signal, serve, settings, log, reader)
+        curio.run(_serve_until_signal, serve, settings, log, reloader)
     except CrankhingeError as exc:
         log.error("stopped", kind=type(exc).__name__, why=exc.detail)
         return 1
     return 0
 
 
-class _Reader:
-    """Reads a settings file again when it has changed.
+class _SettingsReloader:
+    """Reloads the settings file after SIGHUP and when the file changes.
 
-    Settings that can't be read change nothing: the process goes on with those it has.
+    If the new settings cannot be read, the process keeps its current ones.
     """
 
-    def __init__(self, path: str, model: type[S], log: Any, reload: Callable[[S], None]) -> None:
+    def __init__(
+        self, path: str, settings_type: type[S], log: Any, on_reload: Callable[[S], None]
+    ) -> None:
         self._path = path
-        self._model = model
+        self._settings_type = settings_type
         self._log = log
-        self._reload = reload
-        self._seen = self._stamp()
+        self._on_reload = on_reload
+        self._last_stamp = self._read_stamp()
 
-    def _stamp(self) -> tuple[int, int]:
+    def _read_stamp(self) -> tuple[int, int]:
+        """Returns the file's modification time in nanoseconds and its size in bytes."""
         try:
             stat = Path(self._path).stat()
         except OSError as exc:
@@ -120,73 +129,80 @@
             return (0, 0)
         return stat.st_mtime_ns, stat.st_size
 
-    def read(self, *, cause: str) -> None:
-        """Read the file and hand the settings on."""
-        self._seen = self._stamp()
+    def reload(self, *, cause: str) -> None:
+        """Reads the file and passes valid settings to the program; *cause* is logged."""
+        self._last_stamp = self._read_stamp()
         try:
-            settings = load_settings(self._path, self._model)
+            settings = load_settings(self._path, self._settings_type)
         except SettingsError as exc:
             self._log.error("reload_failed", cause=cause, why=exc.detail)
             return
         self._log.info("reloaded", cause=cause, path=self._path)
-        self._reload(settings)
+        self._on_reload(settings)
 
-    async def poll(self) -> None:
-        """Look for a change that no signal told of, until cancelled."""
+    async def poll_file(self) -> None:
+        """Reloads the file whenever its modification time or size changes, until cancelled."""
         while True:
-            await curio.sleep(POLL_S)
-            if self._stamp() != self._seen:
-                self.read(cause="file")
+            await curio.sleep(SETTINGS_POLL_S)
+            if self._read_stamp() != self._last_stamp:
+                self.reload(cause="file")
 
 
 @dataclass(frozen=True)
 class _SignalPipe:
-    """Where signals can be read, each a byte, and where the interpreter writes them."""
+    """A socket pair that carries signals, one byte each.
+
+    Attributes:
+        receiver: end from which the program reads signals.
+        sender: end to which the interpreter writes them.
+    """
 
     receiver: socket.socket
     sender: socket.socket
 
 
-async def _until_signal(
+async def _serve_until_signal(
     serve: Callable[[S, Any, curio.Event], Awaitable[None]],
     settings: S,
     log: Any,
-    reader: _Reader | None = None,
+    reloader: _SettingsReloader | None = None,
 ) -> None:
-    """Run *serve*; the event it is given is set on SIGTERM or SIGINT."""
+    """Runs *serve* with an event that is set on SIGTERM or SIGINT."""
     stopping = curio.Event()
-    # Before the program does anything: until the handlers stand SIGHUP is ignored and lost.
-    pipe = _catch_signals()
-    watchers = [await curio.spawn(_watch_signals, pipe, stopping, reader, daemon=True)]
-    if reader is not None:
-        watchers.append(await curio.spawn(reader.poll, daemon=True))
+    # This comes before the program runs: SIGHUP is ignored until its handler is installed.
+    pipe = _open_signal_pipe()
+    watchers = [await curio.spawn(_handle_signals, pipe, stopping, reloader, daemon=True)]
+    if reloader is not None:
+        watchers.append(await curio.spawn(reloader.poll_file, daemon=True))
     await serve(settings, log, stopping)
     for watcher in watchers:
         await watcher.cancel()
 
 
-def _catch_signals() -> _SignalPipe:
-    """Have signals written to the interpreter's wake-up descriptor."""
+def _open_signal_pipe() -> _SignalPipe:
+    """Installs handlers so that the interpreter writes signals to a socket pair."""
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
     sender.setblocking(False)
-    # First of all: a signal between a handler and the descriptor would be lost.
+    # The descriptor is set before the handlers; a signal that came in between would be lost.
     signal.set_wakeup_fd(sender.fileno())
     for signum in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(signum, lambda *_: None)
     return _SignalPipe(receiver, sender)
 
 
-async def _watch_signals(pipe: _SignalPipe, stopping: curio.Event, reader: _Reader | None) -> None:
-    """Act on signals as they come."""
+async def _handle_signals(
+    pipe: _SignalPipe, stopping: curio.Event, reloader: _SettingsReloader | None
+) -> None:
+    """Sets *stopping* on SIGTERM or SIGINT and reloads the settings on SIGHUP."""
     conn = curio.io.Socket(pipe.receiver)
     try:
         while True:
-            for signum in await conn.recv(SIGNAL_BYTES):
+            for signum in await conn.recv(MAX_SIGNALS_PER_READ):
                 if signum != signal.SIGHUP:
                     await stopping.set()
-                elif reader is not None:
-                    reader.read(cause="sighup")
+                elif reloader is not None:
+                    reloader.reload(cause="sighup")
     finally:
         signal.set_wakeup_fd(-1)
         pipe.sender.close()
--- a/src/crankhinge/runtime/_supervisor.py
+++ b/src/crankhinge/runtime/_supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor: restarts the tasks it owns, within a limit."""
+"""A supervisor that runs tasks and restarts those that fail, up to a limit."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
 
 from crankhinge.errors import CrankhingeError
 
-RESTART_PAUSE_S = 0.2
+RESTART_DELAY_S = 0.2
 
 
 class RestartLimitReached(CrankhingeError):
-    """A child failed more often than its supervisor allows."""
+    """A supervised task failed more often than its limit allows."""
 
     code = "restart-limit"
 
 
-async def until_first(*starts: Callable[[], Awaitable[Any]]) -> None:
-    """Run coroutines side by side until one ends, then cancel the others.
+async def run_until_first_ends(*starts: Callable[[], Awaitable[Any]]) -> None:
+    """Runs coroutines concurrently until one ends, then cancels the others.
+
+    Args:
+        starts: functions that each return a coroutine.
 
     Raises:
-        Exception: what the first one failed with.
+        Exception: the exception of the coroutine that ended first, if it failed.
     """
     async with curio.TaskGroup(wait=any) as group:
         for start in starts:
@@ -39,10 +42,11 @@
     """A supervised task.
 
     Attributes:
-        name: for logs.
-        start: makes the coroutine; it runs until cancelled.
-        max_restarts: how many failures within ``window_s`` are tolerated.
-        window_s: seconds.
+        name: name of the task in logs.
+        start: returns a new coroutine for the task, which runs until it is cancelled.
+        max_restarts: how many failures within ``window_s`` lead to a restart; one more ends the
+            supervisor.
+        window_s: seconds for which a failure counts.
     """
 
     name: str
@@ -53,24 +57,31 @@
 
 @dataclass
 class Supervisor:
-    """Runs children side by side, restarting each that fails, until cancelled.
+    """Runs child tasks concurrently and restarts each one that fails.
 
-    Raises:
-        RestartLimitReached: when one child fails too often; the others are cancelled first.
+    Attributes:
+        log: logs each failure.
+        children: the tasks to run.
     """
 
     log: Any
     children: list[Child] = field(default_factory=list)
 
     def add(self, name: str, start: Callable[[], Awaitable[Any]]) -> None:
-        """Add a child. Call before :meth:`run`."""
+        """Adds a child task with default limits; call it before :meth:`run`."""
         self.children.append(Child(name, start))
 
     async def run(self) -> None:
-        """Run all children until one gives up or the supervisor is cancelled."""
-        await until_first(*(partial(self._keep, child) for child in self.children))
+        """Runs all children until one of them ends or the supervisor is cancelled.
+
+        Raises:
+            RestartLimitReached: a child failed too often; the others were cancelled first.
+        """
+        await run_until_first_ends(
+            *(partial(self._run_with_restarts, child) for child in self.children)
+        )
 
-    async def _keep(self, child: Child) -> None:
+    async def _run_with_restarts(self, child: Child) -> None:
         failures: deque[float] = deque()
         while True:
             try:
@@ -81,10 +92,10 @@
             except Exception as exc:
                 now = await curio.clock()
                 failures.append(now)
-                self._check_limit(child, failures, now, exc)
-            await curio.sleep(RESTART_PAUSE_S)
+                self._check_restart_limit(child, failures, now, exc)
+            await curio.sleep(RESTART_DELAY_S)
 
-    def _check_limit(
+    def _check_restart_limit(
         self, child: Child, failures: deque[float], now: float, exc: Exception
     ) -> None:
         while failures and failures[0] < now - child.window_s:
--- a/src/crankhinge/runtime/_tcp.py
+++ b/src/crankhinge/runtime/_tcp.py
@@ -1,4 +1,7 @@
-"""A TCP accept loop that outlives failing connections and a full descriptor table."""
+"""TCP connections, and an accept loop that survives failed connections.
+
+The accept loop also survives a full table of file descriptors, during which ``accept`` fails.
+"""
 
 from __future__ import annotations
 
@@ -9,63 +12,69 @@
 import curio
 import curio.socket
 
-ACCEPT_PAUSE_S = 0.05
-BACKLOG = 1024
-# A peer behind a silent cut is noticed after IDLE + COUNT x INTERVAL seconds while nothing is
-# under way, and after UNACKNOWLEDGED_MS while something is: within the three seconds after which
-# an instance counts as out of touch.
+ACCEPT_RETRY_DELAY_S = 0.05
+ACCEPT_BACKLOG = 1024
+# If packets to a peer are lost silently, the kernel closes the connection after KEEPALIVE_IDLE_S +
+# KEEPALIVE_COUNT x KEEPALIVE_INTERVAL_S seconds when no sent data is unacknowledged, and after
+# MAX_UNACKNOWLEDGED_MS when some is. Both are within the three seconds after which an instance
+# counts as unresponsive.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
-UNACKNOWLEDGED_MS = 3000
+MAX_UNACKNOWLEDGED_MS = 3000
 
 ConnHandler = Callable[[Any, Any], Awaitable[None]]
 
 
 async def serve_tcp(
-    host: str, port: int, handler: ConnHandler, *, log: Any, closed: curio.Event | None = None
+    host: str,
+    port: int,
+    handler: ConnHandler,
+    *,
+    log: Any,
+    stop_accepting: curio.Event | None = None,
 ) -> None:
-    """Accept connections until cancelled, each handled by a task of its own.
+    """Accepts connections until cancelled, and handles each in a task of its own.
 
     Args:
         host: address to bind.
-        port: TCP port.
-        handler: called with the socket and the peer's address.
-        log: where unexpected failures of a handler go.
-        closed: when set, no more connections are accepted; those that are open go on.
+        port: TCP port to bind.
+        handler: called with the socket and the peer's address; the socket is closed afterwards.
+        log: logs failures of handlers and of ``accept``.
+        stop_accepting: when set, no more connections are accepted; open connections continue.
     """
-    listener = curio.tcp_server_socket(host, port, backlog=BACKLOG, reuse_address=True)
+    listener = curio.tcp_server_socket(host, port, backlog=ACCEPT_BACKLOG, reuse_address=True)
     async with listener, curio.TaskGroup() as group:
-        accepting = await group.spawn(_accept, listener, handler, log, group)
-        if closed is not None:
-            await group.spawn(_close_on, closed, accepting, listener)
+        accepting = await group.spawn(_accept_connections, listener, handler, log, group)
+        if stop_accepting is not None:
+            await group.spawn(_close_when_stopped, stop_accepting, accepting, listener)
         async for task in group:
             task.joined = True
 
 
-async def _close_on(closed: curio.Event, accepting: Any, listener: Any) -> None:
-    await closed.wait()
+async def _close_when_stopped(stop_accepting: curio.Event, accepting: Any, listener: Any) -> None:
+    await stop_accepting.wait()
     await accepting.cancel()
     await listener.close()
-    # The group ends with its last task; this one keeps it until the group is cancelled.
+    # The task group would end with its last task; this task keeps it open until it is cancelled.
     await curio.Event().wait()
 
 
-async def _accept(listener: Any, handler: ConnHandler, log: Any, group: Any) -> None:
+async def _accept_connections(listener: Any, handler: ConnHandler, log: Any, group: Any) -> None:
     while True:
         try:
             sock, addr = await listener.accept()
         except OSError as exc:
             log.error("accept_failed", why=str(exc))
-            await curio.sleep(ACCEPT_PAUSE_S)
+            await curio.sleep(ACCEPT_RETRY_DELAY_S)
             continue
-        await group.spawn(_handle, sock, addr, handler, log)
+        await group.spawn(_handle_connection, sock, addr, handler, log)
 
 
-async def _handle(sock: Any, addr: Any, handler: ConnHandler, log: Any) -> None:
+async def _handle_connection(sock: Any, addr: Any, handler: ConnHandler, log: Any) -> None:
     async with sock:
         try:
-            set_nodelay(sock)
+            disable_nagle(sock)
             await handler(sock, addr)
         except OSError as exc:
             log.info("connection_failed", peer=str(addr), why=str(exc))
@@ -74,12 +83,13 @@
 
 
 async def open_tcp(host: str, port: int, timeout_s: float) -> Any:
-    """Connect to an IP address.
+    """Connects to an IP address and returns the socket.
 
-    curio's own call looks names up on a thread, for each connection; we have IP numbers only.
+    curio's own function resolves the host name on a thread for each connection, which is needless
+    here because all addresses are numeric.
 
     Raises:
-        OSError: when no connection is made in time.
+        OSError: the connection failed or was not established within *timeout_s* seconds.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = curio.socket.socket(family, socket.SOCK_STREAM)
@@ -87,40 +97,43 @@
         await curio.timeout_after(timeout_s, sock.connect, (host, port))
     except curio.TaskTimeout as exc:
         await sock.close()
-        raise OSError(f"no connection in {timeout_s} s") from exc
+        raise OSError(f"no connection within {timeout_s} s") from exc
     except BaseException:
         await sock.close()
         raise
-    set_nodelay(sock)
-    set_liveness(sock)
+    disable_nagle(sock)
+    enable_peer_timeouts(sock)
     return sock
 
 
-async def send_all(sock: Any, data: memoryview, silent_s: float) -> None:
-    """Send all of *data* as long as the other end takes some of it.
+async def send_all(sock: Any, data: memoryview, stall_timeout_s: float) -> None:
+    """Sends all of *data* as long as the peer keeps accepting parts of it.
 
-    Only the silence is bounded: how long all of it takes follows from its size and the link.
+    The total time is not limited, because it depends on the size of the data and on the link.
 
     Raises:
-        OSError: when the connection ends, or when nothing was taken for *silent_s* seconds.
+        OSError: the connection ended, or the peer accepted nothing for *stall_timeout_s* seconds.
     """
     while data:
         try:
-            sent = await curio.timeout_after(silent_s, sock.send, data)
+            sent = await curio.timeout_after(stall_timeout_s, sock.send, data)
         except curio.TaskTimeout as exc:
-            raise TimeoutError(f"nothing taken for {silent_s} s") from exc
+            raise TimeoutError(f"peer accepted nothing for {stall_timeout_s} s") from exc
         data = data[sent:]
 
 
-def set_nodelay(sock: Any) -> None:
-    """Send small segments at once: tokens must not wait for an acknowledgement."""
+def disable_nagle(sock: Any) -> None:
+    """Sends small segments at once, so that tokens don't wait for an acknowledgement."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def set_liveness(sock: Any) -> None:
-    """Have the kernel report a peer that fell silent; without it a cut hangs a read for hours."""
+def enable_peer_timeouts(sock: Any) -> None:
+    """Makes the kernel close the connection of a peer that stops responding.
+
+    Without these options a read on a connection whose packets are lost hangs for hours.
+    """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -30,7 +30,7 @@
 
 async def break_stream(replica: FakeReplica, exchange: Exchange) -> None:
     """Start a streamed response and close the connection in the middle."""
-    await exchange.start_as_is(200, replica.head(exchange))
+    await exchange.start_with_fields(200, replica.head(exchange))
     await exchange.write(events(1, 2))
     raise HttpClosed("crash")
 
--- a/tests/test_propagation.py
+++ b/tests/test_propagation.py
@@ -131,7 +131,7 @@
             await curio.sleep(1)
             return (*apart, network.versions())
 
-        assert run_virtual(scenario, most_s=2 * 3600.0) == ({2}, {1}, {2})
+        assert run_virtual(scenario, max_virtual_s=2 * 3600.0) == ({2}, {1}, {2})
 
     def test_stale_read_does_not_replace_a_newer_bundle(self, signers: Signers) -> None:
         """A process that reads an older bundle than the one in force keeps the newer one."""
