--- a/src/crankhinge/adapters/_board.py
+++ b/src/crankhinge/adapters/_board.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from crankhinge.decisions import WorkSheet
+from crankhinge.decisions import WorkloadStats
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     """
 
     peer: str
-    sheets: Mapping[str, WorkSheet]
+    sheets: Mapping[str, WorkloadStats]
     settled: bool = False
     quarantined: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
     limited: Mapping[str, float] = field(default_factory=dict)
--- a/src/crankhinge/adapters/_dialect.py
+++ b/src/crankhinge/adapters/_dialect.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from crankhinge.adapters._tenure import Tenure
-from crankhinge.decisions import Phase
+from crankhinge.decisions import EngineRole
 from crankhinge.http import HttpRequest
 
 
@@ -109,7 +109,7 @@
         busy: whether one is under way.
     """
 
-    phase: Phase
+    phase: EngineRole
     orders: int
     busy: bool
 
@@ -195,7 +195,7 @@
         """Return an engine's state. Raises BadHttp."""
 
     @abc.abstractmethod
-    def order_phase(self, phase: Phase, tenure: Tenure, orders: int) -> SideCall:
+    def order_phase(self, phase: EngineRole, tenure: Tenure, orders: int) -> SideCall:
         """Return the order to play another part, void unless *orders* were taken before it."""
 
     @abc.abstractmethod
--- a/src/crankhinge/agent/_adapters.py
+++ b/src/crankhinge/agent/_adapters.py
@@ -11,7 +11,13 @@
 
 from crankhinge.adapters import Engine, EngineFailed, KeyValue
 from crankhinge.config import Adapter, Bundle
-from crankhinge.decisions import RollLease, RollRecord, to_load, try_acquire, without
+from crankhinge.decisions import (
+    AcquiredRollout,
+    RolloutRecord,
+    adapters_to_load,
+    release_rollout,
+    try_acquire_rollout,
+)
 from crankhinge.errors import KeyValueUnavailable
 from crankhinge.runtime import wall_ms
 
@@ -72,7 +78,7 @@
         while True:
             await self._drop_unwanted()
             versions = {name: adapter.version for name, adapter in self._wanted.items()}
-            missing = to_load(versions, self._loaded)
+            missing = adapters_to_load(versions, self._loaded)
             if not missing:
                 await curio.sleep(CHECK_S)
                 continue
@@ -118,18 +124,18 @@
         self._log.info("adapter_loaded", adapter=name, version=adapter.version, token=token)
         await self._changed(self.served)
 
-    async def _read(self) -> tuple[RollRecord, int]:
+    async def _read(self) -> tuple[RolloutRecord, int]:
         value = await self._kv.get(KEY_PREFIX + self._pool)
         if value is None:
-            return RollRecord(), 0
+            return RolloutRecord(), 0
         try:
-            return msgspec.json.decode(value.data, type=RollRecord), value.index
+            return msgspec.json.decode(value.data, type=RolloutRecord), value.index
         except msgspec.DecodeError as exc:
             raise KeyValueUnavailable(f"unreadable roll record: {exc}") from exc
 
-    async def _acquire(self) -> RollLease | None:
+    async def _acquire(self) -> AcquiredRollout | None:
         record, index = await self._read()
-        lease = try_acquire(record, self._me, self._width, wall_ms())
+        lease = try_acquire_rollout(record, self._me, self._width, wall_ms())
         if lease is None:
             return None
         data = msgspec.json.encode(lease.record)
@@ -145,7 +151,7 @@
         for _ in range(5):
             try:
                 record, index = await self._read()
-                rest = without(record, self._me)
+                rest = release_rollout(record, self._me)
                 data = msgspec.json.encode(rest)
                 if rest == record or await self._kv.swap(KEY_PREFIX + self._pool, data, index):
                     return
--- a/src/crankhinge/agent/_decode.py
+++ b/src/crankhinge/agent/_decode.py
@@ -11,7 +11,7 @@
 from crankhinge.agent._probe import engine_load
 from crankhinge.agent._role import BACKEND_DOWN, UNBOUNDED, Role
 from crankhinge.config import Pool
-from crankhinge.decisions import Grant, Refuse, SlotAsk, SlotDecision, SlotTable
+from crankhinge.decisions import Refusal, SlotDecision, SlotGrant, SlotRequest, SlotTable
 from crankhinge.wire import (
     Cancel,
     Decode,
@@ -56,11 +56,11 @@
     @property
     def busy(self) -> bool:
         """Whether any slot is held or awaited."""
-        return self._table.busy
+        return self._table.is_busy
 
     def close(self) -> None:
         """Refuse new requests; leases already given are honoured."""
-        self._table.closed = True
+        self._table.is_closed = True
 
     def apply(self, pool: Pool) -> None:
         """Take over the number of slots."""
@@ -71,18 +71,18 @@
         """Return the load to report."""
         table = self._table
         return Load(
-            free=max(0, table.free),
+            free=max(0, table.free_slots),
             queued=table.queued,
             backlog_s=table.backlog_s(now),
             step_s=self._step_s,
-            draining=table.closed or self.sick,
+            draining=table.is_closed or self.sick,
         )
 
     async def run(self) -> None:
         """Let leases and waiting requests expire in time."""
         while True:
             now = await curio.clock()
-            until = self._table.next_event()
+            until = self._table.next_tick_at()
             pause = POLL_S if until is None else min(POLL_S, max(0.001, until - now))
             await curio.ignore_after(pause, self._wake.wait)
             self._wake.clear()
@@ -100,15 +100,15 @@
             self._settled = False
             return False
         if not self._settled:
-            self._table.foreign = max(0, load.running - self._table.running)
-            self._settled = not self._table.foreign
+            self._table.foreign_requests = max(0, load.running - self._table.running)
+            self._settled = not self._table.foreign_requests
             await self._apply(self._table.tick(await curio.clock()))
         return True
 
     def _drop_expired(self) -> None:
         """Forget the owners of leases that were never used."""
         for req in list(self._owners):
-            if req not in self._tasks and not self._table.holds(req):
+            if req not in self._tasks and not self._table.has_request(req):
                 self._ready.pop(req, None)
                 self.disown(req)
 
@@ -127,38 +127,38 @@
             return
         now = await curio.clock()
         weights = self.keeper.weights(msg.member)
-        ask = SlotAsk(
+        ask = SlotRequest(
             req=msg.req,
             partner=weights.partner,
             member=msg.member,
             rank=msg.rank,
             deadline=now + msg.within,
-            lead=msg.lead,
+            lead_s=msg.lead,
             max_tokens=msg.max_tokens,
             weight=weights.member,
             partner_weight=weights.partner_weight,
         )
         self.own(msg.req, link)
-        await self._apply(self._table.ask(ask, now))
+        await self._apply(self._table.submit(ask, now))
         await self._wake.set()
 
     async def _apply(self, decisions: list[SlotDecision]) -> None:
         for decision in decisions:
-            if isinstance(decision, Grant):
+            if isinstance(decision, SlotGrant):
                 req = decision.req
                 load = self.load(await curio.clock())
-                await self.tell(req, Granted(req, decision.ready, decision.lease, load))
+                await self.tell(req, Granted(req, decision.ready_in_s, decision.lease_s, load))
             else:
                 await self._apply_refusal(decision)
 
-    async def _apply_refusal(self, decision: Refuse) -> None:
+    async def _apply_refusal(self, decision: Refusal) -> None:
         link = self.owner(decision.req)
         if link is not None:
-            await self.refuse(link, decision.req, decision.code, decision.retry_after)
+            await self.refuse(link, decision.req, decision.code, decision.retry_after_s)
         self.disown(decision.req)
 
     async def _decode(self, link: Link, msg: Decode) -> None:
-        if self.owner(msg.req) is not link or not self._table.leased(msg.req):
+        if self.owner(msg.req) is not link or not self._table.is_leased(msg.req):
             self.metrics.count("lease_expired")
             await link.send(Failed(msg.req, "lease-expired", False))
             return
@@ -210,7 +210,7 @@
         while pieces := await stream.next():
             await self.tell(req, Tokens(req, seq, tuple(pieces)))
             seq += len(pieces)
-            self._table.progress(req, seq)
+            self._table.record_progress(req, seq)
             now = await curio.clock()
             if last:
                 self._note_step((now - last) / len(pieces))
@@ -226,5 +226,5 @@
     async def release(self, req: int) -> None:
         """Free the slot of *req* and give it to the next."""
         self._ready.pop(req, None)
-        await self._apply(self._table.end(req, await curio.clock()))
+        await self._apply(self._table.release(req, await curio.clock()))
         await self._start_ready()
--- a/src/crankhinge/agent/_fence_desk.py
+++ b/src/crankhinge/agent/_fence_desk.py
@@ -27,17 +27,17 @@
 from crankhinge.peers import Roster
 from crankhinge.runtime import wall_ms
 from crankhinge.wire import (
+    FenceClaim,
+    FenceClaimReply,
     FenceJoined,
+    FencePermitRequest,
+    FenceRelease,
+    FenceSettle,
     FenceState,
     FenceSync,
     Link,
     Message,
-    Permit,
     Refused,
-    Release,
-    Settle,
-    Take,
-    Taken,
     connect_link,
     send_if_open,
 )
@@ -156,11 +156,18 @@
 
     async def handle(self, link: Link, msg: Message) -> bool:
         """Act on a message about a record; returns whether it was one."""
-        if isinstance(msg, Permit):
+        if isinstance(msg, FencePermitRequest):
             await self._permit(link, msg)
             return True
         if not isinstance(
-            msg, Take | Taken | Settle | Release | FenceState | FenceSync | FenceJoined
+            msg,
+            FenceClaim
+            | FenceClaimReply
+            | FenceSettle
+            | FenceRelease
+            | FenceState
+            | FenceSync
+            | FenceJoined,
         ):
             return False
         pair = self._pairs.get(msg.range_id)
@@ -172,7 +179,7 @@
             self._log_role(pair)
         return True
 
-    async def _permit(self, link: Link, msg: Permit) -> None:
+    async def _permit(self, link: Link, msg: FencePermitRequest) -> None:
         pair = self._pairs.get(msg.range_id)
         self._askers[msg.req] = link
         if pair is None:
@@ -217,7 +224,7 @@
                 out = pair.on_swapped(won, await curio.clock(), wall_ms())
         except KeyValueUnavailable:
             if isinstance(action, ReadRecord):
-                out = pair.on_no_record()
+                out = pair.on_read_failed()
             else:
                 out = pair.on_swapped(None, await curio.clock(), wall_ms())
         if self._pairs.get(pair.range_id) is not pair:
@@ -229,16 +236,22 @@
 
 def _decide(
     pair: FencePair,
-    msg: Take | Taken | Settle | Release | FenceState | FenceSync | FenceJoined,
+    msg: FenceClaim
+    | FenceClaimReply
+    | FenceSettle
+    | FenceRelease
+    | FenceState
+    | FenceSync
+    | FenceJoined,
     now: float,
 ) -> list[FenceAction]:
-    if isinstance(msg, Take):
-        return pair.on_take(msg, now)
-    if isinstance(msg, Taken):
-        return pair.on_taken(msg)
-    if isinstance(msg, Settle):
+    if isinstance(msg, FenceClaim):
+        return pair.on_claim(msg, now)
+    if isinstance(msg, FenceClaimReply):
+        return pair.on_claim_reply(msg)
+    if isinstance(msg, FenceSettle):
         return pair.on_settle(msg)
-    if isinstance(msg, Release):
+    if isinstance(msg, FenceRelease):
         return pair.on_release(msg)
     if isinstance(msg, FenceState):
         return pair.on_state(msg, now)
--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -20,7 +20,7 @@
 from crankhinge.agent._role import UNBOUNDED, Role
 from crankhinge.agent._settings import AgentSettings
 from crankhinge.config import Bundle, BundleKeeper
-from crankhinge.decisions import SlotTable, WorkQueue, mechanisms
+from crankhinge.decisions import SlotTable, WorkQueue, mechanisms_for
 from crankhinge.peers import BundleSpread, Roster, parse_endpoint
 from crankhinge.runtime import Metrics, run_process, until_first
 
@@ -29,14 +29,14 @@
 
 def make_role(settings: AgentSettings, engine: Engine | None, **common: Any) -> Role:
     """Return the role that the settings name, beside *engine* or else a plain service."""
-    mech = mechanisms(settings.policy)
+    mech = mechanisms_for(settings.policy)
     slots = settings.slots if settings.policy != "naive" else UNBOUNDED
     if engine is not None and settings.role == "decode":
         table = SlotTable(
             capacity=slots, step_s=settings.step_s, hold_s=settings.lease_s, mech=mech
         )
         return DecodeRole(engine=engine, table=table, **common)
-    queue = WorkQueue(width=slots, rate=settings.rate, mech=mech)
+    queue = WorkQueue(width=slots, units_per_s=settings.rate, mech=mech)
     if engine is not None:
         return PrefillRole(engine=engine, queue=queue, **common)
     service = HttpService(*parse_endpoint(settings.backend))
--- a/src/crankhinge/agent/_queued.py
+++ b/src/crankhinge/agent/_queued.py
@@ -9,7 +9,7 @@
 
 from crankhinge.agent._role import BACKEND_DOWN, UNBOUNDED, Role
 from crankhinge.config import Pool
-from crankhinge.decisions import Refuse, WorkAsk, WorkQueue
+from crankhinge.decisions import Refusal, WorkQueue, WorkRequest
 from crankhinge.wire import Cancel, Link, Load, Message
 
 
@@ -33,11 +33,11 @@
     @property
     def busy(self) -> bool:
         """Whether any request runs or waits."""
-        return self._queue.busy
+        return self._queue.is_busy
 
     def close(self) -> None:
         """Refuse new requests; those that wait are still done."""
-        self._queue.closed = True
+        self._queue.is_closed = True
 
     def apply(self, pool: Pool) -> None:
         """Take over the number of requests that are run at once."""
@@ -48,11 +48,11 @@
         """Return the load to report."""
         queue = self._queue
         return Load(
-            free=queue.free,
+            free=queue.free_slots,
             queued=queue.queued,
             backlog_s=queue.backlog_s(now),
-            draining=queue.closed or self.sick,
-            rate=queue.rate,
+            draining=queue.is_closed or self.sick,
+            rate=queue.units_per_s,
         )
 
     async def enqueue(
@@ -64,7 +64,7 @@
             return
         now = await curio.clock()
         weights = self.keeper.weights(member)
-        ask = WorkAsk(
+        ask = WorkRequest(
             req=req,
             partner=weights.partner,
             member=member,
@@ -74,26 +74,26 @@
             weight=weights.member,
             partner_weight=weights.partner_weight,
         )
-        refusal = self._queue.ask(ask, now)
+        refusal = self._queue.submit(ask, now)
         if refusal is not None:
-            await self.refuse(link, req, refusal.code, refusal.retry_after)
+            await self.refuse(link, req, refusal.code, refusal.retry_after_s)
             return
         self.own(req, link)
         self._messages[req] = msg
         await self._pump()
 
     async def _pump(self) -> None:
-        starts, late = self._queue.next(await curio.clock())
+        starts, late = self._queue.take_next(await curio.clock())
         for refusal in late:
             await self._refuse_late(refusal)
         for ask in starts:
             await self.start_task(ask.req, self._work, self._messages.pop(ask.req))
 
-    async def _refuse_late(self, refusal: Refuse) -> None:
+    async def _refuse_late(self, refusal: Refusal) -> None:
         link = self.owner(refusal.req)
         self._messages.pop(refusal.req, None)
         if link is not None:
-            await self.refuse(link, refusal.req, refusal.code, refusal.retry_after)
+            await self.refuse(link, refusal.req, refusal.code, refusal.retry_after_s)
         self.disown(refusal.req)
 
     async def _work(self, msg: Any) -> None:
@@ -101,14 +101,14 @@
         try:
             done = await self.work(msg)
         finally:
-            self._queue.end(msg.req, await curio.clock(), done=done)
+            self._queue.record_end(msg.req, await curio.clock(), done=done)
             self.disown(msg.req)
             await self._pump()
 
     async def release(self, req: int) -> None:
         """Take a request that nobody waits for out of the queue."""
         self._messages.pop(req, None)
-        self._queue.end(req, await curio.clock())
+        self._queue.record_end(req, await curio.clock())
         await self._pump()
 
     async def handle_cancel(self, msg: Message) -> None:
--- a/src/crankhinge/burn/_callers.py
+++ b/src/crankhinge/burn/_callers.py
@@ -24,7 +24,13 @@
 import msgspec
 
 from crankhinge.burn._read import parse_line
-from crankhinge.decisions import FIRSTS_LEAST, FIRSTS_PART, HELD_PER_S, LATE_WORTH, RETURNED_PART
+from crankhinge.decisions import (
+    LATE_VALUE,
+    MIN_FIRST_ATTEMPTS,
+    RETRY_OF_LONGEST_WAIT,
+    RETRY_OF_SHORTEST_FIRST_WAIT,
+    WAIT_COST_PER_S,
+)
 from crankhinge.errors import SettingsError
 
 # A refusal within this time, in milliseconds, is one at once: a question to three engines is
@@ -56,8 +62,8 @@
         kinds: worth of a request of mean size by kind of route; 1 where none is given.
     """
 
-    late: Part = LATE_WORTH
-    held_per_s: Part = HELD_PER_S
+    late: Part = LATE_VALUE
+    held_per_s: Part = WAIT_COST_PER_S
     failed_return: Part = 0.3
     needless: Part = 0.5
     kinds: dict[str, float] = {}
@@ -245,9 +251,9 @@
         if one.kept:
             firsts[one.route].append(one.within_ms)
     return {
-        route: FIRSTS_PART * min(firsts[route])
-        if len(firsts[route]) >= FIRSTS_LEAST
-        else RETURNED_PART * max(all_waits)
+        route: RETRY_OF_SHORTEST_FIRST_WAIT * min(firsts[route])
+        if len(firsts[route]) >= MIN_FIRST_ATTEMPTS
+        else RETRY_OF_LONGEST_WAIT * max(all_waits)
         for route, all_waits in waits.items()
     }
 
--- a/src/crankhinge/decisions/__init__.py
+++ b/src/crankhinge/decisions/__init__.py
@@ -1,13 +1,13 @@
 """Decisions: state, event and time in; decision out. No I/O, no clock, no hidden randomness."""
 
 from crankhinge.decisions._accounts import Account, Accounts, TokenLimit
-from crankhinge.decisions._asks import FairAsk, Refuse, SlotAsk, WorkAsk
+from crankhinge.decisions._advertised_limits import AdvertisedLimit, AdvertisedLimits
 from crankhinge.decisions._backend import Backend
-from crankhinge.decisions._bars import Bar, Bars
 from crankhinge.decisions._breaker import Breaker, BreakerState
 from crankhinge.decisions._budget import RetryBudget
-from crankhinge.decisions._congestion import Congestion
-from crankhinge.decisions._connections import KEPT_MOST, kept_connections
+from crankhinge.decisions._congestion import CongestionWindow
+from crankhinge.decisions._connections import MAX_IDLE_CONNECTIONS, idle_connection_limit
+from crankhinge.decisions._exclusions import ExclusionReason, ServerExclusions
 from crankhinge.decisions._fair import FairQueue
 from crankhinge.decisions._fence import FencePair
 from crankhinge.decisions._fence_actions import (
@@ -19,63 +19,68 @@
     Send,
     SwapRecord,
 )
-from crankhinge.decisions._fence_keys import keep_answer
+from crankhinge.decisions._fence_keys import to_recorded_response
 from crankhinge.decisions._fence_messages import (
-    Answer,
+    FenceAlreadyTaken,
+    FenceClaim,
+    FenceClaimReply,
     FenceJoined,
+    FencePermitRequest,
+    FencePermitted,
+    FenceRelease,
+    FenceSettle,
     FenceState,
     FenceSync,
-    Permit,
-    Permitted,
-    Release,
-    Settle,
-    Take,
-    Taken,
-    TakenBefore,
+    RecordedResponse,
 )
 from crankhinge.decisions._fingerprint import fingerprint
 from crankhinge.decisions._forecast import MemoryForecast
-from crankhinge.decisions._freshness import Freshness, Gathering
-from crankhinge.decisions._limit_pool import PERMIT_S, LimitPool, LimitWord
-from crankhinge.decisions._limits import MemberLimits
-from crankhinge.decisions._mechanisms import FULL, NAIVE, POLICIES, Mechanisms, mechanisms
-from crankhinge.decisions._members import GREET_S, NOTE_S, RENEW_S, Members
-from crankhinge.decisions._named_limits import NamedLimit, NamedLimits
-from crankhinge.decisions._places import (
-    FIRST_S,
-    FIRSTS_LEAST,
-    FIRSTS_PART,
-    HELD_PER_S,
-    LATE_WORTH,
-    RETURNED_PART,
-    SERVE_S,
-    FirstTries,
-    PlaceAsk,
-    WaitingOrder,
-    back_after,
-    memory_needed,
-    places_to_ask,
-    silent_s,
+from crankhinge.decisions._freshness import ChangeBatcher, FreshnessBounds
+from crankhinge.decisions._mechanisms import FULL, NAIVE, POLICIES, Mechanisms, mechanisms_for
+from crankhinge.decisions._member_limits import MemberLimits
+from crankhinge.decisions._membership import (
+    JOIN_ANNOUNCEMENT_INTERVAL_S,
+    LEASE_RENEWAL_INTERVAL_S,
+    RECORD_LEASE_S,
+    Membership,
 )
+from crankhinge.decisions._permit_pool import PERMIT_TRANSIT_S, PermitDecision, PermitPool
 from crankhinge.decisions._prefix import PrefixIndex
-from crankhinge.decisions._quarantine import Isolation, Quarantine
+from crankhinge.decisions._quarantine import Quarantine, QuarantineUpdate
 from crankhinge.decisions._quota import (
-    NOT_MINE,
+    NOT_ALLOCATOR,
     QuotaAllocator,
-    QuotaAsker,
     QuotaBounds,
-    QuotaWord,
+    QuotaClient,
+    QuotaDecision,
+    QuotaOutcome,
     TokenBucket,
-    Verdict,
 )
 from crankhinge.decisions._rendezvous import rank_by_key
-from crankhinge.decisions._roll import (
-    RollLease,
-    RollPlace,
-    RollRecord,
-    to_load,
-    try_acquire,
-    without,
+from crankhinge.decisions._requests import FairRequest, Refusal, SlotRequest, WorkRequest
+from crankhinge.decisions._reservations import (
+    DEFAULT_FIRST_EVENT_S,
+    DEFAULT_SERVICE_S,
+    LATE_VALUE,
+    MIN_FIRST_ATTEMPTS,
+    RETRY_OF_LONGEST_WAIT,
+    RETRY_OF_SHORTEST_FIRST_WAIT,
+    WAIT_COST_PER_S,
+    CallerRetryDetector,
+    ReservationQueue,
+    ReservationRequest,
+    engines_to_try,
+    retry_delay_s,
+    stream_event_timeout_s,
+    tokens_to_reserve,
+)
+from crankhinge.decisions._rollout import (
+    AcquiredRollout,
+    RolloutLease,
+    RolloutRecord,
+    adapters_to_load,
+    release_rollout,
+    try_acquire_rollout,
 )
 from crankhinge.decisions._routes import (
     CallerLimits,
@@ -84,139 +89,139 @@
     RouteKind,
     RouteTable,
     Service,
-    Share,
+    ServiceWeight,
 )
-from crankhinge.decisions._routing import RouteAsk, Router, RoutingWeights
-from crankhinge.decisions._servers import ListChange, Phase, Server, ServerList
-from crankhinge.decisions._shared_limits import Loan, SharedLimits, Stamp
-from crankhinge.decisions._slots import Grant, SlotDecision, SlotTable
+from crankhinge.decisions._routing import Router, RouteRequest, RoutingCosts
+from crankhinge.decisions._server_stats import RoleChange, ServerStats, pick_server
+from crankhinge.decisions._servers import EngineRole, Server, ServerList, ServerListChange
+from crankhinge.decisions._shared_limits import ClockStamp, SharedLimits, ShareLease
+from crankhinge.decisions._slots import SlotDecision, SlotGrant, SlotTable
 from crankhinge.decisions._split import (
-    MANY_ANSWERS,
-    Loads,
-    WorkMeter,
-    WorkSheet,
-    loads_of,
-    wanted_readers,
+    MIN_ANSWERS_TO_GROW_PREFILL,
+    PoolLoads,
+    WorkloadMeter,
+    WorkloadStats,
+    combined_loads,
+    wanted_prompt_engines,
 )
-from crankhinge.decisions._standing import PhaseChange, Standing, pick_server
-from crankhinge.decisions._work import WorkQueue
+from crankhinge.decisions._work_queue import WorkQueue
 
 __all__ = [
-    "FIRSTS_LEAST",
-    "FIRSTS_PART",
-    "FIRST_S",
+    "DEFAULT_FIRST_EVENT_S",
+    "DEFAULT_SERVICE_S",
     "FULL",
-    "GREET_S",
-    "HELD_PER_S",
-    "KEPT_MOST",
-    "LATE_WORTH",
-    "MANY_ANSWERS",
+    "JOIN_ANNOUNCEMENT_INTERVAL_S",
+    "LATE_VALUE",
+    "LEASE_RENEWAL_INTERVAL_S",
+    "MAX_IDLE_CONNECTIONS",
+    "MIN_ANSWERS_TO_GROW_PREFILL",
+    "MIN_FIRST_ATTEMPTS",
     "NAIVE",
-    "NOTE_S",
-    "NOT_MINE",
-    "PERMIT_S",
+    "NOT_ALLOCATOR",
+    "PERMIT_TRANSIT_S",
     "POLICIES",
-    "RENEW_S",
-    "RETURNED_PART",
-    "SERVE_S",
+    "RECORD_LEASE_S",
+    "RETRY_OF_LONGEST_WAIT",
+    "RETRY_OF_SHORTEST_FIRST_WAIT",
+    "WAIT_COST_PER_S",
     "Account",
     "Accounts",
-    "Answer",
+    "AcquiredRollout",
+    "AdvertisedLimit",
+    "AdvertisedLimits",
     "Backend",
-    "Bar",
-    "Bars",
     "Breaker",
     "BreakerState",
     "CallerLimits",
-    "Congestion",
+    "CallerRetryDetector",
+    "ChangeBatcher",
+    "ClockStamp",
+    "CongestionWindow",
     "EngineLimits",
-    "FairAsk",
+    "EngineRole",
+    "ExclusionReason",
     "FairQueue",
+    "FairRequest",
     "FenceAction",
+    "FenceAlreadyTaken",
+    "FenceClaim",
+    "FenceClaimReply",
     "FenceJoined",
     "FencePair",
+    "FencePermitRequest",
+    "FencePermitted",
     "FenceRecord",
+    "FenceRelease",
     "FenceRole",
+    "FenceSettle",
     "FenceState",
     "FenceSync",
-    "FirstTries",
-    "Freshness",
-    "Gathering",
-    "Grant",
-    "Isolation",
-    "LimitPool",
-    "LimitWord",
-    "ListChange",
-    "Loads",
-    "Loan",
+    "FreshnessBounds",
     "Mechanisms",
     "MemberLimits",
-    "Members",
+    "Membership",
     "MemoryForecast",
-    "NamedLimit",
-    "NamedLimits",
-    "Permit",
-    "Permitted",
-    "Phase",
-    "PhaseChange",
-    "PlaceAsk",
+    "PermitDecision",
+    "PermitPool",
+    "PoolLoads",
     "PrefixIndex",
     "Quarantine",
+    "QuarantineUpdate",
     "QuotaAllocator",
-    "QuotaAsker",
     "QuotaBounds",
-    "QuotaWord",
+    "QuotaClient",
+    "QuotaDecision",
+    "QuotaOutcome",
     "ReadRecord",
-    "Refuse",
-    "Release",
+    "RecordedResponse",
+    "Refusal",
     "Reply",
+    "ReservationQueue",
+    "ReservationRequest",
     "RetryBudget",
-    "RollLease",
-    "RollPlace",
-    "RollRecord",
+    "RoleChange",
+    "RolloutLease",
+    "RolloutRecord",
     "Route",
-    "RouteAsk",
     "RouteKind",
+    "RouteRequest",
     "RouteTable",
     "Router",
-    "RoutingWeights",
+    "RoutingCosts",
     "Send",
     "Server",
+    "ServerExclusions",
     "ServerList",
+    "ServerListChange",
+    "ServerStats",
     "Service",
-    "Settle",
-    "Share",
+    "ServiceWeight",
+    "ShareLease",
     "SharedLimits",
-    "SlotAsk",
     "SlotDecision",
+    "SlotGrant",
+    "SlotRequest",
     "SlotTable",
-    "Stamp",
-    "Standing",
     "SwapRecord",
-    "Take",
-    "Taken",
-    "TakenBefore",
     "TokenBucket",
     "TokenLimit",
-    "Verdict",
-    "WaitingOrder",
-    "WorkAsk",
-    "WorkMeter",
     "WorkQueue",
-    "WorkSheet",
-    "back_after",
+    "WorkRequest",
+    "WorkloadMeter",
+    "WorkloadStats",
+    "adapters_to_load",
+    "combined_loads",
+    "engines_to_try",
     "fingerprint",
-    "keep_answer",
-    "kept_connections",
-    "loads_of",
-    "mechanisms",
-    "memory_needed",
+    "idle_connection_limit",
+    "mechanisms_for",
     "pick_server",
-    "places_to_ask",
     "rank_by_key",
-    "silent_s",
-    "to_load",
-    "try_acquire",
-    "wanted_readers",
-    "without",
+    "release_rollout",
+    "retry_delay_s",
+    "stream_event_timeout_s",
+    "to_recorded_response",
+    "tokens_to_reserve",
+    "try_acquire_rollout",
+    "wanted_prompt_engines",
 ]
--- a/src/crankhinge/decisions/_accounts.py
+++ b/src/crankhinge/decisions/_accounts.py
@@ -27,21 +27,21 @@
         name: what backend servers are told.
         rank: 0 is the most urgent; None leaves it to the route.
         limit: None without one.
-        plain_tokens: what a request counts that states no number of tokens.
-        by_tokens: whether requests count by their tokens; else each counts one.
+        default_tokens: what a request counts that states no number of tokens.
+        counts_tokens: whether requests count by their tokens; else each counts one.
     """
 
     name: str
     rank: int | None = None
     limit: TokenLimit | None = None
-    plain_tokens: int = 1
-    by_tokens: bool = True
+    default_tokens: int = 1
+    counts_tokens: bool = True
 
     def cost(self, tokens: int) -> int:
         """Return what a request that states *tokens* counts against the limit; 0 for none."""
-        if not self.by_tokens:
+        if not self.counts_tokens:
             return 1
-        return tokens or self.plain_tokens
+        return tokens or self.default_tokens
 
 
 @dataclass(frozen=True)
@@ -59,7 +59,7 @@
     by_name: Mapping[str, Account]
 
     @classmethod
-    def of(cls, rows: Iterable[tuple[Account, Iterable[str]]]) -> Accounts:
+    def from_rows(cls, rows: Iterable[tuple[Account, Iterable[str]]]) -> Accounts:
         """Return the accounts of *rows*, each with its keys."""
         by_key: dict[str, Account] = {}
         by_name: dict[str, Account] = {}
--- a/src/crankhinge/decisions/_named_limits.py
+++ b/src/crankhinge/decisions/_advertised_limits.py
@@ -16,34 +16,34 @@
 
 # Servers remembered that name rates, and those that named one before: more than a fleet has that
 # are in need at once.
-MOST_NAMED = 1024
+MAX_TRACKED_SERVERS = 1024
 # Rates that an instance tells in its note in the store: 1 kB at most.
-MOST_NOTED = 16
+MAX_PUBLISHED_LIMITS = 16
 # A note tells another rate of a server only when it has moved by this factor: each change of a note
 # is a priced write, and whoever reads it hears the server's own word with its first answer.
-NOTED_FACTOR = 2.0
+REPUBLISH_FACTOR = 2.0
 # How old a rate may be that is read in a note, in seconds: an end that was heard since stands.
-NOTE_AGE_S = 40.0
+MAX_RECORD_AGE_S = 40.0
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
+class AdvertisedLimit:
     """What a server takes.
 
     Attributes:
         per_s: requests a second from all instances together.
-        at: when it was heard, on the runtime's clock, in seconds.
+        received_at: when it was heard, on the runtime's clock, in seconds.
     """
 
     per_s: float
-    at: float
+    received_at: float
 
 
-class NamedLimits:
+class AdvertisedLimits:
     """The rates that servers name, by the servers' identities."""
 
     def __init__(self) -> None:
-        self._named: dict[str, NamedLimit] = {}
+        self._named: dict[str, AdvertisedLimit] = {}
         self._ended: dict[str, float] = {}
         self._noted: dict[str, float] = {}
 
@@ -55,11 +55,11 @@
         """Identities of the servers that name rates."""
         return list(self._named)
 
-    def get(self, server: str) -> NamedLimit | None:
+    def get(self, server: str) -> AdvertisedLimit | None:
         """Return what a server takes; None where it names nothing."""
         return self._named.get(server)
 
-    def named(self, server: str, per_s: float, at: float) -> bool:
+    def record_limit(self, server: str, per_s: float, at: float) -> bool:
         """Note that a server named a rate.
 
         Args:
@@ -73,18 +73,18 @@
         if at <= self._ended.get(server, float("-inf")):
             return False
         known = self._named.get(server)
-        if known is not None and at < known.at:
+        if known is not None and at < known.received_at:
             return False
-        keep_newest(self._named, server, NamedLimit(per_s, at), MOST_NAMED)
+        keep_newest(self._named, server, AdvertisedLimit(per_s, at), MAX_TRACKED_SERVERS)
         return known is None or known.per_s != per_s
 
-    def unreadable(self, server: str, at: float) -> None:
+    def record_unreadable(self, server: str, at: float) -> None:
         """Note that a server named something that is no rate: it is still in need."""
         known = self._named.get(server)
-        if known is not None and at > known.at:
-            keep_newest(self._named, server, NamedLimit(known.per_s, at), MOST_NAMED)
+        if known is not None and at > known.received_at:
+            keep_newest(self._named, server, AdvertisedLimit(known.per_s, at), MAX_TRACKED_SERVERS)
 
-    def unnamed(self, server: str, sent_at: float) -> bool:
+    def record_no_limit(self, server: str, sent_at: float) -> bool:
         """Note that a server named nothing in an answer.
 
         Args:
@@ -96,13 +96,13 @@
             Whether it has ceased to name a rate by that.
         """
         known = self._named.get(server)
-        if known is None or sent_at <= known.at:
+        if known is None or sent_at <= known.received_at:
             return False
         del self._named[server]
-        keep_newest(self._ended, server, sent_at, MOST_NAMED)
+        keep_newest(self._ended, server, sent_at, MAX_TRACKED_SERVERS)
         return True
 
-    def noted(self, servers: Collection[str], now: float) -> Mapping[str, float]:
+    def to_instance_record(self, servers: Collection[str], now: float) -> Mapping[str, float]:
         """Return what belongs into this instance's note of some servers: their rates, roughly.
 
         Args:
@@ -112,21 +112,23 @@
         young = [
             server
             for server, limit in self._named.items()
-            if server in servers and now - limit.at <= NOTE_AGE_S
+            if server in servers and now - limit.received_at <= MAX_RECORD_AGE_S
         ]
         noted = {}
-        for server in young[-MOST_NOTED:]:
+        for server in young[-MAX_PUBLISHED_LIMITS:]:
             per_s, told = self._named[server].per_s, self._noted.get(server)
             noted[server] = per_s if told is None or _moved(told, per_s) else told
         self._noted = noted
         return dict(noted)
 
-    def recall(self, noted: Mapping[str, float], now: float) -> list[str]:
+    def apply_instance_record(self, published: Mapping[str, float], now: float) -> list[str]:
         """Take what was read in a note; returns the servers of which it was news."""
-        at = now - NOTE_AGE_S
-        return [server for server, per_s in noted.items() if self.named(server, per_s, at)]
+        at = now - MAX_RECORD_AGE_S
+        return [
+            server for server, per_s in published.items() if self.record_limit(server, per_s, at)
+        ]
 
 
 def _moved(told: float, per_s: float) -> bool:
     low, high = sorted((told, per_s))
-    return high > NOTED_FACTOR * low
+    return high > REPUBLISH_FACTOR * low
--- a/src/crankhinge/decisions/_breaker.py
+++ b/src/crankhinge/decisions/_breaker.py
@@ -36,14 +36,14 @@
             return BreakerState.CLOSED
         return BreakerState.OPEN if now < self._until else BreakerState.HALF_OPEN
 
-    def allows(self, now: float) -> bool:
+    def allows_request(self, now: float) -> bool:
         """Whether a request may be sent; asking changes nothing."""
         state = self.state(now)
         if state is BreakerState.HALF_OPEN:
             return now >= self._trial_until
         return state is BreakerState.CLOSED
 
-    def sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Note that a request was sent: in half-open state it is the trial.
 
         A trial that is refused by the agent's queue says nothing of the server; it only ends.
@@ -51,13 +51,13 @@
         if self.state(now) is BreakerState.HALF_OPEN:
             self._trial_until = now + TRIAL_S
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note a success."""
         self._failures = 0
         self._open_s = FIRST_OPEN_S
         self._trial_until = 0.0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note a failure."""
         self._failures += 1
         if self._failures < FAILURES_TO_OPEN:
--- a/src/crankhinge/decisions/_budget.py
+++ b/src/crankhinge/decisions/_budget.py
@@ -20,11 +20,11 @@
         """Change the retries allowed per first attempt."""
         self._ratio = ratio
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a request's first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def allows(self) -> bool:
+    def allows_retry(self) -> bool:
         """Whether one more repeat would be allowed; asking changes nothing."""
         return self._tokens >= 1.0
 
@@ -35,12 +35,12 @@
 
     def try_retry(self) -> bool:
         """Take leave for one retry; False when the budget is spent."""
-        if not self.allows():
+        if not self.allows_retry():
             return False
         self._tokens -= 1.0
         return True
 
-    def spend(self) -> None:
+    def charge_retry(self) -> None:
         """Count a repeat that nobody was asked for: a server refused the first arrival.
 
         It is paid for by the repeats that are asked for next, but never by more than were saved.
--- a/src/crankhinge/decisions/_congestion.py
+++ b/src/crankhinge/decisions/_congestion.py
@@ -17,46 +17,46 @@
 
 # The wait at servers is the middle one of so many newest answers: they tell of a queue that fills
 # within a second, and one answer that took long does not.
-NEWEST = 5
+RECENT_RESPONSES = 5
 # Answers among which the undisturbed ones are looked for, and the part of them that counts as such.
-KEPT = 64
-UNDISTURBED_PART = 0.25
+MAX_KEPT_RESPONSES = 64
+UNLOADED_QUANTILE = 0.25
 # Before any answer was seen, one takes this long, in seconds.
-FIRST_TOOK_S = 0.05
+DEFAULT_RESPONSE_S = 0.05
 # Answers may always take this many times as long as undisturbed ones, whatever the target: a
 # service that is slow by nature is not congested.
-SLOW_BY_NATURE = 2.0
+ALLOWED_SLOWDOWN = 2.0
 # Part of the wait that the target allows at which the servers' queues are held once they were too
 # long: answers take different times, and at half of it most of them are in time.
-KEPT_WAITING_PART = 0.5
+TARGET_WAIT_SHARE = 0.5
 # The window is lowered to this part of itself, no sooner than this many seconds after the last
 # time: an answer that shows the effect is on its way as long.
-LOWER_PART = 0.7
-LOWER_EACH_S = 0.15
+DECREASE_FACTOR = 0.7
+MIN_DECREASE_INTERVAL_S = 0.15
 # A late call is sent all the same when nothing has been for so long, in seconds: where only late
 # ones come nothing would ever tell that the service has recovered.
-LATE_EACH_S = 0.5
+LATE_PROBE_INTERVAL_S = 0.5
 # Nobody is told to come back sooner than this, in seconds: a queue of ten short requests empties in
 # it.
-BACK_LEAST_S = 0.25
+MIN_RETRY_AFTER_S = 0.25
 # A window this many times what is there bounds nothing and is given up.
-FREE_FACTOR = 4.0
+UNBOUNDED_FACTOR = 4.0
 
 
-class Congestion:
+class CongestionWindow:
     """What one instance saw of a service's answers, and the window that it keeps therefore."""
 
     def __init__(self) -> None:
-        self._took: deque[float] = deque(maxlen=KEPT)
+        self._took: deque[float] = deque(maxlen=MAX_KEPT_RESPONSES)
         self._there = 0
-        self._alone_s = FIRST_TOOK_S
+        self._alone_s = DEFAULT_RESPONSE_S
         self._window: float | None = None
         self._lowered_at = float("-inf")
         self._since = 0.0
         self._sent_at = float("-inf")
 
     @property
-    def alone_s(self) -> float:
+    def unloaded_response_s(self) -> float:
         """Seconds that an answer takes where nothing waits before it."""
         return self._alone_s
 
@@ -65,58 +65,60 @@
         """Requests that may be there at once; None for no bound."""
         return self._window
 
-    def clear(self, now: float, *, late: bool) -> bool:
+    def may_send(self, now: float, *, late: bool) -> bool:
         """Whether one more request may be sent; one that is late takes no place from others."""
         if self._window is None:
             return True
         if late:
-            return now - self._sent_at >= LATE_EACH_S
+            return now - self._sent_at >= LATE_PROBE_INTERVAL_S
         return self._there < max(1, int(self._window))
 
-    def sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Note that a request was sent."""
         self._there += 1
         self._sent_at = now
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Note that a request that was sent has ended, however it did."""
         self._there -= 1
 
-    def answered(self, took_s: float, target_s: float, now: float) -> None:
+    def record_response(self, response_s: float, target_s: float, now: float) -> None:
         """Note an answer to a request that was due within *target_s*."""
-        self._took.append(took_s)
-        self._alone_s = sorted(self._took)[int(len(self._took) * UNDISTURBED_PART)]
-        newest = sorted(list(self._took)[-NEWEST:])
+        self._took.append(response_s)
+        self._alone_s = sorted(self._took)[int(len(self._took) * UNLOADED_QUANTILE)]
+        newest = sorted(list(self._took)[-RECENT_RESPONSES:])
         wait_s = newest[len(newest) // 2] - self._alone_s
-        most_s = max(target_s - self._alone_s, (SLOW_BY_NATURE - 1) * self._alone_s)
+        most_s = max(target_s - self._alone_s, (ALLOWED_SLOWDOWN - 1) * self._alone_s)
         if self._window is None:
             if wait_s > most_s:
                 self._lower(now)
-        elif wait_s > KEPT_WAITING_PART * most_s:
+        elif wait_s > TARGET_WAIT_SHARE * most_s:
             self._lower(now)
         else:
             self._raise(self._window)
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Note that a server had no place."""
         self._lower(now)
 
-    def back_s(self, now: float) -> float:
+    def retry_after_s(self, now: float) -> float:
         """Return when the service may have recovered, in seconds.
 
         What has lasted so long, for a time that nobody knows, most likely lasts as long again.
         """
-        return BACK_LEAST_S if self._window is None else max(BACK_LEAST_S, now - self._since)
+        return (
+            MIN_RETRY_AFTER_S if self._window is None else max(MIN_RETRY_AFTER_S, now - self._since)
+        )
 
     def _lower(self, now: float) -> None:
-        if now - self._lowered_at < LOWER_EACH_S:
+        if now - self._lowered_at < MIN_DECREASE_INTERVAL_S:
             return
         self._lowered_at = now
         if self._window is None:
             self._since = now
         window = self._there if self._window is None else self._window
-        self._window = max(1.0, window * LOWER_PART)
+        self._window = max(1.0, window * DECREASE_FACTOR)
 
     def _raise(self, window: float) -> None:
         raised = window + 1.0 / window
-        self._window = None if raised > FREE_FACTOR * max(1, self._there) else raised
+        self._window = None if raised > UNBOUNDED_FACTOR * max(1, self._there) else raised
--- a/src/crankhinge/decisions/_bars.py
+++ b/src/crankhinge/decisions/_exclusions.py
@@ -1,7 +1,8 @@
 """What servers say that bars requests from them: that they leave, or want none for a while.
 
 A bar holds whatever other servers there are. Which of the servers without one gets a request is a
-preference, kept in :class:`Standing`, so that no guess of an instance shortens what a server said.
+preference, kept in :class:`ServerStats`, so that no guess of an instance shortens what a server
+said.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 from crankhinge.decisions._bounded import keep_newest
 
 # Servers remembered that said something: more than a fleet has that leave or rest at once.
-MOST_BARRED = 1024
+MAX_TRACKED_SERVERS = 1024
 
 
-class Bar(enum.Enum):
+class ExclusionReason(enum.Enum):
     """Why a server gets no request."""
 
     GONE = "gone"
     LEAVING = "leaving"
     REPLACED = "replaced"
-    RESTING = "resting"
+    BACKOFF = "resting"
 
 
-class Bars:
+class ServerExclusions:
     """What servers said, by the identities of their lives.
 
     A word outlives the server's entry, which may lapse and come back while the same life goes on.
@@ -34,7 +35,7 @@
         self._rests: dict[str, float] = {}
         self._last_end = float("-inf")
 
-    def says_it_leaves(self, server: str, at: float) -> bool:
+    def record_leaving(self, server: str, at: float) -> bool:
         """Note that a server says it leaves; returns whether that is news.
 
         No life that leaves comes back, so nothing lifts it.
@@ -45,10 +46,10 @@
         """
         if server in self._leaving:
             return False
-        keep_newest(self._leaving, server, at, MOST_BARRED)
+        keep_newest(self._leaving, server, at, MAX_TRACKED_SERVERS)
         return True
 
-    def asks_rest(self, server: str, until: float) -> bool:
+    def record_backoff(self, server: str, until: float) -> bool:
         """Note that a server wants no request for a while; returns whether for longer than known.
 
         Args:
@@ -57,27 +58,27 @@
         """
         if until <= self._rests.get(server, float("-inf")):
             return False
-        keep_newest(self._rests, server, until, MOST_BARRED)
+        keep_newest(self._rests, server, until, MAX_TRACKED_SERVERS)
         self._last_end = max(self._last_end, until)
         return True
 
-    def leaves_since(self, server: str) -> float | None:
+    def leaving_since(self, server: str) -> float | None:
         """Return when a server was first heard to leave; None where it was not."""
         return self._leaving.get(server)
 
-    def any_rests(self, now: float) -> bool:
+    def has_backoffs(self, now: float) -> bool:
         """Whether any server may want no request now; false spares the look at each of them."""
         return now < self._last_end
 
-    def rests_until(self, server: str, now: float) -> float | None:
+    def backoff_until(self, server: str, now: float) -> float | None:
         """Return until when a server wants no request; None where it wants some now."""
         until = self._rests.get(server, now)
         return until if until > now else None
 
-    def facts(self, server: str, now: float) -> dict[str, float]:
+    def violation_log_fields(self, server: str, now: float) -> dict[str, float]:
         """Return what tells that a request is sent to a server in spite of what that said."""
         facts = {}
-        since, until = self.leaves_since(server), self.rests_until(server, now)
+        since, until = self.leaving_since(server), self.backoff_until(server, now)
         if since is not None:
             facts["leaving_s"] = round(now - since, 2)
         if until is not None:
--- a/src/crankhinge/decisions/_fair.py
+++ b/src/crankhinge/decisions/_fair.py
@@ -13,10 +13,10 @@
 
 T = TypeVar("T")
 
-Path = tuple[str, ...]
+FlowPath = tuple[str, ...]
 
-ONE_FLOW: Path = ("all",)
-ONE_WEIGHT = (1.0,)
+SINGLE_FLOW: FlowPath = ("all",)
+SINGLE_FLOW_WEIGHT = (1.0,)
 
 
 @dataclass
@@ -34,7 +34,7 @@
 @dataclass(frozen=True)
 class _Entry(Generic[T]):
     item: T
-    path: Path
+    path: FlowPath
     cost: float
 
 
@@ -60,7 +60,7 @@
         key: int,
         item: T,
         *,
-        path: Path,
+        path: FlowPath,
         weights: tuple[float, ...],
         deadline: float,
         cost: float,
@@ -98,7 +98,7 @@
             node.count -= 1
         return entry.item
 
-    def _nodes(self, path: Path) -> list[_Node]:
+    def _nodes(self, path: FlowPath) -> list[_Node]:
         nodes = [self._root]
         for name in path:
             nodes.append(nodes[-1].children[name])
@@ -140,7 +140,7 @@
             _forget_idle(node)
             node = child
 
-    def share(self, path: Path, weights: tuple[float, ...]) -> float:
+    def share(self, path: FlowPath, weights: tuple[float, ...]) -> float:
         """Return the part (0 to 1] of the service that a flow would get, were it to wait now."""
         part = 1.0
         node: _Node | None = self._root
@@ -151,7 +151,7 @@
             node = children.get(name)
         return part
 
-    def waiting_cost(self, path: Path) -> float:
+    def waiting_cost(self, path: FlowPath) -> float:
         """Return the summed cost of the items that wait in the flow *path*."""
         return sum(entry.cost for entry in self._entries.values() if entry.path == path)
 
--- a/src/crankhinge/decisions/_fence.py
+++ b/src/crankhinge/decisions/_fence.py
@@ -26,25 +26,25 @@
     Send,
     SwapRecord,
 )
-from crankhinge.decisions._fence_keys import BAD_KEY, KeyState, birth_problem, forget_old
+from crankhinge.decisions._fence_keys import BAD_KEY, KeyState, drop_expired_keys, key_time_problem
 from crankhinge.decisions._fence_messages import (
+    FenceAlreadyTaken,
+    FenceClaim,
+    FenceClaimReply,
     FenceJoined,
+    FencePermitRequest,
+    FencePermitted,
+    FenceRelease,
     FenceRow,
+    FenceSettle,
     FenceState,
     FenceSync,
-    Permit,
-    Permitted,
-    Release,
-    Settle,
-    Take,
-    Taken,
-    TakenBefore,
 )
 
-GRACE_S = 3.0
-LONE_GRACE_S = 15.0
+PAIRED_GRACE_S = 3.0
+JOINING_GRACE_S = 15.0
 SYNC_TIMEOUT_S = 5.0
-SYNC_ROWS = 500
+MAX_SYNC_ROWS = 500
 
 
 @dataclass
@@ -92,7 +92,7 @@
 
     # -- entries ------------------------------------------------------------------------------
 
-    def on_permit(self, msg: Permit, now: float, wall_ms: int) -> list[FenceAction]:
+    def on_permit(self, msg: FencePermitRequest, now: float, wall_ms: int) -> list[FenceAction]:
         """Decide on leave for one attempt.
 
         Args:
@@ -103,38 +103,38 @@
         known = self._keys.get(msg.key)
         if known is not None and self.role is not FenceRole.JOINING:
             return self._on_known(msg, known)
-        cause = birth_problem(msg.key, self.since_ms, wall_ms)
+        cause = key_time_problem(msg.key, self.since_ms, wall_ms)
         if cause == BAD_KEY or (cause and self.role is not FenceRole.JOINING):
-            return [Reply(msg.req, TakenBefore(msg.req, cause=cause))]
+            return [Reply(msg.req, FenceAlreadyTaken(msg.req, cause=cause))]
         if self.role is FenceRole.SOLO and self._may_go_alone(now):
             self._keys[msg.key] = KeyState(msg.digest, msg.req, now)
-            return [Reply(msg.req, Permitted(msg.req))]
+            return [Reply(msg.req, FencePermitted(msg.req))]
         if self.role is FenceRole.PAIRED and self._linked and self._swap is None:
-            self._keys[msg.key] = KeyState(msg.digest, msg.req, now, asking=True)
-            return [Send(Take(self.range_id, self.epoch, msg.key, msg.digest, msg.req))]
+            self._keys[msg.key] = KeyState(msg.digest, msg.req, now, awaiting_consent=True)
+            return [Send(FenceClaim(self.range_id, self.epoch, msg.key, msg.digest, msg.req))]
         return [Reply(msg.req, None)]
 
     def _may_go_alone(self, now: float) -> bool:
         return self._swap is None and now >= self._syncing_until
 
-    def _on_known(self, msg: Permit, known: KeyState) -> list[FenceAction]:
+    def _on_known(self, msg: FencePermitRequest, known: KeyState) -> list[FenceAction]:
         if known.nonce == msg.req:
-            return [] if known.asking else [Reply(msg.req, Permitted(msg.req))]
+            return [] if known.awaiting_consent else [Reply(msg.req, FencePermitted(msg.req))]
         same = known.digest == msg.digest
-        return [Reply(msg.req, TakenBefore(msg.req, same, known.answer if same else None))]
+        return [Reply(msg.req, FenceAlreadyTaken(msg.req, same, known.response if same else None))]
 
-    def on_settle(self, msg: Settle) -> list[FenceAction]:
+    def on_settle(self, msg: FenceSettle) -> list[FenceAction]:
         """Write down how an attempt ended, and pass it on once."""
         known = self._keys.get(msg.key)
-        if known is None or known.nonce != msg.req or known.answer is not None:
+        if known is None or known.nonce != msg.req or known.response is not None:
             return []
-        known.answer = msg.answer
+        known.response = msg.answer
         return [Send(msg)] if self._linked else []
 
-    def on_release(self, msg: Release) -> list[FenceAction]:
+    def on_release(self, msg: FenceRelease) -> list[FenceAction]:
         """Free the key of an attempt that has not run and never will."""
         known = self._keys.get(msg.key)
-        if known is None or known.nonce != msg.req or known.answer is not None:
+        if known is None or known.nonce != msg.req or known.response is not None:
             return []
         del self._keys[msg.key]
         return [Send(msg)] if self._linked else []
@@ -156,7 +156,7 @@
         return self._drop_asking()
 
     def _drop_asking(self) -> list[FenceAction]:
-        asking = [(key, known) for key, known in self._keys.items() if known.asking]
+        asking = [(key, known) for key, known in self._keys.items() if known.awaiting_consent]
         for key, _ in asking:
             del self._keys[key]
         return [Reply(known.nonce, None) for _, known in asking]
@@ -164,7 +164,7 @@
     def _tell(self) -> Send:
         return Send(FenceState(self.range_id, self.role.value, self.epoch))
 
-    def on_take(self, msg: Take, now: float) -> list[FenceAction]:
+    def on_claim(self, msg: FenceClaim, now: float) -> list[FenceAction]:
         """Write a key down for the other holder."""
         valid = self.role is FenceRole.PAIRED and msg.epoch == self.epoch
         if not valid:
@@ -172,28 +172,30 @@
         known = self._keys.get(msg.key)
         out: list[FenceAction] = []
         if known is not None and known.nonce != msg.nonce:
-            if not known.asking or self.me < self.other:
+            if not known.awaiting_consent or self.me < self.other:
                 return [self._taken(msg, valid=True, fresh=False)]
             # Both were asked at once for one key: the holder with the smaller name goes first.
-            out.append(Reply(known.nonce, TakenBefore(known.nonce, known.digest == msg.digest)))
+            out.append(
+                Reply(known.nonce, FenceAlreadyTaken(known.nonce, known.digest == msg.digest))
+            )
         self._keys[msg.key] = KeyState(msg.digest, msg.nonce, now)
         out.append(self._taken(msg, valid=True, fresh=True))
         return out
 
-    def _taken(self, msg: Take, *, valid: bool, fresh: bool) -> Send:
-        return Send(Taken(self.range_id, msg.key, msg.nonce, valid, fresh, self.epoch))
+    def _taken(self, msg: FenceClaim, *, valid: bool, fresh: bool) -> Send:
+        return Send(FenceClaimReply(self.range_id, msg.key, msg.nonce, valid, fresh, self.epoch))
 
-    def on_taken(self, msg: Taken) -> list[FenceAction]:
+    def on_claim_reply(self, msg: FenceClaimReply) -> list[FenceAction]:
         """Act on the other holder's consent or refusal."""
         known = self._keys.get(msg.key)
-        if known is None or known.nonce != msg.nonce or not known.asking:
+        if known is None or known.nonce != msg.nonce or not known.awaiting_consent:
             return []
         if msg.valid and msg.fresh and self.role is FenceRole.PAIRED:
-            known.asking = False
-            return [Reply(msg.nonce, Permitted(msg.nonce))]
+            known.awaiting_consent = False
+            return [Reply(msg.nonce, FencePermitted(msg.nonce))]
         del self._keys[msg.key]
         if msg.valid:
-            return [Reply(msg.nonce, TakenBefore(msg.nonce))]
+            return [Reply(msg.nonce, FenceAlreadyTaken(msg.nonce))]
         out: list[FenceAction] = [Reply(msg.nonce, None)]
         if msg.epoch > self.epoch:
             out += self._step_down()
@@ -233,18 +235,18 @@
 
     def _parts(self, now: float) -> list[FenceSync]:
         rows = [
-            FenceRow(key, known.digest, known.nonce, now - known.at, known.answer)
+            FenceRow(key, known.digest, known.nonce, now - known.recorded_at, known.response)
             for key, known in self._keys.items()
         ]
-        starts = range(0, max(1, len(rows)), SYNC_ROWS)
+        starts = range(0, max(1, len(rows)), MAX_SYNC_ROWS)
         return [
             FenceSync(
                 self.range_id,
                 self.epoch,
                 self.since_ms,
                 self._sync,
-                tuple(rows[start : start + SYNC_ROWS]),
-                start + SYNC_ROWS >= len(rows),
+                tuple(rows[start : start + MAX_SYNC_ROWS]),
+                start + MAX_SYNC_ROWS >= len(rows),
             )
             for start in starts
         ]
@@ -295,7 +297,7 @@
             return self._start_swap(index, "")
         return []
 
-    def on_no_record(self) -> list[FenceAction]:
+    def on_read_failed(self) -> list[FenceAction]:
         """The key-value service gave no answer to a read; :meth:`on_tick` tries again."""
         self._reading = False
         return []
@@ -308,7 +310,7 @@
         if both_empty and self.me < self.other:
             self.epoch = head.epoch
             return self._start_swap(index, "")
-        if self._is_lost(now, LONE_GRACE_S) and head.holder in ("", self.me):
+        if self._is_lost(now, JOINING_GRACE_S) and head.holder in ("", self.me):
             # The other can't give leave without us, nor go on alone without this same swap.
             self.epoch = head.epoch
             return self._start_swap(index, self.me)
@@ -331,7 +333,7 @@
         self._keys.clear()
         for row in copy.rows:
             self._keys[row.key] = KeyState(
-                row.digest, row.nonce, now - row.age_s, answer=row.answer
+                row.digest, row.nonce, now - row.age_s, response=row.answer
             )
         return [self._tell()]
 
@@ -382,12 +384,12 @@
 
     # -- time ---------------------------------------------------------------------------------
 
-    def _is_lost(self, now: float, grace_s: float = GRACE_S) -> bool:
+    def _is_lost(self, now: float, grace_s: float = PAIRED_GRACE_S) -> bool:
         return self._lost_at is not None and now - self._lost_at >= grace_s
 
     def on_tick(self, now: float) -> list[FenceAction]:
         """Do what time calls for: forget old keys, go on alone, try again."""
-        forget_old(self._keys, now)
+        drop_expired_keys(self._keys, now)
         if not self._linked and self._lost_at is None:
             self._lost_at = now
         if self._swap is not None:
@@ -398,7 +400,7 @@
 
     def _tick_joining(self, now: float) -> list[FenceAction]:
         if not self._linked:
-            return self._read() if self._is_lost(now, LONE_GRACE_S) else []
+            return self._read() if self._is_lost(now, JOINING_GRACE_S) else []
         copy = self._copy
         if copy is not None and copy.whole and not copy.told:
             return self._read()
--- a/src/crankhinge/decisions/_fence_actions.py
+++ b/src/crankhinge/decisions/_fence_actions.py
@@ -7,15 +7,15 @@
 from typing import NamedTuple
 
 from crankhinge.decisions._fence_messages import (
+    FenceAlreadyTaken,
+    FenceClaim,
+    FenceClaimReply,
     FenceJoined,
+    FencePermitted,
+    FenceRelease,
+    FenceSettle,
     FenceState,
     FenceSync,
-    Permitted,
-    Release,
-    Settle,
-    Take,
-    Taken,
-    TakenBefore,
 )
 
 
@@ -49,7 +49,15 @@
 class Send:
     """Send *msg* to the other holder."""
 
-    msg: FenceJoined | FenceState | FenceSync | Release | Settle | Take | Taken
+    msg: (
+        FenceJoined
+        | FenceState
+        | FenceSync
+        | FenceRelease
+        | FenceSettle
+        | FenceClaim
+        | FenceClaimReply
+    )
 
 
 @dataclass(frozen=True)
@@ -57,7 +65,7 @@
     """Answer the entry that asked; ``None`` stands for "not now, and nothing was run"."""
 
     req: int
-    msg: Permitted | TakenBefore | None
+    msg: FencePermitted | FenceAlreadyTaken | None
 
 
 @dataclass(frozen=True)
--- a/src/crankhinge/decisions/_fence_keys.py
+++ b/src/crankhinge/decisions/_fence_keys.py
@@ -6,12 +6,12 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from crankhinge.decisions._fence_messages import Answer
+from crankhinge.decisions._fence_messages import RecordedResponse
 
-KEEP_S = 900.0
-SKEW_MS = 5_000
-MAX_ANSWER_BYTES = 4096
-UUID7 = 7
+KEY_RETENTION_S = 900.0
+MAX_CLOCK_SKEW_MS = 5_000
+MAX_RECORDED_BODY_BYTES = 4096
+UUID_VERSION = 7
 TOO_OLD = "key-too-old"
 BAD_KEY = "bad-key"
 
@@ -23,28 +23,28 @@
     Attributes:
         digest: of the request.
         nonce: attempt that has leave, or asks for it.
-        at: when, seconds.
-        asking: whether the other holder has yet to consent.
-        answer: how it ended.
+        recorded_at: when, seconds.
+        awaiting_consent: whether the other holder has yet to consent.
+        response: how it ended.
     """
 
     digest: bytes
     nonce: int
-    at: float
-    asking: bool = False
-    answer: Answer | None = None
+    recorded_at: float
+    awaiting_consent: bool = False
+    response: RecordedResponse | None = None
 
 
-def born_ms(key: str) -> int | None:
+def key_created_ms(key: str) -> int | None:
     """Return the birth of a key in milliseconds since the epoch; None when it is no UUIDv7."""
     try:
         value = uuid.UUID(key.rpartition("/")[2])
     except ValueError:
         return None
-    return value.int >> 80 if value.version == UUID7 else None
+    return value.int >> 80 if value.version == UUID_VERSION else None
 
 
-def birth_problem(key: str, since_ms: int, wall_ms: int) -> str:
+def key_time_problem(key: str, since_ms: int, wall_ms: int) -> str:
     """Return why a key that isn't written down can't be taken for new; empty if it can.
 
     Args:
@@ -52,24 +52,24 @@
         since_ms: keys born before may be missing from the record.
         wall_ms: milliseconds since the epoch.
     """
-    born = born_ms(key)
-    if born is None or born > wall_ms + SKEW_MS:
+    born = key_created_ms(key)
+    if born is None or born > wall_ms + MAX_CLOCK_SKEW_MS:
         return BAD_KEY
-    oldest = max(since_ms + 2 * SKEW_MS, wall_ms - int(KEEP_S * 1000) // 2)
+    oldest = max(since_ms + 2 * MAX_CLOCK_SKEW_MS, wall_ms - int(KEY_RETENTION_S * 1000) // 2)
     return TOO_OLD if born < oldest else ""
 
 
-def forget_old(keys: OrderedDict[str, KeyState], now: float) -> None:
+def drop_expired_keys(keys: OrderedDict[str, KeyState], now: float) -> None:
     """Drop the keys that were written down longer ago than they are kept."""
     while keys:
         key, known = next(iter(keys.items()))
-        if now - known.at < KEEP_S:
+        if now - known.recorded_at < KEY_RETENTION_S:
             return
         del keys[key]
 
 
-def keep_answer(status: int, headers: dict[str, str], body: bytes) -> Answer:
+def to_recorded_response(status: int, headers: dict[str, str], body: bytes) -> RecordedResponse:
     """Return what is recorded of an answer; a long body is left out."""
-    if len(body) > MAX_ANSWER_BYTES:
-        return Answer(status, headers, b"", cut=True)
-    return Answer(status, headers, body)
+    if len(body) > MAX_RECORDED_BODY_BYTES:
+        return RecordedResponse(status, headers, b"", cut=True)
+    return RecordedResponse(status, headers, body)
--- a/src/crankhinge/decisions/_fence_messages.py
+++ b/src/crankhinge/decisions/_fence_messages.py
@@ -12,7 +12,7 @@
     """Common options."""
 
 
-class Answer(msgspec.Struct, array_like=True, frozen=True):
+class RecordedResponse(msgspec.Struct, array_like=True, frozen=True):
     """A recorded answer.
 
     Attributes:
@@ -43,10 +43,10 @@
     digest: bytes
     nonce: int
     age_s: float
-    answer: Answer | None = None
+    answer: RecordedResponse | None = None
 
 
-class Permit(_Base, tag=17, frozen=True):
+class FencePermitRequest(_Base, tag=17, frozen=True):
     """An entry asks for leave to run a non-repeatable request.
 
     Attributes:
@@ -62,13 +62,13 @@
     digest: bytes
 
 
-class Permitted(_Base, tag=18, frozen=True):
+class FencePermitted(_Base, tag=18, frozen=True):
     """Leave is given, to this attempt alone."""
 
     req: int
 
 
-class TakenBefore(_Base, tag=19, frozen=True):
+class FenceAlreadyTaken(_Base, tag=19, frozen=True):
     """Leave was given to another attempt, or may have been.
 
     Attributes:
@@ -80,20 +80,20 @@
 
     req: int
     same: bool = True
-    answer: Answer | None = None
+    answer: RecordedResponse | None = None
     cause: str = "already-taken"
 
 
-class Settle(_Base, tag=20, frozen=True):
+class FenceSettle(_Base, tag=20, frozen=True):
     """How a permitted attempt ended, for callers that repeat the request."""
 
     req: int
     range_id: str
     key: str
-    answer: Answer
+    answer: RecordedResponse
 
 
-class Release(_Base, tag=23, frozen=True):
+class FenceRelease(_Base, tag=23, frozen=True):
     """The attempt has not run and never will; its key is free again."""
 
     req: int
@@ -101,7 +101,7 @@
     key: str
 
 
-class Take(_Base, tag=21, frozen=True):
+class FenceClaim(_Base, tag=21, frozen=True):
     """One holder asks the other to write a key down before leave is given."""
 
     range_id: str
@@ -111,7 +111,7 @@
     nonce: int
 
 
-class Taken(_Base, tag=22, frozen=True):
+class FenceClaimReply(_Base, tag=22, frozen=True):
     """The other holder's answer.
 
     Attributes:
--- a/src/crankhinge/decisions/_forecast.py
+++ b/src/crankhinge/decisions/_forecast.py
@@ -10,12 +10,12 @@
 
 # An answer that has taken longer than was expected goes on for this part of that time: its caller's
 # estimate was too short, by nobody knows how much.
-OVERDUE_PART = 0.25
+OVERDUE_SHARE = 0.25
 # Weight of the newest place in the share of places that first tries get: some ten shape it.
-NEWEST = 0.1
+EWMA_WEIGHT = 0.1
 # Returns are held to get this part of what frees at least, however many first tries there are: no
 # load lasts for ever.
-LEAST_SHARE = 0.2
+MIN_RETRY_SHARE = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
     def left_s(self, now: float) -> float:
         """Return the seconds until it ends."""
-        return max(self.since + self.expected_s - now, OVERDUE_PART * self.expected_s)
+        return max(self.since + self.expected_s - now, OVERDUE_SHARE * self.expected_s)
 
 
 class MemoryForecast:
@@ -38,18 +38,20 @@
         self._promised: list[tuple[float, int]] = []
         self._share = 0.5
 
-    def took(self, tokens: int, expected_s: float, now: float, *, late: bool = False) -> int:
+    def record_reserved(
+        self, tokens: int, expected_s: float, now: float, *, late: bool = False
+    ) -> int:
         """Note memory taken for an answer that is expected to take so long; returns its number."""
         self._taken += 1
         self._answers[self._taken] = _Answer(tokens, now, expected_s)
-        self._share += NEWEST * ((0.0 if late else 1.0) - self._share)
+        self._share += EWMA_WEIGHT * ((0.0 if late else 1.0) - self._share)
         return self._taken
 
-    def gave_back(self, number: int) -> None:
+    def record_released(self, number: int) -> None:
         """Note that memory was given back."""
         del self._answers[number]
 
-    def frees_in(self, tokens: int, now: float) -> float | None:
+    def free_in_s(self, tokens: int, now: float) -> float | None:
         """Return the seconds until so much memory has been given back; None without any answer.
 
         Beyond what its answers hold, memory is held to free as fast as it does until their end.
@@ -64,7 +66,7 @@
                 return left_s
         return left_s * tokens / max(1, freed)
 
-    def back_in(self, tokens: int, ahead: int, now: float) -> float | None:
+    def retry_in_s(self, tokens: int, tokens_ahead: int, now: float) -> float | None:
         """Return when a request that is refused should come back, in seconds.
 
         Then what waits now, and what was promised to others, has had its memory; what frees is
@@ -72,17 +74,17 @@
 
         Args:
             tokens: memory that it needs.
-            ahead: memory that waiting requests need.
+            tokens_ahead: memory that waiting requests need.
             now: on the runtime's clock.
 
         Returns:
             The seconds; None without any answer in progress.
         """
         self._promised = [row for row in self._promised if row[0] > now]
-        before = ahead + sum(row[1] for row in self._promised)
-        free_s = self.frees_in(before + tokens, now)
-        return None if free_s is None else free_s / max(LEAST_SHARE, 1.0 - self._share)
+        before = tokens_ahead + sum(row[1] for row in self._promised)
+        free_s = self.free_in_s(before + tokens, now)
+        return None if free_s is None else free_s / max(MIN_RETRY_SHARE, 1.0 - self._share)
 
-    def promise(self, tokens: int, at: float) -> None:
+    def record_promised_retry(self, tokens: int, at: float) -> None:
         """Note that a refused request was told to come back at a time."""
         self._promised.append((at, tokens))
--- a/src/crankhinge/decisions/_freshness.py
+++ b/src/crankhinge/decisions/_freshness.py
@@ -13,30 +13,30 @@
 
 # Part of a bound for which changes may be gathered, so that one call brings several. The rest is
 # for the store's answer, the link and the request that was on its way.
-GATHERED = 0.4
+LIST_BATCH_SHARE = 0.4
 # The same for the configuration: large ones take links seconds, and changes are rare but in storms.
-GATHERED_CONFIG = 0.1
+CONFIG_BATCH_SHARE = 0.1
 # Changes that are told at once; only what goes on beyond them, within so many pauses, is gathered.
 # A server that crashes and one that comes in its place are known at once.
-AT_ONCE = 2
-GOES_ON = 3
+IMMEDIATE_CHANGES = 2
+BURST_PAUSES = 3
 # What a watch may take beyond its wait and what follows until a new one is answered, in seconds.
-SILENT_SPARE_S = 1.0
+WATCH_RECOVERY_S = 1.0
 # Longest wait of a watch, in seconds. It must be shorter than the store remembers changes, 20 s, or
 # a quiet store ends each watch with lost history.
-WATCH_MOST_S = 10.0
+MAX_WATCH_WAIT_S = 10.0
 # Shortest wait of a watch, in seconds: below it a watch is polling.
-WATCH_LEAST_S = 0.5
+MIN_WATCH_WAIT_S = 0.5
 # Seconds of the operators' bound on keys that are left unused: an answer of a slow store (0.3) and
 # the tick of the two clocks by which wait and age are told.
-REVOKE_SPARE_S = 0.2
+REVOKE_MARGIN_S = 0.2
 # Seconds that the answer to a watch may take beyond its wait, for the belief not to grow too old
 # meanwhile: a slow store's 0.32 and the way.
-ANSWER_S = 0.5
+WATCH_RESPONSE_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Freshness:
+class FreshnessBounds:
     """How old beliefs may become, as the operators bound it.
 
     Attributes:
@@ -53,11 +53,11 @@
     revoke_s: float = math.inf
 
     @property
-    def keys_s(self) -> float:
+    def max_key_age_s(self) -> float:
         """Age from which what is known of keys may not be used any more, in seconds."""
-        return self.revoke_s - REVOKE_SPARE_S
+        return self.revoke_s - REVOKE_MARGIN_S
 
-    def config_watch_s(self, age_s: float) -> float:
+    def config_watch_wait_s(self, age_s: float) -> float:
         """Return the longest wait of a watch of the configuration, in seconds.
 
         A change answers a watch at some time after the watch was sent, nobody can tell when, so
@@ -67,45 +67,45 @@
         Args:
             age_s: age of what was last proved.
         """
-        return max(0.0, min(self.watch_s, self.keys_s - ANSWER_S - age_s))
+        return max(0.0, min(self.max_watch_wait_s, self.max_key_age_s - WATCH_RESPONSE_S - age_s))
 
     @property
-    def watch_s(self) -> float:
+    def max_watch_wait_s(self) -> float:
         """Longest wait of one watch, in seconds.
 
         A connection may fall silent for good with nothing to show it but a watch that does not
         end. It is noticed before the bounds hold again.
         """
-        return min(WATCH_MOST_S, max(WATCH_LEAST_S, self.contact_s - SILENT_SPARE_S))
+        return min(MAX_WATCH_WAIT_S, max(MIN_WATCH_WAIT_S, self.contact_s - WATCH_RECOVERY_S))
 
     @property
     def config_pause_s(self) -> float:
         """Seconds without a call after a change of the configuration."""
-        return self._pause_s(GATHERED_CONFIG * self.apply_s)
+        return self._pause_s(CONFIG_BATCH_SHARE * self.apply_s)
 
     @property
     def list_pause_s(self) -> float:
         """Seconds without a call after a change of the list of servers."""
-        return self._pause_s(GATHERED * self.leave_s)
+        return self._pause_s(LIST_BATCH_SHARE * self.leave_s)
 
     def _pause_s(self, wanted_s: float) -> float:
         """Return a pause that leaves the watch after it some time."""
-        return max(0.0, min(wanted_s, self.watch_s - WATCH_LEAST_S))
+        return max(0.0, min(wanted_s, self.max_watch_wait_s - MIN_WATCH_WAIT_S))
 
 
-class Gathering:
+class ChangeBatcher:
     """When to ask again after a change.
 
     Args:
-        pause_s: seconds without a call while changes go on.
+        record_change: seconds without a call while changes go on.
     """
 
     def __init__(self, pause_s: float) -> None:
         self._pause_s = pause_s
-        self._changed: deque[float] = deque(maxlen=AT_ONCE)
+        self._changed: deque[float] = deque(maxlen=IMMEDIATE_CHANGES)
 
-    def pause_s(self, now: float) -> float:
+    def record_change(self, now: float) -> float:
         """Note a change; returns the seconds to wait before the next call."""
-        before = sum(now - at < GOES_ON * self._pause_s for at in self._changed)
+        before = sum(now - at < BURST_PAUSES * self._pause_s for at in self._changed)
         self._changed.append(now)
-        return self._pause_s if before == AT_ONCE else 0.0
+        return self._pause_s if before == IMMEDIATE_CHANGES else 0.0
--- a/src/crankhinge/decisions/_mechanisms.py
+++ b/src/crankhinge/decisions/_mechanisms.py
@@ -63,7 +63,7 @@
 }
 
 
-def mechanisms(policy: str) -> Mechanisms:
+def mechanisms_for(policy: str) -> Mechanisms:
     """Return the mechanisms of a named policy.
 
     Raises:
--- a/src/crankhinge/decisions/_limits.py
+++ b/src/crankhinge/decisions/_member_limits.py
@@ -23,32 +23,34 @@
     def __init__(self) -> None:
         self._use: dict[str, _Use] = {}
 
-    def enter(self, member: str, now: float, *, concurrent: int, per_s: float) -> float | None:
+    def admit(
+        self, member: str, now: float, *, max_concurrent: int, max_per_s: float
+    ) -> float | None:
         """Admit one request.
 
         Args:
             member: who asks.
             now: seconds.
-            concurrent: most requests in progress; 0 is no limit.
-            per_s: most requests a second, with one second's burst; 0 is no limit.
+            max_concurrent: most requests in progress; 0 is no limit.
+            max_per_s: most requests a second, with one second's burst; 0 is no limit.
 
         Returns:
             None when admitted, else the seconds after which to come back.
         """
-        use = self._use.setdefault(member, _Use(tokens=max(1.0, per_s), at=now))
-        if concurrent and use.running >= concurrent:
+        use = self._use.setdefault(member, _Use(tokens=max(1.0, max_per_s), at=now))
+        if max_concurrent and use.running >= max_concurrent:
             return 1.0
-        if per_s:
-            burst = max(1.0, per_s)
-            use.tokens = min(burst, use.tokens + (now - use.at) * per_s)
+        if max_per_s:
+            burst = max(1.0, max_per_s)
+            use.tokens = min(burst, use.tokens + (now - use.at) * max_per_s)
             use.at = now
             if use.tokens < 1.0:
-                return (1.0 - use.tokens) / per_s
+                return (1.0 - use.tokens) / max_per_s
             use.tokens -= 1.0
         use.running += 1
         return None
 
-    def leave(self, member: str) -> None:
+    def record_end(self, member: str) -> None:
         """Note that one of the member's requests has ended."""
         use = self._use.get(member)
         if use is not None:
--- a/src/crankhinge/decisions/_members.py
+++ b/src/crankhinge/decisions/_membership.py
@@ -25,27 +25,27 @@
 # Seconds that a note lasts without renewal. Renewals (a tenth of a read each) are sent thrice in
 # that time. The shorter, the sooner another instance acts for one that is gone: with notes of 45 s
 # an account whose first instance was gone for good was refused 335 times in 50 s.
-NOTE_S = 6.5
-RENEW_S = 2.0
+RECORD_LEASE_S = 6.5
+LEASE_RENEWAL_INTERVAL_S = 2.0
 # Notes are read at least every so many seconds, and, in a large fleet, so many seconds for each
 # instance, which bounds what reading them takes: some 300 bytes a note, 6 kB a second.
-READ_S = 3.0
-READ_S_EACH = 0.05
+MIN_READ_INTERVAL_S = 3.0
+READ_INTERVAL_S_PER_INSTANCE = 0.05
 # Readings are spread by this factor at most, and so many may be missed before what was read is not
 # relied on any more.
-READ_SPREAD = 1.2
-READS_RELIED = 2.5
+MAX_READ_JITTER = 1.2
+MAX_READ_AGE_INTERVALS = 2.5
 # What is read may be so many seconds old: reads that may be stale cost a tenth.
-STALE_S = 6.0
+MAX_STALE_READ_S = 6.0
 # Seconds for which an instance that was seen is counted where each has a part of something: it may
 # be cut off from the store alone and go on using its part. Whoever has not read the notes for so
 # long, less what a read may be late, uses its own part no more.
-FLEET_KEPT_S = 120.0
+FLEET_RETENTION_S = 120.0
 # Seconds between greetings of those that did not answer.
-GREET_S = 0.5
+JOIN_ANNOUNCEMENT_INTERVAL_S = 0.5
 
 
-class Members:
+class Membership:
     """The instances that this one believes in.
 
     Args:
@@ -74,104 +74,112 @@
         return max(1, len(self._peers))
 
     @property
-    def peers(self) -> Sequence[str]:
+    def peer_addresses(self) -> Sequence[str]:
         """Where the other instances take datagrams."""
         return [peer for name, peer in self._peers.items() if peer and name != self._name]
 
     @property
-    def to_greet(self) -> Sequence[str]:
+    def unacknowledged_addresses(self) -> Sequence[str]:
         """Where those take datagrams that have not answered a greeting."""
         return [self._peers[name] for name in self._unanswered if self._peers.get(name)]
 
-    def peer(self, name: str) -> str:
+    def peer_address(self, name: str) -> str:
         """Return where an instance takes datagrams; empty for nowhere."""
         return self._peers.get(name, "")
 
     @property
-    def read_s(self) -> float:
+    def read_interval_s(self) -> float:
         """Seconds between readings of the notes."""
-        return max(READ_S, READ_S_EACH * len(self))
+        return max(MIN_READ_INTERVAL_S, READ_INTERVAL_S_PER_INSTANCE * len(self))
 
     @property
-    def relied_s(self) -> float:
+    def max_read_age_s(self) -> float:
         """Age from which the notes that were read are not relied on any more, in seconds."""
-        return READS_RELIED * self.read_s
+        return MAX_READ_AGE_INTERVALS * self.read_interval_s
 
-    def hold(self, until: float) -> None:
+    def set_lease_end(self, until: float) -> None:
         """Note until when this instance's own note surely lasts, on the runtime's clock."""
         self._held_until = until
 
-    def join(self, notes: Mapping[str, str], now: float, *, resumed: bool) -> None:
+    def join(self, addresses: Mapping[str, str], now: float, *, resumed: bool) -> None:
         """Take the notes that were read, not by a stale read, after the own one was written.
 
         Args:
-            notes: where each instance takes datagrams, by its name.
+            addresses: where each instance takes datagrams, by its name.
             now: when the read was sent, on the runtime's clock, in seconds.
             resumed: whether this instance's note never ceased and its life before could act.
         """
         self._joined_at = now
-        self.take(notes, now)
+        self.apply_records(addresses, now)
         self._unanswered = set() if resumed else set(self._peers) - {self._name}
 
-    def take(self, notes: Mapping[str, str], now: float) -> None:
+    def apply_records(self, addresses: Mapping[str, str], now: float) -> None:
         """Take the notes that were read; *now* is when the read was sent."""
         # A read may be stale and lack who has come since; it was there at a time that was seen.
-        kept = {name for name, at in self._seen_at.items() if now - at <= STALE_S}
+        kept = {name for name, at in self._seen_at.items() if now - at <= MAX_STALE_READ_S}
         peers = {name: peer for name, peer in self._peers.items() if name in kept}
-        self._seen_at.update(dict.fromkeys(notes, now))
+        self._seen_at.update(dict.fromkeys(addresses, now))
         self._last_seen = {
-            name: at for name, at in self._last_seen.items() if now - at <= FLEET_KEPT_S
+            name: at for name, at in self._last_seen.items() if now - at <= FLEET_RETENTION_S
         }
-        self._last_seen.update(dict.fromkeys(notes, now))
+        self._last_seen.update(dict.fromkeys(addresses, now))
         self._last_seen[self._name] = float("inf")
-        self._set({**peers, **{name: peer for name, peer in notes.items() if peer}}, now)
+        self._set({**peers, **{name: peer for name, peer in addresses.items() if peer}}, now)
         self._unanswered &= set(self._peers)
         self._read_at = now
 
-    def greeted(self, name: str, peer: str, now: float) -> None:
+    def record_joined(self, name: str, address: str, now: float) -> None:
         """Note that an instance has come and tells where it takes datagrams."""
         self._seen_at[name] = self._last_seen[name] = now
-        self._set({**self._peers, name: peer}, now)
+        self._set({**self._peers, name: address}, now)
 
-    def answered(self, name: str) -> None:
+    def record_acknowledged(self, name: str) -> None:
         """Note that an instance counts this one."""
         self._unanswered.discard(name)
 
-    def settled(self, now: float) -> bool:
+    def may_coordinate(self, now: float) -> bool:
         """Whether this instance may act as the first."""
         if self._joined_at is None or now >= self._held_until:
             return False
-        if now - self._read_at > self.relied_s:
+        if now - self._read_at > self.max_read_age_s:
             return False
-        return not self._unanswered or now - self._joined_at > self.relied_s + STALE_S
+        return (
+            not self._unanswered or now - self._joined_at > self.max_read_age_s + MAX_STALE_READ_S
+        )
 
-    def counted(self, now: float) -> bool:
+    def has_counted_instances(self, now: float) -> bool:
         """Whether this instance has read the notes often enough to know how many there are."""
         if self._joined_at is None:
             return False
-        return self.settled(now) or now - self._joined_at > READ_SPREAD * self.read_s
+        return (
+            self.may_coordinate(now)
+            or now - self._joined_at > MAX_READ_JITTER * self.read_interval_s
+        )
 
-    def knows_fleet(self, now: float) -> bool:
+    def may_use_equal_share(self, now: float) -> bool:
         """Whether this instance may use its part of what all share equally."""
-        return self.counted(now) and now - self._read_at <= FLEET_KEPT_S - STALE_S
+        return (
+            self.has_counted_instances(now)
+            and now - self._read_at <= FLEET_RETENTION_S - MAX_STALE_READ_S
+        )
 
     @property
-    def fleet(self) -> int:
+    def fleet_size(self) -> int:
         """How many instances there may be, at most, that use their parts."""
         return len(self._last_seen)
 
-    def ranked(self, key: str) -> Sequence[str]:
+    def rank_instances(self, key: str) -> Sequence[str]:
         """Return the instances in the order that depends on *key*, the first before all."""
         if key not in self._ranks:
             self._ranks[key] = rank_by_key(key.encode(), self._names())
         return self._ranks[key]
 
-    def keepers(self, key: str, most: int) -> Sequence[str]:
-        """Return the first *most* instances in the order of *key*, for keys that are rarely asked.
+    def first_instances(self, key: str, count: int) -> Sequence[str]:
+        """Return the first *count* instances in the order of *key*, for keys that are rarely asked.
 
         Other than :meth:`ranked` it keeps nothing for the key.
         """
-        return rank_by_key(key.encode(), self._names())[:most]
+        return rank_by_key(key.encode(), self._names())[:count]
 
     def _names(self) -> Iterable[str]:
         """Return all names; this instance counts itself whatever was read."""
--- a/src/crankhinge/decisions/_limit_pool.py
+++ b/src/crankhinge/decisions/_permit_pool.py
@@ -8,29 +8,29 @@
 # What the operators allow beyond a server's own word: in so many seconds this part more, and so
 # many requests.
 WINDOW_S = 4.0
-OVERRUN = 0.5
-SLACK = 5.0
+ALLOWED_OVERRUN = 0.5
+ALLOWED_SLACK = 5.0
 # Seconds after a request may be sent until it has reached its server, at most: until its prompt was
 # read elsewhere, and a connection made.
-PERMIT_S = 1.2
+PERMIT_TRANSIT_S = 1.2
 CONNECT_S = 0.4
 # What a server that names less is sent all the same, in requests a second: one in four seconds
 # tells when its need has ended, and the operators allow five.
-TRIAL_PER_S = 0.25
+MIN_RATE_PER_S = 0.25
 # What may be sent at once after a pause: so many seconds of what the server takes, or so many
 # requests. With one request, whatever gathers before the next is asked for would be lost.
 BURST_S = 1.0
-BURST_LEAST = 2.0
+MIN_BURST = 2.0
 # When to ask again whoever was lent too little to hand out anything, in seconds.
-UNLENT_S = 0.5
+NO_SHARE_RETRY_S = 0.5
 # Nobody is told to come back later or sooner than this, in seconds. Whoever is told the latest may
 # find others before it.
-BACK_MOST_S = 5.0
-BACK_LEAST_S = 0.05
+MAX_RETRY_AFTER_S = 5.0
+MIN_RETRY_AFTER_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
-class LimitWord:
+class PermitDecision:
     """What is said to who wants to send a request to a server.
 
     Attributes:
@@ -42,23 +42,23 @@
     after_s: float = 0.0
 
 
-def allowed(per_s: float) -> float:
+def allowed_in_window(per_s: float) -> float:
     """Return how many requests may reach a server in a window that takes *per_s*."""
-    return per_s * WINDOW_S * (1.0 + OVERRUN) + SLACK
+    return per_s * WINDOW_S * (1.0 + ALLOWED_OVERRUN) + ALLOWED_SLACK
 
 
-def burst(per_s: float, part: float) -> float:
+def burst_limit(per_s: float, fraction: float) -> float:
     """Return how many requests may be sent at once by who hands out a part of what a server takes.
 
     What is handed out in a window's time, and as long before it as a request may be late, is the
     rate times that and this. For all parts together that is what the operators allow.
     """
-    rate = max(per_s, TRIAL_PER_S)
-    spare = allowed(per_s) - rate * (WINDOW_S + PERMIT_S + CONNECT_S)
-    return min(part * spare, max(BURST_LEAST, per_s * BURST_S))
+    rate = max(per_s, MIN_RATE_PER_S)
+    spare = allowed_in_window(per_s) - rate * (WINDOW_S + PERMIT_TRANSIT_S + CONNECT_S)
+    return min(fraction * spare, max(MIN_BURST, per_s * BURST_S))
 
 
-class LimitPool:
+class PermitPool:
     """Requests that may be sent to one server; none at first, since nobody knows who sent what.
 
     Args:
@@ -83,71 +83,75 @@
         # Instances that lenders counted, at most.
         self._counted = 1
 
-    def part(self, fleet: int) -> float:
-        """Return the part of all that was lent, where this instance counts *fleet* of them."""
-        return len(self._shares) / max(fleet, self._counted, len(self._shares))
+    def leased_fraction(self, fleet_size: int) -> float:
+        """Return the part of all that was lent, where this instance counts *fleet_size* of them."""
+        return len(self._shares) / max(fleet_size, self._counted, len(self._shares))
 
-    def lend(self, lender: str, until: float, fleet: int, now: float, *, counted: int) -> None:
+    def add_share(
+        self, lender: str, until: float, fleet_size: int, now: float, *, lender_fleet_size: int
+    ) -> None:
         """Take the share of an instance.
 
         Args:
             lender: its name.
             until: when its share is its own again, on the runtime's clock, in seconds.
-            fleet: instances that this one counts.
+            fleet_size: instances that this one counts.
             now: on the runtime's clock, in seconds.
-            counted: instances that the lender counts; its share is one part of as many.
+            lender_fleet_size: instances that the lender counts; its share is one part of as many.
         """
-        self._fill(fleet, now)
+        self._fill(fleet_size, now)
         if until > now:
             self._shares[lender] = until
             self._first_end = min(self._first_end, until)
-            self._counted = max(self._counted, counted)
+            self._counted = max(self._counted, lender_fleet_size)
 
-    def rate(self, per_s: float, fleet: int, now: float) -> None:
+    def set_rate(self, per_s: float, fleet_size: int, now: float) -> None:
         """Note what the server takes from now on."""
-        self._fill(fleet, now)
+        self._fill(fleet_size, now)
         self.per_s = per_s
-        self._clamp(fleet)
+        self._clamp(fleet_size)
 
-    def take(self, within_s: float, fleet: int, now: float, *, caller: bool = False) -> LimitWord:
+    def take_permit(
+        self, within_s: float, fleet_size: int, now: float, *, for_caller: bool = False
+    ) -> PermitDecision:
         """Hand out one request, or tell when to ask again.
 
         Args:
             within_s: seconds within which it is to be sent.
-            fleet: instances that this one counts.
+            fleet_size: instances that this one counts.
             now: on the runtime's clock, in seconds.
-            caller: whether a caller is told when to come back; each gets a time of its own. Else
-                an instance asks again for whatever it has by then.
+            for_caller: whether a caller is told when to come back; each gets a time of its own.
+                Else an instance asks again for whatever it has by then.
         """
-        self._fill(fleet, now)
-        part = self.part(fleet)
-        if burst(self.per_s, part) < 1.0:
-            return LimitWord(False, UNLENT_S)
-        rate = part * max(self.per_s, TRIAL_PER_S)
+        self._fill(fleet_size, now)
+        part = self.leased_fraction(fleet_size)
+        if burst_limit(self.per_s, part) < 1.0:
+            return PermitDecision(False, NO_SHARE_RETRY_S)
+        rate = part * max(self.per_s, MIN_RATE_PER_S)
         free_s = max(0.0, (1.0 - self._level) / rate)
         if free_s <= within_s:
             self._level -= 1.0
-            return LimitWord(True, free_s)
-        ahead = self._callers if caller else self._asks
-        back_s = max(BACK_LEAST_S, free_s + ahead / rate)
-        if back_s >= BACK_MOST_S:
-            return LimitWord(False, BACK_MOST_S)
-        if caller:
+            return PermitDecision(True, free_s)
+        ahead = self._callers if for_caller else self._asks
+        back_s = max(MIN_RETRY_AFTER_S, free_s + ahead / rate)
+        if back_s >= MAX_RETRY_AFTER_S:
+            return PermitDecision(False, MAX_RETRY_AFTER_S)
+        if for_caller:
             self._callers += 1.0
         else:
             self._asks += 1.0
-        return LimitWord(False, back_s)
+        return PermitDecision(False, back_s)
 
-    def give_back(self, fleet: int, now: float) -> None:
+    def return_permit(self, fleet_size: int, now: float) -> None:
         """Take back a request that was not sent."""
-        self._fill(fleet, now)
+        self._fill(fleet_size, now)
         self._level += 1.0
-        self._clamp(fleet)
+        self._clamp(fleet_size)
 
     def _fill(self, fleet: int, now: float) -> None:
         """Add what the shares gave since the last look."""
         since, self._at = self._at, max(self._at, now)
-        each = max(self.per_s, TRIAL_PER_S) / max(fleet, self._counted, len(self._shares))
+        each = max(self.per_s, MIN_RATE_PER_S) / max(fleet, self._counted, len(self._shares))
         if now < self._first_end:
             given = each * len(self._shares) * max(0.0, now - since)
         else:
@@ -167,4 +171,4 @@
             self._counted = 1
 
     def _clamp(self, fleet: int) -> None:
-        self._level = min(self._level, burst(self.per_s, self.part(fleet)))
+        self._level = min(self._level, burst_limit(self.per_s, self.leased_fraction(fleet)))
--- a/src/crankhinge/decisions/_prefix.py
+++ b/src/crankhinge/decisions/_prefix.py
@@ -20,7 +20,7 @@
     def __len__(self) -> int:
         return len(self._blocks)
 
-    def learn(self, name: str, prefix: Iterable[int]) -> None:
+    def record_cached(self, name: str, prefix: Iterable[int]) -> None:
         """Note that the backend server *name* has just read these blocks."""
         for block in prefix:
             self._blocks[(name, block)] = None
@@ -28,7 +28,7 @@
         while len(self._blocks) > self._limit:
             self._blocks.popitem(last=False)
 
-    def matched(self, name: str, prefix: tuple[int, ...]) -> int:
+    def count_cached(self, name: str, prefix: tuple[int, ...]) -> int:
         """Return how many leading blocks of *prefix* are believed cached."""
         for place, block in enumerate(prefix):
             if (name, block) not in self._blocks:
--- a/src/crankhinge/decisions/_quarantine.py
+++ b/src/crankhinge/decisions/_quarantine.py
@@ -17,31 +17,31 @@
 from crankhinge.decisions._bounded import keep_newest
 
 # Servers that may crash under one request before it is refused, as the operators bound it.
-CRASHES = 3
+MAX_CRASHES = 3
 # Seconds from that crash to the trial. Whoever was cut by chance waits that long: callers wait 14 s
 # for a stream. After each further crash it is so many times as long: with 10, 40 and 160 s a
 # request that crashes servers meets two in the first 50 s, and three in four minutes; the operators
 # allow it three more than those that began the quarantine.
-FIRST_S = 10.0
-GROWTH = 4.0
-MOST_S = 3600.0
+FIRST_QUARANTINE_S = 10.0
+QUARANTINE_GROWTH = 4.0
+MAX_QUARANTINE_S = 3600.0
 # Seconds that a trial has before the next may begin; the crashes that were seen came 0.1 to 0.3 s
 # after a request had reached its server, a busy one reads a prompt for some seconds.
 TRIAL_S = 5.0
 # Seconds for which crashes are remembered: the callers that were seen came again within 6 s.
-KEPT_S = 600.0
+CRASH_RETENTION_S = 600.0
 # Requests remembered that were cut by crashes, and of those in quarantine: 0.9 MB when all are
 # taken (as the interpreter counts its memory). A server runs 64 at once, so it takes the crashes
 # of 16 servers within KEPT_S to lose one.
-MOST_SUSPECTS = 1024
-MOST_ISOLATED = 256
+MAX_SUSPECTS = 1024
+MAX_QUARANTINED = 256
 # Crashes remembered of one request; with these its quarantine is as long as any.
-MOST_SERVERS = 8
+MAX_CRASHED_SERVERS = 8
 # Of those in quarantine, how many an instance tells in its note in the store: 4 kB at most.
-MOST_NOTED = 16
+MAX_PUBLISHED = 16
 # Seconds for which notes are not believed of a request that was answered: a note is written anew
 # within seconds, and read seconds late.
-ANSWERED_S = 40.0
+COMPLETED_RETENTION_S = 40.0
 
 
 @dataclass
@@ -60,7 +60,7 @@
         """Add crashes, the newest of which are remembered; returns whether any is new."""
         new = [server for server in servers if server not in self.servers]
         self.servers.update(dict.fromkeys(new))
-        while len(self.servers) > MOST_SERVERS:
+        while len(self.servers) > MAX_CRASHED_SERVERS:
             del self.servers[next(iter(self.servers))]
         self.at = now
         return bool(new)
@@ -81,11 +81,16 @@
     @property
     def wait_s(self) -> float:
         """Seconds from the last crash to the trial."""
-        return float(min(MOST_S, FIRST_S * GROWTH ** (len(self.servers) - CRASHES)))
+        return float(
+            min(
+                MAX_QUARANTINE_S,
+                FIRST_QUARANTINE_S * QUARANTINE_GROWTH ** (len(self.servers) - MAX_CRASHES),
+            )
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Isolation:
+class QuarantineUpdate:
     """A quarantine as instances tell each other.
 
     Attributes:
@@ -110,21 +115,21 @@
     def __len__(self) -> int:
         return len(self._isolated)
 
-    def crashes(self, fingerprint: str) -> int:
+    def crash_count(self, fingerprint: str) -> int:
         """Return how many servers are known to have crashed under a request."""
         suspect = self._isolated.get(fingerprint) or self._suspects.get(fingerprint)
         return len(suspect.servers) if suspect else 0
 
-    def isolates(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Whether a request is in quarantine, be it refused or due for a trial."""
         return fingerprint in self._isolated
 
-    def refused_s(self, fingerprint: str, now: float) -> float:
+    def refusal_left_s(self, fingerprint: str, now: float) -> float:
         """Return for how many seconds a request is refused; 0 for one that may run."""
         isolated = self._isolated.get(fingerprint)
         return max(0.0, isolated.until - now) if isolated else 0.0
 
-    def crashed(self, fingerprint: str, server: str, now: float) -> Isolation | None:
+    def record_crash(self, fingerprint: str, server: str, now: float) -> QuarantineUpdate | None:
         """Note that a server crashed while it ran a request.
 
         Returns the quarantine that this begins or lengthens.
@@ -135,86 +140,86 @@
                 return None
             return self._lengthen(fingerprint, isolated, now)
         suspect = self._suspects.pop(fingerprint, None) or _Suspect()
-        if suspect.servers and now - suspect.at > KEPT_S:
+        if suspect.servers and now - suspect.at > CRASH_RETENTION_S:
             suspect = _Suspect()
         suspect.add((server,), now)
-        if len(suspect.servers) < CRASHES:
-            keep_newest(self._suspects, fingerprint, suspect, MOST_SUSPECTS)
+        if len(suspect.servers) < MAX_CRASHES:
+            keep_newest(self._suspects, fingerprint, suspect, MAX_SUSPECTS)
             self._forget_old(now)
             return None
         isolated = _Isolated(suspect.servers, now)
-        keep_newest(self._isolated, fingerprint, isolated, MOST_ISOLATED)
+        keep_newest(self._isolated, fingerprint, isolated, MAX_QUARANTINED)
         return self._lengthen(fingerprint, isolated, now)
 
-    def _lengthen(self, fingerprint: str, isolated: _Isolated, now: float) -> Isolation:
+    def _lengthen(self, fingerprint: str, isolated: _Isolated, now: float) -> QuarantineUpdate:
         isolated.own = True
         isolated.until = now + isolated.wait_s
-        return Isolation(fingerprint, tuple(isolated.servers), isolated.wait_s)
+        return QuarantineUpdate(fingerprint, tuple(isolated.servers), isolated.wait_s)
 
-    def begin_trial(self, fingerprint: str, now: float) -> Isolation:
+    def begin_trial(self, fingerprint: str, now: float) -> QuarantineUpdate:
         """Let one attempt through: all others are refused until its time is over."""
         isolated = self._isolated[fingerprint]
         isolated.until = now + TRIAL_S
-        return Isolation(fingerprint, tuple(isolated.servers), TRIAL_S)
+        return QuarantineUpdate(fingerprint, tuple(isolated.servers), TRIAL_S)
 
-    def told(self, isolation: Isolation, now: float) -> bool:
+    def apply_update(self, update: QuarantineUpdate, now: float) -> bool:
         """Take what another instance tells; returns whether it was news."""
-        fingerprint = isolation.fingerprint
+        fingerprint = update.fingerprint
         known = self._isolated.get(fingerprint)
         isolated = known or _Isolated()
-        news = isolated.add(isolation.servers, now)
-        left_s = min(isolation.left_s, isolated.wait_s)
+        news = isolated.add(update.servers, now)
+        left_s = min(update.left_s, isolated.wait_s)
         isolated.until = max(isolated.until, now + left_s)
         if known is None:
             self._suspects.pop(fingerprint, None)
-            keep_newest(self._isolated, fingerprint, isolated, MOST_ISOLATED)
+            keep_newest(self._isolated, fingerprint, isolated, MAX_QUARANTINED)
         return news
 
-    def noted(self) -> Mapping[str, tuple[str, ...]]:
+    def to_instance_record(self) -> Mapping[str, tuple[str, ...]]:
         """Return what this instance tells in its note: servers by fingerprint, the newest."""
         own = [(key, tuple(each.servers)) for key, each in self._isolated.items() if each.own]
-        return dict(own[-MOST_NOTED:])
+        return dict(own[-MAX_PUBLISHED:])
 
-    def recall(
-        self, noted: Mapping[str, Collection[str]], now: float, *, own: bool
-    ) -> Iterator[Isolation]:
+    def apply_instance_record(
+        self, published: Mapping[str, Collection[str]], now: float, *, own: bool
+    ) -> Iterator[QuarantineUpdate]:
         """Take what was read in a note; gives what was news.
 
         How long ago it was written is not known. So only crashes that are news count, and the
         quarantine begins when they are read.
 
         Args:
-            noted: as :meth:`noted` returned it.
+            published: as :meth:`noted` returned it.
             now: on the runtime's clock, in seconds.
             own: whether an earlier life of this instance wrote it.
         """
-        for fingerprint, servers in noted.items():
-            if now - self._answered.get(fingerprint, float("-inf")) < ANSWERED_S:
+        for fingerprint, servers in published.items():
+            if now - self._answered.get(fingerprint, float("-inf")) < COMPLETED_RETENTION_S:
                 continue
             known = self._isolated.get(fingerprint)
             if known is not None and known.servers.keys() >= set(servers):
                 continue
-            isolation = Isolation(fingerprint, tuple(servers), MOST_S)
-            if self.told(isolation, now):
+            isolation = QuarantineUpdate(fingerprint, tuple(servers), MAX_QUARANTINE_S)
+            if self.apply_update(isolation, now):
                 self._isolated[fingerprint].own |= own
                 yield isolation
 
-    def answered(self, fingerprint: str, now: float) -> int:
+    def record_completed(self, fingerprint: str, now: float) -> int:
         """Note that a server ran a request to its end; returns the crashes that are forgotten."""
-        crashes = self.crashes(fingerprint)
+        crashes = self.crash_count(fingerprint)
         if crashes:
             self._suspects.pop(fingerprint, None)
             self._isolated.pop(fingerprint, None)
-            keep_newest(self._answered, fingerprint, now, MOST_SUSPECTS)
+            keep_newest(self._answered, fingerprint, now, MAX_SUSPECTS)
         return crashes
 
     def _forget_old(self, now: float) -> None:
         """Forget requests of which nothing was heard for long; suspects stand in that order."""
         while self._suspects:
             oldest = next(iter(self._suspects))
-            if now - self._suspects[oldest].at <= KEPT_S:
+            if now - self._suspects[oldest].at <= CRASH_RETENTION_S:
                 break
             del self._suspects[oldest]
         for key, isolated in list(self._isolated.items()):
-            if now - max(isolated.at, isolated.until) > KEPT_S:
+            if now - max(isolated.at, isolated.until) > CRASH_RETENTION_S:
                 del self._isolated[key]
--- a/src/crankhinge/decisions/_quota.py
+++ b/src/crankhinge/decisions/_quota.py
@@ -18,24 +18,24 @@
 from dataclasses import dataclass, field
 
 from crankhinge.decisions._accounts import Account, TokenLimit
-from crankhinge.decisions._members import Members
-from crankhinge.decisions._silences import Silences
+from crankhinge.decisions._membership import Membership
+from crankhinge.decisions._unresponsive import UnresponsivePeers
 
 # Parts of what the operators allow: the first hands out the account's own rate and burst, but not
 # more than this part of all, since the others need some.
-MAIN_MOST = 0.8
+MAX_MAIN_SHARE = 0.8
 # Of what is left over, the second hands out this part, all instances together the next one. The
 # rest is for single requests that are larger than a bucket.
-STANDBY_PART = 0.5
-OWN_PART = 0.25
+STANDBY_SHARE = 0.5
+LOCAL_SHARE = 0.25
 # Of what may be handed out in a window, so much may be at once; the rest comes with time.
-AT_ONCE = 0.5
+BURST_SHARE = 0.5
 # Questions that an instance may leave unanswered before it is passed over.
-MISSES = 1
+MAX_MISSES = 1
 # Callers that were refused come back one after the other; the last of them in so many seconds.
-BACK_MOST_S = 5.0
+MAX_RETRY_AFTER_S = 5.0
 # Nobody is told to come back sooner, in seconds.
-BACK_LEAST_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,41 +52,41 @@
     overrun: float = 0.0
     slack: float = 0.0
 
-    def allowed(self, limit: TokenLimit) -> float:
+    def allowed_in_window(self, limit: TokenLimit) -> float:
         """Return what an account may use in a window, in tokens."""
         due = limit.per_s * self.window_s + limit.burst
         return due * (1.0 + self.overrun) + self.slack
 
-    def pools(self, limit: TokenLimit, instances: int) -> Pools:
+    def pools(self, limit: TokenLimit, instances: int) -> QuotaPools:
         """Return what is handed out by whom."""
-        allowed = self.allowed(limit)
+        allowed = self.allowed_in_window(limit)
         due = limit.per_s * self.window_s + limit.burst
-        part = min(1.0, MAIN_MOST * allowed / due)
+        part = min(1.0, MAX_MAIN_SHARE * allowed / due)
         spare = allowed - part * due
-        return Pools(
+        return QuotaPools(
             main=TokenLimit(part * limit.per_s, part * limit.burst),
-            standby=self._spread(STANDBY_PART * spare),
-            own=self._spread(OWN_PART * spare / instances),
+            standby=self._spread(STANDBY_SHARE * spare),
+            local=self._spread(LOCAL_SHARE * spare / instances),
         )
 
     def _spread(self, tokens: float) -> TokenLimit:
         """Return the rate and burst that use *tokens* in a window at most."""
-        return TokenLimit((1.0 - AT_ONCE) * tokens / self.window_s, AT_ONCE * tokens)
+        return TokenLimit((1.0 - BURST_SHARE) * tokens / self.window_s, BURST_SHARE * tokens)
 
 
 @dataclass(frozen=True, slots=True)
-class Pools:
+class QuotaPools:
     """What is handed out of an account's tokens.
 
     Attributes:
         main: by the first instance in the account's order.
         standby: by the second.
-        own: by each instance to itself.
+        local: by each instance to itself.
     """
 
     main: TokenLimit
     standby: TokenLimit
-    own: TokenLimit
+    local: TokenLimit
 
 
 class TokenBucket:
@@ -115,13 +115,13 @@
             self.level -= tokens
             return 0.0
         if limit.per_s <= 0 or limit.burst <= 0:
-            return BACK_MOST_S
+            return MAX_RETRY_AFTER_S
         # Those that were refused before this one come back before it.
         free_s = max(now + (enough - self.level) / limit.per_s, self._line_until)
-        self._line_until = min(free_s + tokens / limit.per_s, now + BACK_MOST_S)
-        return min(BACK_MOST_S, max(BACK_LEAST_S, free_s - now))
+        self._line_until = min(free_s + tokens / limit.per_s, now + MAX_RETRY_AFTER_S)
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, free_s - now))
 
-    def give_back(self, tokens: float, limit: TokenLimit) -> None:
+    def put_back(self, tokens: float, limit: TokenLimit) -> None:
         """Put back what a request took that did not run."""
         self.level = min(limit.burst, self.level + tokens)
 
@@ -131,30 +131,30 @@
         self._at = max(self._at, now)
 
 
-class Verdict(enum.Enum):
+class QuotaOutcome(enum.Enum):
     """What is said to who asks for tokens."""
 
     GRANTED = "granted"
     OVER_LIMIT = "over-limit"
-    NOT_MINE = "not-mine"
+    NOT_ALLOCATOR = "not-mine"
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaWord:
+class QuotaDecision:
     """An answer to who asks for tokens.
 
     Attributes:
-        verdict: whether they are handed out.
-        after_s: seconds after which to come back; 0 where nothing is known.
-        left: tokens that are left of the pool that was asked.
+        outcome: whether they are handed out.
+        retry_after_s: seconds after which to come back; 0 where nothing is known.
+        left_tokens: tokens that are left of the pool that was asked.
     """
 
-    verdict: Verdict
-    after_s: float = 0.0
-    left: float = 0.0
+    outcome: QuotaOutcome
+    retry_after_s: float = 0.0
+    left_tokens: float = 0.0
 
 
-NOT_MINE = QuotaWord(Verdict.NOT_MINE)
+NOT_ALLOCATOR = QuotaDecision(QuotaOutcome.NOT_ALLOCATOR)
 
 
 class _Role(enum.Enum):
@@ -178,53 +178,57 @@
 
     Args:
         name: of this instance.
-        members: the instances.
+        membership: the instances.
         bounds: what the operators allow.
         now: on the runtime's clock, in seconds.
     """
 
-    def __init__(self, *, name: str, members: Members, bounds: QuotaBounds, now: float) -> None:
+    def __init__(
+        self, *, name: str, membership: Membership, bounds: QuotaBounds, now: float
+    ) -> None:
         self._name = name
-        self._members = members
+        self._members = membership
         self._bounds = bounds
         self._began = now
         self._accounts: dict[str, _Account] = {}
 
-    def take(self, account: Account, tokens: float, now: float) -> QuotaWord:
+    def allocate(self, account: Account, tokens: float, now: float) -> QuotaDecision:
         """Hand out tokens for a request that reached any instance."""
         role = self._role(account.name, now)
         if role is _Role.OWN:
-            return NOT_MINE
+            return NOT_ALLOCATOR
         return self._take(role, account, tokens, now)
 
-    def take_own(self, account: Account, tokens: float, now: float) -> QuotaWord:
+    def allocate_local(self, account: Account, tokens: float, now: float) -> QuotaDecision:
         """Hand out tokens for a request that reached this instance, when nobody else answers."""
-        if not self._members.counted(now):
-            return NOT_MINE
+        if not self._members.has_counted_instances(now):
+            return NOT_ALLOCATOR
         return self._take(_Role.OWN, account, tokens, now)
 
-    def give_back(self, account: Account, tokens: float, now: float, *, own: bool = False) -> None:
+    def return_tokens(
+        self, account: Account, tokens: float, now: float, *, local: bool = False
+    ) -> None:
         """Take tokens back that were handed out for a request that did not run."""
         held = self._accounts.get(account.name)
-        role = _Role.OWN if own else self._role(account.name, now)
+        role = _Role.OWN if local else self._role(account.name, now)
         bucket = held.buckets.get(role) if held else None
         if bucket is not None and account.limit is not None:
-            bucket.give_back(tokens, self._limit(role, account.limit))
+            bucket.put_back(tokens, self._limit(role, account.limit))
 
-    def _take(self, role: _Role, account: Account, tokens: float, now: float) -> QuotaWord:
+    def _take(self, role: _Role, account: Account, tokens: float, now: float) -> QuotaDecision:
         assert account.limit is not None
         bucket = self._bucket(account.name, role, now)
         after_s = bucket.take(tokens, self._limit(role, account.limit), now)
-        verdict = Verdict.OVER_LIMIT if after_s else Verdict.GRANTED
-        return QuotaWord(verdict, after_s, bucket.level)
+        verdict = QuotaOutcome.OVER_LIMIT if after_s else QuotaOutcome.GRANTED
+        return QuotaDecision(verdict, after_s, bucket.level)
 
     def _limit(self, role: _Role, limit: TokenLimit) -> TokenLimit:
         pools = self._bounds.pools(limit, len(self._members))
-        return {_Role.MAIN: pools.main, _Role.STANDBY: pools.standby, _Role.OWN: pools.own}[role]
+        return {_Role.MAIN: pools.main, _Role.STANDBY: pools.standby, _Role.OWN: pools.local}[role]
 
     def _role(self, account: str, now: float) -> _Role:
-        ranked = self._members.ranked(account)
-        if not self._members.settled(now) or self._name not in ranked[:2]:
+        ranked = self._members.rank_instances(account)
+        if not self._members.may_coordinate(now) or self._name not in ranked[:2]:
             return _Role.OWN
         return _Role.MAIN if ranked[0] == self._name else _Role.STANDBY
 
@@ -240,31 +244,31 @@
         return held.buckets[role]
 
 
-class QuotaAsker:
+class QuotaClient:
     """Whom to ask for tokens, and what to make of silence.
 
     Args:
         name: of this instance.
-        members: the instances.
+        membership: the instances.
     """
 
-    def __init__(self, *, name: str, members: Members) -> None:
+    def __init__(self, *, name: str, membership: Membership) -> None:
         self._name = name
-        self._members = members
-        self._silences = Silences(MISSES)
+        self._members = membership
+        self._silences = UnresponsivePeers(MAX_MISSES)
 
     def allocators(self, account: str, now: float) -> Sequence[str]:
         """Return whom to ask, one after the other, until one grants or refuses."""
         return [
             name
-            for name in self._members.ranked(account)[:2]
-            if name == self._name or not self._silences.passed_over(name, now)
+            for name in self._members.rank_instances(account)[:2]
+            if name == self._name or not self._silences.is_skipped(name, now)
         ]
 
-    def silent(self, name: str, now: float) -> None:
+    def record_unresponsive(self, name: str, now: float) -> None:
         """Note that an instance did not answer."""
-        self._silences.silent(name, now)
+        self._silences.record_unresponsive(name, now)
 
-    def answered(self, name: str) -> None:
+    def record_response(self, name: str) -> None:
         """Note that an instance answered, or that it has just come."""
-        self._silences.answered(name)
+        self._silences.record_response(name)
--- a/src/crankhinge/decisions/_asks.py
+++ b/src/crankhinge/decisions/_requests.py
@@ -4,16 +4,16 @@
 
 from dataclasses import dataclass
 
-RANK_WEIGHTS = (16.0, 4.0, 1.0)
+PRIORITY_WEIGHTS = (16.0, 4.0, 1.0)
 
 
-def rank_weight(rank: int) -> float:
+def priority_weight(rank: int) -> float:
     """Return the weight of a priority class; unknown classes count as the last."""
-    return RANK_WEIGHTS[min(rank, len(RANK_WEIGHTS) - 1)]
+    return PRIORITY_WEIGHTS[min(rank, len(PRIORITY_WEIGHTS) - 1)]
 
 
 @dataclass(frozen=True, kw_only=True)
-class FairAsk:
+class FairRequest:
     """A request that waits in a fair queue.
 
     Attributes:
@@ -35,31 +35,31 @@
     partner_weight: float = 1.0
 
     @property
-    def path(self) -> tuple[str, ...]:
+    def flow(self) -> tuple[str, ...]:
         """Its flow."""
         return (str(self.rank), self.partner, self.member)
 
     @property
-    def weights(self) -> tuple[float, ...]:
+    def flow_weights(self) -> tuple[float, ...]:
         """The weight of its flow at each level."""
-        return (rank_weight(self.rank), self.partner_weight, self.weight)
+        return (priority_weight(self.rank), self.partner_weight, self.weight)
 
 
 @dataclass(frozen=True, kw_only=True)
-class SlotAsk(FairAsk):
+class SlotRequest(FairRequest):
     """A request for a slot.
 
     Attributes:
-        lead: seconds from the grant until the slot is used.
+        lead_s: seconds from the grant until the slot is used.
         max_tokens: most tokens the answer may have.
     """
 
-    lead: float
+    lead_s: float
     max_tokens: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class WorkAsk(FairAsk):
+class WorkRequest(FairRequest):
     """A prompt to read or a call to make.
 
     Attributes:
@@ -70,9 +70,9 @@
 
 
 @dataclass(frozen=True)
-class Refuse:
+class Refusal:
     """``req`` gets no slot and was not started."""
 
     req: int
     code: str
-    retry_after: float
+    retry_after_s: float
--- a/src/crankhinge/decisions/_places.py
+++ b/src/crankhinge/decisions/_reservations.py
@@ -12,98 +12,98 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
+from crankhinge.decisions._server_stats import ServerStats
 from crankhinge.decisions._servers import Server
-from crankhinge.decisions._standing import Standing
 
 # What a served request is worth to its caller, and what waiting costs, in parts of the worth of an
 # answer in time: an answer that is late, an answer on a return (late, and no second refusal), and a
 # second held in vain. A caller held for three quarters of 14 s has lost all of it.
-LATE_WORTH = 0.2
-RETURN_WORTH = 0.5
-HELD_PER_S = 0.1
+LATE_VALUE = 0.2
+RETRY_VALUE = 0.5
+WAIT_COST_PER_S = 0.1
 # An engine that refused is left alone for this long, in seconds, by requests that are late anyway,
 # so that others', which may yet be in time, find the memory that frees first.
-LATE_YIELD_S = 0.3
+LATE_REFUSAL_PAUSE_S = 0.3
 # A caller of a stream leaves when no event has come for the longest of these: seconds, the route's
 # target and its longest pause, so many times over, as the operators state it.
-SILENT_S = 2.0
-SILENT_TARGETS = 4.0
-SILENT_PAUSES = 8.0
+MIN_EVENT_TIMEOUT_S = 2.0
+EVENT_TIMEOUT_TARGETS = 4.0
+EVENT_TIMEOUT_PAUSES = 8.0
 # Seconds before that at which its first event has to be on its way.
-SILENT_SPARE_S = 0.2
+EVENT_TIMEOUT_MARGIN_S = 0.2
 # Seconds from a place to the first event, until some were seen.
-FIRST_S = 0.25
+DEFAULT_FIRST_EVENT_S = 0.25
 # A request is held to have come back when its caller waits less than this part of the longest wait
 # seen on its route.
-RETURNED_PART = 0.985
+RETRY_OF_LONGEST_WAIT = 0.985
 # Waits that are remembered of a route: enough to hold a first try also when most are returns.
-WAITS_KEPT = 64
+MAX_KEPT_WAITS = 64
 # Certain first tries from which the shortest wait of one is taken, and the part of that below which
 # a caller has come back; callers round their waits and are a few milliseconds on the way.
-FIRSTS_LEAST = 8
-FIRSTS_PART = 0.99
+MIN_FIRST_ATTEMPTS = 8
+RETRY_OF_SHORTEST_FIRST_WAIT = 0.99
 # Reading and writing are held to take this long, in seconds, until answers have shown the pace.
-SERVE_S = 3.0
+DEFAULT_SERVICE_S = 3.0
 # What is left after coming back and being served, in seconds: the wait for a place, then.
-BACK_SPARE_S = 0.5
+RETRY_MARGIN_S = 0.5
 # Nobody is told to come back sooner, in seconds.
-BACK_LEAST_S = 0.3
+MIN_RETRY_DELAY_S = 0.3
 # When to come back where nothing is known of memory: writing an answer takes two to three seconds,
 # so half of the places change hands in this time.
-BACK_S = 3.0
+DEFAULT_RETRY_DELAY_S = 3.0
 # Predictions are spread by these factors, which keep those that were refused together from
 # returning together.
-BACK_SPREAD = (0.9, 1.3)
+RETRY_DELAY_JITTER = (0.9, 1.3)
 # Memory is given out in blocks of this many tokens.
-BLOCK = 16
+BLOCK_TOKENS = 16
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceAsk:
+class ReservationRequest:
     """What a request needs.
 
     Attributes:
         tokens: memory, in tokens.
         target_s: seconds within which its first event is in time.
-        left_s: seconds that its caller still waits.
-        silent_s: seconds that its caller waits for a first event.
-        returned: whether it was refused before and has come back.
-        serve_s: seconds that reading it and writing its likely answer take.
-        first_s: seconds from a place to its first event.
+        remaining_s: seconds that its caller still waits.
+        event_timeout_s: seconds that its caller waits for a first event.
+        is_retry: whether it was refused before and has come back.
+        service_s: seconds that reading it and writing its likely answer take.
+        first_event_s: seconds from a place to its first event.
     """
 
     tokens: int
     target_s: float
-    left_s: float
-    silent_s: float = float("inf")
-    returned: bool = False
-    serve_s: float = SERVE_S
-    first_s: float = FIRST_S
+    remaining_s: float
+    event_timeout_s: float = float("inf")
+    is_retry: bool = False
+    service_s: float = DEFAULT_SERVICE_S
+    first_event_s: float = DEFAULT_FIRST_EVENT_S
 
     @property
-    def in_time_s(self) -> float:
+    def max_in_time_wait_s(self) -> float:
         """Seconds that it may wait and still be in time for its caller's first try."""
-        return 0.0 if self.returned else max(0.0, self.target_s - self.first_s)
+        return 0.0 if self.is_retry else max(0.0, self.target_s - self.first_event_s)
 
     @property
-    def patience_s(self) -> float:
+    def max_wait_s(self) -> float:
         """Seconds that it may wait for a place; negative when its answer could not end in time.
 
         A late answer is waited for as long as the wait, if it was in vain, costs less than the
         answer is worth.
         """
-        worth = RETURN_WORTH if self.returned else LATE_WORTH
+        worth = RETRY_VALUE if self.is_retry else LATE_VALUE
         return min(
-            self.in_time_s + worth / HELD_PER_S,
-            self.silent_s - self.first_s - SILENT_SPARE_S,
-            self.left_s - self.serve_s,
+            self.max_in_time_wait_s + worth / WAIT_COST_PER_S,
+            self.event_timeout_s - self.first_event_s - EVENT_TIMEOUT_MARGIN_S,
+            self.remaining_s - self.service_s,
         )
 
-    def late(self, waited_s: float) -> bool:
+    def is_late(self, waited_s: float) -> bool:
         """Whether it can't be in time any more."""
-        return waited_s >= self.in_time_s
+        return waited_s >= self.max_in_time_wait_s
 
-    def worth_waiting(self, waited_s: float, free_s: float | None) -> bool:
+    def should_keep_waiting(self, waited_s: float, free_s: float | None) -> bool:
         """Whether it goes on waiting when memory for it is predicted to free in *free_s*.
 
         A request that is late anyway is refused as soon as memory is predicted to come after its
@@ -111,16 +111,16 @@
         others were held for three. Who may be in time waits: of these 6 in 10 got a place in time
         whatever was predicted, since they go before all that is late.
         """
-        if free_s is None or not self.late(waited_s):
+        if free_s is None or not self.is_late(waited_s):
             return True
-        return free_s <= self.patience_s - waited_s
+        return free_s <= self.max_wait_s - waited_s
 
-    def yield_s(self, waited_s: float) -> float:
+    def refusal_pause_s(self, waited_s: float) -> float:
         """Return how long after an engine's refusal it is left to others, in seconds."""
-        return LATE_YIELD_S if self.late(waited_s) else 0.0
+        return LATE_REFUSAL_PAUSE_S if self.is_late(waited_s) else 0.0
 
 
-class FirstTries:
+class CallerRetryDetector:
     """Tells returns from first tries by how long their callers still wait.
 
     Callers come back on a new connection, so whoever comes on one that was used before is a first
@@ -133,49 +133,51 @@
         self._waits: dict[str, deque[float]] = {}
         self._firsts: dict[str, deque[float]] = {}
 
-    def returned(self, route: str, within_s: float, *, kept: bool = False) -> bool:
+    def record_request(
+        self, route: str, within_s: float, *, connection_reused: bool = False
+    ) -> bool:
         """Note a request of *route* whose caller waits *within_s*; returns whether it came back.
 
         Args:
             route: its name.
             within_s: seconds.
-            kept: whether earlier requests came on its connection.
+            connection_reused: whether earlier requests came on its connection.
         """
-        waits = self._waits.setdefault(route, deque(maxlen=WAITS_KEPT))
+        waits = self._waits.setdefault(route, deque(maxlen=MAX_KEPT_WAITS))
         waits.append(within_s)
-        firsts = self._firsts.setdefault(route, deque(maxlen=WAITS_KEPT))
-        if kept:
+        firsts = self._firsts.setdefault(route, deque(maxlen=MAX_KEPT_WAITS))
+        if connection_reused:
             firsts.append(within_s)
             return False
-        if len(firsts) < FIRSTS_LEAST:
-            return within_s < RETURNED_PART * max(waits)
-        return within_s < FIRSTS_PART * min(firsts)
+        if len(firsts) < MIN_FIRST_ATTEMPTS:
+            return within_s < RETRY_OF_LONGEST_WAIT * max(waits)
+        return within_s < RETRY_OF_SHORTEST_FIRST_WAIT * min(firsts)
 
 
-class WaitingOrder:
+class ReservationQueue:
     """The order in which requests of one service that found no room ask for it.
 
     Those that may yet be in time come before those that are late anyway; each in order of arrival.
     """
 
     def __init__(self) -> None:
-        self._waiting: dict[int, tuple[PlaceAsk, float]] = {}
+        self._waiting: dict[int, tuple[ReservationRequest, float]] = {}
         self._entered = 0
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def enter(self, need: PlaceAsk, now: float) -> int:
+    def add(self, request: ReservationRequest, now: float) -> int:
         """Add a request; returns its number, since callers may send one identity twice or none."""
         self._entered += 1
-        self._waiting[self._entered] = (need, now)
+        self._waiting[self._entered] = (request, now)
         return self._entered
 
-    def leave(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Remove a request."""
         del self._waiting[number]
 
-    def ahead(self, number: int, now: float) -> list[PlaceAsk]:
+    def requests_ahead(self, number: int, now: float) -> list[ReservationRequest]:
         """Return the requests before this one."""
         mine = self._rank(number, now)
         return [
@@ -184,35 +186,39 @@
             if other != number and self._rank(other, now) < mine
         ]
 
-    def tokens(self, number: int) -> int:
+    def tokens_of_others(self, number: int) -> int:
         """Return the memory that all others need that wait, in tokens."""
         return sum(need.tokens for other, (need, _) in self._waiting.items() if other != number)
 
-    def may_ask(self, number: int, now: float) -> bool:
+    def may_try(self, number: int, now: float) -> bool:
         """Whether it may ask an engine now.
 
         Where there was no room for less there is none for it, so it asks only for less than all
         that come before it.
         """
         tokens = self._waiting[number][0].tokens
-        return all(need.tokens > tokens for need in self.ahead(number, now))
+        return all(need.tokens > tokens for need in self.requests_ahead(number, now))
 
     def _rank(self, number: int, now: float) -> tuple[bool, float]:
         need, since = self._waiting[number]
-        return need.late(now - since), since
+        return need.is_late(now - since), since
 
 
-def silent_s(target_s: float, pause_s: float) -> float:
+def stream_event_timeout_s(target_s: float, max_pause_s: float) -> float:
     """Return how long a caller of a stream waits for the next event, in seconds.
 
     Args:
         target_s: of the route.
-        pause_s: longest pause of the route's streams that are in time; 0 for no bound.
+        max_pause_s: longest pause of the route's streams that are in time; 0 for no bound.
     """
-    return max(SILENT_S, SILENT_TARGETS * target_s, SILENT_PAUSES * pause_s)
+    return max(
+        MIN_EVENT_TIMEOUT_S, EVENT_TIMEOUT_TARGETS * target_s, EVENT_TIMEOUT_PAUSES * max_pause_s
+    )
 
 
-def memory_needed(prompt: int, likely: int, most: int, longest: int) -> int:
+def tokens_to_reserve(
+    prompt_tokens: int, likely_tokens: int, max_tokens: int, engine_tokens: int
+) -> int:
     """Return the memory to reserve for a request, in tokens.
 
     All of the likely answer: an answer takes its memory only as it grows, but an engine that runs
@@ -221,61 +227,65 @@
     instances 277 and 199; first tries in time 0.732 and 0.748 there.
 
     Args:
-        prompt: tokens of its prompt.
-        likely: the caller's estimate of the answer; 0 for none.
-        most: most tokens of the answer.
-        longest: tokens of memory of an engine.
+        prompt_tokens: tokens of its prompt.
+        likely_tokens: the caller's estimate of the answer; 0 for none.
+        max_tokens: most tokens of the answer.
+        engine_tokens: tokens of memory of an engine.
     """
-    answer = min(likely or most, most)
-    blocks = -(-(prompt + answer) // BLOCK)
-    return min(blocks * BLOCK, longest)
+    answer = min(likely_tokens or max_tokens, max_tokens)
+    blocks = -(-(prompt_tokens + answer) // BLOCK_TOKENS)
+    return min(blocks * BLOCK_TOKENS, engine_tokens)
 
 
-def places_to_ask(
+def engines_to_try(
     servers: Iterable[Server],
-    standing_of: Callable[[str], Standing],
+    stats_of: Callable[[str], ServerStats],
     *,
     tokens: int,
     kv_tokens: int,
     now: float,
     rng: random.Random,
-    yield_s: float = 0.0,
+    refusal_pause_s: float = 0.0,
 ) -> list[Server]:
     """Return the engines that may have room, the emptiest first as this instance sees it.
 
     Args:
         servers: engines that write.
-        standing_of: what was seen of them.
+        stats_of: what was seen of them.
         tokens: memory that is needed.
         kv_tokens: memory of an engine.
         now: on the runtime's clock.
         rng: for choices between equals.
-        yield_s: how long an engine that refused is left to others.
+        refusal_pause_s: how long an engine that refused is left to others.
     """
     able = [
-        (standing_of(server.ident).tokens * rng.uniform(1.0, 1.1), rng.random(), server)
+        (
+            stats_of(server.incarnation_id).reserved_tokens * rng.uniform(1.0, 1.1),
+            rng.random(),
+            server,
+        )
         for server in servers
-        if standing_of(server.ident).breaker.allows(now)
-        and standing_of(server.ident).limited_until <= now
-        and standing_of(server.ident).full_until + yield_s <= now
-        and standing_of(server.ident).tokens + tokens <= kv_tokens
+        if stats_of(server.incarnation_id).breaker.allows_request(now)
+        and stats_of(server.incarnation_id).limited_until <= now
+        and stats_of(server.incarnation_id).full_until + refusal_pause_s <= now
+        and stats_of(server.incarnation_id).reserved_tokens + tokens <= kv_tokens
     ]
     return [server for _, _, server in sorted(able, key=lambda row: row[:2])]
 
 
-def back_after(
-    rng: random.Random, need: PlaceAsk | None = None, free_s: float | None = None
+def retry_delay_s(
+    rng: random.Random, request: ReservationRequest | None = None, free_s: float | None = None
 ) -> float:
     """Return after how many seconds a refused request should come back.
 
     Args:
         rng: spreads those that were refused together.
-        need: what the request needs, where that is known; one with a long answer comes back while
-            there is time for it.
+        request: what the request needs, where that is known; one with a long answer comes back
+            while there is time for it.
         free_s: seconds until there is memory for it, where that can be predicted.
     """
-    back = (BACK_S if free_s is None else free_s) * rng.uniform(*BACK_SPREAD)
-    if need is None:
+    back = (DEFAULT_RETRY_DELAY_S if free_s is None else free_s) * rng.uniform(*RETRY_DELAY_JITTER)
+    if request is None:
         return back
-    latest = need.left_s - need.serve_s - BACK_SPARE_S
-    return max(BACK_LEAST_S, min(back, latest) if latest > 0 else back)
+    latest = request.remaining_s - request.service_s - RETRY_MARGIN_S
+    return max(MIN_RETRY_DELAY_S, min(back, latest) if latest > 0 else back)
--- a/src/crankhinge/decisions/_roll.py
+++ b/src/crankhinge/decisions/_rollout.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-LEASE_S = 60.0
+ROLLOUT_LEASE_S = 60.0
 
 
-class RollPlace(msgspec.Struct, array_like=True, frozen=True):
+class RolloutLease(msgspec.Struct, array_like=True, frozen=True):
     """A place in a roll.
 
     Attributes:
@@ -26,7 +26,7 @@
     until_ms: int
 
 
-class RollRecord(msgspec.Struct, array_like=True, frozen=True):
+class RolloutRecord(msgspec.Struct, array_like=True, frozen=True):
     """Who loads in one pool.
 
     Attributes:
@@ -35,17 +35,19 @@
     """
 
     token: int = 0
-    places: tuple[RollPlace, ...] = ()
+    places: tuple[RolloutLease, ...] = ()
 
 
-class RollLease(msgspec.Struct, frozen=True):
+class AcquiredRollout(msgspec.Struct, frozen=True):
     """A place that would be one's own once *record* is swapped in."""
 
     token: int
-    record: RollRecord
+    record: RolloutRecord
 
 
-def try_acquire(record: RollRecord, me: str, width: int, wall_ms: int) -> RollLease | None:
+def try_acquire_rollout(
+    record: RolloutRecord, me: str, width: int, wall_ms: int
+) -> AcquiredRollout | None:
     """Return a lease, or None while all places are taken.
 
     Args:
@@ -58,15 +60,15 @@
     if len(others) >= width:
         return None
     token = record.token + 1
-    mine = RollPlace(me, wall_ms + int(LEASE_S * 1000))
-    return RollLease(token, RollRecord(token, (*others, mine)))
+    mine = RolloutLease(me, wall_ms + int(ROLLOUT_LEASE_S * 1000))
+    return AcquiredRollout(token, RolloutRecord(token, (*others, mine)))
 
 
-def without(record: RollRecord, me: str) -> RollRecord:
+def release_rollout(record: RolloutRecord, me: str) -> RolloutRecord:
     """Return the record with the place of *me* given back."""
-    return RollRecord(record.token, tuple(p for p in record.places if p.name != me))
+    return RolloutRecord(record.token, tuple(p for p in record.places if p.name != me))
 
 
-def to_load(wanted: dict[str, int], loaded: dict[str, int]) -> list[str]:
+def adapters_to_load(wanted: dict[str, int], loaded: dict[str, int]) -> list[str]:
     """Return the adapters whose wanted version isn't loaded, in a stable order."""
     return sorted(name for name, version in wanted.items() if loaded.get(name) != version)
--- a/src/crankhinge/decisions/_routes.py
+++ b/src/crankhinge/decisions/_routes.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class ServiceWeight:
     """A service and its weight in a split."""
 
     service: str
@@ -40,7 +40,7 @@
         max_servers: most backend servers that one request may be sent to.
         resumable: whether another server may take up a broken stream.
         split: the services and their weights; one with weight 1 as a rule.
-        pause_s: longest pause between the events of a stream that is in time; 0 for no bound.
+        max_pause_s: longest pause between the events of a stream that is in time; 0 for no bound.
         anonymous: whether a request needs no key.
     """
 
@@ -53,8 +53,8 @@
     rank: int
     max_servers: int
     resumable: bool
-    split: tuple[Share, ...]
-    pause_s: float = 0.0
+    split: tuple[ServiceWeight, ...]
+    max_pause_s: float = 0.0
     anonymous: bool = False
 
     @property
@@ -62,7 +62,7 @@
         """Whether a request may run more than once."""
         return self.kind is RouteKind.REPEATABLE or self.resumable
 
-    def service_at(self, draw: float) -> str:
+    def pick_service(self, draw: float) -> str:
         """Return the service for a *draw* from 0 (included) to 1 (excluded)."""
         left = draw * sum(share.weight for share in self.split)
         for share in self.split:
@@ -79,16 +79,16 @@
     Attributes:
         slots: requests at once.
         kv_tokens: tokens of memory.
-        handle_s: seconds that a prompt's memory waits for a decode engine to fetch it.
-        hold_s: longest time that memory may be reserved ahead.
-        stride: tokens in one event of a stream.
+        kv_handle_ttl_s: seconds that a prompt's memory waits for a decode engine to fetch it.
+        max_reservation_s: longest time that memory may be reserved ahead.
+        tokens_per_event: tokens in one event of a stream.
     """
 
     slots: int
     kv_tokens: int
-    handle_s: float
-    hold_s: float
-    stride: int
+    kv_handle_ttl_s: float
+    max_reservation_s: float
+    tokens_per_event: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,10 +110,10 @@
 class CallerLimits:
     """What a caller may send, and how long it may take or stay idle (seconds)."""
 
-    header_bytes: int
-    body_bytes: int
-    header_s: float
-    idle_s: float
+    max_header_bytes: int
+    max_body_bytes: int
+    header_timeout_s: float
+    idle_timeout_s: float
 
 
 class _HostRoutes:
--- a/src/crankhinge/decisions/_routing.py
+++ b/src/crankhinge/decisions/_routing.py
@@ -18,16 +18,16 @@
 from crankhinge.decisions._prefix import PrefixIndex
 from crankhinge.decisions._rendezvous import rank_by_key
 
-CANDIDATES = 3
-AFFINE = 2
-STALE_BEATS = 3.0
-SLOW_FACTOR = 2.0
+RANDOM_CANDIDATES = 3
+AFFINITY_CANDIDATES = 2
+STALE_REPORT_INTERVALS = 3.0
+SLOW_STEP_FACTOR = 2.0
 SLOW_PENALTY_S = 1.0
-DEFAULT_RATE = 10_000.0
+DEFAULT_TOKENS_PER_S = 10_000.0
 
 
 @dataclass(frozen=True)
-class RouteAsk:
+class RouteRequest:
     """What routing needs to know of a request.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class RoutingWeights:
+class RoutingCosts:
     """What a choice costs, in seconds.
 
     Attributes:
@@ -53,7 +53,7 @@
         same_zone_bytes_per_s: rate of the links within a zone; 0 when not limited.
         cross_zone_bytes_per_s: rate of the links between zones; 0 when not limited.
         cross_zone_s: one way between zones.
-        beat_s: seconds between reports.
+        report_interval_s: seconds between reports.
     """
 
     zone: str = ""
@@ -61,22 +61,20 @@
     same_zone_bytes_per_s: float = 0.0
     cross_zone_bytes_per_s: float = 0.0
     cross_zone_s: float = 0.001
-    beat_s: float = 1.0
+    report_interval_s: float = 1.0
 
 
 class Router:
     """The backend servers that this entry knows, and the choices among them.
 
     Args:
-        weights: what a choice costs.
+        costs: what a choice costs.
         rng: source of the random candidates; seeded in tests.
         mech: which mechanisms are at work.
     """
 
-    def __init__(
-        self, *, weights: RoutingWeights, rng: random.Random, mech: Mechanisms = FULL
-    ) -> None:
-        self.weights = weights
+    def __init__(self, *, costs: RoutingCosts, rng: random.Random, mech: Mechanisms = FULL) -> None:
+        self.costs = costs
         self.backends: dict[str, Backend] = {}
         self._pools: dict[str, dict[str, Backend]] = {}
         self.prefixes = PrefixIndex()
@@ -84,41 +82,41 @@
         self._mech = mech
         self._turn = itertools.count()
 
-    def add(self, backend: Backend) -> None:
+    def add_backend(self, backend: Backend) -> None:
         """Know a backend server, or know it anew after its pool has changed."""
-        self.drop(backend.name)
+        self.remove_backend(backend.name)
         self.backends[backend.name] = backend
         self._pools.setdefault(backend.pool, {})[backend.name] = backend
 
-    def drop(self, name: str) -> None:
+    def remove_backend(self, name: str) -> None:
         """Forget a backend server."""
         self.backends.pop(name, None)
         for members in self._pools.values():
             members.pop(name, None)
 
-    def usable(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
+    def usable_backends(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
         """Return the members of *pools* that may be given new work, and have *adapter* loaded.
 
         A backend server whose reports have stopped is used only when no other is left, and one
         whose breaker is open only when all are: then it can only get better.
         """
         members = [b for pool in pools for b in self._pools.get(pool, {}).values()]
-        present = [b for b in members if b.present and (not adapter or adapter in b.serves)]
-        alive = [b for b in present if b.breaker.allows(now)] or present
-        limit = now - STALE_BEATS * self.weights.beat_s
-        fresh = [b for b in alive if b.reported >= limit]
+        present = [b for b in members if b.is_available and (not adapter or adapter in b.adapters)]
+        alive = [b for b in present if b.breaker.allows_request(now)] or present
+        limit = now - STALE_REPORT_INTERVALS * self.costs.report_interval_s
+        fresh = [b for b in alive if b.reported_at >= limit]
         return fresh or alive
 
     def _sample(self, items: list[Backend], count: int) -> list[Backend]:
         return self._rng.sample(items, min(count, len(items)))
 
-    def choose(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
+    def choose_backends(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
         """Return decode or plain backend servers to try, best first."""
-        usable = self.usable(pools, now, adapter)
+        usable = self.usable_backends(pools, now, adapter)
         if not self._mech.load_aware:
             return self._in_turn(usable)
         usual = _median([b.step_s for b in usable if b.step_s > 0])
-        few = self._sample(usable, CANDIDATES)
+        few = self._sample(usable, RANDOM_CANDIDATES)
         return sorted(few, key=lambda b: self._cost(b, usual, now))
 
     def _in_turn(self, usable: list[Backend]) -> list[Backend]:
@@ -130,60 +128,61 @@
         return ordered[start:] + ordered[:start]
 
     def _cost(self, backend: Backend, usual_step_s: float, now: float) -> float:
-        cost = backend.wait_s(now)
-        if backend.zone != self.weights.zone:
-            cost += 2 * self.weights.cross_zone_s
-        if usual_step_s and backend.step_s > SLOW_FACTOR * usual_step_s:
+        cost = backend.expected_wait_s(now)
+        if backend.zone != self.costs.zone:
+            cost += 2 * self.costs.cross_zone_s
+        if usual_step_s and backend.step_s > SLOW_STEP_FACTOR * usual_step_s:
             cost += SLOW_PENALTY_S
-        spread = backend.sent / max(1, backend.free)
-        return cost + self.weights.cross_zone_s * spread
+        spread = backend.sent_since_report / max(1, backend.free_slots)
+        return cost + self.costs.cross_zone_s * spread
 
     def choose_prefill(
-        self, pools: Iterable[str], ask: RouteAsk, decode_zone: str, now: float
+        self, pools: Iterable[str], request: RouteRequest, decode_zone: str, now: float
     ) -> list[Backend]:
         """Return prefill servers to try for a request that is written in *decode_zone*."""
-        usable = self.usable(pools, now, ask.adapter)
+        usable = self.usable_backends(pools, now, request.adapter)
         if not self._mech.load_aware:
             return self._in_turn(usable)
-        few = {b.name: b for b in self._sample(usable, CANDIDATES)}
-        if ask.prefix and self._mech.affinity:
+        few = {b.name: b for b in self._sample(usable, RANDOM_CANDIDATES)}
+        if request.prefix and self._mech.affinity:
             by_name = {b.name: b for b in usable}
-            key = ask.prefix[0].to_bytes(8, "big", signed=False)
-            for name in rank_by_key(key, by_name)[:AFFINE]:
+            key = request.prefix[0].to_bytes(8, "big", signed=False)
+            for name in rank_by_key(key, by_name)[:AFFINITY_CANDIDATES]:
                 few[name] = by_name[name]
-        return sorted(few.values(), key=lambda b: self.prefill_cost_s(b, ask, decode_zone, now))
+        return sorted(few.values(), key=lambda b: self.prefill_cost_s(b, request, decode_zone, now))
 
     def prefill_cost_s(
-        self, backend: Backend, ask: RouteAsk, decode_zone: str, now: float
+        self, backend: Backend, request: RouteRequest, decode_zone: str, now: float
     ) -> float:
         """Return the seconds until the prompt is read there and in the decode engine's memory."""
         return (
-            backend.pending_s(now)
-            + self.uncached(backend, ask) / (backend.rate or DEFAULT_RATE)
-            + self.transfer_s(ask.tokens, backend.zone, decode_zone)
+            backend.pending_work_s(now)
+            + self.uncached_tokens(backend, request)
+            / (backend.tokens_per_s or DEFAULT_TOKENS_PER_S)
+            + self.transfer_s(request.tokens, backend.zone, decode_zone)
         )
 
-    def uncached(self, backend: Backend, ask: RouteAsk) -> int:
+    def uncached_tokens(self, backend: Backend, request: RouteRequest) -> int:
         """Return the prompt tokens that would have to be computed there."""
         if not self._mech.affinity:
-            return max(1, ask.tokens)
-        found = self.prefixes.matched(backend.name, ask.prefix) * ask.block_tokens
-        return max(1, ask.tokens - found)
+            return max(1, request.tokens)
+        found = self.prefixes.count_cached(backend.name, request.prefix) * request.block_tokens
+        return max(1, request.tokens - found)
 
-    def idle_prefill_s(self, pools: Iterable[str], ask: RouteAsk, now: float) -> float:
+    def idle_prefill_s(self, pools: Iterable[str], request: RouteRequest, now: float) -> float:
         """Return the seconds that the reading takes on the fastest engine, were it idle."""
-        rates = [b.rate for b in self.usable(pools, now) if b.rate > 0]
-        return ask.tokens / max(rates, default=DEFAULT_RATE)
+        rates = [b.tokens_per_s for b in self.usable_backends(pools, now) if b.tokens_per_s > 0]
+        return request.tokens / max(rates, default=DEFAULT_TOKENS_PER_S)
 
     def transfer_s(self, tokens: int, from_zone: str, to_zone: str) -> float:
         """Return the seconds a transfer of the KV cache takes on an idle link."""
-        weights = self.weights
+        weights = self.costs
         same = from_zone == to_zone
         rate = weights.same_zone_bytes_per_s if same else weights.cross_zone_bytes_per_s
         delay = 0.0 if same else weights.cross_zone_s
         return delay + (tokens * weights.kv_bytes_per_token / rate if rate else 0.0)
 
-    def report(
+    def record_report(
         self,
         name: str,
         now: float,
@@ -199,15 +198,15 @@
         backend = self.backends.get(name)
         if backend is None:
             return
-        backend.free = free
+        backend.free_slots = free
         backend.queued = queued
         backend.backlog_s = backlog_s
         backend.step_s = step_s
-        backend.rate = rate
+        backend.tokens_per_s = rate
         backend.draining = draining
-        backend.reported = now
-        backend.sent = 0
-        backend.sent_s = 0.0
+        backend.reported_at = now
+        backend.sent_since_report = 0
+        backend.sent_work_s = 0.0
 
 
 def _median(values: list[float]) -> float:
--- a/src/crankhinge/decisions/_standing.py
+++ b/src/crankhinge/decisions/_server_stats.py
@@ -7,136 +7,140 @@
 from dataclasses import dataclass, field
 
 from crankhinge.decisions._breaker import Breaker
-from crankhinge.decisions._servers import Phase, Server
+from crankhinge.decisions._servers import EngineRole, Server
 
 # Weight of the newest sample in the averages: some ten requests shape them.
-EWMA = 0.15
+EWMA_WEIGHT = 0.15
 # How much a failure share of one makes a server look slower.
 FAILURE_FACTOR = 8.0
 # Before anything was seen of any server all count as this fast, in seconds.
-FIRST_TOOK_S = 0.05
+DEFAULT_RESPONSE_S = 0.05
 # An engine that had no room for a reservation is asked again after this long, in seconds: with
 # twelve answers of three seconds in its memory, one ends four times as rarely.
-NO_ROOM_S = 0.06
+NO_CAPACITY_PAUSE_S = 0.06
 # After a refusal a server is left alone for this long, in seconds; twice as long after each further
 # one, up to the most. An engine that changes its part refuses for six seconds or more, and all
 # instances together may repeat a fifth of their requests only; a plain server that refuses at once
 # looks least busy, and would get most of the next calls.
-REFUSED_S = 0.7
-REFUSED_MOST_S = 6.0
+REFUSAL_PAUSE_S = 0.7
+MAX_REFUSAL_PAUSE_S = 6.0
 # A server in another availability zone looks this much slower; a few percent is what the way costs.
-FAR_FACTOR = 1.1
+OTHER_ZONE_FACTOR = 1.1
 
 
 @dataclass(frozen=True, slots=True)
-class PhaseChange:
+class RoleChange:
     """An order that a server has taken.
 
     Attributes:
-        phase: the part that it will play.
+        role: the part that it will play.
         until: when it does at the latest, or the order is over.
     """
 
-    phase: Phase
+    role: EngineRole
     until: float
 
 
 @dataclass
-class Standing:
+class ServerStats:
     """Beliefs about one server; ages are those of the requests that shaped them.
 
     Attributes:
-        open: requests of this instance in progress there.
-        tokens: memory in tokens that those requests take.
-        took_s: average time of an answer; 0 before the first.
-        failing: average share of failures.
+        open_requests: requests of this instance in progress there.
+        reserved_tokens: memory in tokens that those requests take.
+        mean_response_s: average time of an answer; 0 before the first.
+        failure_share: average share of failures.
         full_until: when to ask again after it refused for want of room; a guess. What it asks for
-            itself is kept in :class:`Bars`.
+            itself is kept in :class:`ServerExclusions`.
         limited_until: when it may be sent more than it says it takes all together.
-        refusals: in a row.
-        replaced: another server has its address.
-        change: the last order that it is known to have taken.
+        consecutive_refusals: in a row.
+        is_replaced: another server has its address.
+        role_change: the last order that it is known to have taken.
     """
 
-    open: int = 0
-    tokens: int = 0
-    took_s: float = 0.0
-    failing: float = 0.0
+    open_requests: int = 0
+    reserved_tokens: int = 0
+    mean_response_s: float = 0.0
+    failure_share: float = 0.0
     full_until: float = 0.0
     limited_until: float = 0.0
-    refusals: int = 0
-    replaced: bool = False
-    change: PhaseChange | None = None
+    consecutive_refusals: int = 0
+    is_replaced: bool = False
+    role_change: RoleChange | None = None
     breaker: Breaker = field(default_factory=Breaker)
 
-    def plays(self, phase: Phase, now: float) -> Phase:
-        """Return the part that it takes work for, when its entry tells *phase*.
+    def effective_role(self, listed_role: EngineRole, now: float) -> EngineRole:
+        """Return the part that it takes work for, when its entry tells *listed_role*.
 
         From an order on it refuses work for its old part, and its entry tells the new one some six
         seconds later. What is sent until then is refused, and each refusal is a repeat.
         """
-        change = self.change
-        return phase if change is None or now >= change.until else change.phase
+        change = self.role_change
+        return listed_role if change is None or now >= change.until else change.role
 
-    def succeeded(self, took_s: float) -> None:
+    def record_success(self, took_s: float) -> None:
         """Note an answer."""
-        self.took(took_s)
-        self.failing *= 1 - EWMA
-        self.refusals = 0
-        self.breaker.succeeded()
+        self.record_duration(took_s)
+        self.failure_share *= 1 - EWMA_WEIGHT
+        self.consecutive_refusals = 0
+        self.breaker.record_success()
 
-    def took(self, seconds: float) -> None:
+    def record_duration(self, seconds: float) -> None:
         """Note how long a request took, or how long it was waited for in vain."""
         # The first tells all: averages that begin elsewhere take a reader's ten answers to arrive.
-        self.took_s += (EWMA if self.took_s else 1.0) * (seconds - self.took_s)
+        self.mean_response_s += (EWMA_WEIGHT if self.mean_response_s else 1.0) * (
+            seconds - self.mean_response_s
+        )
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note a failure of the server itself."""
-        self.failing += EWMA * (1 - self.failing)
-        self.breaker.failed(now)
+        self.failure_share += EWMA_WEIGHT * (1 - self.failure_share)
+        self.breaker.record_failure(now)
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Note that the server took a request up without running it."""
-        self.failing += EWMA * (1 - self.failing)
-        self.full_until = now + min(REFUSED_MOST_S, REFUSED_S * 2.0**self.refusals)
-        self.refusals = min(10, self.refusals + 1)
+        self.failure_share += EWMA_WEIGHT * (1 - self.failure_share)
+        self.full_until = now + min(
+            MAX_REFUSAL_PAUSE_S, REFUSAL_PAUSE_S * 2.0**self.consecutive_refusals
+        )
+        self.consecutive_refusals = min(10, self.consecutive_refusals + 1)
 
-    def had_no_room(self, now: float, rng: random.Random) -> None:
+    def record_no_capacity(self, now: float, rng: random.Random) -> None:
         """Note that it had no room for a reservation; instances ask again at different times."""
         # The pause after a refusal is longer, and no shorter for this.
-        self.full_until = max(self.full_until, now + NO_ROOM_S * rng.uniform(0.7, 1.3))
+        self.full_until = max(self.full_until, now + NO_CAPACITY_PAUSE_S * rng.uniform(0.7, 1.3))
 
-    def at_limit(self, now: float, after_s: float) -> None:
+    def record_at_limit(self, now: float, after_s: float) -> None:
         """Note that it may be sent a request in *after_s*; several may be told different times."""
         until = now + after_s
         known = self.limited_until
         self.limited_until = min(known, until) if known > now else until
 
-    def cost(self, usual_s: float, *, far: bool) -> float:
+    def expected_cost(self, default_response_s: float, *, other_zone: bool) -> float:
         """Return the expected wait there, in arbitrary units.
 
         Args:
-            usual_s: what an answer is held to take where nothing was seen, in seconds.
-            far: whether it is in another availability zone.
+            default_response_s: what an answer is held to take where nothing was seen, in seconds.
+            other_zone: whether it is in another availability zone.
         """
-        took_s = max(self.took_s or usual_s, 0.001)
-        base = (self.open + 1) * took_s * (1 + FAILURE_FACTOR * self.failing)
-        return base * (FAR_FACTOR if far else 1.0)
+        took_s = max(self.mean_response_s or default_response_s, 0.001)
+        base = (self.open_requests + 1) * took_s * (1 + FAILURE_FACTOR * self.failure_share)
+        return base * (OTHER_ZONE_FACTOR if other_zone else 1.0)
 
 
-def _usual_s(standings: Iterable[Standing]) -> float:
+def _usual_s(standings: Iterable[ServerStats]) -> float:
     """Return what an answer is held to take at a server of which nothing was seen, in seconds.
 
     As the others on the mean: held for faster, a reader that came in the place of another would get
     the requests of all instances at once.
     """
-    seen = [standing.took_s for standing in standings if standing.took_s]
-    return sum(seen) / len(seen) if seen else FIRST_TOOK_S
+    seen = [standing.mean_response_s for standing in standings if standing.mean_response_s]
+    return sum(seen) / len(seen) if seen else DEFAULT_RESPONSE_S
 
 
 def pick_server(
     servers: Iterable[Server],
-    standing_of: Callable[[str], Standing],
+    stats_of: Callable[[str], ServerStats],
     *,
     zone: str,
     now: float,
@@ -151,21 +155,24 @@
     able = [
         server
         for server in servers
-        if server.ident not in avoid and standing_of(server.ident).limited_until <= now
+        if server.incarnation_id not in avoid
+        and stats_of(server.incarnation_id).limited_until <= now
     ]
     sound = [
         server
         for server in able
-        if standing_of(server.ident).breaker.allows(now)
-        and standing_of(server.ident).full_until <= now
+        if stats_of(server.incarnation_id).breaker.allows_request(now)
+        and stats_of(server.incarnation_id).full_until <= now
     ]
     choice = sound or able
     if not choice:
         return None
-    usual_s = _usual_s(standing_of(server.ident) for server in choice)
+    usual_s = _usual_s(stats_of(server.incarnation_id) for server in choice)
     costs = {
-        server.ident: standing_of(server.ident).cost(usual_s, far=server.zone != zone)
+        server.incarnation_id: stats_of(server.incarnation_id).expected_cost(
+            usual_s, other_zone=server.zone != zone
+        )
         * rng.uniform(1.0, 1.2)
         for server in choice
     }
-    return min(choice, key=lambda server: costs[server.ident])
+    return min(choice, key=lambda server: costs[server.incarnation_id])
--- a/src/crankhinge/decisions/_servers.py
+++ b/src/crankhinge/decisions/_servers.py
@@ -14,22 +14,22 @@
 
 # Seconds after the list's return within which living servers have entered themselves again (two
 # heartbeats of 1.2 s at most, as the operators of the list state it).
-RETURN_S = 2.3
+REENTRY_S = 2.3
 # Entries that lapse do so together; fewer than this many missing at once are servers that left,
 # unless the list's keeper is known to have been away.
-LAPSED_LEAST = 2
+MIN_LAPSED_TOGETHER = 2
 
 # Servers that are gone whose last entry is remembered; entries are written late by seconds, in
 # which no fleet loses as many.
-GONE_KEPT = 4096
+MAX_TRACKED_GONE = 4096
 
 
-class Phase(enum.Enum):
+class EngineRole(enum.Enum):
     """The part that a server plays."""
 
     PLAIN = "plain"
-    READ = "read"
-    WRITE = "write"
+    PREFILL = "read"
+    DECODE = "write"
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,16 +42,16 @@
         host: IP address.
         port: TCP port.
         zone: availability zone.
-        phase: reads prompts, writes answers, or neither.
+        role: reads prompts, writes answers, or neither.
         slots: requests at once.
         leaving: takes no new work.
-        beat: rises with each of its entries.
-        entered: when the entry came into being, as the list's keeper counts; it stays as long as
-            the entry does not lapse.
+        heartbeat: rises with each of its entries.
+        entry_created: when the entry came into being, as the list's keeper counts; it stays as
+            long as the entry does not lapse.
         models: names of the models that it holds; empty where it tells of none.
-        born: Unix millisecond of its start; 0 where it tells none.
-        ident: of this life. Whatever is known or held of a server goes by it, so that nothing of
-            an earlier life is believed of a later one.
+        started_ms: Unix millisecond of its start; 0 where it tells none.
+        incarnation_id: of this life. Whatever is known or held of a server goes by it, so that
+            nothing of an earlier life is believed of a later one.
     """
 
     name: str
@@ -59,44 +59,44 @@
     host: str
     port: int
     zone: str
-    phase: Phase
+    role: EngineRole
     slots: int
     leaving: bool
-    beat: int
-    entered: int = 0
+    heartbeat: int
+    entry_created: int = 0
     models: frozenset[str] = frozenset()
-    born: int = 0
-    ident: str = field(init=False)
+    started_ms: int = 0
+    incarnation_id: str = field(init=False)
 
     def __post_init__(self) -> None:
-        ident = f"{self.name}@{self.born}" if self.born else self.name
-        object.__setattr__(self, "ident", ident)
+        ident = f"{self.name}@{self.started_ms}" if self.started_ms else self.name
+        object.__setattr__(self, "incarnation_id", ident)
 
     @property
-    def age(self) -> tuple[int, int]:
+    def entry_version(self) -> tuple[int, int]:
         """Orders the entries of one name: by the life, then by its count."""
-        return self.born, self.beat
+        return self.started_ms, self.heartbeat
 
-    def holds(self, model: str) -> bool:
+    def serves_model(self, model: str) -> bool:
         """Whether it answers requests for *model*; empty stands for no model in particular."""
         return not model or not self.models or model in self.models
 
 
 @dataclass(frozen=True)
-class ListChange:
+class ServerListChange:
     """What entries changed in the belief about servers.
 
     Attributes:
-        seen: servers that are new, or that leave or play another part now.
-        dropped: identities of servers that have gone.
-        doubted: identities of servers that are kept without an entry from now on.
-        reborn: identities of lives that ended, as the name's next life tells.
+        changed: servers that are new, or that leave or play another part now.
+        removed: identities of servers that have gone.
+        suspected: identities of servers that are kept without an entry from now on.
+        restarted: identities of lives that ended, as the name's next life tells.
     """
 
-    seen: tuple[Server, ...]
-    dropped: tuple[str, ...]
-    doubted: tuple[str, ...]
-    reborn: tuple[str, ...] = ()
+    changed: tuple[Server, ...]
+    removed: tuple[str, ...]
+    suspected: tuple[str, ...]
+    restarted: tuple[str, ...] = ()
 
 
 class ServerList:
@@ -115,71 +115,73 @@
         """Return every server believed in, leaving ones and doubted ones too."""
         return self._known.values()
 
-    def get(self, ident: str) -> Server | None:
+    def get(self, incarnation_id: str) -> Server | None:
         """Return a server by the identity of its life."""
-        return self._known.get(ident)
+        return self._known.get(incarnation_id)
 
-    def leaves(self, ident: str) -> bool:
+    def is_leaving(self, incarnation_id: str) -> bool:
         """Whether a server said that it leaves; it may have gone since."""
-        known = self._known.get(ident)
-        return known.leaving if known is not None else ident in self._left
+        known = self._known.get(incarnation_id)
+        return known.leaving if known is not None else incarnation_id in self._left
 
-    def doubts(self, ident: str) -> bool:
+    def is_suspect(self, incarnation_id: str) -> bool:
         """Whether the server has no entry and is kept since that may have lapsed."""
-        return ident in self._doubted
+        return incarnation_id in self._doubted
 
-    def doubted(self) -> list[str]:
+    def suspects(self) -> list[str]:
         """Return the identities of servers that are kept without an entry."""
         return list(self._doubted)
 
-    def take(self, server: Server) -> bool:
+    def apply_entry(self, server: Server) -> bool:
         """Take an entry; returns whether it changed anything."""
-        known = self.named(server.name)
-        last = known.age if known else self._last.get(server.name, (-1, -1))
-        if server.age < last or (known is None and server.age == last):
+        known = self.get_by_name(server.name)
+        last = known.entry_version if known else self._last.get(server.name, (-1, -1))
+        if server.entry_version < last or (known is None and server.entry_version == last):
             return False
-        if known is not None and known.ident != server.ident:
-            self._drop(known.ident)
-        self._doubted.pop(server.ident, None)
-        self._known[server.ident] = server
-        self._idents[server.name] = server.ident
+        if known is not None and known.incarnation_id != server.incarnation_id:
+            self._drop(known.incarnation_id)
+        self._doubted.pop(server.incarnation_id, None)
+        self._known[server.incarnation_id] = server
+        self._idents[server.name] = server.incarnation_id
         return known != server
 
-    def named(self, name: str) -> Server | None:
+    def get_by_name(self, name: str) -> Server | None:
         """Return the server that the platform calls *name*."""
         return self._known.get(self._idents.get(name, ""))
 
-    def replace(
+    def apply_list(
         self,
         servers: Iterable[Server],
         now: float,
         *,
-        was_away: bool,
+        was_unreachable: bool,
         unusable: Iterable[str] = (),
-    ) -> ListChange:
+    ) -> ServerListChange:
         """Take a whole list.
 
         Args:
             servers: every entry that names a server to use.
             unusable: names whose entries name none.
             now: on the runtime's clock, in seconds.
-            was_away: whether the list's keeper could not be reached since the last word.
+            was_unreachable: whether the list's keeper could not be reached since the last word.
         """
         listed = {server.name: server for server in servers}
         refused = self._refuse(unusable)
-        missing = [known.ident for known in self._known.values() if known.name not in listed]
-        lapsed = self._lapsed(listed, missing, was_away=was_away)
+        missing = [
+            known.incarnation_id for known in self._known.values() if known.name not in listed
+        ]
+        lapsed = self._lapsed(listed, missing, was_away=was_unreachable)
         return self._take_all(listed.values(), missing, now, lapsed=lapsed, refused=refused)
 
-    def change(
+    def apply_changes(
         self,
         servers: Iterable[Server],
         gone: Iterable[str],
         now: float,
         *,
-        was_away: bool,
+        was_unreachable: bool,
         unusable: Iterable[str] = (),
-    ) -> ListChange:
+    ) -> ServerListChange:
         """Take what changed at once.
 
         Args:
@@ -187,12 +189,12 @@
             gone: names whose entries have ended.
             unusable: names whose entries no longer name a server to use.
             now: on the runtime's clock, in seconds.
-            was_away: as for :meth:`replace`.
+            was_unreachable: as for :meth:`replace`.
         """
         written = {server.name: server for server in servers}
         refused = self._refuse(unusable)
         missing = [self._idents[name] for name in gone if name in self._idents]
-        lapsed = self._lapsed(written, missing, was_away=was_away)
+        lapsed = self._lapsed(written, missing, was_away=was_unreachable)
         return self._take_all(written.values(), missing, now, lapsed=lapsed, refused=refused)
 
     def _refuse(self, unusable: Iterable[str]) -> tuple[str, ...]:
@@ -209,13 +211,13 @@
         Where most stand as they did, or as many others have come, the missing servers left.
         """
         anew = sum(
-            known.entered != seen[known.name].entered
+            known.entry_created != seen[known.name].entry_created
             for known in self._known.values()
             if known.name in seen
         )
         others = sum(name not in self._idents for name in seen)
         standing = len(self._known) - len(missing) - anew
-        least = 1 if was_away else LAPSED_LEAST
+        least = 1 if was_away else MIN_LAPSED_TOGETHER
         return len(missing) >= least and len(missing) + anew > standing and others < len(missing)
 
     def _take_all(
@@ -226,7 +228,7 @@
         *,
         lapsed: bool,
         refused: tuple[str, ...],
-    ) -> ListChange:
+    ) -> ServerListChange:
         before = {server.name: self._idents.get(server.name) for server in servers}
         seen = tuple(server for server in servers if self._take_new(server))
         dropped = tuple(ident for ident in missing if not lapsed or self._known[ident].leaving)
@@ -235,24 +237,24 @@
         doubted = tuple(
             ident for ident in missing if ident in self._known and ident not in self._doubted
         )
-        self._doubted.update(dict.fromkeys(doubted, now + RETURN_S))
+        self._doubted.update(dict.fromkeys(doubted, now + REENTRY_S))
         reborn = tuple(
             ident for name, ident in before.items() if ident and ident != self._idents[name]
         )
-        return ListChange(seen, refused + dropped, doubted, reborn)
+        return ServerListChange(seen, refused + dropped, doubted, reborn)
 
     def _take_new(self, server: Server) -> bool:
         """Take an entry; returns whether it says more than that its server lives."""
-        known = self._known.get(server.ident)
-        return self.take(server) and (
-            known is None or known.leaving != server.leaving or known.phase != server.phase
+        known = self._known.get(server.incarnation_id)
+        return self.apply_entry(server) and (
+            known is None or known.leaving != server.leaving or known.role != server.role
         )
 
-    def next_expiry(self) -> float | None:
+    def next_suspect_expiry(self) -> float | None:
         """Return when the next doubted server's time is up; None without one."""
         return min(self._doubted.values(), default=None)
 
-    def expire(self, now: float) -> list[str]:
+    def expire_suspects(self, now: float) -> list[str]:
         """Drop doubted servers whose time is up; returns their identities."""
         over = [ident for ident, until in self._doubted.items() if until <= now]
         for ident in over:
@@ -263,9 +265,9 @@
         self._doubted.pop(ident, None)
         server = self._known.pop(ident)
         del self._idents[server.name]
-        self._last[server.name] = server.age
+        self._last[server.name] = server.entry_version
         if server.leaving:
             self._left[ident] = None
         for table in (self._last, self._left):
-            if len(table) > GONE_KEPT:
+            if len(table) > MAX_TRACKED_GONE:
                 del table[next(iter(table))]
--- a/src/crankhinge/decisions/_shared_limits.py
+++ b/src/crankhinge/decisions/_shared_limits.py
@@ -19,51 +19,51 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from crankhinge.decisions._advertised_limits import MAX_TRACKED_SERVERS, AdvertisedLimits
 from crankhinge.decisions._bounded import keep_newest
-from crankhinge.decisions._limit_pool import LimitPool, LimitWord, burst
-from crankhinge.decisions._members import Members
-from crankhinge.decisions._named_limits import MOST_NAMED, NamedLimits
-from crankhinge.decisions._silences import Silences
+from crankhinge.decisions._membership import Membership
+from crankhinge.decisions._permit_pool import PermitDecision, PermitPool, burst_limit
+from crankhinge.decisions._unresponsive import UnresponsivePeers
 
 # Seconds for which a share is lent, at least and for each instance; it is lent anew thrice in that
 # time. A borrower that dies takes the shares with it for as long; the more instances, the longer,
 # so that whoever hands out gets no more such words in a large fleet.
-LEND_S = 2.4
-LEND_S_EACH = 0.08
-LEND_TIMES = 3
+MIN_SHARE_LEASE_S = 2.4
+SHARE_LEASE_S_PER_INSTANCE = 0.08
+RENEWALS_PER_LEASE = 3
 # Instances that may hand out for a server, in its order, before one relies on its own share.
-ALLOCATORS = 2
+MAX_ALLOCATORS = 2
 # Questions in a row that an instance may leave unanswered before it is passed over: a lossy link
 # drops three datagrams in a hundred.
-MISSES = 2
+MAX_MISSES = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Stamp:
+class ClockStamp:
     """A moment of a borrower's clock.
 
     Attributes:
-        life: number of the borrower's life; a later one knows nothing of what was lent.
+        incarnation: number of the borrower's life; a later one knows nothing of what was lent.
         at: on its clock, in seconds.
     """
 
-    life: int
+    incarnation: int
     at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Loan:
+class ShareLease:
     """A share as its lender tells.
 
     Attributes:
         stamp: the latest moment of the borrower's clock that the lender has seen.
-        for_s: seconds for which it is lent.
-        fleet: instances that the lender counts.
+        duration_s: seconds for which it is lent.
+        fleet_size: instances that the lender counts.
     """
 
-    stamp: Stamp
-    for_s: float
-    fleet: int
+    stamp: ClockStamp
+    duration_s: float
+    fleet_size: int
 
 
 class SharedLimits:
@@ -71,23 +71,23 @@
 
     Args:
         name: of this instance.
-        members: the instances.
-        life: number of this instance's life, unlike that of any other.
+        membership: the instances.
+        incarnation: number of this instance's life, unlike that of any other.
         now: on the runtime's clock, in seconds.
 
     Attributes:
-        limits: what servers name.
+        advertised: what servers name.
     """
 
-    def __init__(self, *, name: str, members: Members, life: int, now: float) -> None:
-        self.limits = NamedLimits()
+    def __init__(self, *, name: str, membership: Membership, incarnation: int, now: float) -> None:
+        self.advertised = AdvertisedLimits()
         self._name = name
-        self._members = members
-        self._life = life
+        self._members = membership
+        self._life = incarnation
         self._began = now
-        self._silences = Silences(MISSES)
-        self._stamps: dict[str, Stamp] = {}
-        self._pools: dict[str, LimitPool] = {}
+        self._silences = UnresponsivePeers(MAX_MISSES)
+        self._stamps: dict[str, ClockStamp] = {}
+        self._pools: dict[str, PermitPool] = {}
         # To whom the own share of a server's limit is lent, and until when.
         self._lent: dict[str, tuple[str, float]] = {}
 
@@ -97,126 +97,128 @@
         """Return whom to ask, one after the other, until one answers."""
         return [
             name
-            for name in self._members.ranked(server)[:ALLOCATORS]
-            if name == self._name or not self._silences.passed_over(name, now)
+            for name in self._members.rank_instances(server)[:MAX_ALLOCATORS]
+            if name == self._name or not self._silences.is_skipped(name, now)
         ]
 
-    def hands_out(self, server: str) -> bool:
+    def is_allocator(self, server: str) -> bool:
         """Whether others may ask this instance for requests to a server."""
-        return self._name in self._members.ranked(server)[:ALLOCATORS]
+        return self._name in self._members.rank_instances(server)[:MAX_ALLOCATORS]
 
-    def silent(self, name: str, now: float) -> None:
+    def record_unresponsive(self, name: str, now: float) -> None:
         """Note that an instance did not answer."""
-        self._silences.silent(name, now)
+        self._silences.record_unresponsive(name, now)
 
-    def answered(self, name: str, stamp: Stamp) -> None:
+    def record_response(self, name: str, stamp: ClockStamp) -> None:
         """Note that an instance answered, and the moment of its clock that it told."""
-        self._silences.answered(name)
+        self._silences.record_response(name)
         self._stamps[name] = stamp
 
-    def has_come(self, name: str) -> None:
+    def record_joined(self, name: str) -> None:
         """Note that an instance has come."""
-        self._silences.answered(name)
+        self._silences.record_response(name)
 
     # Lending.
 
     @property
-    def lend_s(self) -> float:
+    def lease_s(self) -> float:
         """For how long shares are lent, in seconds."""
-        return max(LEND_S, LEND_S_EACH * self._members.fleet)
+        return max(MIN_SHARE_LEASE_S, SHARE_LEASE_S_PER_INSTANCE * self._members.fleet_size)
 
     @property
-    def renew_s(self) -> float:
+    def renewal_interval_s(self) -> float:
         """Seconds between words that lend the share anew."""
-        return self.lend_s / LEND_TIMES
+        return self.lease_s / RENEWALS_PER_LEASE
 
-    def lend(self, server: str, borrower: str, now: float) -> Loan | None:
+    def lease_out(self, server: str, allocator: str, now: float) -> ShareLease | None:
         """Lend the own share of a server's limit; None where it can't be lent to that instance."""
-        stamp = self._stamps.get(borrower)
+        stamp = self._stamps.get(allocator)
         # Lent to one that is gone, the share would be nobody's for as long.
-        if stamp is None or self._silences.doubted(borrower):
+        if stamp is None or self._silences.missed_last(allocator):
             return None
-        if not self._may_lend(server, borrower, now):
+        if not self._may_lend(server, allocator, now):
             return None
-        for_s = self.lend_s
-        self._note_lent(server, borrower, now + for_s)
-        return Loan(stamp, for_s, self._members.fleet)
+        for_s = self.lease_s
+        self._note_lent(server, allocator, now + for_s)
+        return ShareLease(stamp, for_s, self._members.fleet_size)
 
     def _may_lend(self, server: str, borrower: str, now: float) -> bool:
         # A life before may have lent it.
-        if not self._members.knows_fleet(now) or now < self._began + self.lend_s:
+        if not self._members.may_use_equal_share(now) or now < self._began + self.lease_s:
             return False
         to, until = self._lent.get(server, (borrower, 0.0))
         return to == borrower or until <= now
 
     def _note_lent(self, server: str, borrower: str, until: float) -> None:
-        keep_newest(self._lent, server, (borrower, until), MOST_NAMED)
+        keep_newest(self._lent, server, (borrower, until), MAX_TRACKED_SERVERS)
 
     # Handing out.
 
-    def stamp(self, now: float) -> Stamp:
+    def stamp(self, now: float) -> ClockStamp:
         """Return this moment of this instance's clock, for those that lend to it."""
-        return Stamp(self._life, now)
+        return ClockStamp(self._life, now)
 
-    def borrow(self, server: str, lender: str, loan: Loan, now: float) -> None:
+    def accept_lease(self, server: str, lender: str, lease: ShareLease, now: float) -> None:
         """Take the share of another instance."""
-        if loan.stamp.life != self._life or loan.stamp.at > now:
+        if lease.stamp.incarnation != self._life or lease.stamp.at > now:
             return
         pool = self._pool(server, now)
         if pool is not None:
-            until = loan.stamp.at + loan.for_s
-            pool.lend(lender, until, self._members.fleet, now, counted=loan.fleet)
-
-    def hand_out(
-        self, server: str, within_s: float, now: float, *, caller: bool = False
-    ) -> LimitWord:
+            until = lease.stamp.at + lease.duration_s
+            pool.add_share(
+                lender, until, self._members.fleet_size, now, lender_fleet_size=lease.fleet_size
+            )
+
+    def take_permit(
+        self, server: str, within_s: float, now: float, *, for_caller: bool = False
+    ) -> PermitDecision:
         """Hand out a request to a server, or tell when to ask again.
 
         Args:
             server: its identity.
             within_s: seconds within which the request is to be sent.
             now: on the runtime's clock, in seconds.
-            caller: whether a caller is told when to come back.
+            for_caller: whether a caller is told when to come back.
         """
         pool = self._pool(server, now)
         if pool is None:
-            return LimitWord(True)
-        self.use_own(server, now)
-        return pool.take(within_s, self._members.fleet, now, caller=caller)
+            return PermitDecision(True)
+        self.use_local_share(server, now)
+        return pool.take_permit(within_s, self._members.fleet_size, now, for_caller=for_caller)
 
-    def use_own(self, server: str, now: float) -> None:
+    def use_local_share(self, server: str, now: float) -> None:
         """Lend the own share to this instance itself, where that lets it send anything."""
         pool = self._pool(server, now)
         if pool is None or not self._may_lend(server, self._name, now):
             return
-        fleet = self._members.fleet
-        if not self.hands_out(server) and burst(pool.per_s, 1.0 / fleet) < 1.0:
+        fleet = self._members.fleet_size
+        if not self.is_allocator(server) and burst_limit(pool.per_s, 1.0 / fleet) < 1.0:
             return
-        until = now + self.lend_s
+        until = now + self.lease_s
         self._note_lent(server, self._name, until)
-        pool.lend(self._name, until, fleet, now, counted=fleet)
+        pool.add_share(self._name, until, fleet, now, lender_fleet_size=fleet)
 
-    def give_back(self, server: str, now: float) -> None:
+    def return_permit(self, server: str, now: float) -> None:
         """Take back a request that was not sent."""
         pool = self._pool(server, now)
         if pool is not None:
-            pool.give_back(self._members.fleet, now)
+            pool.return_permit(self._members.fleet_size, now)
 
-    def part(self, server: str) -> float:
+    def leased_fraction(self, server: str) -> float:
         """Return the part of a server's limit that was lent to this instance."""
         pool = self._pools.get(server)
-        return 0.0 if pool is None else pool.part(self._members.fleet)
+        return 0.0 if pool is None else pool.leased_fraction(self._members.fleet_size)
 
-    def _pool(self, server: str, now: float) -> LimitPool | None:
+    def _pool(self, server: str, now: float) -> PermitPool | None:
         """Return what may be sent to a server; None where it names no limit."""
-        limit = self.limits.get(server)
+        limit = self.advertised.get(server)
         if limit is None:
             self._pools.pop(server, None)
             return None
         pool = self._pools.get(server)
         if pool is None:
-            pool = LimitPool(limit.per_s, now)
-            keep_newest(self._pools, server, pool, MOST_NAMED)
+            pool = PermitPool(limit.per_s, now)
+            keep_newest(self._pools, server, pool, MAX_TRACKED_SERVERS)
         elif pool.per_s != limit.per_s:
-            pool.rate(limit.per_s, self._members.fleet, now)
+            pool.set_rate(limit.per_s, self._members.fleet_size, now)
         return pool
--- a/src/crankhinge/decisions/_slots.py
+++ b/src/crankhinge/decisions/_slots.py
@@ -9,35 +9,35 @@
 
 from dataclasses import dataclass
 
-from crankhinge.decisions._asks import Refuse, SlotAsk
-from crankhinge.decisions._fair import ONE_FLOW, ONE_WEIGHT, FairQueue
+from crankhinge.decisions._fair import SINGLE_FLOW, SINGLE_FLOW_WEIGHT, FairQueue
 from crankhinge.decisions._mechanisms import FULL, Mechanisms
+from crankhinge.decisions._requests import Refusal, SlotRequest
 
-DEFAULT_HOLD_S = 2.0
-MEAN_GAIN = 0.1
+DEFAULT_LEASE_MARGIN_S = 2.0
+EWMA_WEIGHT = 0.1
 
 
 @dataclass(frozen=True)
-class Grant:
+class SlotGrant:
     """A slot is leased to ``req``; it is expected to be free in ``ready`` seconds."""
 
     req: int
-    ready: float
-    lease: float
+    ready_in_s: float
+    lease_s: float
 
 
-SlotDecision = Grant | Refuse
+SlotDecision = SlotGrant | Refusal
 
 
 @dataclass
 class _Lease:
-    ask: SlotAsk
+    ask: SlotRequest
     expires: float
 
 
 @dataclass
 class _Running:
-    ask: SlotAsk
+    ask: SlotRequest
     since: float
     produced: int = 0
 
@@ -57,24 +57,24 @@
         *,
         capacity: int,
         step_s: float,
-        hold_s: float = DEFAULT_HOLD_S,
+        hold_s: float = DEFAULT_LEASE_MARGIN_S,
         mech: Mechanisms = FULL,
     ) -> None:
         self.capacity = capacity
         self.step_s = step_s
-        self.foreign = 0
-        self.closed = False
+        self.foreign_requests = 0
+        self.is_closed = False
         self._hold_s = hold_s
         self._mech = mech
         self._mean_hold_s = 0.0
         self._leases: dict[int, _Lease] = {}
         self._running: dict[int, _Running] = {}
-        self._queue: FairQueue[SlotAsk] = FairQueue()
+        self._queue: FairQueue[SlotRequest] = FairQueue()
 
     @property
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Slots neither running, leased nor held by somebody else's request."""
-        return self.capacity - len(self._running) - len(self._leases) - self.foreign
+        return self.capacity - len(self._running) - len(self._leases) - self.foreign_requests
 
     @property
     def running(self) -> int:
@@ -87,16 +87,16 @@
         return len(self._queue)
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether any request holds or awaits a slot."""
         return bool(self._leases or self._running or len(self._queue))
 
     def backlog_s(self, now: float) -> float:
         """Return the seconds until a slot would come free for one more request."""
-        if self.free > 0 and not self._queue:
+        if self.free_slots > 0 and not self._queue:
             return 0.0
         ends = sorted(self._ends(now))
-        ahead = len(self._queue) + max(0, -self.free)
+        ahead = len(self._queue) + max(0, -self.free_slots)
         if not ends:
             return self._mean_hold_s
         rounds, place = divmod(ahead, max(1, len(ends)))
@@ -110,28 +110,28 @@
         """Return when each held slot is free at the latest, in no order."""
         ends = [self._end_of(run, now) for run in self._running.values()]
         for lease in self._leases.values():
-            ends.append(now + lease.ask.lead + lease.ask.max_tokens * self.step_s)
+            ends.append(now + lease.ask.lead_s + lease.ask.max_tokens * self.step_s)
         return ends
 
-    def ask(self, ask: SlotAsk, now: float) -> list[SlotDecision]:
+    def submit(self, request: SlotRequest, now: float) -> list[SlotDecision]:
         """Queue a request; grants, or refuses at once when its time can't be met."""
-        if self.closed:
-            return [Refuse(ask.req, "draining", 0.0)]
-        wait = self._expected_wait(ask, now)
-        if self._mech.refuse_early and now + wait > ask.deadline:
-            return [Refuse(ask.req, "overloaded", max(0.1, wait))]
+        if self.is_closed:
+            return [Refusal(request.req, "draining", 0.0)]
+        wait = self._expected_wait(request, now)
+        if self._mech.refuse_early and now + wait > request.deadline:
+            return [Refusal(request.req, "overloaded", max(0.1, wait))]
         fair = self._mech.fair
         self._queue.push(
-            ask.req,
-            ask,
-            path=ask.path if fair else ONE_FLOW,
-            weights=ask.weights if fair else ONE_WEIGHT,
-            deadline=ask.deadline,
-            cost=float(ask.max_tokens),
+            request.req,
+            request,
+            path=request.flow if fair else SINGLE_FLOW,
+            weights=request.flow_weights if fair else SINGLE_FLOW_WEIGHT,
+            deadline=request.deadline,
+            cost=float(request.max_tokens),
         )
         return self.tick(now)
 
-    def _expected_wait(self, ask: SlotAsk, now: float) -> float:
+    def _expected_wait(self, ask: SlotRequest, now: float) -> float:
         """Return the seconds until this request's flow would be given a slot.
 
         The flow is served at its share of the engine, so a rival's long queue doesn't count
@@ -140,22 +140,22 @@
         if not self._queue and self._room_for(ask, now):
             return 0.0
         tokens_per_s = self.capacity / max(self.step_s, 1e-6)
-        share = self._queue.share(ask.path, ask.weights)
-        own = self._queue.waiting_cost(ask.path) / (tokens_per_s * share)
-        return own + self._until_next_end(now, ask.lead)
+        share = self._queue.share(ask.flow, ask.flow_weights)
+        own = self._queue.waiting_cost(ask.flow) / (tokens_per_s * share)
+        return own + self._until_next_end(now, ask.lead_s)
 
     def _until_next_end(self, now: float, lead: float) -> float:
         ends = self._ends(now)
         return max(0.0, min(ends) - now - lead) if ends else 0.0
 
-    def _room_for(self, ask: SlotAsk, now: float) -> bool:
-        if self.free > 0:
+    def _room_for(self, ask: SlotRequest, now: float) -> bool:
+        if self.free_slots > 0:
             return True
         if not self._mech.ahead:
             return False
-        by = now + ask.lead
+        by = now + ask.lead_s
         ending = sum(1 for run in self._running.values() if self._end_of(run, now) <= by)
-        return self.free + ending > 0
+        return self.free_slots + ending > 0
 
     def tick(self, now: float) -> list[SlotDecision]:
         """Let leases and waiting requests expire, and grant what there is room for."""
@@ -166,11 +166,11 @@
             out.append(self._grant(head, now))
         return out
 
-    def _grant(self, ask: SlotAsk, now: float) -> Grant:
-        lease = ask.lead + self._hold_s
-        ready = 0.0 if self.free > 0 else self._until_next_end(now, 0.0)
+    def _grant(self, ask: SlotRequest, now: float) -> SlotGrant:
+        lease = ask.lead_s + self._hold_s
+        ready = 0.0 if self.free_slots > 0 else self._until_next_end(now, 0.0)
         self._leases[ask.req] = _Lease(ask, now + lease)
-        return Grant(ask.req, ready, lease)
+        return SlotGrant(ask.req, ready, lease)
 
     def _expire_leases(self, now: float) -> None:
         late = [req for req, lease in self._leases.items() if lease.expires <= now]
@@ -182,18 +182,18 @@
         for ask in self._queue.items():
             if now > ask.deadline:
                 self._queue.remove(ask.req)
-                out.append(Refuse(ask.req, "overloaded", max(0.1, self._until_next_end(now, 0.0))))
+                out.append(Refusal(ask.req, "overloaded", max(0.1, self._until_next_end(now, 0.0))))
         return out
 
     def can_start(self, req: int) -> bool:
         """Whether the leased slot is free in the engine by now."""
-        return req in self._leases and len(self._running) + self.foreign < self.capacity
+        return req in self._leases and len(self._running) + self.foreign_requests < self.capacity
 
-    def leased(self, req: int) -> bool:
+    def is_leased(self, req: int) -> bool:
         """Whether *req* holds a lease it has not used yet."""
         return req in self._leases
 
-    def holds(self, req: int) -> bool:
+    def has_request(self, req: int) -> bool:
         """Whether *req* runs, is leased a slot or waits for one."""
         return req in self._leases or req in self._running or req in self._queue
 
@@ -205,24 +205,24 @@
         self._running[req] = _Running(lease.ask, now)
         return True
 
-    def progress(self, req: int, produced: int) -> None:
+    def record_progress(self, req: int, produced: int) -> None:
         """Note how many tokens of the answer there are."""
         run = self._running.get(req)
         if run is not None:
             run.produced = produced
 
-    def end(self, req: int, now: float) -> list[SlotDecision]:
+    def release(self, req: int, now: float) -> list[SlotDecision]:
         """Free whatever *req* holds or waits for; returns the grants that this allows."""
         self._queue.remove(req)
         self._leases.pop(req, None)
         run = self._running.pop(req, None)
         if run is not None:
             held = now - run.since
-            gain = MEAN_GAIN if self._mean_hold_s else 1.0
+            gain = EWMA_WEIGHT if self._mean_hold_s else 1.0
             self._mean_hold_s += gain * (held - self._mean_hold_s)
         return self.tick(now)
 
-    def next_event(self) -> float | None:
+    def next_tick_at(self) -> float | None:
         """Return when :meth:`tick` has something to do at the latest."""
         times = [lease.expires for lease in self._leases.values()]
         times += [ask.deadline for ask in self._queue.items()]
