--- a/src/crankhinge/decisions/_split.py
+++ b/src/crankhinge/decisions/_split.py
@@ -11,55 +11,57 @@
 from dataclasses import dataclass
 
 # Weight of the newest sample: some fifty requests shape an average, a few seconds of traffic.
-WEIGHT = 0.02
-SHAPING = 50
+EWMA_WEIGHT = 0.02
+EWMA_SAMPLES = 50
 # Requests let in and answers ended before anything is said, and answers before more engines are
 # asked to read: a calm moment right after a start must not undo a split that a burst needs.
-FEW_ADMITTED = 10
-FEW_ANSWERS = 3
-MANY_ANSWERS = 60
+MIN_ADMITTED = 10
+MIN_ANSWERS = 3
+MIN_ANSWERS_TO_GROW_PREFILL = 60
 # Readings are compared by length in classes of this many tokens, each with some readings.
-CLASS_TOKENS = 1000
-CLASS_SAMPLES = 3
+LENGTH_CLASS_TOKENS = 1000
+MIN_CLASS_SAMPLES = 3
 # Newest readings of a class that are remembered, and the part of them, fastest first, that is
 # passed over: a prompt that the engine still kept is read in no time.
-CLASS_KEPT = 20
-PASSED_OVER = 4
+MAX_CLASS_SAMPLES = 20
+FAST_QUANTILE_DIVISOR = 4
 # Newest readings that an instance tells the others, some 15 bytes each: a few of each instance show
 # together what reading takes, while each by itself, at four readings, holds waits for work.
-TOLD_READINGS = 12
+MAX_PUBLISHED_PREFILLS = 12
 # Least part of a fast reading that is counted as work, whatever the slope says: a short
 # reading that had to wait makes the slope look flat.
-LEAST_PART = 0.6
+MIN_WORK_SHARE = 0.6
 # Engines that read are loaded so many times less than those that write: what a prompt waits behind
 # others its caller waits, while a full writer only turns requests away. Far more than this takes
 # the memory to write in away again.
-READ_HEADROOM = 1.3
+PREFILL_HEADROOM = 1.3
 # Engines left in each pool as long as there are others: one that crashes must not be the last.
-LEAST_POOL = 2
+MIN_POOL_ENGINES = 2
 # A change costs an engine's work for seconds; it has to lower the larger load by this part.
-GAIN = 0.12
+MIN_GAIN = 0.12
 # One change takes a pool's engines divided by this at most: what was seen may be wrong.
-POOL_DIVISOR = 3
+MAX_CHANGE_DIVISOR = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Loads:
+class PoolLoads:
     """Work of the mean request.
 
     Attributes:
-        read_s: seconds of an engine that reads.
-        write_s: seconds of the whole memory of an engine that writes.
+        prompt_s: seconds of an engine that reads.
+        answer_s: seconds of the whole memory of an engine that writes.
     """
 
-    read_s: float
-    write_s: float
+    prompt_s: float
+    answer_s: float
 
-    def larger(self, readers: int, writers: int) -> float:
+    def max_per_engine(self, prompt_engines: int, decode_engines: int) -> float:
         """Return the load per engine of the pool that is loaded more, readings with headroom."""
-        if readers < 1 or writers < 1:
+        if prompt_engines < 1 or decode_engines < 1:
             return float("inf")
-        return max(READ_HEADROOM * self.read_s / readers, self.write_s / writers)
+        return max(
+            PREFILL_HEADROOM * self.prompt_s / prompt_engines, self.answer_s / decode_engines
+        )
 
 
 class _Length:
@@ -79,7 +81,7 @@
     def fast(self) -> tuple[float, int]:
         """Seconds and tokens of a reading that did not wait and was no kept prompt."""
         ordered = sorted(self._readings)
-        return ordered[len(ordered) // PASSED_OVER]
+        return ordered[len(ordered) // FAST_QUANTILE_DIVISOR]
 
 
 class _Lengths:
@@ -98,24 +100,24 @@
 
     def add(self, tokens: int, took_s: float) -> None:
         """Note a reading."""
-        length = self._by_class.setdefault(tokens // CLASS_TOKENS, _Length(self._kept))
+        length = self._by_class.setdefault(tokens // LENGTH_CLASS_TOKENS, _Length(self._kept))
         length.add(tokens, took_s)
 
     def token_s(self) -> float:
         """Return the seconds that a token keeps an engine busy, rather too many than too few."""
         lengths = list(self._by_class.values())
-        seen = [length for length in lengths if len(length) >= CLASS_SAMPLES] or lengths
+        seen = [length for length in lengths if len(length) >= MIN_CLASS_SAMPLES] or lengths
         fast = sorted((length.fast for length in seen), key=lambda reading: reading[1])
         (short_s, shortest), (long_s, longest) = fast[0], fast[-1]
         alone = long_s / max(1, longest)
-        if longest - shortest < CLASS_TOKENS:
+        if longest - shortest < LENGTH_CLASS_TOKENS:
             return alone
         slope = (long_s - short_s) / (longest - shortest)
-        return min(alone, max(slope, alone * LEAST_PART))
+        return min(alone, max(slope, alone * MIN_WORK_SHARE))
 
 
 @dataclass(frozen=True, slots=True)
-class WorkSheet:
+class WorkloadStats:
     """What one instance measured of a service's requests; means over the newest ones.
 
     Attributes:
@@ -142,14 +144,14 @@
     pace_s: float
     newest: tuple[tuple[int, float], ...] = ()
 
-    def loads(self) -> Loads:
+    def loads(self) -> PoolLoads:
         """Return the loads that these figures make."""
         # A place is held while the prompt is read, too.
         write_s = self.part * self.read_s + self.part_tokens * self.pace_s
-        return Loads(self.token_s * self.tokens, write_s)
+        return PoolLoads(self.token_s * self.tokens, write_s)
 
 
-class WorkMeter:
+class WorkloadMeter:
     """Measures what requests take.
 
     The time of a reading is the sum of a wait, a fixed part that does not keep the engine busy,
@@ -172,58 +174,58 @@
         self._pace_s = 0.0
         self._firsts = 0
         self._first_s = 0.0
-        self._lengths = _Lengths(CLASS_KEPT)
-        self._newest: deque[tuple[int, float]] = deque(maxlen=TOLD_READINGS)
+        self._lengths = _Lengths(MAX_CLASS_SAMPLES)
+        self._newest: deque[tuple[int, float]] = deque(maxlen=MAX_PUBLISHED_PREFILLS)
 
     @property
-    def answers(self) -> int:
+    def completed_answers(self) -> int:
         """How many answers were seen."""
         return self._answers
 
-    def was_read(self, tokens: int, took_s: float) -> None:
+    def record_prompt(self, tokens: int, took_s: float) -> None:
         """Note a reading of *tokens* that took *took_s* seconds."""
         self._readings += 1
-        step = max(WEIGHT, 1.0 / self._readings)
+        step = max(EWMA_WEIGHT, 1.0 / self._readings)
         self._tokens += step * (tokens - self._tokens)
         self._read_s += step * (took_s - self._read_s)
         self._lengths.add(tokens, took_s)
         self._newest.append((tokens, took_s))
 
-    def was_admitted(self, part: float, answer_tokens: int) -> None:
+    def record_admission(self, part: float, answer_tokens: int) -> None:
         """Note a request that got *part* of an engine's memory for an answer of likely length."""
         self._admitted += 1
-        step = max(WEIGHT, 1.0 / self._admitted)
+        step = max(EWMA_WEIGHT, 1.0 / self._admitted)
         self._part += step * (part - self._part)
         self._part_tokens += step * (part * answer_tokens - self._part_tokens)
 
-    def was_written(self, tokens: int, took_s: float) -> None:
+    def record_answer(self, tokens: int, took_s: float) -> None:
         """Note an answer of *tokens* that was written in *took_s* seconds."""
         self._answers += 1
-        step = max(WEIGHT, 1.0 / self._answers)
+        step = max(EWMA_WEIGHT, 1.0 / self._answers)
         self._pace_s += step * (took_s / max(1, tokens) - self._pace_s)
 
-    def was_first(self, took_s: float) -> None:
+    def record_first_event(self, took_s: float) -> None:
         """Note a first event *took_s* seconds after its place was taken."""
         self._firsts += 1
-        step = max(WEIGHT, 1.0 / self._firsts)
+        step = max(EWMA_WEIGHT, 1.0 / self._firsts)
         self._first_s += step * (took_s - self._first_s)
 
     @property
-    def first_s(self) -> float | None:
+    def mean_first_event_s(self) -> float | None:
         """Return the seconds from a place to the first event; None while too little was seen."""
-        return self._first_s if self._firsts >= FEW_ANSWERS else None
+        return self._first_s if self._firsts >= MIN_ANSWERS else None
 
-    def serve_s(self, answer_tokens: int) -> float | None:
+    def expected_service_s(self, answer_tokens: int) -> float | None:
         """Return the seconds that reading and an answer take; None while too little was seen."""
-        if self._answers < FEW_ANSWERS:
+        if self._answers < MIN_ANSWERS:
             return None
         return self._read_s + answer_tokens * self._pace_s
 
-    def sheet(self) -> WorkSheet | None:
+    def stats(self) -> WorkloadStats | None:
         """Return what was measured, or None while one of the three was never seen."""
         if not self._admitted or not self._answers or not self._lengths:
             return None
-        return WorkSheet(
+        return WorkloadStats(
             admitted=self._admitted,
             answers=self._answers,
             readings=self._readings,
@@ -236,39 +238,39 @@
             newest=tuple(self._newest),
         )
 
-    def loads(self) -> Loads | None:
+    def loads(self) -> PoolLoads | None:
         """Return the loads as this instance alone sees them, or None while that is too little."""
-        sheet = self.sheet()
-        return loads_of([] if sheet is None else [sheet])
+        sheet = self.stats()
+        return combined_loads([] if sheet is None else [sheet])
 
 
-def loads_of(sheets: Sequence[WorkSheet]) -> Loads | None:
+def combined_loads(stats: Sequence[WorkloadStats]) -> PoolLoads | None:
     """Return the loads that several instances' measurements show together, each by its samples.
 
     Args:
-        sheets: one of each instance.
+        stats: one of each instance.
 
     Returns:
         The loads, or None while too little was seen by all of them.
     """
-    admitted = sum(sheet.admitted for sheet in sheets)
-    if admitted < FEW_ADMITTED or sum(sheet.answers for sheet in sheets) < FEW_ANSWERS:
+    admitted = sum(sheet.admitted for sheet in stats)
+    if admitted < MIN_ADMITTED or sum(sheet.answers for sheet in stats) < MIN_ANSWERS:
         return None
-    mean = WorkSheet(
+    mean = WorkloadStats(
         admitted=admitted,
-        answers=sum(sheet.answers for sheet in sheets),
-        readings=sum(sheet.readings for sheet in sheets),
-        tokens=_mean((sheet.tokens, sheet.readings) for sheet in sheets),
-        read_s=_mean((sheet.read_s, sheet.readings) for sheet in sheets),
-        token_s=_token_s(sheets),
-        part=_mean((sheet.part, sheet.admitted) for sheet in sheets),
-        part_tokens=_mean((sheet.part_tokens, sheet.admitted) for sheet in sheets),
-        pace_s=_mean((sheet.pace_s, sheet.answers) for sheet in sheets),
+        answers=sum(sheet.answers for sheet in stats),
+        readings=sum(sheet.readings for sheet in stats),
+        tokens=_mean((sheet.tokens, sheet.readings) for sheet in stats),
+        read_s=_mean((sheet.read_s, sheet.readings) for sheet in stats),
+        token_s=_token_s(stats),
+        part=_mean((sheet.part, sheet.admitted) for sheet in stats),
+        part_tokens=_mean((sheet.part_tokens, sheet.admitted) for sheet in stats),
+        pace_s=_mean((sheet.pace_s, sheet.answers) for sheet in stats),
     )
     return mean.loads()
 
 
-def _token_s(sheets: Sequence[WorkSheet]) -> float:
+def _token_s(sheets: Sequence[WorkloadStats]) -> float:
     """Return the seconds that a token keeps a reading engine busy, from all readings together."""
     lengths = _Lengths()
     for sheet in sheets:
@@ -277,38 +279,42 @@
     return lengths.token_s()
 
 
-def _as_readings(sheet: WorkSheet) -> list[tuple[int, float]]:
+def _as_readings(sheet: WorkloadStats) -> list[tuple[int, float]]:
     """Return what an instance that tells no readings makes of them, as often as it saw any."""
     reading = (round(sheet.tokens), sheet.token_s * sheet.tokens)
-    return [reading] * min(sheet.readings, TOLD_READINGS)
+    return [reading] * min(sheet.readings, MAX_PUBLISHED_PREFILLS)
 
 
 def _mean(rows: Iterable[tuple[float, int]]) -> float:
     """Return the mean of values, each with the number of its samples; a mean holds the newest."""
-    weighed = [(value, min(samples, SHAPING)) for value, samples in rows]
+    weighed = [(value, min(samples, EWMA_SAMPLES)) for value, samples in rows]
     return sum(value * samples for value, samples in weighed) / sum(row[1] for row in weighed)
 
 
-def wanted_readers(loads: Loads, readers: int, writers: int, answers: int) -> int:
+def wanted_prompt_engines(
+    loads: PoolLoads, prompt_engines: int, decode_engines: int, answers: int
+) -> int:
     """Return how many of the engines should read; the present number unless a change pays.
 
     Args:
         loads: work of the mean request.
-        readers: engines that read now.
-        writers: engines that write now.
+        prompt_engines: engines that read now.
+        decode_engines: engines that write now.
         answers: how many answers shaped the loads.
     """
-    total = readers + writers
+    total = prompt_engines + decode_engines
     if total < 2:
-        return readers
-    least = LEAST_POOL if total >= 2 * LEAST_POOL else 1
+        return prompt_engines
+    least = MIN_POOL_ENGINES if total >= 2 * MIN_POOL_ENGINES else 1
     choices = range(least, total - least + 1)
-    if readers and writers:
-        fewest = readers - -(-readers // POOL_DIVISOR)
-        most = readers + -(-writers // POOL_DIVISOR)
+    if prompt_engines and decode_engines:
+        fewest = prompt_engines - -(-prompt_engines // MAX_CHANGE_DIVISOR)
+        most = prompt_engines + -(-decode_engines // MAX_CHANGE_DIVISOR)
         choices = range(max(least, fewest), min(total - least, most) + 1)
-    best = min(choices, key=lambda count: loads.larger(count, total - count))
-    now = loads.larger(readers, writers)
-    if best > readers >= 1 and answers < MANY_ANSWERS:
-        return readers
-    return best if loads.larger(best, total - best) <= now * (1 - GAIN) else readers
+    best = min(choices, key=lambda count: loads.max_per_engine(count, total - count))
+    now = loads.max_per_engine(prompt_engines, decode_engines)
+    if best > prompt_engines >= 1 and answers < MIN_ANSWERS_TO_GROW_PREFILL:
+        return prompt_engines
+    return (
+        best if loads.max_per_engine(best, total - best) <= now * (1 - MIN_GAIN) else prompt_engines
+    )
--- a/src/crankhinge/decisions/_silences.py
+++ b/src/crankhinge/decisions/_unresponsive.py
@@ -4,42 +4,42 @@
 
 # An instance that did not answer is passed over for this long, in seconds, and twice as long each
 # time that it does not answer again; each question to one that is gone takes a tenth of a second.
-SUSPECT_S = 1.0
-SUSPECT_MOST_S = 16.0
+FIRST_SKIP_S = 1.0
+MAX_SKIP_S = 16.0
 
 
-class Silences:
+class UnresponsivePeers:
     """Keeps count of questions that were not answered.
 
     Args:
-        misses: questions in a row that an instance may leave unanswered before it is passed over;
-            datagrams are lost now and then.
+        max_misses: questions in a row that an instance may leave unanswered before it is passed
+            over; datagrams are lost now and then.
     """
 
-    def __init__(self, misses: int) -> None:
-        self._most = misses
+    def __init__(self, max_misses: int) -> None:
+        self._most = max_misses
         self._missed: dict[str, int] = {}
         self._until: dict[str, float] = {}
         self._for_s: dict[str, float] = {}
 
-    def passed_over(self, name: str, now: float) -> bool:
+    def is_skipped(self, name: str, now: float) -> bool:
         """Whether an instance is not worth a question now."""
         return self._until.get(name, now) > now
 
-    def doubted(self, name: str) -> bool:
+    def missed_last(self, name: str) -> bool:
         """Whether the last question to an instance was left unanswered."""
         return name in self._missed
 
-    def silent(self, name: str, now: float) -> None:
+    def record_unresponsive(self, name: str, now: float) -> None:
         """Note that an instance did not answer."""
         self._missed[name] = self._missed.get(name, 0) + 1
         if self._missed[name] < self._most:
             return
-        for_s = self._for_s.get(name, SUSPECT_S)
+        for_s = self._for_s.get(name, FIRST_SKIP_S)
         self._until[name] = now + for_s
-        self._for_s[name] = min(SUSPECT_MOST_S, 2 * for_s)
+        self._for_s[name] = min(MAX_SKIP_S, 2 * for_s)
 
-    def answered(self, name: str) -> None:
+    def record_response(self, name: str) -> None:
         """Note that an instance answered, or that it has just come."""
         for table in (self._missed, self._until, self._for_s):
             table.pop(name, None)
--- a/src/crankhinge/decisions/_work.py
+++ b/src/crankhinge/decisions/_work_queue.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-from crankhinge.decisions._asks import Refuse, WorkAsk
-from crankhinge.decisions._fair import ONE_FLOW, ONE_WEIGHT, FairQueue
+from crankhinge.decisions._fair import SINGLE_FLOW, SINGLE_FLOW_WEIGHT, FairQueue
 from crankhinge.decisions._mechanisms import FULL, Mechanisms
+from crankhinge.decisions._requests import Refusal, WorkRequest
 
-RATE_GAIN = 0.2
+RATE_EWMA_WEIGHT = 0.2
 
 
 class WorkQueue:
@@ -17,17 +17,17 @@
 
     Args:
         width: requests given to it at once.
-        rate: units per second, before any was measured.
+        units_per_s: units per second, before any was measured.
         mech: which mechanisms are at work.
     """
 
-    def __init__(self, *, width: int, rate: float, mech: Mechanisms = FULL) -> None:
+    def __init__(self, *, width: int, units_per_s: float, mech: Mechanisms = FULL) -> None:
         self.width = width
-        self.rate = rate
-        self.closed = False
+        self.units_per_s = units_per_s
+        self.is_closed = False
         self._mech = mech
-        self._queue: FairQueue[WorkAsk] = FairQueue()
-        self._running: dict[int, tuple[WorkAsk, float]] = {}
+        self._queue: FairQueue[WorkRequest] = FairQueue()
+        self._running: dict[int, tuple[WorkRequest, float]] = {}
         self._waiting_units = 0
 
     @property
@@ -36,12 +36,12 @@
         return len(self._queue)
 
     @property
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Requests that could be started at once."""
         return max(0, self.width - len(self._running))
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether any request runs or waits."""
         return bool(self._running or len(self._queue))
 
@@ -49,43 +49,43 @@
         """Return the seconds of work already taken on."""
         units = float(self._waiting_units)
         for ask, since in self._running.values():
-            units += max(0.0, ask.units - (now - since) * self.rate)
-        return units / self.rate
+            units += max(0.0, ask.units - (now - since) * self.units_per_s)
+        return units / self.units_per_s
 
-    def ask(self, ask: WorkAsk, now: float) -> Refuse | None:
+    def submit(self, request: WorkRequest, now: float) -> Refusal | None:
         """Queue a request, or refuse it when it can't be done by its deadline."""
-        if self.closed:
-            return Refuse(ask.req, "draining", 0.0)
-        wait = self.backlog_s(now) + ask.units / self.rate
-        if self._mech.refuse_early and now + wait > ask.deadline:
-            return Refuse(ask.req, "overloaded", max(0.1, wait))
+        if self.is_closed:
+            return Refusal(request.req, "draining", 0.0)
+        wait = self.backlog_s(now) + request.units / self.units_per_s
+        if self._mech.refuse_early and now + wait > request.deadline:
+            return Refusal(request.req, "overloaded", max(0.1, wait))
         fair = self._mech.fair
         self._queue.push(
-            ask.req,
-            ask,
-            path=ask.path if fair else ONE_FLOW,
-            weights=ask.weights if fair else ONE_WEIGHT,
-            deadline=ask.deadline,
-            cost=float(max(1, ask.units)),
+            request.req,
+            request,
+            path=request.flow if fair else SINGLE_FLOW,
+            weights=request.flow_weights if fair else SINGLE_FLOW_WEIGHT,
+            deadline=request.deadline,
+            cost=float(max(1, request.units)),
         )
-        self._waiting_units += ask.units
+        self._waiting_units += request.units
         return None
 
-    def next(self, now: float) -> tuple[list[WorkAsk], list[Refuse]]:
+    def take_next(self, now: float) -> tuple[list[WorkRequest], list[Refusal]]:
         """Return the requests to start now and those whose time has run out unstarted."""
-        starts: list[WorkAsk] = []
-        late: list[Refuse] = []
-        while self.free and (ask := self._queue.pop()) is not None:
+        starts: list[WorkRequest] = []
+        late: list[Refusal] = []
+        while self.free_slots and (ask := self._queue.pop()) is not None:
             self._waiting_units -= ask.units
-            late_by = now + ask.units / self.rate - ask.deadline
+            late_by = now + ask.units / self.units_per_s - ask.deadline
             if self._mech.refuse_early and late_by > 0:
-                late.append(Refuse(ask.req, "overloaded", self.backlog_s(now)))
+                late.append(Refusal(ask.req, "overloaded", self.backlog_s(now)))
                 continue
             self._running[ask.req] = (ask, now)
             starts.append(ask)
         return starts, late
 
-    def end(self, req: int, now: float, *, done: int = 0) -> None:
+    def record_end(self, req: int, now: float, *, done: int = 0) -> None:
         """Note that a request is done, has failed or isn't wanted any more.
 
         Args:
@@ -100,4 +100,4 @@
         if running is not None and done > 0:
             took = max(1e-4, now - running[1])
             alone = done / took * max(1, len(self._running) + 1)
-            self.rate += RATE_GAIN * (alone - self.rate)
+            self.units_per_s += RATE_EWMA_WEIGHT * (alone - self.units_per_s)
--- a/src/crankhinge/entry/_completion.py
+++ b/src/crankhinge/entry/_completion.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from crankhinge.config import BundleView, Policy
-from crankhinge.decisions import FULL, Answer, Mechanisms, RetryBudget
+from crankhinge.decisions import FULL, Mechanisms, RecordedResponse, RetryBudget
 from crankhinge.entry._answer import AnswerWriter
 from crankhinge.entry._ask import CompletionAsk
 from crankhinge.entry._calls import AttemptFailed, Calls, LinkLost, cancel_step
@@ -87,12 +87,12 @@
         leave = await self._fence.ask(
             pool, ask.member.name, ask.terms.key, digest, progress.new_step()
         )
-        if isinstance(leave, Answer):
+        if isinstance(leave, RecordedResponse):
             raise AlreadyTaken("this request was answered before")
         progress.keyed = False
         try:
             await self._serve(ask, policy, writer, progress)
-            await self._fence.settle(leave, Answer(200, cut=True))
+            await self._fence.settle(leave, RecordedResponse(200, cut=True))
         finally:
             if not progress.touched:
                 await self._fence.release(leave)
@@ -111,7 +111,7 @@
         began = await curio.clock()
         until = began + self.estimates.patience_s(ask, policy, began)
         limit = ask.terms.deadline_s
-        self._budget.first_attempt()
+        self._budget.record_first_attempt()
         while True:
             progress.attempts += 1
             try:
@@ -176,7 +176,7 @@
             done = True
         finally:
             self._note_waste(progress)
-            slot.backend.open -= 1
+            slot.backend.open_requests -= 1
             self._calls.close(slot.box)
             if not done:
                 await cancel_step(slot.link, slot.box)
@@ -218,7 +218,7 @@
             elif isinstance(msg, DecodeDone):
                 if msg.count != expected:
                     raise AttemptFailed(f"{expected} of {msg.count} tokens arrived")
-                slot.backend.breaker.succeeded()
+                slot.backend.breaker.record_success()
                 progress.last = await curio.clock()
                 await writer.finish(msg.finish or "stop")
                 return
@@ -231,6 +231,6 @@
         """Count a failure against the engine that is likely at fault."""
         now = await curio.clock()
         if code in TRANSFER_FAULTS and progress.reader is not None:
-            progress.reader.breaker.failed(now)
+            progress.reader.breaker.record_failure(now)
         elif code != "lease-expired":
-            slot.backend.breaker.failed(now)
+            slot.backend.breaker.record_failure(now)
--- a/src/crankhinge/entry/_entry.py
+++ b/src/crankhinge/entry/_entry.py
@@ -187,11 +187,11 @@
             else:
                 await self._call(exchange, about, view, member, progress)
         finally:
-            self._limits.leave(member.name)
+            self._limits.record_end(member.name)
 
     def _enter(self, member: Member, now: float) -> None:
-        wait = self._limits.enter(
-            member.name, now, concurrent=member.max_concurrent, per_s=member.max_per_s
+        wait = self._limits.admit(
+            member.name, now, max_concurrent=member.max_concurrent, max_per_s=member.max_per_s
         )
         if wait is not None:
             raise LimitReached(f"{member.name} is at its limit", retry_after_s=wait)
--- a/src/crankhinge/entry/_estimates.py
+++ b/src/crankhinge/entry/_estimates.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from crankhinge.config import Policy
-from crankhinge.decisions import FULL, Mechanisms, RouteAsk, Router
+from crankhinge.decisions import FULL, Mechanisms, Router, RouteRequest
 from crankhinge.entry._ask import BLOCK_CHARS, CompletionAsk
 
 CHARS_PER_TOKEN = 4.0
@@ -43,12 +43,12 @@
         before = self._chars_per_token.get(name, seen)
         self._chars_per_token[name] = before + CHARS_GAIN * (seen - before)
 
-    def route(self, ask: CompletionAsk, written: int) -> RouteAsk:
+    def route(self, ask: CompletionAsk, written: int) -> RouteRequest:
         """Return what routing needs to know, with *written* tokens of the answer there."""
         block_tokens = int(BLOCK_CHARS / self._ratio(ask))
         name = ask.body["model"]
         adapter = "" if name == ask.model.name else name
-        return RouteAsk(self.tokens(ask) + written, ask.prefix, block_tokens, adapter)
+        return RouteRequest(self.tokens(ask) + written, ask.prefix, block_tokens, adapter)
 
     def patience_s(self, ask: CompletionAsk, policy: Policy, now: float) -> float:
         """Return the seconds until the first token after which the request is given up.
--- a/src/crankhinge/entry/_fence.py
+++ b/src/crankhinge/entry/_fence.py
@@ -10,7 +10,14 @@
 import curio
 
 from crankhinge.config import Pool, fence_range
-from crankhinge.decisions import Answer, Permit, Permitted, Release, Settle, TakenBefore
+from crankhinge.decisions import (
+    FenceAlreadyTaken,
+    FencePermitRequest,
+    FencePermitted,
+    FenceRelease,
+    FenceSettle,
+    RecordedResponse,
+)
 from crankhinge.entry._calls import Calls, LinkLost
 from crankhinge.entry._fleet import Fleet
 from crankhinge.errors import (
@@ -67,7 +74,7 @@
 
     async def ask(
         self, pool: Pool, member: str, key: str, digest: bytes, req: int
-    ) -> Leave | Answer:
+    ) -> Leave | RecordedResponse:
         """Return leave for the attempt *req*, or the recorded answer of an earlier one.
 
         Raises:
@@ -91,10 +98,10 @@
         try:
             for name in self._order(leave):
                 answer = await self._ask_one(name, leave, digest)
-                if isinstance(answer, Permitted):
+                if isinstance(answer, FencePermitted):
                     settled = True
                     return leave
-                if isinstance(answer, TakenBefore):
+                if isinstance(answer, FenceAlreadyTaken):
                     settled = True
                     return _before(answer)
         finally:
@@ -116,20 +123,20 @@
         except LinkClosed:
             return None
         try:
-            await link.send(Permit(leave.req, leave.range_id, leave.key, digest))
+            await link.send(FencePermitRequest(leave.req, leave.range_id, leave.key, digest))
             return await curio.ignore_after(ANSWER_S, box.get)
         except (LinkClosed, LinkLost):
             return None
         finally:
             self._calls.close(box)
 
-    async def settle(self, leave: Leave, answer: Answer) -> None:
+    async def settle(self, leave: Leave, answer: RecordedResponse) -> None:
         """Record how the attempt ended, for callers that repeat it."""
-        await self._tell(leave, Settle(leave.req, leave.range_id, leave.key, answer))
+        await self._tell(leave, FenceSettle(leave.req, leave.range_id, leave.key, answer))
 
     async def release(self, leave: Leave) -> None:
         """Give the key back: the attempt has not run and never will."""
-        await self._tell(leave, Release(leave.req, leave.range_id, leave.key))
+        await self._tell(leave, FenceRelease(leave.req, leave.range_id, leave.key))
 
     async def _tell(self, leave: Leave, msg: Message) -> None:
         for name in leave.holders:
@@ -140,7 +147,7 @@
                 continue
 
 
-def _before(answer: TakenBefore) -> Answer:
+def _before(answer: FenceAlreadyTaken) -> RecordedResponse:
     """Return the recorded answer, or say why there is none."""
     if answer.cause == "bad-key":
         raise BadKey("the idempotency key must be a UUID of version 7, born now")
--- a/src/crankhinge/entry/_fleet.py
+++ b/src/crankhinge/entry/_fleet.py
@@ -95,8 +95,8 @@
         pairs = [pair for pool in bundle.pools for pair in pool.fence]
         self._holders = frozenset(name for pair in pairs for name in pair)
         transfer = bundle.transfer
-        self.router.weights = replace(
-            self.router.weights,
+        self.router.costs = replace(
+            self.router.costs,
             kv_bytes_per_token=transfer.kv_bytes_per_token,
             same_zone_bytes_per_s=transfer.same_zone_bytes_per_s,
             cross_zone_bytes_per_s=transfer.cross_zone_bytes_per_s,
@@ -169,7 +169,7 @@
         backend = self.router.backends.get(name)
         if backend is None:
             backend = Backend(name, "", instance.pool, instance.zone)
-            self.router.add(backend)
+            self.router.add_backend(backend)
         backend.leaving = instance.leaving
         if name not in self._keepers:
             self._keepers[name] = await curio.spawn(self._stay_linked, name, daemon=True)
@@ -186,7 +186,7 @@
             await task.cancel()
         self._places.pop(name, None)
         self._missing.pop(name, None)
-        self.router.drop(name)
+        self.router.remove_backend(name)
 
     async def _stay_linked(self, name: str) -> None:
         pause = FIRST_PAUSE_S
@@ -233,18 +233,18 @@
         peer = link.peer
         if peer.incarnation != backend.incarnation:
             # A new process knows nothing of what the old one held.
-            backend.sent = 0
-            backend.sent_s = 0.0
-            backend.open = 0
+            backend.sent_since_report = 0
+            backend.sent_work_s = 0.0
+            backend.open_requests = 0
             backend.draining = False
-            backend.serves = frozenset()
+            backend.adapters = frozenset()
         backend.role = peer.role
         backend.zone = peer.zone
         backend.incarnation = peer.incarnation
         backend.linked = True
         if backend.pool != peer.pool:
             backend.pool = peer.pool
-            self.router.add(backend)
+            self.router.add_backend(backend)
 
     async def _unlink(self, name: str, link: Link) -> None:
         self.beater.links.discard(link)
@@ -261,7 +261,7 @@
         if await self._spread.handle(link, msg):
             return
         if isinstance(msg, Serves):
-            self.router.backends[link.peer.name].serves = frozenset(msg.names)
+            self.router.backends[link.peer.name].adapters = frozenset(msg.names)
             return
         load = getattr(msg, "load", None)
         if load is not None:
@@ -271,7 +271,7 @@
         await self._calls.deliver(link, msg)
 
     async def _note_load(self, link: Link, load: Load) -> None:
-        self.router.report(
+        self.router.record_report(
             link.peer.name,
             await curio.clock(),
             free=load.free,
--- a/src/crankhinge/entry/_plain.py
+++ b/src/crankhinge/entry/_plain.py
@@ -8,7 +8,7 @@
 
 from crankhinge.adapters.http_service import end_to_end
 from crankhinge.config import BundleView, Member, Service
-from crankhinge.decisions import Answer, Backend, RetryBudget, keep_answer
+from crankhinge.decisions import Backend, RecordedResponse, RetryBudget, to_recorded_response
 from crankhinge.entry._ask import Terms
 from crankhinge.entry._calls import Calls, LinkLost, cancel_step
 from crankhinge.entry._fence import Fence, Leave, digest_of
@@ -85,7 +85,7 @@
             raise NoBackend(f"no pool {service.pool}")
         digest = digest_of(req.method, req.target, req.body)
         leave = await self._fence.ask(pool, member.name, terms.key, digest, progress.new_step())
-        if isinstance(leave, Answer):
+        if isinstance(leave, RecordedResponse):
             self._metrics.count("answers_replayed")
             return CallDone(0, leave.status, {**leave.headers, REPLAYED: "yes"}, leave.body)
         progress.keyed = False
@@ -114,7 +114,7 @@
             if not progress.touched:
                 await self._fence.release(leave)
             return exc
-        answer = keep_answer(done.status, done.headers, done.body)
+        answer = to_recorded_response(done.status, done.headers, done.body)
         await self._fence.settle(leave, answer)
         return done
 
@@ -138,7 +138,7 @@
             BackendFailed: it may have run.
         """
         until = await curio.clock() + min(service.timeout_s, terms.deadline_s or service.timeout_s)
-        self._budget.first_attempt()
+        self._budget.record_first_attempt()
         told_back: list[float] = []
         tried: set[str] = set()
         for _ in range(MAX_ATTEMPTS):
@@ -163,7 +163,7 @@
 
     async def _next(self, service: Service, tried: set[str]) -> Backend | None:
         """Return the next backend server to try."""
-        choices = self._fleet.router.choose((service.pool,), await curio.clock())
+        choices = self._fleet.router.choose_backends((service.pool,), await curio.clock())
         return next((backend for backend in choices if backend.name not in tried), None)
 
     async def _call(
@@ -176,8 +176,8 @@
         call = Call(step, req.method, req.target, _forwarded(req), req.body, within, member.name)
         before = progress.touched
         progress.touched = True
-        backend.sent += 1
-        backend.breaker.sent(now)
+        backend.sent_since_report += 1
+        backend.breaker.record_sent(now)
         answer: CallDone | Refused | Failed | None = None
         try:
             answer = await self._exchange(backend, call)
@@ -217,12 +217,12 @@
     ) -> CallDone | Refused | Failed | None:
         """Note what an answer says of the backend server and of whether the call ran."""
         if isinstance(answer, CallDone):
-            backend.breaker.succeeded()
+            backend.breaker.record_success()
             return answer
         if isinstance(answer, Refused):
             progress.touched = before
             return answer
-        backend.breaker.failed(now)
+        backend.breaker.record_failure(now)
         if answer is not None and not answer.ran:
             progress.touched = before
             return Refused(answer.req, answer.code)
--- a/src/crankhinge/entry/_program.py
+++ b/src/crankhinge/entry/_program.py
@@ -12,7 +12,7 @@
 
 from crankhinge.adapters.consul import ConsulInstanceList, ConsulKeyValue
 from crankhinge.config import BundleKeeper
-from crankhinge.decisions import RetryBudget, Router, RoutingWeights, mechanisms
+from crankhinge.decisions import RetryBudget, Router, RoutingCosts, mechanisms_for
 from crankhinge.entry._calls import Calls
 from crankhinge.entry._completion import Completions
 from crankhinge.entry._entry import Entry
@@ -31,14 +31,14 @@
     """Run the entry until *stopping*, then drain."""
     log = log.bind(name=settings.name)
     rng = random.Random(secrets.randbits(64))
-    mech = mechanisms(settings.policy)
+    mech = mechanisms_for(settings.policy)
     keeper = BundleKeeper(settings.keys)
     metrics = Metrics(prefix=f"crankhinge.entry.{settings.name}", address=settings.statsd)
     kv = ConsulKeyValue(*parse_endpoint(settings.key_value))
     spread = BundleSpread(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
     ids = RequestIds(secrets.randbits(64))
     calls = Calls(settings.buffer_tokens)
-    weights = RoutingWeights(zone=settings.zone, beat_s=settings.beat_s)
+    weights = RoutingCosts(zone=settings.zone, report_interval_s=settings.beat_s)
     fleet = Fleet(
         settings=settings,
         roster=Roster(
@@ -47,7 +47,7 @@
             log=log,
             rng=rng,
         ),
-        router=Router(weights=weights, rng=rng, mech=mech),
+        router=Router(costs=weights, rng=rng, mech=mech),
         calls=calls,
         spread=spread,
         keeper=keeper,
--- a/src/crankhinge/entry/_reading.py
+++ b/src/crankhinge/entry/_reading.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from crankhinge.decisions import Backend, RouteAsk
+from crankhinge.decisions import Backend, RouteRequest
 from crankhinge.entry._ask import CompletionAsk
 from crankhinge.entry._calls import AttemptFailed, LinkLost, cancel_step
 from crankhinge.entry._progress import Progress
@@ -31,7 +31,7 @@
     """
 
     ask: CompletionAsk
-    route: RouteAsk
+    route: RouteRequest
     body: bytes
     zone: str
     until: float
@@ -57,7 +57,7 @@
             except (LinkClosed, LinkLost):
                 continue
             if isinstance(answer, PrefillDone):
-                self._router.prefixes.learn(backend.name, prompt.route.prefix)
+                self._router.prefixes.record_cached(backend.name, prompt.route.prefix)
                 progress.computed += answer.prompt - answer.cached
                 progress.unused = answer.prompt - answer.cached
                 progress.reader = backend
@@ -80,7 +80,7 @@
         within = prompt.until - now - transfer
         link = self._fleet.link(backend.name)
         box = self._calls.open(link, progress.new_step())
-        todo = self._router.uncached(backend, prompt.route)
+        todo = self._router.uncached_tokens(backend, prompt.route)
         self._note_sent(backend, todo, now)
         before = progress.touched
         progress.touched = True
@@ -94,16 +94,16 @@
             self._calls.close(box)
             if answer is None:
                 await cancel_step(link, box)
-                backend.breaker.failed(now)
+                backend.breaker.record_failure(now)
         if isinstance(answer, Refused) or (isinstance(answer, Failed) and not answer.ran):
             progress.touched = before
         if isinstance(answer, Failed):
-            backend.breaker.failed(await curio.clock())
+            backend.breaker.record_failure(await curio.clock())
         elif isinstance(answer, PrefillDone):
-            backend.breaker.succeeded()
+            backend.breaker.record_success()
         return answer
 
     def _note_sent(self, backend: Backend, todo: int, now: float) -> None:
-        backend.sent += 1
-        backend.sent_s += todo / (backend.rate or DEFAULT_RATE)
-        backend.breaker.sent(now)
+        backend.sent_since_report += 1
+        backend.sent_work_s += todo / (backend.tokens_per_s or DEFAULT_RATE)
+        backend.breaker.record_sent(now)
--- a/src/crankhinge/entry/_slots.py
+++ b/src/crankhinge/entry/_slots.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from crankhinge.decisions import Backend, RouteAsk
+from crankhinge.decisions import Backend, RouteRequest
 from crankhinge.entry._ask import CompletionAsk
 from crankhinge.entry._calls import LinkLost, Mailbox, cancel_step
 from crankhinge.entry._progress import Progress
@@ -45,7 +45,7 @@
     """
 
     ask: CompletionAsk
-    route: RouteAsk
+    route: RouteRequest
     until: float
     max_tokens: int
 
@@ -61,11 +61,13 @@
             Overloaded: no slot comes free in time.
         """
         model = need.ask.model
-        candidates = self._router.choose(model.decode, await curio.clock(), need.route.adapter)
+        candidates = self._router.choose_backends(
+            model.decode, await curio.clock(), need.route.adapter
+        )
         if not candidates:
             raise NoBackend(f"no decode engine for {model.name}", retry_after_s=1.0)
         # First whoever has room now; only when nobody has is it worth waiting somewhere.
-        rounds = [(b, False) for b in candidates if b.seems_free or len(candidates) == 1]
+        rounds = [(b, False) for b in candidates if b.has_free_slot or len(candidates) == 1]
         rounds += [(b, True) for b in candidates]
         retry_after = MAX_RETRY_AFTER_S
         for backend, may_wait in rounds:
@@ -86,7 +88,7 @@
         within = need.until - now - lead if may_wait else 0.0
         link = self._fleet.link(backend.name)
         box = self._calls.open(link, progress.new_step())
-        backend.sent += 1
+        backend.sent_since_report += 1
         answer = None
         try:
             await link.send(_reserve(need, box.req, within, lead))
@@ -96,7 +98,7 @@
                 self._calls.close(box)
                 await cancel_step(link, box)
         if isinstance(answer, Granted):
-            backend.open += 1
+            backend.open_requests += 1
             return Slot(backend, link, box)
         return answer if isinstance(answer, Refused) else Refused(box.req, "no-answer")
 
--- a/src/crankhinge/gateway/_admission.py
+++ b/src/crankhinge/gateway/_admission.py
@@ -7,7 +7,7 @@
 import curio
 
 from crankhinge.adapters import RelayAsk
-from crankhinge.decisions import FirstTries, Route, RouteTable, Service, fingerprint
+from crankhinge.decisions import CallerRetryDetector, Route, RouteTable, Service, fingerprint
 from crankhinge.errors import NotReady, UnknownRoute
 from crankhinge.gateway._authenticator import Authenticator
 from crankhinge.gateway._directory import Directory
@@ -35,7 +35,7 @@
         self._directory = directory
         self._authenticator = authenticator
         self._rng = rng
-        self._first_tries = FirstTries()
+        self._first_tries = CallerRetryDetector()
 
     async def admit(self, exchange: Exchange, ask: RelayAsk) -> Relay:
         """Return the relay of a request.
@@ -56,7 +56,9 @@
         relay = Relay(exchange, ask, route, service, table.version, began, until)
         relay.keyed, relay.account = table.accounts is not None, account
         relay.fingerprint = _fingerprint(relay, exchange.req)
-        relay.returned = self._first_tries.returned(route.name, caller_s, kept=exchange.kept)
+        relay.returned = self._first_tries.record_request(
+            route.name, caller_s, connection_reused=exchange.kept
+        )
         self._note_facts(relay, caller_s)
         return relay
 
@@ -64,7 +66,7 @@
         route = table.match(req.headers.get("host", ""), req.path)
         if route is None:
             raise UnknownRoute(f"no route for {req.headers.get('host')}{req.path}")
-        service = table.services.get(route.service_at(self._rng.random()))
+        service = table.services.get(route.pick_service(self._rng.random()))
         if service is None:
             raise NotReady(f"route {route.name} names a service that is not there")
         return route, service
@@ -83,8 +85,8 @@
             returned=relay.returned,
             kept=relay.exchange.kept,
         )
-        if relay.route.pause_s:
-            relay.facts["pause_ms"] = round(relay.route.pause_s * 1000)
+        if relay.route.max_pause_s:
+            relay.facts["pause_ms"] = round(relay.route.max_pause_s * 1000)
         # How long ago the list of servers was last heard of, in seconds: what is believed of
         # servers is at least that old, unless the list is watched and did not change.
         relay.facts["list_age_s"] = round(relay.began - (self._directory.list.heard or 0.0), 1)
--- a/src/crankhinge/gateway/_backends.py
+++ b/src/crankhinge/gateway/_backends.py
@@ -11,14 +11,14 @@
 
 from crankhinge.adapters import Dialect, ServerWord, SideCall
 from crankhinge.decisions import (
-    KEPT_MOST,
-    Bar,
-    Bars,
-    Phase,
-    PhaseChange,
+    MAX_IDLE_CONNECTIONS,
+    EngineRole,
+    ExclusionReason,
+    RoleChange,
     Server,
+    ServerExclusions,
     ServerList,
-    Standing,
+    ServerStats,
     pick_server,
 )
 from crankhinge.errors import BadHttp, HttpClosed
@@ -59,12 +59,12 @@
         log: Any,
         metrics: Metrics,
         rng: random.Random,
-        most_kept: Callable[[str], int] = lambda service: KEPT_MOST,
+        most_kept: Callable[[str], int] = lambda service: MAX_IDLE_CONNECTIONS,
     ) -> None:
         self.dialect = dialect
         self.rng = rng
         self.listeners: list[WordListener] = []
-        self.bars = Bars()
+        self.bars = ServerExclusions()
         self._servers = servers
         self._zone = zone
         self._most_kept = most_kept
@@ -72,17 +72,19 @@
         self._metrics = metrics
         self._clients: dict[str, HttpClient] = {}
         # Asked several times a server at each choice: none is made but for a server not seen yet.
-        self._standing: defaultdict[str, Standing] = defaultdict(Standing)
+        self._standing: defaultdict[str, ServerStats] = defaultdict(ServerStats)
 
-    def standing(self, ident: str) -> Standing:
+    def standing(self, ident: str) -> ServerStats:
         """Return what was seen of a server."""
         return self._standing[ident]
 
     def client(self, server: Server) -> HttpClient:
         """Return the connections to a server."""
-        if server.ident not in self._clients:
-            self._clients[server.ident] = HttpClient(server.host, server.port, connect_s=CONNECT_S)
-        client = self._clients[server.ident]
+        if server.incarnation_id not in self._clients:
+            self._clients[server.incarnation_id] = HttpClient(
+                server.host, server.port, connect_s=CONNECT_S
+            )
+        client = self._clients[server.incarnation_id]
         client.pool_size = self._most_kept(server.service)
         return client
 
@@ -97,7 +99,7 @@
         self,
         service: str,
         now: float,
-        phase: Phase | None = None,
+        phase: EngineRole | None = None,
         model: str = "",
         avoid: frozenset[str] = frozenset(),
     ) -> list[Server]:
@@ -113,19 +115,19 @@
             for server in self._servers.all()
             if server.service == service
             and self._lasting_bar(server) is None
-            and (phase is None or server.phase is phase)
-            and server.holds(model)
+            and (phase is None or server.role is phase)
+            and server.serves_model(model)
         ]
         able = [server for server in entered if not self._changes(server, now)] or entered
-        sure = [server for server in able if not self._servers.doubts(server.ident)]
+        sure = [server for server in able if not self._servers.is_suspect(server.incarnation_id)]
         able = sure if len(sure) >= len(able) - len(sure) else able
-        return [server for server in able if server.ident not in avoid] if avoid else able
+        return [server for server in able if server.incarnation_id not in avoid] if avoid else able
 
     def eligible(
         self,
         service: str,
         now: float,
-        phase: Phase | None = None,
+        phase: EngineRole | None = None,
         model: str = "",
         avoid: frozenset[str] = frozenset(),
     ) -> list[Server]:
@@ -137,47 +139,53 @@
 
     def without_rest(self, servers: list[Server], now: float) -> list[Server]:
         """Return those of some servers that want requests now."""
-        if not self.bars.any_rests(now):
+        if not self.bars.has_backoffs(now):
             return servers
-        return [server for server in servers if self.bars.rests_until(server.ident, now) is None]
+        return [
+            server
+            for server in servers
+            if self.bars.backoff_until(server.incarnation_id, now) is None
+        ]
 
-    def bar(self, server: Server, now: float) -> Bar | None:
+    def bar(self, server: Server, now: float) -> ExclusionReason | None:
         """Return what keeps requests from a server, whatever others there are; None for nothing."""
-        known = self._servers.get(server.ident)
+        known = self._servers.get(server.incarnation_id)
         if known is None:
-            return Bar.GONE
-        resting = self.bars.rests_until(server.ident, now) is not None
-        return self._lasting_bar(known) or (Bar.RESTING if resting else None)
+            return ExclusionReason.GONE
+        resting = self.bars.backoff_until(server.incarnation_id, now) is not None
+        return self._lasting_bar(known) or (ExclusionReason.BACKOFF if resting else None)
 
-    def barred(self, bar: Bar, now: float) -> int:
+    def barred(self, bar: ExclusionReason, now: float) -> int:
         """Return how many servers get no request for a cause."""
         return sum(self.bar(server, now) is bar for server in self._servers.all())
 
-    def _lasting_bar(self, server: Server) -> Bar | None:
+    def _lasting_bar(self, server: Server) -> ExclusionReason | None:
         """Return what keeps requests from a server in the list for as long as it lives.
 
         A server that leaves says so in its answers before its entry does: the store may be away,
         and takes entries late.
         """
-        if server.leaving or self.bars.leaves_since(server.ident) is not None:
-            return Bar.LEAVING
-        if self.standing(server.ident).replaced:
-            return Bar.REPLACED
+        if server.leaving or self.bars.leaving_since(server.incarnation_id) is not None:
+            return ExclusionReason.LEAVING
+        if self.standing(server.incarnation_id).is_replaced:
+            return ExclusionReason.REPLACED
         return None
 
     def _changes(self, server: Server, now: float) -> bool:
-        return self.standing(server.ident).plays(server.phase, now) is not server.phase
+        return (
+            self.standing(server.incarnation_id).effective_role(server.role, now) is not server.role
+        )
 
-    def coming(self, service: str, phase: Phase, now: float) -> int:
+    def coming(self, service: str, phase: EngineRole, now: float) -> int:
         """Return how many servers of a service follow an order to play *phase*."""
         return sum(
             server.service == service
             and self._changes(server, now)
-            and self.standing(server.ident).plays(server.phase, now) is phase
+            and self.standing(server.incarnation_id).effective_role(server.role, now) is phase
             for server in self._servers.all()
         )
 
-    def ordered(self, ident: str, phase: Phase, until: float, *, told: bool) -> None:
+    def ordered(self, ident: str, phase: EngineRole, until: float, *, told: bool) -> None:
         """Note that a server has taken an order.
 
         Args:
@@ -188,16 +196,16 @@
         """
         if self._servers.get(ident) is None:
             return
-        self.standing(ident).change = PhaseChange(phase, until)
+        self.standing(ident).role_change = RoleChange(phase, until)
         self._log.info("server_changing", server=ident, phase=phase.value, told=told)
 
     def replaced(self, server: Server) -> None:
         """Note that another server answers at the address: this one is gone, whatever its entry."""
-        standing = self.standing(server.ident)
-        if not standing.replaced:
-            standing.replaced = True
+        standing = self.standing(server.incarnation_id)
+        if not standing.is_replaced:
+            standing.is_replaced = True
             self._log.info(
-                "server_replaced", server=server.ident, at=f"{server.host}:{server.port}"
+                "server_replaced", server=server.incarnation_id, at=f"{server.host}:{server.port}"
             )
 
     def knows(self, ident: str) -> bool:
@@ -206,7 +214,7 @@
 
     def leaves(self, ident: str) -> bool:
         """Whether a server said that it leaves; it may have gone since."""
-        return self._servers.leaves(ident) or self.bars.leaves_since(ident) is not None
+        return self._servers.is_leaving(ident) or self.bars.leaving_since(ident) is not None
 
     def takes_work(self, ident: str, now: float) -> bool:
         """Whether nothing keeps requests from a server, and it follows no order."""
@@ -220,7 +228,7 @@
         service: str,
         now: float,
         *,
-        phase: Phase | None = None,
+        phase: EngineRole | None = None,
         avoid: frozenset[str],
         zone: str = "",
         model: str = "",
@@ -246,12 +254,16 @@
 
     def at_limit(self, servers: list[Server], now: float) -> list[Server]:
         """Return those of some servers that take no more now, the first to do so first."""
-        limited = [server for server in servers if self.standing(server.ident).limited_until > now]
-        return sorted(limited, key=lambda server: self.standing(server.ident).limited_until)
+        limited = [
+            server for server in servers if self.standing(server.incarnation_id).limited_until > now
+        ]
+        return sorted(
+            limited, key=lambda server: self.standing(server.incarnation_id).limited_until
+        )
 
     def rest_ends(self, servers: list[Server], now: float) -> float | None:
         """Return when the first of some servers wants requests; None where one does already."""
-        ends = [self.bars.rests_until(server.ident, now) for server in servers]
+        ends = [self.bars.backoff_until(server.incarnation_id, now) for server in servers]
         return None if None in ends else min((end for end in ends if end is not None), default=None)
 
     async def heard(self, server: Server, word: ServerWord, *, sent_at: float, ran: bool) -> None:
@@ -268,7 +280,9 @@
             resp: Response = await curio.timeout_after(SIDE_CALL_S, _call, client, call, headers)
         except (HttpClosed, BadHttp, curio.TaskTimeout) as exc:
             self._metrics.count("side_calls_failed")
-            self._log.info("side_call_failed", server=server.ident, call=call.target, why=repr(exc))
+            self._log.info(
+                "side_call_failed", server=server.incarnation_id, call=call.target, why=repr(exc)
+            )
             return None
         word = self.dialect.word(resp.status, resp.headers)
         if not word.other_server:
--- a/src/crankhinge/gateway/_choice.py
+++ b/src/crankhinge/gateway/_choice.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from crankhinge.decisions import Phase, Server
+from crankhinge.decisions import EngineRole, Server
 from crankhinge.errors import ServerAtLimit, ServersRest
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._permits import Permits
@@ -32,7 +32,7 @@
         relay: Relay,
         *,
         avoid: frozenset[str],
-        phase: Phase | None = None,
+        phase: EngineRole | None = None,
         zone: str = "",
     ) -> Server | None:
         """Return a server that the request may be sent to at once; None where there is none.
@@ -57,7 +57,12 @@
                 return server
 
     async def soon(
-        self, relay: Relay, *, avoid: frozenset[str], spare_s: float, phase: Phase | None = None
+        self,
+        relay: Relay,
+        *,
+        avoid: frozenset[str],
+        spare_s: float,
+        phase: EngineRole | None = None,
     ) -> Server | None:
         """Wait for the first server that takes a request again; None where none will.
 
@@ -84,7 +89,7 @@
         return at_limit[0]
 
     async def _after_rest(
-        self, relay: Relay, avoid: frozenset[str], spare_s: float, phase: Phase | None
+        self, relay: Relay, avoid: frozenset[str], spare_s: float, phase: EngineRole | None
     ) -> Server | None:
         now = await curio.clock()
         ends = self.rest_ends(relay, now, avoid=avoid, spare_s=spare_s, phase=phase)
@@ -100,7 +105,7 @@
         *,
         avoid: frozenset[str],
         spare_s: float,
-        phase: Phase | None = None,
+        phase: EngineRole | None = None,
     ) -> float | None:
         """Return when the first server wants requests again; None where one does, or none is there.
 
@@ -114,7 +119,7 @@
         Raises:
             ServersRest: that is too late for it; its caller is told when to come back.
         """
-        if not self._backends.bars.any_rests(now):
+        if not self._backends.bars.has_backoffs(now):
             return None
         service, model = relay.service.name, relay.ask.model
         ends = self._backends.rest_ends(self._backends.able(service, now, phase, model, avoid), now)
@@ -124,7 +129,7 @@
         return ends
 
     async def _at_limit(
-        self, relay: Relay, avoid: frozenset[str], phase: Phase | None
+        self, relay: Relay, avoid: frozenset[str], phase: EngineRole | None
     ) -> list[Server]:
         now = await curio.clock()
         service, model = relay.service.name, relay.ask.model
--- a/src/crankhinge/gateway/_crashes.py
+++ b/src/crankhinge/gateway/_crashes.py
@@ -64,12 +64,12 @@
 
     async def connection_ended(self, server: Server, fingerprint: str) -> None:
         """Note that a request's connection to a server ended in the middle."""
-        if self._backends.leaves(server.ident):
+        if self._backends.leaves(server.incarnation_id):
             return
-        if server.ident in self._cut:
-            self._cut[server.ident].add(fingerprint)
+        if server.incarnation_id in self._cut:
+            self._cut[server.incarnation_id].add(fingerprint)
             return
-        self._cut[server.ident] = {fingerprint}
+        self._cut[server.incarnation_id] = {fingerprint}
         await curio.spawn(self._look, server, daemon=True)
 
     async def entry_gone(self, ident: str) -> None:
@@ -82,8 +82,8 @@
 
     async def _look(self, server: Server) -> None:
         await curio.sleep(GATHER_S)
-        fingerprints = self._cut.pop(server.ident)
-        if not self._backends.knows(server.ident):
+        fingerprints = self._cut.pop(server.incarnation_id)
+        if not self._backends.knows(server.incarnation_id):
             # An instance that stood still hears of both together, the entry first.
             await self._crashed(server, fingerprints, "entry_gone")
             return
@@ -91,17 +91,21 @@
             crashed = not await self._backends.client(server).listens()
         except ConnectFailed as exc:
             why = exc.detail
-            self._log.info("server_unreached", server=server.ident, cut=len(fingerprints), why=why)
+            self._log.info(
+                "server_unreached", server=server.incarnation_id, cut=len(fingerprints), why=why
+            )
             await self._wait_for_entry(server, fingerprints)
             return
         if crashed:
             await self._crashed(server, fingerprints, "nobody_listens")
             return
-        self._log.info("server_lives", server=server.ident, cut=len(fingerprints))
+        self._log.info("server_lives", server=server.incarnation_id, cut=len(fingerprints))
         await self._wait_for_entry(server, fingerprints)
 
     async def _crashed(self, server: Server, fingerprints: set[str], why: str) -> None:
-        self._log.info("server_crashed", server=server.ident, cut=len(fingerprints), why=why)
+        self._log.info(
+            "server_crashed", server=server.incarnation_id, cut=len(fingerprints), why=why
+        )
         await self._on_crash(server, fingerprints)
 
     async def _wait_for_entry(self, server: Server, fingerprints: set[str]) -> None:
@@ -110,7 +114,7 @@
         over = [ident for ident, cut in self._unsure.items() if now - cut.at > ENTRY_GOES_S]
         for ident in over:
             del self._unsure[ident]
-        known = self._unsure.get(server.ident)
+        known = self._unsure.get(server.incarnation_id)
         if known is not None:
             fingerprints = known.fingerprints | fingerprints
-        self._unsure[server.ident] = _Cut(server, fingerprints, now)
+        self._unsure[server.incarnation_id] = _Cut(server, fingerprints, now)
--- a/src/crankhinge/gateway/_directory.py
+++ b/src/crankhinge/gateway/_directory.py
@@ -9,7 +9,7 @@
 import curio
 
 from crankhinge.adapters import ConfigSeen, FleetSource, ServersSeen, TooMuchChanged
-from crankhinge.decisions import Freshness, ListChange, RouteTable, ServerList
+from crankhinge.decisions import FreshnessBounds, RouteTable, ServerList, ServerListChange
 from crankhinge.gateway._follower import Follower, Step
 
 # A watch carries every version of the configuration since its mark. An answer this many times as
@@ -33,7 +33,7 @@
     """
 
     def __init__(
-        self, source: FleetSource, freshness: Freshness, log: Any, rng: random.Random
+        self, source: FleetSource, freshness: FreshnessBounds, log: Any, rng: random.Random
     ) -> None:
         self.table: RouteTable | None = None
         self.servers = ServerList()
@@ -48,7 +48,7 @@
             "config",
             read=self._read_config,
             watch=self._next_config,
-            watch_s=freshness.config_watch_s,
+            watch_s=freshness.config_watch_wait_s,
             pause_s=freshness.config_pause_s,
             source=source,
             log=log,
@@ -58,7 +58,7 @@
             "servers",
             read=self._read_servers,
             watch=self._next_servers,
-            watch_s=lambda age_s: freshness.watch_s,
+            watch_s=lambda age_s: freshness.max_watch_wait_s,
             pause_s=freshness.list_pause_s,
             source=source,
             log=log,
@@ -76,16 +76,16 @@
 
     def knows_keys(self, now: float) -> bool:
         """Whether what is known of keys is young enough to serve by."""
-        return self.keys_age_s(now) <= self._freshness.keys_s
+        return self.keys_age_s(now) <= self._freshness.max_key_age_s
 
     async def expire(self) -> None:
         """Drop servers that stayed away after the list's return, until cancelled."""
         while True:
             await self._doubting.wait()
             self._doubting.clear()
-            while (due := self.servers.next_expiry()) is not None:
+            while (due := self.servers.next_suspect_expiry()) is not None:
                 await curio.sleep(max(0.0, due - await curio.clock()))
-                for ident in self.servers.expire(await curio.clock()):
+                for ident in self.servers.expire_suspects(await curio.clock()):
                     await self._forget(ident, "not_back")
 
     async def _read_config(self) -> Step:
@@ -126,14 +126,16 @@
         seen = await self._source.read_servers()
         now = await curio.clock()
         was_away = self.list.was_away
-        change = self.servers.replace(seen.servers, now, was_away=was_away, unusable=seen.unusable)
+        change = self.servers.apply_list(
+            seen.servers, now, was_unreachable=was_away, unusable=seen.unusable
+        )
         self.listed = True
         self._log.info(
             "servers_listed",
             servers=len(seen.servers),
             heard_s=self._heard_s(now),
             was_away=was_away,
-            doubted=len(change.doubted),
+            doubted=len(change.suspected),
         )
         await self._tell(change, "not_listed", now)
         return Step(seen.mark, gather=self._gathers(seen))
@@ -142,8 +144,8 @@
         seen = await self._source.watch_servers(mark, wait_s)
         now = await curio.clock()
         was_away = self.list.was_away
-        change = self.servers.change(
-            seen.servers, seen.gone, now, was_away=was_away, unusable=seen.unusable
+        change = self.servers.apply_changes(
+            seen.servers, seen.gone, now, was_unreachable=was_away, unusable=seen.unusable
         )
         await self._tell(change, "gone", now)
         return Step(seen.mark, gather=self._gathers(seen))
@@ -153,31 +155,31 @@
 
         Not while servers are doubted: each entry that is back gives callers a server.
         """
-        return bool(seen.servers or seen.gone) and not self.servers.doubted()
+        return bool(seen.servers or seen.gone) and not self.servers.suspects()
 
     def _heard_s(self, now: float) -> float | None:
         """Return how long ago the list was last heard of, in seconds."""
         return None if self.list.heard is None else round(now - self.list.heard, 1)
 
-    async def _tell(self, change: ListChange, why: str, now: float) -> None:
+    async def _tell(self, change: ServerListChange, why: str, now: float) -> None:
         """Write what changed, and see to it that nobody is doubted for long."""
-        for server in change.seen:
+        for server in change.changed:
             self._log.info(
                 "server_seen",
-                server=server.ident,
+                server=server.incarnation_id,
                 service=server.service,
                 at=f"{server.host}:{server.port}",
-                phase=server.phase.value,
+                phase=server.role.value,
                 leaving=server.leaving,
-                beat=server.beat,
+                beat=server.heartbeat,
             )
-        for ident in change.reborn:
+        for ident in change.restarted:
             await self._forget(ident, "born_again")
-        for ident in change.dropped:
+        for ident in change.removed:
             await self._forget(ident, why)
-        for ident in change.doubted:
+        for ident in change.suspected:
             self._log.info("server_doubted", server=ident, heard_s=self._heard_s(now))
-        if change.doubted:
+        if change.suspected:
             await self._doubting.set()
 
     async def _forget(self, ident: str, why: str) -> None:
--- a/src/crankhinge/gateway/_follower.py
+++ b/src/crankhinge/gateway/_follower.py
@@ -11,7 +11,7 @@
 import curio
 
 from crankhinge.adapters import FleetSource, HistoryLost
-from crankhinge.decisions import Gathering
+from crankhinge.decisions import ChangeBatcher
 from crankhinge.errors import KeyValueUnavailable
 
 # Pauses between attempts while the source is away, in seconds: soon enough that its return is
@@ -98,7 +98,7 @@
         self._read = read
         self._watch = watch
         self._watch_s = watch_s
-        self._gathering = Gathering(pause_s)
+        self._gathering = ChangeBatcher(pause_s)
         self._source = source
         self._log = log
         self._rng = rng
@@ -147,7 +147,7 @@
                 if step.gather:
                     # The connection may fall silent meanwhile: the watch that would show it is
                     # shorter by the time in which none is under way.
-                    gathered_s = self._gathering.pause_s(await curio.clock())
+                    gathered_s = self._gathering.record_change(await curio.clock())
                     await curio.sleep(gathered_s)
 
     def _wait_s(self, now: float, gathered_s: float) -> float:
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -114,10 +114,10 @@
             return HttpLimits()
         limits = table.limits
         return HttpLimits(
-            body_bytes=limits.body_bytes,
-            header_bytes=limits.header_bytes,
-            idle_s=limits.idle_s,
-            read_s=limits.header_s + limits.idle_s,
+            body_bytes=limits.max_body_bytes,
+            header_bytes=limits.max_header_bytes,
+            idle_s=limits.idle_timeout_s,
+            read_s=limits.header_timeout_s + limits.idle_timeout_s,
         )
 
     @property
--- a/src/crankhinge/gateway/_greeter.py
+++ b/src/crankhinge/gateway/_greeter.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from crankhinge.decisions import GREET_S, Members
+from crankhinge.decisions import JOIN_ANNOUNCEMENT_INTERVAL_S, Membership
 from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._peer_messages import Greeted, Greeting
 
@@ -29,7 +29,7 @@
         *,
         name: str,
         peer: str,
-        members: Members,
+        members: Membership,
         notices: Notices,
         on_come: Sequence[Callable[[str], None]],
         log: Any,
@@ -47,22 +47,22 @@
         """Greet those that have not answered, until cancelled."""
         settled = False
         while True:
-            for peer in self._members.to_greet:
+            for peer in self._members.unacknowledged_addresses:
                 await self._notices.send(peer, Greeting(self._name, self._peer))
-            await curio.sleep(GREET_S)
-            if settled != self._members.settled(await curio.clock()):
+            await curio.sleep(JOIN_ANNOUNCEMENT_INTERVAL_S)
+            if settled != self._members.may_coordinate(await curio.clock()):
                 settled = not settled
                 self._log.info(
                     "members_settled" if settled else "members_unsettled",
                     members=len(self._members),
-                    unanswered=len(self._members.to_greet),
+                    unanswered=len(self._members.unacknowledged_addresses),
                 )
 
     async def _take_greeting(self, message: Greeting, sender: str) -> None:
-        self._members.greeted(message.name, message.peer, await curio.clock())
+        self._members.record_joined(message.name, message.peer, await curio.clock())
         for on_come in self._on_come:
             on_come(message.name)
         await self._notices.send(sender, Greeted(self._name))
 
     async def _take_answer(self, message: Greeted, sender: str) -> None:
-        self._members.answered(message.name)
+        self._members.record_acknowledged(message.name)
--- a/src/crankhinge/gateway/_legs.py
+++ b/src/crankhinge/gateway/_legs.py
@@ -64,7 +64,7 @@
             BadHttp: it may have run; what came back is no answer.
         """
         dialect = self._backends.dialect
-        standing = self._backends.standing(server.ident)
+        standing = self._backends.standing(server.incarnation_id)
         req = relay.exchange.req
         began = await curio.clock()
         self._authenticator.check(relay, began)
@@ -73,12 +73,12 @@
         # Its place may have been taken seconds ago, while its prompt was read elsewhere.
         bar = self._backends.bar(server, began)
         if bar is not None:
-            raise ServerBarred(f"{server.ident}: {bar.value}")
+            raise ServerBarred(f"{server.incarnation_id}: {bar.value}")
         # Last, since it is used: a permit of a request that is not sent is lost to others.
         permit = await self._permits.spend(relay, server)
-        relay.facts.update(self._backends.bars.facts(server.ident, began))
-        standing.breaker.sent(began)
-        standing.open += 1
+        relay.facts.update(self._backends.bars.violation_log_fields(server.incarnation_id, began))
+        standing.breaker.record_sent(began)
+        standing.open_requests += 1
         stream: ClientStream | None = None
         whole = False
         try:
@@ -92,7 +92,7 @@
             word = dialect.word(stream.status, stream.headers)
             if word.other_server:
                 self._backends.replaced(server)
-                raise ConnectFailed(f"another server answers for {server.ident}")
+                raise ConnectFailed(f"another server answers for {server.incarnation_id}")
             ran = not word.not_run and stream.status < RAN_BELOW
             await self._backends.heard(server, word, sent_at=began, ran=ran)
             yield stream
@@ -100,16 +100,16 @@
         except CallerGone:
             raise
         except (HttpClosed, BadHttp) as exc:
-            standing.failed(await curio.clock())
+            standing.record_failure(await curio.clock())
             if isinstance(exc, ConnectFailed) and permit is not None:
-                relay.permits[server.ident] = permit
+                relay.permits[server.incarnation_id] = permit
             if isinstance(exc, HttpClosed) and not isinstance(exc, ConnectFailed):
                 # A trial that was cut is over, whatever the server is found to be.
                 relay.trial = ""
                 await self._crashes.connection_ended(server, work)
             raise
         finally:
-            standing.open -= 1
+            standing.open_requests -= 1
             if stream is not None:
                 await (stream.close() if whole else stream.abort())
 
--- a/src/crankhinge/gateway/_limit_news.py
+++ b/src/crankhinge/gateway/_limit_news.py
@@ -37,7 +37,7 @@
         self, *, shared: SharedLimits, backends: Backends, notices: Notices, log: Any
     ) -> None:
         self._shared = shared
-        self._limits = shared.limits
+        self._limits = shared.advertised
         self._backends = backends
         self._notices = notices
         self._log = log
@@ -57,15 +57,15 @@
         """
         now = await curio.clock()
         if word.takes_per_s is not None:
-            self._unreadable.discard(server.ident)
-            begun = self._limits.get(server.ident) is None
-            if self._take(server.ident, word.takes_per_s, now, "own"):
-                await self._tell_named(server.ident, word.takes_per_s, now, begun=begun)
+            self._unreadable.discard(server.incarnation_id)
+            begun = self._limits.get(server.incarnation_id) is None
+            if self._take(server.incarnation_id, word.takes_per_s, now, "own"):
+                await self._tell_named(server.incarnation_id, word.takes_per_s, now, begun=begun)
         elif word.names_limit:
-            self._take_unreadable(server.ident, now)
-        elif ran and self._take_end(server.ident, sent_at, "own"):
-            notice = LimitEnded(server.ident, now - sent_at)
-            await self._notices.tell(notice, server=server.ident)
+            self._take_unreadable(server.incarnation_id, now)
+        elif ran and self._take_end(server.incarnation_id, sent_at, "own"):
+            notice = LimitEnded(server.incarnation_id, now - sent_at)
+            await self._notices.tell(notice, server=server.incarnation_id)
 
     def told(self, ident: str, per_s: float, at: float, told_by: str) -> None:
         """Note what another instance heard of a server at a time on the runtime's clock."""
@@ -74,7 +74,7 @@
     def _take(self, ident: str, per_s: float, at: float, told_by: str) -> bool:
         """Take a rate; returns whether it was news."""
         was = self._rate(ident)
-        news = self._limits.named(ident, per_s, at)
+        news = self._limits.record_limit(ident, per_s, at)
         if news:
             self._note(ident, per_s, was, told_by)
         return news
@@ -82,14 +82,14 @@
     def _take_end(self, ident: str, sent_at: float, told_by: str) -> bool:
         """Take that a server names nothing any more; returns whether it was news."""
         was = self._rate(ident)
-        news = self._limits.unnamed(ident, sent_at)
+        news = self._limits.record_no_limit(ident, sent_at)
         if news:
             self._unreadable.discard(ident)
             self._note(ident, None, was, told_by)
         return news
 
     def _take_unreadable(self, ident: str, now: float) -> None:
-        self._limits.unreadable(ident, now)
+        self._limits.record_unreadable(ident, now)
         if ident not in self._unreadable:
             self._unreadable.add(ident)
             self._log.info("server_limit_unreadable", server=ident, was=self._rate(ident))
@@ -126,12 +126,12 @@
 
     def noted(self, now: float) -> Mapping[str, float]:
         """Return what belongs into this instance's note: the rates of what it hands out for."""
-        servers = [ident for ident in self._limits.servers if self._shared.hands_out(ident)]
-        return self._limits.noted(servers, now)
+        servers = [ident for ident in self._limits.servers if self._shared.is_allocator(ident)]
+        return self._limits.to_instance_record(servers, now)
 
     async def recall(self, notes: Mapping[str, Note]) -> None:
         """Take what stands in the notes of instances."""
         now = await curio.clock()
         for name, note in notes.items():
-            for ident in self._limits.recall(note.limited, now):
+            for ident in self._limits.apply_instance_record(note.limited, now):
                 self._note(ident, note.limited[ident], None, f"note:{name}")
--- a/src/crankhinge/gateway/_orderer.py
+++ b/src/crankhinge/gateway/_orderer.py
@@ -13,7 +13,13 @@
 import curio
 
 from crankhinge.adapters import EngineState, OrderEnd, Tenure, TenureOffice
-from crankhinge.decisions import MANY_ANSWERS, Phase, Server, Service, wanted_readers
+from crankhinge.decisions import (
+    MIN_ANSWERS_TO_GROW_PREFILL,
+    EngineRole,
+    Server,
+    Service,
+    wanted_prompt_engines,
+)
 from crankhinge.errors import BadHttp, KeyValueUnavailable
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._directory import Directory
@@ -46,10 +52,10 @@
 class _Wish:
     """What an instance would have another split for, and for how many looks in a row."""
 
-    phase: Phase | None = None
+    phase: EngineRole | None = None
     looks: int = 0
 
-    def lasts(self, phase: Phase | None) -> bool:
+    def lasts(self, phase: EngineRole | None) -> bool:
         """Note what a look shows; returns whether it has shown the same wish for long enough."""
         self.looks = self.looks + 1 if phase is self.phase else 1
         self.phase = phase
@@ -136,7 +142,7 @@
         glimpse = self._work.glimpse(service.name)
         if glimpse is None or now < self._quiet_until:
             return
-        wanted = wanted_readers(glimpse, *split, MANY_ANSWERS)
+        wanted = wanted_prompt_engines(glimpse, *split, MIN_ANSWERS_TO_GROW_PREFILL)
         # Servers that come and go change the split each second; the wish is what has to last.
         if self._wishes[service.name].lasts(_more_of(wanted, split[0])):
             del self._wishes[service.name]
@@ -144,10 +150,10 @@
 
     def _pools(self, service: str, now: float) -> _Pools:
         return _Pools(
-            reading=self._backends.able(service, now, Phase.READ),
-            writing=self._backends.able(service, now, Phase.WRITE),
-            to_read=self._backends.coming(service, Phase.READ, now),
-            to_write=self._backends.coming(service, Phase.WRITE, now),
+            reading=self._backends.able(service, now, EngineRole.PREFILL),
+            writing=self._backends.able(service, now, EngineRole.DECODE),
+            to_read=self._backends.coming(service, EngineRole.PREFILL, now),
+            to_write=self._backends.coming(service, EngineRole.DECODE, now),
         )
 
     async def _decide(self, service: Service, pools: _Pools) -> None:
@@ -162,7 +168,7 @@
         split = (pools.readers, pools.writers)
         if loads is None:
             return
-        wanted = wanted_readers(loads, *split, answers)
+        wanted = wanted_prompt_engines(loads, *split, answers)
         if wanted == split[0]:
             return
         self._quiet_until = now + QUIET_S
@@ -174,15 +180,17 @@
             readers=split[0],
             writers=split[1],
             wanted=wanted,
-            read_s=round(loads.read_s, 4),
-            write_s=round(loads.write_s, 4),
+            read_s=round(loads.prompt_s, 4),
+            write_s=round(loads.answer_s, 4),
         )
-        servers = pools.reading if phase is Phase.WRITE else pools.writing
+        servers = pools.reading if phase is EngineRole.DECODE else pools.writing
         # Those that have least to finish can change soonest.
-        servers.sort(key=lambda server: self._backends.standing(server.ident).open)
+        servers.sort(
+            key=lambda server: self._backends.standing(server.incarnation_id).open_requests
+        )
         await self._change(servers, abs(wanted - split[0]), phase)
 
-    async def _change(self, servers: list[Server], count: int, phase: Phase) -> None:
+    async def _change(self, servers: list[Server], count: int, phase: EngineRole) -> None:
         """Order *count* of the engines, the first that can be, to play a part."""
         try:
             self._tenure = await self._office.acquire(self._name)
@@ -213,16 +221,16 @@
         try:
             return self._backends.dialect.state_of(resp.body)
         except BadHttp as exc:
-            self._log.warning("state_unreadable", server=server.ident, why=exc.detail)
+            self._log.warning("state_unreadable", server=server.incarnation_id, why=exc.detail)
             return None
 
-    async def _order(self, target: Server, phase: Phase) -> OrderEnd | None:
+    async def _order(self, target: Server, phase: EngineRole) -> OrderEnd | None:
         """Give an order; returns None when it was left unanswered and may yet be carried out."""
         tenure = self._tenure
         assert tenure is not None
         state = await self._state(target)
         if state is None or state.busy or state.phase is phase:
-            self._log.info("order_left_out", server=target.ident, state=str(state))
+            self._log.info("order_left_out", server=target.incarnation_id, state=str(state))
             return OrderEnd.IN_THE_WAY
         if await curio.clock() > tenure.until - MARGIN_S:
             self._log.info("tenure_over", fence=tenure.fence)
@@ -232,7 +240,7 @@
         end = None if resp is None else self._backends.dialect.order_end(resp.status)
         self._log.info(
             "order_given",
-            server=target.ident,
+            server=target.incarnation_id,
             phase=phase.value,
             fence=tenure.fence,
             orders=state.orders,
@@ -242,25 +250,27 @@
             await self._tell(target, phase)
         return end
 
-    async def _tell(self, target: Server, phase: Phase) -> None:
+    async def _tell(self, target: Server, phase: EngineRole) -> None:
         """Have this instance and the others leave the engine out until it plays its new part."""
         until = await curio.clock() + LOST_S
-        self._backends.ordered(target.ident, phase, until, told=False)
-        notice = EngineOrdered(target.ident, phase, LOST_S)
+        self._backends.ordered(target.incarnation_id, phase, until, told=False)
+        notice = EngineOrdered(target.incarnation_id, phase, LOST_S)
         await self._notices.tell(notice, server=notice.server, phase=phase.value)
 
-    async def _settle(self, targets: list[Server], phase: Phase) -> None:
+    async def _settle(self, targets: list[Server], phase: EngineRole) -> None:
         """Keep the right until the outcome of all orders is known."""
         until = await curio.clock() + LOST_S
         while targets and await curio.clock() < until and await self._renewed():
             await curio.sleep(SETTLE_S)
             for target in list(targets):
-                entry = self._directory.servers.get(target.ident)
-                if entry is None or entry.phase is phase:
+                entry = self._directory.servers.get(target.incarnation_id)
+                if entry is None or entry.role is phase:
                     targets.remove(target)
-                    self._log.info("order_settled", server=target.ident, gone=entry is None)
+                    self._log.info(
+                        "order_settled", server=target.incarnation_id, gone=entry is None
+                    )
         for target in targets:
-            self._log.info("order_unsettled", server=target.ident)
+            self._log.info("order_unsettled", server=target.incarnation_id)
 
     async def _renewed(self) -> bool:
         assert self._tenure is not None
@@ -278,8 +288,8 @@
         return True
 
 
-def _more_of(wanted: int, readers: int) -> Phase | None:
+def _more_of(wanted: int, readers: int) -> EngineRole | None:
     """Return the part that more engines should play; None where the split is as wanted."""
     if wanted == readers:
         return None
-    return Phase.READ if wanted > readers else Phase.WRITE
+    return EngineRole.PREFILL if wanted > readers else EngineRole.DECODE
--- a/src/crankhinge/gateway/_peer_messages.py
+++ b/src/crankhinge/gateway/_peer_messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from crankhinge.decisions import Loan, Phase, Stamp, Verdict
+from crankhinge.decisions import ClockStamp, EngineRole, QuotaOutcome, ShareLease
 
 
 class EngineOrdered(msgspec.Struct, frozen=True, tag="engine-ordered"):
@@ -20,7 +20,7 @@
     """
 
     server: str
-    phase: Phase
+    phase: EngineRole
     within_s: float
 
 
@@ -71,7 +71,7 @@
     """
 
     number: int
-    verdict: Verdict
+    verdict: QuotaOutcome
     after_s: float
     left: float
 
@@ -176,13 +176,13 @@
     fleet: int
 
     @classmethod
-    def of(cls, loan: Loan) -> ShareLoan:
+    def of(cls, loan: ShareLease) -> ShareLoan:
         """Return the message of a loan."""
-        return cls(loan.stamp.life, loan.stamp.at, loan.for_s, loan.fleet)
+        return cls(loan.stamp.incarnation, loan.stamp.at, loan.duration_s, loan.fleet_size)
 
-    def decoded(self) -> Loan:
+    def decoded(self) -> ShareLease:
         """Return the loan."""
-        return Loan(Stamp(self.life, self.at), self.for_s, self.fleet)
+        return ShareLease(ClockStamp(self.life, self.at), self.for_s, self.fleet)
 
 
 class PermitAsk(msgspec.Struct, frozen=True, tag="permit-ask", kw_only=True):
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -14,7 +14,14 @@
 
 import curio
 
-from crankhinge.decisions import PERMIT_S, LimitWord, Members, Server, SharedLimits, Stamp
+from crankhinge.decisions import (
+    PERMIT_TRANSIT_S,
+    ClockStamp,
+    Membership,
+    PermitDecision,
+    Server,
+    SharedLimits,
+)
 from crankhinge.errors import ServerAtLimit
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._limit_news import LimitNews
@@ -58,8 +65,8 @@
         stamp: the moment of its clock.
     """
 
-    word: LimitWord | None
-    stamp: Stamp
+    word: PermitDecision | None
+    stamp: ClockStamp
 
 
 class Permits:
@@ -82,7 +89,7 @@
         name: str,
         shared: SharedLimits,
         news: LimitNews,
-        members: Members,
+        members: Membership,
         backends: Backends,
         notices: Notices,
         log: Any,
@@ -104,7 +111,7 @@
 
     def has_come(self, name: str) -> None:
         """Note that an instance has come."""
-        self._shared.has_come(name)
+        self._shared.record_joined(name)
 
     async def permit(self, relay: Relay, server: Server) -> bool:
         """Get a request leave to be sent to a server now; it keeps the permit.
@@ -113,17 +120,17 @@
             Whether it may be; if not, the server's standing tells when to ask again, and nobody
             asks before that.
         """
-        if self._shared.limits.get(server.ident) is None:
+        if self._shared.advertised.get(server.incarnation_id) is None:
             return True
         now = await curio.clock()
-        held = relay.permits.get(server.ident)
+        held = relay.permits.get(server.incarnation_id)
         if held is not None and now <= held.until:
             return True
-        if self._backends.standing(server.ident).limited_until > now:
+        if self._backends.standing(server.incarnation_id).limited_until > now:
             return False
         return (await self._get(relay, server, _Wish(0.0, caller=False))).granted
 
-    async def queue(self, relay: Relay, server: Server, within_s: float) -> LimitWord:
+    async def queue(self, relay: Relay, server: Server, within_s: float) -> PermitDecision:
         """Get a request leave to be sent to a server soon, or a time for its caller to come back.
 
         Args:
@@ -133,30 +140,32 @@
         """
         return await self._get(relay, server, _Wish(within_s, caller=True))
 
-    async def wait(self, server: Server, word: LimitWord) -> None:
+    async def wait(self, server: Server, word: PermitDecision) -> None:
         """Wait until a request may be sent that was granted for later."""
         await curio.sleep(word.after_s)
-        self._backends.standing(server.ident).limited_until = 0.0
+        self._backends.standing(server.incarnation_id).limited_until = 0.0
 
-    async def _get(self, relay: Relay, server: Server, wish: _Wish) -> LimitWord:
+    async def _get(self, relay: Relay, server: Server, wish: _Wish) -> PermitDecision:
         now = await curio.clock()
-        standing = self._backends.standing(server.ident)
-        allocator, word = await self._ask(server.ident, wish)
+        standing = self._backends.standing(server.incarnation_id)
+        allocator, word = await self._ask(server.incarnation_id, wish)
         if word.granted:
             # From when it was asked: the answer may have been under way for any time.
-            relay.permits[server.ident] = SendPermit(allocator, now + word.after_s + PERMIT_S)
+            relay.permits[server.incarnation_id] = SendPermit(
+                allocator, now + word.after_s + PERMIT_TRANSIT_S
+            )
             if not word.after_s:
                 standing.limited_until = 0.0
             return word
-        standing.at_limit(await curio.clock(), word.after_s)
+        standing.record_at_limit(await curio.clock(), word.after_s)
         self._metrics.count("permits_refused")
         self._log.info(
             "permit_refused",
             request=relay.ask.ident,
-            server=server.ident,
+            server=server.incarnation_id,
             by=allocator or "own",
             after_ms=round(word.after_s * 1000),
-            own_part=round(self._shared.part(server.ident), 3),
+            own_part=round(self._shared.leased_fraction(server.incarnation_id), 3),
         )
         return word
 
@@ -166,12 +175,12 @@
         Raises:
             ServerAtLimit: the server names a limit and the request has no permit, nor gets one now.
         """
-        if self._shared.limits.get(server.ident) is None:
+        if self._shared.advertised.get(server.incarnation_id) is None:
             return None
         if not await self.permit(relay, server):
-            raise ServerAtLimit(f"{server.ident} takes no more now")
-        self._sent[server.ident] += 1
-        return relay.permits.pop(server.ident, None)
+            raise ServerAtLimit(f"{server.incarnation_id} takes no more now")
+        self._sent[server.incarnation_id] += 1
+        return relay.permits.pop(server.incarnation_id, None)
 
     async def settle(self, relay: Relay) -> None:
         """Give the permits of a request back that it did not use."""
@@ -181,11 +190,11 @@
             if now > permit.until:
                 continue
             if permit.allocator in ("", self._name):
-                self._shared.give_back(ident, now)
-            elif peer := self._members.peer(permit.allocator):
+                self._shared.return_permit(ident, now)
+            elif peer := self._members.peer_address(permit.allocator):
                 await self._notices.send(peer, PermitReturn(ident))
 
-    async def _ask(self, ident: str, wish: _Wish) -> tuple[str, LimitWord]:
+    async def _ask(self, ident: str, wish: _Wish) -> tuple[str, PermitDecision]:
         """Ask for a permit; returns who answered, and what."""
         now = await curio.clock()
         for allocator in self._shared.allocators(ident, now):
@@ -195,15 +204,15 @@
             if answer is not None and answer.word is not None:
                 return allocator, answer.word
         now = await curio.clock()
-        return "", self._shared.hand_out(ident, wish.within_s, now, caller=wish.caller)
+        return "", self._shared.take_permit(ident, wish.within_s, now, for_caller=wish.caller)
 
     async def _question(self, allocator: str, ident: str, wish: _Wish | None) -> _Answer | None:
         """Lend the own share to an instance and, where there is a wish, ask for a permit."""
-        peer, limit = self._members.peer(allocator), self._shared.limits.get(ident)
+        peer, limit = self._members.peer_address(allocator), self._shared.advertised.get(ident)
         if not peer or limit is None:
             return None
         now = await curio.clock()
-        loan = self._shared.lend(ident, allocator, now)
+        loan = self._shared.lease_out(ident, allocator, now)
         send = partial(
             self._send_ask,
             peer,
@@ -212,7 +221,7 @@
                 lender=self._name,
                 server=ident,
                 per_s=limit.per_s,
-                ago_s=now - limit.at,
+                ago_s=now - limit.received_at,
                 within_s=None if wish is None else wish.within_s,
                 caller=wish is not None and wish.caller,
                 loan=None if loan is None else ShareLoan.of(loan),
@@ -222,9 +231,9 @@
         if answer is None:
             self._log.info("permit_unanswered", server=ident, instance=allocator)
             self._metrics.count("permits_unanswered")
-            self._shared.silent(allocator, await curio.clock())
+            self._shared.record_unresponsive(allocator, await curio.clock())
         else:
-            self._shared.answered(allocator, answer.stamp)
+            self._shared.record_response(allocator, answer.stamp)
         return answer
 
     async def _send_ask(self, peer: str, ask: PermitAsk, number: int) -> None:
@@ -236,44 +245,46 @@
         now = await curio.clock()
         self._news.told(message.server, message.per_s, now - message.ago_s, message.lender)
         if message.loan is not None:
-            self._shared.borrow(message.server, message.lender, message.loan.decoded(), now)
+            self._shared.accept_lease(message.server, message.lender, message.loan.decoded(), now)
         word = None
         if message.within_s is not None:
-            word = self._shared.hand_out(
-                message.server, message.within_s, now, caller=message.caller
+            word = self._shared.take_permit(
+                message.server, message.within_s, now, for_caller=message.caller
             )
         stamp = self._shared.stamp(now)
         answer = PermitAnswer(
             number=message.number,
             granted=None if word is None else word.granted,
             after_s=0.0 if word is None else word.after_s,
-            life=stamp.life,
+            life=stamp.incarnation,
             at=stamp.at,
         )
         await self._notices.send(sender, answer)
 
     async def _take_answer(self, message: PermitAnswer, sender: str) -> None:
-        word = None if message.granted is None else LimitWord(message.granted, message.after_s)
-        stamp = Stamp(message.life, message.at)
+        word = None if message.granted is None else PermitDecision(message.granted, message.after_s)
+        stamp = ClockStamp(message.life, message.at)
         await self._questions.answer(message.number, _Answer(word, stamp))
 
     async def _take_return(self, message: PermitReturn, sender: str) -> None:
-        self._shared.give_back(message.server, await curio.clock())
+        self._shared.return_permit(message.server, await curio.clock())
 
     # Tasks.
 
     async def lend(self) -> None:
         """Lend the shares of limits that others hand out for, again and again, until cancelled."""
         while True:
-            await curio.sleep(self._shared.renew_s * self._backends.rng.uniform(*LEND_SPREAD))
-            for ident in self._shared.limits.servers:
+            await curio.sleep(
+                self._shared.renewal_interval_s * self._backends.rng.uniform(*LEND_SPREAD)
+            )
+            for ident in self._shared.advertised.servers:
                 await self._lend(ident)
 
     async def _lend(self, ident: str) -> None:
         now = await curio.clock()
         for allocator in self._shared.allocators(ident, now):
             if allocator == self._name:
-                self._shared.use_own(ident, now)
+                self._shared.use_local_share(ident, now)
                 return
             if await self._question(allocator, ident, None) is not None:
                 return
@@ -284,7 +295,7 @@
             await curio.sleep(USE_S)
             sent, self._sent = self._sent, Counter()
             for ident, requests in sent.items():
-                limit = self._shared.limits.get(ident)
+                limit = self._shared.advertised.get(ident)
                 self._log.info(
                     "server_limit_use",
                     server=ident,
--- a/src/crankhinge/gateway/_places.py
+++ b/src/crankhinge/gateway/_places.py
@@ -11,19 +11,19 @@
 import curio
 
 from crankhinge.decisions import (
-    FIRST_S,
-    SERVE_S,
+    DEFAULT_FIRST_EVENT_S,
+    DEFAULT_SERVICE_S,
     EngineLimits,
+    EngineRole,
     MemoryForecast,
-    Phase,
-    PlaceAsk,
+    ReservationQueue,
+    ReservationRequest,
     Server,
-    WaitingOrder,
-    WorkMeter,
-    back_after,
-    memory_needed,
-    places_to_ask,
-    silent_s,
+    WorkloadMeter,
+    engines_to_try,
+    retry_delay_s,
+    stream_event_timeout_s,
+    tokens_to_reserve,
 )
 from crankhinge.errors import BadHttp, NoBackend, Overloaded, ServerAtLimit, ServersRest
 from crankhinge.gateway._backends import Backends
@@ -53,7 +53,7 @@
     """
 
     relay: Relay
-    need: PlaceAsk
+    need: ReservationRequest
     avoid: frozenset[str]
     began: float
     asked: int = 0
@@ -94,14 +94,14 @@
         choice: ServerChoice,
         permits: Permits,
         log: Any,
-        meters: Mapping[str, WorkMeter],
+        meters: Mapping[str, WorkloadMeter],
     ) -> None:
         self._backends = backends
         self._choice = choice
         self._permits = permits
         self._meters = meters
         self._log = log
-        self._orders: defaultdict[str, WaitingOrder] = defaultdict(WaitingOrder)
+        self._orders: defaultdict[str, ReservationQueue] = defaultdict(ReservationQueue)
         self._forecasts: defaultdict[str, MemoryForecast] = defaultdict(MemoryForecast)
 
     @asynccontextmanager
@@ -120,13 +120,13 @@
             NoBackend: no server writes.
         """
         place = await self._find(relay, extra, avoid)
-        standing = self._backends.standing(place.server.ident)
-        standing.tokens += place.tokens
+        standing = self._backends.standing(place.server.incarnation_id)
+        standing.reserved_tokens += place.tokens
         try:
             yield place
         finally:
-            standing.tokens -= place.tokens
-            self._forecasts[relay.service.name].gave_back(place.number)
+            standing.reserved_tokens -= place.tokens
+            self._forecasts[relay.service.name].record_released(place.number)
             if place.hold:
                 call = self._backends.dialect.drop_hold(place.hold)
                 await self._backends.later(place.server, call)
@@ -137,7 +137,7 @@
         now = await curio.clock()
         search = _Search(relay, self._need(relay, engine, extra, now), avoid, now)
         order = self._orders[relay.service.name]
-        search.number = order.enter(search.need, search.began)
+        search.number = order.add(search.need, search.began)
         try:
             while True:
                 place = await self._look(search, engine, order)
@@ -148,70 +148,72 @@
                 ):
                     await self._wait(search)
         finally:
-            order.leave(search.number)
+            order.remove(search.number)
 
-    def _need(self, relay: Relay, engine: EngineLimits, extra: int, now: float) -> PlaceAsk:
+    def _need(
+        self, relay: Relay, engine: EngineLimits, extra: int, now: float
+    ) -> ReservationRequest:
         ask = relay.ask
         meter = self._meters[relay.service.name]
         likely = min(ask.likely_tokens or ask.answer_tokens, ask.answer_tokens)
-        tokens = memory_needed(
+        tokens = tokens_to_reserve(
             ask.prompt_tokens + extra, ask.likely_tokens, ask.answer_tokens, engine.kv_tokens
         )
-        return PlaceAsk(
+        return ReservationRequest(
             tokens=tokens,
             # A stream that is taken up elsewhere has had its first event.
             target_s=relay.began + relay.route.target_s - now,
-            left_s=relay.until - now,
-            silent_s=(relay.event_at or relay.began)
-            + silent_s(relay.route.target_s, relay.route.pause_s)
+            remaining_s=relay.until - now,
+            event_timeout_s=(relay.event_at or relay.began)
+            + stream_event_timeout_s(relay.route.target_s, relay.route.max_pause_s)
             - now,
-            returned=relay.returned,
-            serve_s=meter.serve_s(likely) or SERVE_S,
-            first_s=meter.first_s or FIRST_S,
+            is_retry=relay.returned,
+            service_s=meter.expected_service_s(likely) or DEFAULT_SERVICE_S,
+            first_event_s=meter.mean_first_event_s or DEFAULT_FIRST_EVENT_S,
         )
 
     async def _look(
-        self, search: _Search, engine: EngineLimits, order: WaitingOrder
+        self, search: _Search, engine: EngineLimits, order: ReservationQueue
     ) -> Place | None:
         """Ask the engines that may have room."""
         relay, need = search.relay, search.need
-        if need.patience_s < 0:
+        if need.max_wait_s < 0:
             self._refused(search, "no_time", 0.0)
-            raise Overloaded("can't end in time", retry_after_s=back_after(self._backends.rng))
+            raise Overloaded("can't end in time", retry_after_s=retry_delay_s(self._backends.rng))
         now = await curio.clock()
         service, model = relay.service.name, relay.ask.model
-        writers = self._backends.able(service, now, Phase.WRITE, model, search.avoid)
+        writers = self._backends.able(service, now, EngineRole.DECODE, model, search.avoid)
         if not writers:
             self._refused(search, "no_writer", now - search.began)
-            raise NoBackend("no server writes", retry_after_s=back_after(self._backends.rng))
-        if not order.may_ask(search.number, now):
+            raise NoBackend("no server writes", retry_after_s=retry_delay_s(self._backends.rng))
+        if not order.may_try(search.number, now):
             return None
-        able = places_to_ask(
+        able = engines_to_try(
             self._backends.without_rest(writers, now),
             self._backends.standing,
             tokens=need.tokens,
             kv_tokens=engine.kv_tokens,
             now=now,
             rng=self._backends.rng,
-            yield_s=need.yield_s(now - search.began),
+            refusal_pause_s=need.refusal_pause_s(now - search.began),
         )
         for server in able[:ASKED_AT_ONCE]:
             if not await self._permits.permit(relay, server):
                 continue
             search.asked += 1
-            hold = await self._reserve(server, need.tokens, engine.hold_s)
+            hold = await self._reserve(server, need.tokens, engine.max_reservation_s)
             if hold is None:
                 # It was asked in vain, and in need each question counts.
-                relay.permits.pop(server.ident, None)
+                relay.permits.pop(server.incarnation_id, None)
             if hold is not None:
                 relay.placed_at = await curio.clock()
                 waited = relay.placed_at - search.began
                 relay.facts.update(waited_ms=round(waited * 1000), asked=search.asked)
-                number = self._forecasts[relay.service.name].took(
+                number = self._forecasts[relay.service.name].record_reserved(
                     need.tokens,
-                    need.serve_s,
+                    need.service_s,
                     relay.placed_at,
-                    late=need.late(waited),
+                    late=need.is_late(waited),
                 )
                 self._taken(relay, need, server)
                 return Place(server, hold, need.tokens, number)
@@ -224,8 +226,8 @@
         free_s = self._free_in(search, waited)
         if "free_ms" not in search.relay.facts and free_s is not None:
             search.relay.facts["free_ms"] = round(free_s * 1000)
-        spare = need.patience_s - waited
-        if spare <= MIN_ROUND_S or not need.worth_waiting(waited, free_s):
+        spare = need.max_wait_s - waited
+        if spare <= MIN_ROUND_S or not need.should_keep_waiting(waited, free_s):
             self._refused(search, "no_room", waited)
             raise Overloaded("no room to write", retry_after_s=self._back(search, waited))
         await curio.sleep(min(ROUND_S, spare - MIN_ROUND_S))
@@ -243,8 +245,8 @@
                 search.relay,
                 now,
                 avoid=search.avoid,
-                spare_s=search.need.patience_s - waited_s,
-                phase=Phase.WRITE,
+                spare_s=search.need.max_wait_s - waited_s,
+                phase=EngineRole.DECODE,
             )
         except ServersRest:
             self._refused(search, "servers_rest", waited_s)
@@ -264,7 +266,7 @@
         if limited is None:
             return False
         waited_s = await curio.clock() - search.began
-        spare_s = max(0.0, search.need.patience_s - waited_s)
+        spare_s = max(0.0, search.need.max_wait_s - waited_s)
         word = await self._permits.queue(search.relay, limited, spare_s)
         if not word.granted:
             self._refused(search, "at_limit", waited_s)
@@ -276,26 +278,26 @@
         """Return the engine that takes more first; None where one does now, or there is none."""
         relay, now = search.relay, await curio.clock()
         service, model = relay.service.name, relay.ask.model
-        writers = self._backends.eligible(service, now, Phase.WRITE, model, search.avoid)
+        writers = self._backends.eligible(service, now, EngineRole.DECODE, model, search.avoid)
         limited = self._backends.at_limit(writers, now)
         return limited[0] if limited and len(limited) == len(writers) else None
 
     def _free_in(self, search: _Search, waited_s: float) -> float | None:
         """Return the seconds until there is memory for a request and for those before it."""
         service, now = search.relay.service.name, search.began + waited_s
-        ahead = self._orders[service].ahead(search.number, now)
+        ahead = self._orders[service].requests_ahead(search.number, now)
         tokens = search.need.tokens + sum(need.tokens for need in ahead)
-        return self._forecasts[service].frees_in(tokens, now)
+        return self._forecasts[service].free_in_s(tokens, now)
 
     def _back(self, search: _Search, waited_s: float) -> float:
         """Return when a request that is refused should come back, in seconds."""
         service, need = search.relay.service.name, search.need
         now = search.began + waited_s
         forecast = self._forecasts[service]
-        ahead = self._orders[service].tokens(search.number)
-        free_s = forecast.back_in(need.tokens, ahead, now)
-        back_s = back_after(self._backends.rng, need, free_s)
-        forecast.promise(need.tokens, now + back_s)
+        ahead = self._orders[service].tokens_of_others(search.number)
+        free_s = forecast.retry_in_s(need.tokens, ahead, now)
+        back_s = retry_delay_s(self._backends.rng, need, free_s)
+        forecast.record_promised_retry(need.tokens, now + back_s)
         self._log.info(
             "told_to_return",
             request=search.relay.ask.ident,
@@ -308,29 +310,35 @@
     async def _reserve(self, server: Server, tokens: int, hold_s: float) -> str | None:
         """Return a reservation, or None when the server has no room."""
         dialect = self._backends.dialect
-        standing = self._backends.standing(server.ident)
+        standing = self._backends.standing(server.incarnation_id)
         if hold_s <= 0:
             return ""
         resp = await self._backends.side_call(server, dialect.take_hold(tokens, hold_s))
         now = await curio.clock()
         if resp is None:
-            standing.failed(now)
+            standing.record_failure(now)
             return None
         if dialect.word(resp.status, resp.headers).other_server:
             self._backends.replaced(server)
             return None
         if resp.status != 200:
-            standing.had_no_room(now, self._backends.rng)
+            standing.record_no_capacity(now, self._backends.rng)
             return None
         try:
             return dialect.hold_of(resp.body)
         except BadHttp as exc:
-            self._log.warning("reservation_unreadable", server=server.ident, why=exc.detail)
+            self._log.warning(
+                "reservation_unreadable", server=server.incarnation_id, why=exc.detail
+            )
             return None
 
-    def _taken(self, relay: Relay, need: PlaceAsk, server: Server) -> None:
-        standing = self._backends.standing(server.ident)
-        about = {**relay.facts, "server": server.ident, "own_tokens": standing.tokens}
+    def _taken(self, relay: Relay, need: ReservationRequest, server: Server) -> None:
+        standing = self._backends.standing(server.incarnation_id)
+        about = {
+            **relay.facts,
+            "server": server.incarnation_id,
+            "own_tokens": standing.reserved_tokens,
+        }
         self._log.info(
             "place_taken",
             request=relay.ask.ident,
@@ -346,12 +354,12 @@
             request=relay.ask.ident,
             why=why,
             tokens=need.tokens,
-            serve_s=round(need.serve_s, 1),
-            returned=need.returned,
-            first_s=round(need.first_s, 2),
-            left_s=round(need.left_s, 1),
+            serve_s=round(need.service_s, 1),
+            returned=need.is_retry,
+            first_s=round(need.first_event_s, 2),
+            left_s=round(need.remaining_s, 1),
             asked=search.asked,
-            ahead=len(order.ahead(search.number, search.began + waited_s)),
+            ahead=len(order.requests_ahead(search.number, search.began + waited_s)),
             waiting=len(order),
             waited_ms=round(waited_s * 1000),
         )
--- a/src/crankhinge/gateway/_plain.py
+++ b/src/crankhinge/gateway/_plain.py
@@ -9,7 +9,14 @@
 import curio
 
 from crankhinge.adapters import Leg
-from crankhinge.decisions import Congestion, Phase, PlaceAsk, RetryBudget, Server, WaitingOrder
+from crankhinge.decisions import (
+    CongestionWindow,
+    EngineRole,
+    ReservationQueue,
+    ReservationRequest,
+    RetryBudget,
+    Server,
+)
 from crankhinge.errors import (
     BackendFailed,
     BadHttp,
@@ -66,8 +73,8 @@
         self._legs = legs
         self._budget_of = budget_of
         self._log = log
-        self._congestion: defaultdict[str, Congestion] = defaultdict(Congestion)
-        self._orders: defaultdict[str, WaitingOrder] = defaultdict(WaitingOrder)
+        self._congestion: defaultdict[str, CongestionWindow] = defaultdict(CongestionWindow)
+        self._orders: defaultdict[str, ReservationQueue] = defaultdict(ReservationQueue)
 
     async def run(self, relay: Relay) -> None:
         """Get an answer and hand it to the caller. Raises a failure with its outcome."""
@@ -77,14 +84,14 @@
         await relay.exchange.respond_as_is(answer.status, fields, answer.body)
 
     async def _answer(self, relay: Relay) -> Answer:
-        self._budget_of(relay.service.name).first_attempt()
+        self._budget_of(relay.service.name).record_first_attempt()
         congestion = self._congestion[relay.service.name]
         await self._wait_turn(relay, congestion)
-        congestion.sent(await curio.clock())
+        congestion.record_sent(await curio.clock())
         try:
             return await self._answer_at_servers(relay)
         finally:
-            congestion.ended()
+            congestion.record_end()
 
     async def _answer_at_servers(self, relay: Relay) -> Answer:
         budget: RetryBudget = self._budget_of(relay.service.name)
@@ -117,7 +124,7 @@
             return None, self._no_server(relay)
         return server, await self._try(relay, server)
 
-    async def _wait_turn(self, relay: Relay, congestion: Congestion) -> None:
+    async def _wait_turn(self, relay: Relay, congestion: CongestionWindow) -> None:
         """Wait while the service's answers take too long for more to be sent.
 
         Raises:
@@ -129,10 +136,10 @@
         began = now = await curio.clock()
         need = self._need(relay, now)
         patience_s = _patience_s(need)
-        number = order.enter(need, now)
+        number = order.add(need, now)
         try:
-            while order.ahead(number, now) or not congestion.clear(
-                now, late=need.late(now - began)
+            while order.requests_ahead(number, now) or not congestion.may_send(
+                now, late=need.is_late(now - began)
             ):
                 spare_s = patience_s - (now - began)
                 # No turn helps it where all rest for longer; then this raises.
@@ -143,29 +150,29 @@
                 await curio.sleep(ROUND_S)
                 now = await curio.clock()
         finally:
-            order.leave(number)
+            order.remove(number)
         if now > began:
             relay.facts["waited_ms"] = round((now - began) * 1000)
 
-    def _need(self, relay: Relay, now: float) -> PlaceAsk:
+    def _need(self, relay: Relay, now: float) -> ReservationRequest:
         """Return what a request needs that begins to wait."""
-        alone_s = self._congestion[relay.service.name].alone_s
+        alone_s = self._congestion[relay.service.name].unloaded_response_s
         target_s = relay.route.target_s
         if target_s <= alone_s:
             # No target, or one that nothing can meet: then no call is late.
             target_s = float("inf")
-        return PlaceAsk(
+        return ReservationRequest(
             tokens=1,
             target_s=target_s,
-            left_s=relay.until - now,
-            returned=relay.returned,
-            serve_s=SERVE_TIMES * alone_s,
-            first_s=alone_s,
+            remaining_s=relay.until - now,
+            is_retry=relay.returned,
+            service_s=SERVE_TIMES * alone_s,
+            first_event_s=alone_s,
         )
 
     def _back(self, service: str, now: float) -> float:
         """Return when to come back, in seconds, spread for those that are refused together."""
-        return self._congestion[service].back_s(now) * self._backends.rng.uniform(*SPREAD)
+        return self._congestion[service].retry_after_s(now) * self._backends.rng.uniform(*SPREAD)
 
     def _not_sent(self, relay: Relay, waited_s: float) -> None:
         self._log.info(
@@ -175,11 +182,11 @@
             waited_ms=round(waited_s * 1000),
             returned=relay.returned,
             waiting=len(self._orders[relay.service.name]),
-            alone_ms=round(self._congestion[relay.service.name].alone_s * 1000),
+            alone_ms=round(self._congestion[relay.service.name].unloaded_response_s * 1000),
         )
 
     async def _choose(self, relay: Relay) -> Server | None:
-        phase = Phase.WRITE if relay.service.engine else None
+        phase = EngineRole.DECODE if relay.service.engine else None
         if await relay.left() <= 0:
             raise DeadlinePassed("no time is left") if relay.may_have_run else Overloaded("late")
         server = await self._choice.now(relay, avoid=relay.tried, phase=phase)
@@ -195,7 +202,7 @@
             return 0.0
         # Whoever came back when it was told waits as long as a first try, by arrival.
         now: float = await curio.clock()
-        alone_s = self._congestion[relay.service.name].alone_s
+        alone_s = self._congestion[relay.service.name].unloaded_response_s
         return relay.route.target_s - alone_s - (now - relay.began)
 
     def _no_server(self, relay: Relay) -> CrankhingeError:
@@ -215,13 +222,13 @@
         patience = left
         if relay.route.repeatable and len(relay.sent) + 1 < relay.route.max_servers:
             patience = left * PATIENCE
-        relay.sent.append(server.ident)
-        relay.facts["server"] = server.ident
-        standing = self._backends.standing(server.ident)
+        relay.sent.append(server.incarnation_id)
+        relay.facts["server"] = server.incarnation_id
+        standing = self._backends.standing(server.incarnation_id)
         relay.facts.update(
-            open_there=standing.open,
-            usual_ms=round(standing.took_s * 1000),
-            failing=round(standing.failing, 2),
+            open_there=standing.open_requests,
+            usual_ms=round(standing.mean_response_s * 1000),
+            failing=round(standing.failure_share, 2),
         )
         began = await curio.clock()
         try:
@@ -240,23 +247,25 @@
             return BackendFailed(exc.detail)
         except curio.TaskTimeout:
             relay.may_have_run = True
-            standing.failed(await curio.clock())
+            standing.record_failure(await curio.clock())
             self._note(relay, server, "silent", f"nothing in {patience:.3f} s")
             return DeadlinePassed(f"no answer in {patience:.3f} s")
         if isinstance(result, Answer):
             relay.may_have_run = True
             took = await curio.clock() - began
-            standing.succeeded(took)
-            self._congestion[relay.service.name].answered(took, relay.route.target_s, began + took)
+            standing.record_success(took)
+            self._congestion[relay.service.name].record_response(
+                took, relay.route.target_s, began + took
+            )
             if result.status >= 500:
-                standing.failed(began + took)
+                standing.record_failure(began + took)
         return result
 
     def _note(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
         self._log.info(
             "leg_failed",
             request=relay.ask.ident,
-            server=server.ident,
+            server=server.incarnation_id,
             outcome=outcome,
             why=why,
             tried=len(relay.sent),
@@ -272,17 +281,17 @@
             now = await curio.clock()
             if word.rest_s is None:
                 # Otherwise it speaks for itself, and the others need not be sent less.
-                self._congestion[relay.service.name].refused(now)
+                self._congestion[relay.service.name].record_refusal(now)
             # Whoever refuses at once looks least busy, and would get most of the next requests.
-            self._backends.standing(server.ident).refused(now)
+            self._backends.standing(server.incarnation_id).record_refusal(now)
             said_s = word.retry_after_s
             self._note(relay, server, "refused", f"status {stream.status}, back in {said_s} s")
             # What it said holds for itself: others may take the request sooner.
             ends = self._choice.rest_ends(relay, now, avoid=frozenset(), spare_s=float("inf"))
             after_s = ends - now if ends is not None else self._back(relay.service.name, now)
-            return Overloaded(f"{server.ident} refused", retry_after_s=after_s)
+            return Overloaded(f"{server.incarnation_id} refused", retry_after_s=after_s)
 
 
-def _patience_s(need: PlaceAsk) -> float:
+def _patience_s(need: ReservationRequest) -> float:
     """Return how long a plain call waits, in seconds; a first try only while it may be in time."""
-    return need.patience_s if need.returned else min(need.in_time_s, need.patience_s)
+    return need.max_wait_s if need.is_retry else min(need.max_in_time_wait_s, need.max_wait_s)
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -14,13 +14,13 @@
 
 from crankhinge.adapters import Dialect, FleetSource, TenureOffice, WorkBoard
 from crankhinge.decisions import (
-    KEPT_MOST,
-    Bar,
-    Members,
+    MAX_IDLE_CONNECTIONS,
+    ExclusionReason,
+    Membership,
     RetryBudget,
     SharedLimits,
-    WorkMeter,
-    kept_connections,
+    WorkloadMeter,
+    idle_connection_limit,
 )
 from crankhinge.gateway._admission import Admission
 from crankhinge.gateway._authenticator import Authenticator
@@ -107,7 +107,7 @@
     dialect = platform.dialect
     directory = Directory(platform.source, settings.freshness, log, rng)
     now = await curio.clock()
-    members = Members(settings.name, now)
+    members = Membership(settings.name, now)
     backends = Backends(
         servers=directory.servers,
         dialect=dialect,
@@ -120,8 +120,8 @@
     authenticator = Authenticator(directory)
     directory.on_gone.append(backends.forget)
     budgets: defaultdict[str, RetryBudget] = defaultdict(partial(repeat_budget, settings))
-    meters: defaultdict[str, WorkMeter] = defaultdict(WorkMeter)
-    notices = Notices(address=settings.peer, peers=lambda: members.peers, log=log)
+    meters: defaultdict[str, WorkloadMeter] = defaultdict(WorkloadMeter)
+    notices = Notices(address=settings.peer, peers=lambda: members.peer_addresses, log=log)
     notices.on(EngineOrdered, partial(_believe, backends))
     quarantine = QuarantineDesk(
         name=settings.name, members=members, notices=notices, log=log, metrics=metrics
@@ -129,7 +129,7 @@
     crashes = CrashDetector(backends=backends, on_crash=quarantine.crashed, log=log)
     directory.on_gone.append(crashes.entry_gone)
     shared_limits = SharedLimits(
-        name=settings.name, members=members, life=rng.getrandbits(LIFE_BITS), now=now
+        name=settings.name, membership=members, incarnation=rng.getrandbits(LIFE_BITS), now=now
     )
     limit_news = LimitNews(shared=shared_limits, backends=backends, notices=notices, log=log)
     directory.on_gone.append(limit_news.forget)
@@ -213,10 +213,10 @@
     metrics.ask("config_version", lambda: directory.table.version if directory.table else 0)
     metrics.ask("requests_quarantined", quarantine.__len__)
     metrics.ask("servers_limited", limit_news.__len__)
-    metrics.ask("servers_leaving", lambda: backends.barred(Bar.LEAVING, steady_s()))
-    metrics.ask("servers_resting", lambda: backends.barred(Bar.RESTING, steady_s()))
+    metrics.ask("servers_leaving", lambda: backends.barred(ExclusionReason.LEAVING, steady_s()))
+    metrics.ask("servers_resting", lambda: backends.barred(ExclusionReason.BACKOFF, steady_s()))
     metrics.ask("servers_known", lambda: len(list(directory.servers.all())))
-    metrics.ask("servers_doubted", lambda: len(directory.servers.doubted()))
+    metrics.ask("servers_doubted", lambda: len(directory.servers.suspects()))
     metrics.ask("source_bytes", lambda: platform.source.received)
     metrics.ask("source_calls", lambda: sum(platform.source.calls.values()))
     supervisor = Supervisor(log)
@@ -239,10 +239,14 @@
     log.info("stopped")
 
 
-def _most_kept(directory: Directory, members: Members, service: str) -> int:
+def _most_kept(directory: Directory, members: Membership, service: str) -> int:
     """Return how many idle connections to keep to each server of a service."""
     known = directory.table.services.get(service) if directory.table else None
-    return KEPT_MOST if known is None else kept_connections(known.max_connections, members.fleet)
+    return (
+        MAX_IDLE_CONNECTIONS
+        if known is None
+        else idle_connection_limit(known.max_connections, members.fleet_size)
+    )
 
 
 def _age(follower: Follower) -> float:
--- a/src/crankhinge/gateway/_quarantine.py
+++ b/src/crankhinge/gateway/_quarantine.py
@@ -16,7 +16,7 @@
 import curio
 
 from crankhinge.adapters import Note
-from crankhinge.decisions import Isolation, Members, Quarantine, Server
+from crankhinge.decisions import Membership, Quarantine, QuarantineUpdate, Server
 from crankhinge.errors import Quarantined
 from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._peer_messages import QuarantineBegun, QuarantineEnded, ServerCrashed
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, *, name: str, members: Members, notices: Notices, log: Any, metrics: Metrics
+        self, *, name: str, members: Membership, notices: Notices, log: Any, metrics: Metrics
     ) -> None:
         self._name = name
         self._members = members
@@ -66,9 +66,9 @@
         Raises:
             Quarantined: servers crashed while they did it.
         """
-        left_s = self._quarantine.refused_s(work, now)
+        left_s = self._quarantine.refusal_left_s(work, now)
         if left_s > 0:
-            crashes = self._quarantine.crashes(work)
+            crashes = self._quarantine.crash_count(work)
             raise Quarantined(
                 f"{crashes} servers crashed while they ran this request", retry_after_s=left_s
             )
@@ -82,7 +82,7 @@
         if relay.trial == work:
             return
         self.refuse_isolated(work, now)
-        if not self._quarantine.isolates(work):
+        if not self._quarantine.is_quarantined(work):
             return
         relay.trial = work
         trial = self._quarantine.begin_trial(work, now)
@@ -93,23 +93,23 @@
         """Note that a server crashed while it ran requests, and have it counted."""
         by_keeper: defaultdict[str, list[str]] = defaultdict(list)
         for fingerprint in fingerprints:
-            for keeper in self._members.keepers(fingerprint, KEEPERS):
+            for keeper in self._members.first_instances(fingerprint, KEEPERS):
                 by_keeper[keeper].append(fingerprint)
-            await self._count(fingerprint, server.ident, "own")
+            await self._count(fingerprint, server.incarnation_id, "own")
         by_keeper.pop(self._name, None)
         for keeper, cut in by_keeper.items():
-            peer = self._members.peer(keeper)
+            peer = self._members.peer_address(keeper)
             for first in range(0, len(cut) if peer else 0, FINGERPRINTS_AT_ONCE):
                 some = tuple(cut[first : first + FINGERPRINTS_AT_ONCE])
-                await self._notices.send(peer, ServerCrashed(server.ident, some))
+                await self._notices.send(peer, ServerCrashed(server.incarnation_id, some))
 
     async def _count(self, fingerprint: str, server: str, told_by: str) -> None:
-        isolation = self._quarantine.crashed(fingerprint, server, await curio.clock())
+        isolation = self._quarantine.record_crash(fingerprint, server, await curio.clock())
         self._log.info(
             "request_cut",
             fingerprint=fingerprint,
             server=server,
-            crashes=self._quarantine.crashes(fingerprint),
+            crashes=self._quarantine.crash_count(fingerprint),
             told_by=told_by,
         )
         if isolation is not None:
@@ -118,8 +118,8 @@
 
     async def done(self, relay: Relay, work: str) -> None:
         """Note that a server did work to its end, which it does not where that crashes servers."""
-        isolated = self._quarantine.isolates(work)
-        crashes = self._quarantine.answered(work, await curio.clock())
+        isolated = self._quarantine.is_quarantined(work)
+        crashes = self._quarantine.record_completed(work, await curio.clock())
         if not crashes:
             return
         self._log.info(
@@ -128,23 +128,23 @@
         if isolated:
             await self._notices.tell(QuarantineEnded(work), fingerprint=work)
             return
-        for keeper in self._members.keepers(work, KEEPERS):
-            if keeper != self._name and (peer := self._members.peer(keeper)):
+        for keeper in self._members.first_instances(work, KEEPERS):
+            if keeper != self._name and (peer := self._members.peer_address(keeper)):
                 await self._notices.send(peer, QuarantineEnded(work))
 
     def noted(self) -> Mapping[str, tuple[str, ...]]:
         """Return what belongs into this instance's note."""
-        return self._quarantine.noted()
+        return self._quarantine.to_instance_record()
 
     async def recall(self, notes: Mapping[str, Note]) -> None:
         """Take what stands in the notes of instances; this one's own is of an earlier life."""
         now = await curio.clock()
         for name, note in notes.items():
             own = name == self._name
-            for isolation in self._quarantine.recall(note.quarantined, now, own=own):
+            for isolation in self._quarantine.apply_instance_record(note.quarantined, now, own=own):
                 self._note_begun(isolation, f"note:{name}")
 
-    def _note_begun(self, isolation: Isolation, told_by: str) -> None:
+    def _note_begun(self, isolation: QuarantineUpdate, told_by: str) -> None:
         self._metrics.count("quarantines")
         self._log.warning(
             "request_quarantined",
@@ -155,7 +155,7 @@
             told_by=told_by,
         )
 
-    async def _tell(self, isolation: Isolation) -> None:
+    async def _tell(self, isolation: QuarantineUpdate) -> None:
         notice = QuarantineBegun(isolation.fingerprint, isolation.servers, isolation.left_s)
         await self._notices.tell(notice, fingerprint=isolation.fingerprint)
 
@@ -164,12 +164,12 @@
             await self._count(fingerprint, message.server, sender)
 
     async def _take_begun(self, message: QuarantineBegun, sender: str) -> None:
-        isolation = Isolation(message.fingerprint, message.servers, message.left_s)
-        if self._quarantine.told(isolation, await curio.clock()):
+        isolation = QuarantineUpdate(message.fingerprint, message.servers, message.left_s)
+        if self._quarantine.apply_update(isolation, await curio.clock()):
             self._note_begun(isolation, sender)
 
     async def _take_ended(self, message: QuarantineEnded, sender: str) -> None:
-        crashes = self._quarantine.answered(message.fingerprint, await curio.clock())
+        crashes = self._quarantine.record_completed(message.fingerprint, await curio.clock())
         if crashes:
             self._log.info(
                 "request_cleared", fingerprint=message.fingerprint, crashes=crashes, told_by=sender
--- a/src/crankhinge/gateway/_quota.py
+++ b/src/crankhinge/gateway/_quota.py
@@ -7,14 +7,14 @@
 import curio
 
 from crankhinge.decisions import (
-    NOT_MINE,
+    NOT_ALLOCATOR,
     Account,
-    Members,
+    Membership,
     QuotaAllocator,
-    QuotaAsker,
     QuotaBounds,
-    QuotaWord,
-    Verdict,
+    QuotaClient,
+    QuotaDecision,
+    QuotaOutcome,
 )
 from crankhinge.errors import LimitReached, NotReady
 from crankhinge.gateway._directory import Directory
@@ -47,7 +47,7 @@
         *,
         name: str,
         directory: Directory,
-        members: Members,
+        members: Membership,
         bounds: QuotaBounds,
         notices: Notices,
         log: Any,
@@ -60,16 +60,16 @@
         self._notices = notices
         self._log = log
         self._metrics = metrics
-        self._allocator = QuotaAllocator(name=name, members=members, bounds=bounds, now=now)
-        self._asker = QuotaAsker(name=name, members=members)
-        self._questions: Questions[QuotaWord] = Questions()
+        self._allocator = QuotaAllocator(name=name, membership=members, bounds=bounds, now=now)
+        self._asker = QuotaClient(name=name, membership=members)
+        self._questions: Questions[QuotaDecision] = Questions()
         notices.on(QuotaAsk, self._take_ask)
         notices.on(QuotaAnswer, self._take_answer)
         notices.on(QuotaReturn, self._take_return)
 
     def has_come(self, name: str) -> None:
         """Note that an instance has come."""
-        self._asker.answered(name)
+        self._asker.record_response(name)
 
     async def admit(self, relay: Relay) -> None:
         """Get a request its tokens.
@@ -84,15 +84,15 @@
         tokens = account.cost(relay.ask.tokens)
         for allocator in self._asker.allocators(account.name, await curio.clock()):
             word = await self._ask(allocator, account, tokens)
-            if word is not None and word.verdict is not Verdict.NOT_MINE:
+            if word is not None and word.outcome is not QuotaOutcome.NOT_ALLOCATOR:
                 self._decide(relay, Grant(allocator, account, tokens), word)
                 return
-        word = self._allocator.take_own(account, tokens, await curio.clock())
+        word = self._allocator.allocate_local(account, tokens, await curio.clock())
         self._decide(relay, Grant("", account, tokens), word)
 
-    def _decide(self, relay: Relay, grant: Grant, word: QuotaWord) -> None:
+    def _decide(self, relay: Relay, grant: Grant, word: QuotaDecision) -> None:
         by = grant.allocator or "own"
-        if word.verdict is Verdict.GRANTED:
+        if word.outcome is QuotaOutcome.GRANTED:
             relay.grant = grant
             relay.facts.update(cost=grant.tokens, granted_by=by)
             return
@@ -103,14 +103,14 @@
             account=grant.account.name,
             tokens=grant.tokens,
             by=by,
-            left=round(word.left),
-            after_ms=round(word.after_s * 1000),
+            left=round(word.left_tokens),
+            after_ms=round(word.retry_after_s * 1000),
             config=relay.version,
         )
-        if word.verdict is Verdict.NOT_MINE:
+        if word.outcome is QuotaOutcome.NOT_ALLOCATOR:
             raise NotReady("nobody can tell what the account has left", retry_after_s=UNKNOWN_S)
         raise LimitReached(
-            f"account {grant.account.name} has used its limit", retry_after_s=word.after_s
+            f"account {grant.account.name} has used its limit", retry_after_s=word.retry_after_s
         )
 
     async def settle(self, relay: Relay) -> None:
@@ -120,15 +120,17 @@
             return
         if grant.allocator in ("", self._name):
             now = await curio.clock()
-            self._allocator.give_back(grant.account, grant.tokens, now, own=not grant.allocator)
-        elif peer := self._members.peer(grant.allocator):
+            self._allocator.return_tokens(
+                grant.account, grant.tokens, now, local=not grant.allocator
+            )
+        elif peer := self._members.peer_address(grant.allocator):
             await self._notices.send(peer, QuotaReturn(grant.account.name, grant.tokens))
 
-    async def _ask(self, allocator: str, account: Account, tokens: int) -> QuotaWord | None:
+    async def _ask(self, allocator: str, account: Account, tokens: int) -> QuotaDecision | None:
         """Return what an instance says; None when it says nothing."""
         if allocator == self._name:
-            return self._allocator.take(account, tokens, await curio.clock())
-        peer = self._members.peer(allocator)
+            return self._allocator.allocate(account, tokens, await curio.clock())
+        peer = self._members.peer_address(allocator)
         if not peer:
             return None
 
@@ -139,9 +141,9 @@
         if word is None:
             self._log.info("quota_unanswered", account=account.name, instance=allocator)
             self._metrics.count("quota_unanswered")
-            self._asker.silent(allocator, await curio.clock())
+            self._asker.record_unresponsive(allocator, await curio.clock())
         else:
-            self._asker.answered(allocator)
+            self._asker.record_response(allocator)
         return word
 
     def _account(self, name: str) -> Account | None:
@@ -152,18 +154,18 @@
 
     async def _take_ask(self, message: QuotaAsk, sender: str) -> None:
         account = self._account(message.account)
-        word = NOT_MINE
+        word = NOT_ALLOCATOR
         if account is not None and account.limit is not None:
             # Also by an old limit: a new one binds once every instance can have heard of it.
-            word = self._allocator.take(account, message.tokens, await curio.clock())
-        answer = QuotaAnswer(message.number, word.verdict, word.after_s, word.left)
+            word = self._allocator.allocate(account, message.tokens, await curio.clock())
+        answer = QuotaAnswer(message.number, word.outcome, word.retry_after_s, word.left_tokens)
         await self._notices.send(sender, answer)
 
     async def _take_answer(self, message: QuotaAnswer, sender: str) -> None:
-        word = QuotaWord(message.verdict, message.after_s, message.left)
+        word = QuotaDecision(message.verdict, message.after_s, message.left)
         await self._questions.answer(message.number, word)
 
     async def _take_return(self, message: QuotaReturn, sender: str) -> None:
         account = self._account(message.account)
         if account is not None:
-            self._allocator.give_back(account, message.tokens, await curio.clock())
+            self._allocator.return_tokens(account, message.tokens, await curio.clock())
--- a/src/crankhinge/gateway/_reading.py
+++ b/src/crankhinge/gateway/_reading.py
@@ -8,7 +8,7 @@
 import curio
 
 from crankhinge.adapters import Leg
-from crankhinge.decisions import Phase, RetryBudget, Server
+from crankhinge.decisions import EngineRole, RetryBudget, Server
 from crankhinge.errors import BackendFailed, BadHttp, HttpClosed, Quarantined, ServerBarred
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._choice import ServerChoice
@@ -84,14 +84,14 @@
             if until - now < LEAST_READING_S:
                 why = "no_time"
                 break
-            server = await self._choice.now(relay, avoid=tried, phase=Phase.READ, zone=zone)
+            server = await self._choice.now(relay, avoid=tried, phase=EngineRole.PREFILL, zone=zone)
             if server is None:
                 why = "no_reader"
                 break
             if not self._affordable(server, budget, again=bool(tried)):
                 why = "budget_spent"
                 break
-            tried |= {server.ident}
+            tried |= {server.incarnation_id}
             memory = await self._try(relay, server, until, budget)
             if memory is not None:
                 return memory
@@ -105,13 +105,13 @@
         itself that it is overloaded, and all of these refusals count.
         """
         if again or self._doubtful(server):
-            return budget.allows()
+            return budget.allows_retry()
         return not budget.in_debt
 
     def _doubtful(self, server: Server) -> bool:
         """Whether a reading there may well fail, and so become a repeat."""
-        standing = self._backends.standing(server.ident)
-        return standing.failing > DOUBT or standing.took_s > SLOW_S
+        standing = self._backends.standing(server.incarnation_id)
+        return standing.failure_share > DOUBT or standing.mean_response_s > SLOW_S
 
     async def _try(
         self, relay: Relay, server: Server, until: float, budget: RetryBudget
@@ -119,37 +119,37 @@
         began = await curio.clock()
         within = until - began
         leg = Leg(server.name, within, read_only=True)
-        standing = self._backends.standing(server.ident)
+        standing = self._backends.standing(server.incarnation_id)
         try:
             handle: str = await curio.timeout_after(within, self._leg, relay, server, leg)
         except (ConnectFailed, Quarantined, ServerBarred) as exc:
             self._failed(relay, server, exc.code, exc.detail)
             return None
         except (HttpClosed, BadHttp, BackendFailed) as exc:
-            budget.spend()
+            budget.charge_retry()
             self._failed(relay, server, exc.code, exc.detail)
             return None
         except curio.TaskTimeout:
-            budget.spend()
-            standing.failed(await curio.clock())
-            standing.took(within)
+            budget.charge_retry()
+            standing.record_failure(await curio.clock())
+            standing.record_duration(within)
             self._failed(relay, server, "silent", f"nothing in {within:.2f} s")
             return None
         if relay.was_read:
             # Only the first reading is no repeat.
-            budget.spend()
+            budget.charge_retry()
         relay.was_read = True
         await self._quarantine.done(relay, relay.work(read_only=True))
         took = await curio.clock() - began
-        standing.succeeded(took)
-        relay.facts.update(reader=server.ident, read_ms=round(took * 1000))
+        standing.record_success(took)
+        relay.facts.update(reader=server.incarnation_id, read_ms=round(took * 1000))
         return Memory(server, handle, took)
 
     async def _leg(self, relay: Relay, server: Server, leg: Leg) -> str:
         async with self._legs.open(relay, server, leg) as stream:
             body = await stream.read_all()
             if stream.status != 200:
-                self._backends.standing(server.ident).refused(await curio.clock())
+                self._backends.standing(server.incarnation_id).record_refusal(await curio.clock())
                 raise BackendFailed(f"status {stream.status}")
             return self._backends.dialect.memory_of(body)
 
@@ -157,7 +157,7 @@
         self._log.info(
             "reading_failed",
             request=relay.ask.ident,
-            server=server.ident,
+            server=server.incarnation_id,
             outcome=outcome,
             why=why,
         )
--- a/src/crankhinge/gateway/_server_words.py
+++ b/src/crankhinge/gateway/_server_words.py
@@ -11,7 +11,7 @@
 import curio
 
 from crankhinge.adapters import ServerWord
-from crankhinge.decisions import Bars, Server
+from crankhinge.decisions import Server, ServerExclusions
 from crankhinge.gateway._listener import WordListener
 from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._peer_messages import ServerLeaves
@@ -26,7 +26,7 @@
         log: for events.
     """
 
-    def __init__(self, *, bars: Bars, notices: Notices, log: Any) -> None:
+    def __init__(self, *, bars: ServerExclusions, notices: Notices, log: Any) -> None:
         self._bars = bars
         self._notices = notices
         self._log = log
@@ -35,14 +35,16 @@
     async def heard(self, server: Server, word: ServerWord, *, sent_at: float, ran: bool) -> None:
         """Note what the head of a server's answer says of leaving and rest."""
         now = await curio.clock()
-        if word.leaving and self._note_leaves(server.ident, now, "own"):
-            await self._notices.tell(ServerLeaves(server.ident), server=server.ident)
+        if word.leaving and self._note_leaves(server.incarnation_id, now, "own"):
+            await self._notices.tell(
+                ServerLeaves(server.incarnation_id), server=server.incarnation_id
+            )
         if word.rest_s is not None:
-            was = self._bars.rests_until(server.ident, now)
-            longer = self._bars.asks_rest(server.ident, now + word.rest_s)
+            was = self._bars.backoff_until(server.incarnation_id, now)
+            longer = self._bars.record_backoff(server.incarnation_id, now + word.rest_s)
             self._log.info(
                 "server_rests",
-                server=server.ident,
+                server=server.incarnation_id,
                 for_s=round(word.rest_s, 2),
                 left_s=None if was is None else round(was - now, 2),
                 taken=longer,
@@ -50,7 +52,7 @@
 
     def _note_leaves(self, ident: str, now: float, told_by: str) -> bool:
         """Note that a server leaves; returns whether that is news."""
-        news = self._bars.says_it_leaves(ident, now)
+        news = self._bars.record_leaving(ident, now)
         if news:
             self._log.info("server_leaves", server=ident, told_by=told_by)
         return news
--- a/src/crankhinge/gateway/_settings.py
+++ b/src/crankhinge/gateway/_settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from crankhinge.decisions import Freshness, QuotaBounds
+from crankhinge.decisions import FreshnessBounds, QuotaBounds
 from crankhinge.runtime import HostPort, Seconds
 
 
@@ -64,6 +64,6 @@
         return QuotaBounds(self.quota_window_s, self.quota_overrun, self.quota_slack)
 
     @property
-    def freshness(self) -> Freshness:
+    def freshness(self) -> FreshnessBounds:
         """How old beliefs may become."""
-        return Freshness(self.apply_s, self.leave_s, self.contact_s, self.revoke_s)
+        return FreshnessBounds(self.apply_s, self.leave_s, self.contact_s, self.revoke_s)
--- a/src/crankhinge/gateway/_shared_work.py
+++ b/src/crankhinge/gateway/_shared_work.py
@@ -13,7 +13,14 @@
 import curio
 
 from crankhinge.adapters import Note, NoteLease, WorkBoard
-from crankhinge.decisions import RENEW_S, Loads, Members, WorkMeter, WorkSheet, loads_of
+from crankhinge.decisions import (
+    LEASE_RENEWAL_INTERVAL_S,
+    Membership,
+    PoolLoads,
+    WorkloadMeter,
+    WorkloadStats,
+    combined_loads,
+)
 from crankhinge.errors import KeyValueUnavailable
 from crankhinge.gateway._limit_news import LimitNews
 from crankhinge.gateway._quarantine import QuarantineDesk
@@ -50,9 +57,9 @@
         *,
         name: str,
         peer: str,
-        members: Members,
+        members: Membership,
         board: WorkBoard,
-        meters: Mapping[str, WorkMeter],
+        meters: Mapping[str, WorkloadMeter],
         quarantine: QuarantineDesk,
         limits: LimitNews,
         log: Any,
@@ -71,7 +78,7 @@
         self._told_quarantined: Mapping[str, tuple[str, ...]] = {}
         self._told_limited: Mapping[str, float] = {}
         self._log = log
-        self._told: dict[str, WorkSheet] = {}
+        self._told: dict[str, WorkloadStats] = {}
         self._told_at = float("-inf")
         self._told_settled = False
 
@@ -110,7 +117,7 @@
         """Write, renew and follow up the note, whichever is due."""
         sheets = self._sheets()
         now = await curio.clock()
-        settled, quarantined = self._members.settled(now), self._quarantine.noted()
+        settled, quarantined = self._members.may_coordinate(now), self._quarantine.noted()
         limited = self._limits.noted(now)
         news = (
             settled is not self._told_settled
@@ -124,7 +131,7 @@
             self._told_settled, self._told_quarantined = settled, quarantined
             self._told_limited = limited
             await self._hold(lease)
-        elif now - self._held_at >= RENEW_S:
+        elif now - self._held_at >= LEASE_RENEWAL_INTERVAL_S:
             await self._hold(await self._board.renew())
         if not self._joined:
             await self._join(None, resumed=False)
@@ -136,7 +143,7 @@
             self._log.info("note_gone")
             return
         self._held_at = await curio.clock()
-        self._members.hold(lease.until)
+        self._members.set_lease_end(lease.until)
         if lease.anew:
             self._joined = False
 
@@ -156,7 +163,7 @@
     async def follow_peers(self) -> None:
         """Look who else is there, now and then, until cancelled."""
         while True:
-            await curio.sleep(self._members.read_s * self._rng.uniform(*READ_SPREAD))
+            await curio.sleep(self._members.read_interval_s * self._rng.uniform(*READ_SPREAD))
             try:
                 await self._read()
             except KeyValueUnavailable as exc:
@@ -167,7 +174,7 @@
         notes = await self._board.read()
         if self._joined:
             # What a call brings is at least as old as the call.
-            self._members.take(_peers(notes), asked)
+            self._members.apply_records(_peers(notes), asked)
         await self._recall(notes)
         return notes
 
@@ -177,11 +184,11 @@
         await self._quarantine.recall(others)
         await self._limits.recall(others)
 
-    def _sheets(self) -> dict[str, WorkSheet]:
-        sheets = {service: meter.sheet() for service, meter in self._meters.items()}
+    def _sheets(self) -> dict[str, WorkloadStats]:
+        sheets = {service: meter.stats() for service, meter in self._meters.items()}
         return {service: sheet for service, sheet in sheets.items() if sheet is not None}
 
-    def _due(self, sheets: dict[str, WorkSheet], now: float) -> bool:
+    def _due(self, sheets: dict[str, WorkloadStats], now: float) -> bool:
         since = now - self._told_at
         if since < SOONEST_S:
             return False
@@ -189,21 +196,21 @@
             self._moved(sheet, self._told.get(service)) for service, sheet in sheets.items()
         )
 
-    def _moved(self, sheet: WorkSheet, told: WorkSheet | None) -> bool:
+    def _moved(self, sheet: WorkloadStats, told: WorkloadStats | None) -> bool:
         if told is None or sheet.admitted >= 2 * told.admitted:
             return True
         now, then = sheet.loads(), told.loads()
         return (
-            abs(now.read_s - then.read_s) > MOVED_PART * then.read_s
-            or abs(now.write_s - then.write_s) > MOVED_PART * then.write_s
+            abs(now.prompt_s - then.prompt_s) > MOVED_PART * then.prompt_s
+            or abs(now.answer_s - then.answer_s) > MOVED_PART * then.answer_s
         )
 
-    def glimpse(self, service: str) -> Loads | None:
+    def glimpse(self, service: str) -> PoolLoads | None:
         """Return the loads as this instance sees them, from however few requests."""
-        sheet = self._meters[service].sheet()
+        sheet = self._meters[service].stats()
         return None if sheet is None else sheet.loads()
 
-    async def together(self, service: str) -> tuple[Loads | None, int]:
+    async def together(self, service: str) -> tuple[PoolLoads | None, int]:
         """Return the loads as all instances see them, and how many answers shaped them.
 
         Raises:
@@ -212,7 +219,7 @@
         notes = await self._read()
         notes[self._name] = Note(self._peer, self._sheets())
         sheets = [note.sheets[service] for note in notes.values() if service in note.sheets]
-        loads = loads_of(sheets)
+        loads = combined_loads(sheets)
         answers = sum(sheet.answers for sheet in sheets)
         self._log.info(
             "work_together",
@@ -220,8 +227,8 @@
             instances=len(sheets),
             admitted=sum(sheet.admitted for sheet in sheets),
             answers=answers,
-            read_s=None if loads is None else round(loads.read_s, 4),
-            write_s=None if loads is None else round(loads.write_s, 4),
+            read_s=None if loads is None else round(loads.prompt_s, 4),
+            write_s=None if loads is None else round(loads.answer_s, 4),
         )
         return loads, answers
 
--- a/src/crankhinge/gateway/_stream.py
+++ b/src/crankhinge/gateway/_stream.py
@@ -9,7 +9,7 @@
 import curio
 
 from crankhinge.adapters import Leg
-from crankhinge.decisions import EngineLimits, RetryBudget, Server, WorkMeter, back_after
+from crankhinge.decisions import EngineLimits, RetryBudget, Server, WorkloadMeter, retry_delay_s
 from crankhinge.errors import (
     BackendFailed,
     BadHttp,
@@ -66,7 +66,7 @@
         budget_of: Any,
         quarantine: QuarantineDesk,
         log: Any,
-        meters: Mapping[str, WorkMeter],
+        meters: Mapping[str, WorkloadMeter],
     ) -> None:
         self._backends = backends
         self._choice = choice
@@ -82,7 +82,7 @@
     async def run(self, relay: Relay) -> None:
         """Find servers, pass the answer on. Raises a failure with its outcome."""
         budget: RetryBudget = self._budget_of(relay.service.name)
-        budget.first_attempt()
+        budget.record_first_attempt()
         relay.facts.update(
             prompt=relay.ask.prompt_tokens,
             most=relay.ask.answer_tokens,
@@ -131,7 +131,7 @@
             return HttpClosed(f"broken off: {why}")
         if relay.may_have_run:
             return BackendFailed(why)
-        after = back_after(self._backends.rng)
+        after = retry_delay_s(self._backends.rng)
         if end is _End.UNREACHED:
             return NoBackend(why, retry_after_s=after)
         return Overloaded(why, retry_after_s=after)
@@ -151,11 +151,11 @@
         avoid = relay.tried
         engine = relay.service.engine
         assert engine is not None
-        made = events.events * engine.stride
+        made = events.events * engine.tokens_per_event
         async with self._places.take(relay, extra=made, avoid=avoid) as place:
             memory = await self._read(relay, place, engine, budget)
             try:
-                if self._backends.takes_work(place.server.ident, await curio.clock()):
+                if self._backends.takes_work(place.server.incarnation_id, await curio.clock()):
                     return await self._at_place(relay, place, memory, events, budget)
                 # It began to leave while the prompt was read.
                 async with self._places.take(relay, extra=made, avoid=avoid) as other:
@@ -172,10 +172,10 @@
         ask = relay.ask
         meter = self._meters[relay.service.name]
         likely = min(ask.likely_tokens or ask.answer_tokens, ask.answer_tokens)
-        meter.was_admitted(place.tokens / engine.kv_tokens, likely)
+        meter.record_admission(place.tokens / engine.kv_tokens, likely)
         memory = await self._reading.read(relay, place.server.zone, budget)
         if memory is not None:
-            meter.was_read(ask.prompt_tokens, memory.took_s)
+            meter.record_prompt(ask.prompt_tokens, memory.took_s)
         return memory
 
     async def _at_place(
@@ -205,7 +205,9 @@
         if not budget.try_retry():
             return end, why
         relay.sent.pop()
-        self._log.info("writer_reads", request=relay.ask.ident, server=server.ident, why=why)
+        self._log.info(
+            "writer_reads", request=relay.ask.ident, server=server.incarnation_id, why=why
+        )
         leg = await self._leg(relay, place, None, events)
         return await self._write(relay, server, leg, events)
 
@@ -229,8 +231,8 @@
     async def _write(
         self, relay: Relay, server: Server, leg: Leg, events: EventSplitter
     ) -> tuple[_End, str]:
-        relay.sent.append(server.ident)
-        relay.facts["server"] = server.ident
+        relay.sent.append(server.incarnation_id)
+        relay.facts["server"] = server.incarnation_id
         try:
             async with self._legs.open(relay, server, leg) as stream:
                 word = self._backends.dialect.word(stream.status, stream.headers)
@@ -241,7 +243,7 @@
                 began, before = await curio.clock(), events.events
                 await self._pass_on(relay, stream, events)
                 self._note_pace(relay, events.events - before, await curio.clock() - began)
-                self._backends.standing(server.ident).breaker.succeeded()
+                self._backends.standing(server.incarnation_id).breaker.record_success()
                 return _End.WHOLE, ""
         except ConnectFailed as exc:
             return _End.UNREACHED, exc.detail
@@ -257,11 +259,11 @@
     def _note_pace(self, relay: Relay, events: int, took_s: float) -> None:
         engine = relay.service.engine
         if engine is not None and events:
-            self._meters[relay.service.name].was_written(events * engine.stride, took_s)
+            self._meters[relay.service.name].record_answer(events * engine.tokens_per_event, took_s)
 
     def _note_event(self, relay: Relay, now: float) -> None:
         if relay.event_at is None and relay.placed_at is not None:
-            self._meters[relay.service.name].was_first(now - relay.placed_at)
+            self._meters[relay.service.name].record_first_event(now - relay.placed_at)
         relay.note_event(now)
 
     async def _pass_on(self, relay: Relay, stream: ClientStream, events: EventSplitter) -> None:
--- a/src/crankhinge/wire/_messages.py
+++ b/src/crankhinge/wire/_messages.py
@@ -12,16 +12,16 @@
 from __future__ import annotations
 
 from crankhinge.decisions._fence_messages import (
+    FenceAlreadyTaken,
+    FenceClaim,
+    FenceClaimReply,
     FenceJoined,
+    FencePermitRequest,
+    FencePermitted,
+    FenceRelease,
+    FenceSettle,
     FenceState,
     FenceSync,
-    Permit,
-    Permitted,
-    Release,
-    Settle,
-    Take,
-    Taken,
-    TakenBefore,
 )
 from crankhinge.wire._base import Load, MessageBase
 from crankhinge.wire._control import (
@@ -237,13 +237,13 @@
     | Cancel
     | Call
     | CallDone
-    | Permit
-    | Permitted
-    | TakenBefore
-    | Settle
-    | Take
-    | Taken
-    | Release
+    | FencePermitRequest
+    | FencePermitted
+    | FenceAlreadyTaken
+    | FenceSettle
+    | FenceClaim
+    | FenceClaimReply
+    | FenceRelease
     | FenceState
     | FenceSync
     | FenceJoined
--- a/src/crankhinge_bench/_run.py
+++ b/src/crankhinge_bench/_run.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from crankhinge.decisions import mechanisms
+from crankhinge.decisions import mechanisms_for
 from crankhinge.runtime import write_json
 from crankhinge_bench._bound import at_load, capacity_per_s, goodput_bound
 from crankhinge_bench._cell import Cell
@@ -122,7 +122,7 @@
     """Run the command; returns the exit status."""
     policies = args.policy.split(",")
     for policy in policies:
-        mechanisms(policy)
+        mechanisms_for(policy)
     scenarios = [read_scenario(path) for path in args.scenario]
     logs = Path(args.logs) if args.logs else None
     cells: list[Cell] = []
--- a/src/crankhinge_bench/_slopes.py
+++ b/src/crankhinge_bench/_slopes.py
@@ -16,10 +16,10 @@
     Backend,
     FairQueue,
     PrefixIndex,
-    RouteAsk,
     Router,
-    RoutingWeights,
-    SlotAsk,
+    RouteRequest,
+    RoutingCosts,
+    SlotRequest,
     SlotTable,
 )
 from crankhinge.runtime import write_json
@@ -171,12 +171,12 @@
 
 
 def _router(count: int) -> Router:
-    router = Router(weights=RoutingWeights(zone="z0"), rng=random.Random(1))
+    router = Router(costs=RoutingCosts(zone="z0"), rng=random.Random(1))
     for number in range(count):
         name = f"backend-{number}"
-        backend = Backend(name, "decode", "write", f"z{number % 6}", linked=True, free=5)
-        backend.rate = 20_000.0
-        router.add(backend)
+        backend = Backend(name, "decode", "write", f"z{number % 6}", linked=True, free_slots=5)
+        backend.tokens_per_s = 20_000.0
+        router.add_backend(backend)
     return router
 
 
@@ -191,10 +191,10 @@
 
 def decisions() -> list[Slope]:
     """Measure the cost of decisions against the number of backend servers and waiting asks."""
-    ask = RouteAsk(1000, tuple(range(40)), 64)
+    ask = RouteRequest(1000, tuple(range(40)), 64)
     routers = {count: _router(count) for count in SERVERS}
     choose = [
-        (float(n), _per_call_us(lambda r=r: r.choose(["write"], 0.0)))  # type: ignore[misc]
+        (float(n), _per_call_us(lambda r=r: r.choose_backends(["write"], 0.0)))  # type: ignore[misc]
         for n, r in routers.items()
     ]
     prefill = [
@@ -209,14 +209,14 @@
     ]
 
 
-def _slot_ask(req: int) -> SlotAsk:
-    return SlotAsk(
+def _slot_ask(req: int) -> SlotRequest:
+    return SlotRequest(
         req=req,
         partner="p",
         member=f"m{req % 40}",
         rank=1,
         deadline=1e9,
-        lead=0.1,
+        lead_s=0.1,
         max_tokens=5000,
     )
 
@@ -224,14 +224,14 @@
 def _ask_cost_us(waiting: int) -> float:
     table = SlotTable(capacity=20, step_s=0.03)
     for req in range(20 + waiting):
-        table.ask(_slot_ask(req), 0.0)
+        table.submit(_slot_ask(req), 0.0)
         table.start(req, 0.0)
     asks = iter(range(10**6, 10**9))
 
     def one() -> None:
         req = next(asks)
-        table.ask(_slot_ask(req), 0.0)
-        table.end(req, 0.0)
+        table.submit(_slot_ask(req), 0.0)
+        table.release(req, 0.0)
 
     return _per_call_us(one)
 
@@ -241,7 +241,7 @@
 
     def index(count: int) -> PrefixIndex:
         made = PrefixIndex(limit=count)
-        made.learn("backend-1", range(2**32, 2**32 + count))
+        made.record_cached("backend-1", range(2**32, 2**32 + count))
         return made
 
     def queue(count: int) -> FairQueue[int]:
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -4,7 +4,14 @@
 
 from dataclasses import dataclass, field
 
-from crankhinge.decisions import PERMIT_S, LimitWord, Loan, Members, SharedLimits, Standing
+from crankhinge.decisions import (
+    PERMIT_TRANSIT_S,
+    Membership,
+    PermitDecision,
+    ServerStats,
+    SharedLimits,
+    ShareLease,
+)
 from limit_worlds import most_in_window
 from member_fleet import ANSWER_S, MemberFleet, MemberNode
 
@@ -13,7 +20,7 @@
 SERVE_S = (0.02, 0.2)
 # Most seconds from a request's permit until it reaches the server: its prompt is read elsewhere.
 # One in five is that late; the others take milliseconds, and any may meet a slow connection.
-LATE_S = PERMIT_S
+LATE_S = PERMIT_TRANSIT_S
 LATE_PART = 0.2
 CONNECT_S = (0.001, 0.35)
 
@@ -23,7 +30,7 @@
     """One life of an instance."""
 
     shared: SharedLimits
-    standing: Standing = field(default_factory=Standing)
+    standing: ServerStats = field(default_factory=ServerStats)
 
 
 @dataclass
@@ -67,23 +74,23 @@
         self._late = late
         self._lives = 0
 
-    def _born(self, name: str, members: Members) -> Node:
+    def _born(self, name: str, members: Membership) -> Node:
         self._lives += 1
-        shared = SharedLimits(name=name, members=members, life=self._lives, now=self.now)
+        shared = SharedLimits(name=name, membership=members, incarnation=self._lives, now=self.now)
         if self.per_s is not None:
             # As the note of a life before, or of others, tells.
-            shared.limits.named(SERVER, self.per_s, self.now)
+            shared.advertised.record_limit(SERVER, self.per_s, self.now)
         node = Node(name=name, members=members, shared=shared)
         self.at(self.now, lambda: self._lend_on(node))
         return node
 
     def _has_come(self, node: Node, name: str) -> None:
-        node.shared.has_come(name)
+        node.shared.record_joined(name)
 
     # Lending.
 
     def _lend_on(self, node: Node) -> None:
-        wait_s = node.shared.renew_s * self._rng.uniform(0.8, 1.0)
+        wait_s = node.shared.renewal_interval_s * self._rng.uniform(0.8, 1.0)
 
         def lend() -> None:
             self._lend(node, list(node.shared.allocators(SERVER, self.now)))
@@ -92,13 +99,13 @@
         self._later(node, wait_s, lend)
 
     def _lend(self, node: Node, left: list[str]) -> None:
-        if node.shared.limits.get(SERVER) is None or not left:
+        if node.shared.advertised.get(SERVER) is None or not left:
             return
         if left[0] == node.name:
-            node.shared.use_own(SERVER, self.now)
+            node.shared.use_local_share(SERVER, self.now)
             return
 
-        def take(word: LimitWord | None, *, silent: bool = False) -> None:
+        def take(word: PermitDecision | None, *, silent: bool = False) -> None:
             if silent:
                 self._lend(node, left[1:])
 
@@ -113,7 +120,7 @@
             self._later(node, 0.001, lambda: self._permit(node, within_s))
 
     def _permit(self, node: Node, within_s: float) -> None:
-        if node.shared.limits.get(SERVER) is None:
+        if node.shared.advertised.get(SERVER) is None:
             self._use(node, self.now, float("inf"))
         elif node.standing.limited_until > self.now + within_s:
             self.tally.refused += 1
@@ -122,10 +129,10 @@
 
     def _ask(self, node: Node, within_s: float, left: list[str], asked: float) -> None:
         if not left or left[0] == node.name:
-            self._end(node, node.shared.hand_out(SERVER, within_s, self.now), asked)
+            self._end(node, node.shared.take_permit(SERVER, within_s, self.now), asked)
             return
 
-        def take(word: LimitWord | None, *, silent: bool = False) -> None:
+        def take(word: PermitDecision | None, *, silent: bool = False) -> None:
             if word is None:
                 self._ask(node, within_s, left[1:], asked)
             else:
@@ -136,12 +143,12 @@
     def _question(self, node: Node, allocator: str, within_s: float | None, take: object) -> None:
         number = next(self._numbers)
         node.open[number] = take  # type: ignore[assignment]
-        loan = node.shared.lend(SERVER, allocator, self.now)
+        loan = node.shared.lease_out(SERVER, allocator, self.now)
 
         def silent() -> None:
             waiting = node.open.pop(number, None)
             if waiting is not None:
-                node.shared.silent(allocator, self.now)
+                node.shared.record_unresponsive(allocator, self.now)
                 waiting(None, silent=True)  # type: ignore[call-arg]
 
         self._send(
@@ -150,31 +157,31 @@
         self._later(node, ANSWER_S, silent)
 
     def _answer(
-        self, other: Node, asker: str, number: int, within_s: float | None, loan: Loan | None
+        self, other: Node, asker: str, number: int, within_s: float | None, loan: ShareLease | None
     ) -> None:
         if loan is not None:
-            other.shared.borrow(SERVER, asker, loan, self.now)
+            other.shared.accept_lease(SERVER, asker, loan, self.now)
         word = None
         if within_s is not None:
-            word = other.shared.hand_out(SERVER, within_s, self.now)
+            word = other.shared.take_permit(SERVER, within_s, self.now)
         stamp = other.shared.stamp(self.now)
 
         def deliver(node: Node) -> None:
             take = node.open.pop(number, None)
             if take is not None:
-                node.shared.answered(other.name, stamp)
+                node.shared.record_response(other.name, stamp)
                 take(word)
 
         self._send(other, asker, deliver)
 
-    def _end(self, node: Node, word: LimitWord, asked: float) -> None:
+    def _end(self, node: Node, word: PermitDecision, asked: float) -> None:
         if not word.granted:
-            node.standing.at_limit(self.now, word.after_s)
+            node.standing.record_at_limit(self.now, word.after_s)
             self.tally.refused += 1
             return
         self.tally.waits.append(word.after_s)
         late_s = LATE_S if self._late and self._rng.random() < LATE_PART else 0.0
-        until = asked + word.after_s + PERMIT_S
+        until = asked + word.after_s + PERMIT_TRANSIT_S
         self._later(node, word.after_s + late_s, lambda: self._use(node, asked, until))
 
     def _use(self, node: Node, asked: float, until: float) -> None:
@@ -191,10 +198,10 @@
         self.at(self.now + self._rng.uniform(*CONNECT_S), arrive)
 
     def _hear(self, node: Node, per_s: float | None, sent: float) -> None:
-        limits = node.shared.limits
+        limits = node.shared.advertised
         if per_s is not None:
-            limits.named(SERVER, per_s, self.now)
-        elif limits.unnamed(SERVER, sent):
+            limits.record_limit(SERVER, per_s, self.now)
+        elif limits.record_no_limit(SERVER, sent):
             node.standing.limited_until = 0.0
 
     def worst(self, since: float = 0.0) -> int:
--- a/tests/member_fleet.py
+++ b/tests/member_fleet.py
@@ -12,7 +12,7 @@
 
 from hypothesis import HealthCheck, Phase, settings
 
-from crankhinge.decisions import GREET_S, NOTE_S, Members
+from crankhinge.decisions import JOIN_ANNOUNCEMENT_INTERVAL_S, RECORD_LEASE_S, Membership
 
 # For tests that draw what befalls such a fleet. A case that fails is told as it was drawn; making
 # it smaller takes minutes.
@@ -34,7 +34,7 @@
     """One life of an instance."""
 
     name: str
-    members: Members
+    members: Membership
     open: dict[int, Callable[[Any], None]] = field(default_factory=dict)
     written: bool = False
     joined: bool = False
@@ -80,7 +80,7 @@
         self._record()
 
     @abc.abstractmethod
-    def _born(self, name: str, members: Members) -> N:
+    def _born(self, name: str, members: Membership) -> N:
         """Return a new life of an instance."""
 
     @abc.abstractmethod
@@ -105,7 +105,7 @@
     def start(self, names: Iterable[str] | None = None) -> None:
         """Start instances; a life before is forgotten."""
         for name in names or self.names:
-            node = self._born(name, Members(name, self.now))
+            node = self._born(name, Membership(name, self.now))
             self.nodes[name] = node
             self._held.pop(name, None)
             self.frozen.discard(name)
@@ -176,7 +176,7 @@
         def done(note: _Note | None, asked: float) -> None:
             if note is not None:
                 node.written = True
-                node.members.hold(asked + NOTE_S)
+                node.members.set_lease_end(asked + RECORD_LEASE_S)
                 if note.settled:
                     self._join(node, resumed=True)
                     self._later(node, 2 * CALL_S[1], lambda: self._look(node))
@@ -186,7 +186,7 @@
         self._call(node, done, op)
 
     def _look(self, node: N) -> None:
-        settled = node.members.settled(self.now)
+        settled = node.members.may_coordinate(self.now)
         publish = settled is not node.told or not node.written
 
         def op() -> bool:
@@ -201,7 +201,7 @@
             node.joined = node.joined and not anew
             if node.written:
                 node.told = settled
-                node.members.hold(asked + NOTE_S)
+                node.members.set_lease_end(asked + RECORD_LEASE_S)
             if node.written and not node.joined:
                 self._join(node, resumed=False)
             self._later(node, self._rng.uniform(0.9, 1.2), lambda: self._look(node))
@@ -209,7 +209,7 @@
         self._call(node, done, op)
 
     def _write(self, name: str, settled: bool) -> None:
-        self._notes[name] = _Note(self.now + NOTE_S, settled)
+        self._notes[name] = _Note(self.now + RECORD_LEASE_S, settled)
 
     def _join(self, node: N, *, resumed: bool) -> None:
         def done(names: dict[str, str], asked: float) -> None:
@@ -230,8 +230,8 @@
         if frozenset((node.name, "store")) not in self.cuts:
             at = self.now - self._rng.uniform(0.0, STALE_S)
             names = next((names for when, names in reversed(self._seen) if when <= at), {})
-            node.members.take(names, self.now)
-        wait_s = node.members.read_s * self._rng.uniform(0.8, 1.2)
+            node.members.apply_records(names, self.now)
+        wait_s = node.members.read_interval_s * self._rng.uniform(0.8, 1.2)
         self._later(node, wait_s, lambda: self._read(node))
 
     def _record(self) -> None:
@@ -259,16 +259,16 @@
         self.at(self.now + delay, arrive)
 
     def _greet(self, node: N) -> None:
-        names = node.members.to_greet
+        names = node.members.unacknowledged_addresses
         for name in names:
             self._send(node, name, lambda other: self._greeted(other, node.name))
         if names:
-            self._later(node, GREET_S, lambda: self._greet(node))
+            self._later(node, JOIN_ANNOUNCEMENT_INTERVAL_S, lambda: self._greet(node))
 
     def _greeted(self, other: N, name: str) -> None:
-        other.members.greeted(name, name, self.now)
+        other.members.record_joined(name, name, self.now)
         self._has_come(other, name)
-        self._send(other, name, lambda node: node.members.answered(other.name))
+        self._send(other, name, lambda node: node.members.record_acknowledged(other.name))
 
 
 def strike(
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -14,7 +14,7 @@
 
 import curio
 
-from crankhinge.decisions import Members, Server, ServerList, SharedLimits
+from crankhinge.decisions import Membership, Server, ServerList, SharedLimits
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.gateway import GatewaySettings, Platform, serve
 from crankhinge.gateway._authenticator import Authenticator
@@ -125,7 +125,7 @@
     """Return what keeps requests from servers, at an instance that has nobody to tell."""
     return QuarantineDesk(
         name=name,
-        members=Members(name, 0.0),
+        members=Membership(name, 0.0),
         notices=Notices(address="", peers=list, log=log),
         log=log,
         metrics=Metrics(prefix="t"),
@@ -135,7 +135,7 @@
 def lone_backends(log: Any, *servers: Server) -> Backends:
     """Return the connections of an instance that knows these servers."""
     known = ServerList()
-    known.replace(servers, 0.0, was_away=False)
+    known.apply_list(servers, 0.0, was_unreachable=False)
     return Backends(
         servers=known,
         dialect=PlatformDialect(),
@@ -168,11 +168,11 @@
 
 
 def lone_limits(
-    name: str, backends: Backends, log: Any, members: Members | None = None
+    name: str, backends: Backends, log: Any, members: Membership | None = None
 ) -> LoneLimits:
     """Return what keeps to servers' limits, at an instance that has nobody to ask."""
-    members = members or Members(name, 0.0)
-    shared = SharedLimits(name=name, members=members, life=1, now=0.0)
+    members = members or Membership(name, 0.0)
+    shared = SharedLimits(name=name, membership=members, incarnation=1, now=0.0)
     notices = Notices(address="", peers=list, log=log)
     news = LimitNews(shared=shared, backends=backends, notices=notices, log=log)
     permits = Permits(
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from crankhinge.decisions import (
-    NOT_MINE,
+    NOT_ALLOCATOR,
     Account,
-    Members,
+    Membership,
     QuotaAllocator,
-    QuotaAsker,
     QuotaBounds,
-    QuotaWord,
-    Verdict,
+    QuotaClient,
+    QuotaDecision,
+    QuotaOutcome,
 )
 from member_fleet import ANSWER_S, MemberFleet, MemberNode
 
@@ -32,7 +32,7 @@
     """One life of an instance."""
 
     allocator: QuotaAllocator
-    asker: QuotaAsker
+    asker: QuotaClient
     account: Account
 
 
@@ -57,17 +57,19 @@
         self.refused = 0
         self.unknown = 0
 
-    def _born(self, name: str, members: Members) -> Node:
+    def _born(self, name: str, members: Membership) -> Node:
         return Node(
             name=name,
             members=members,
-            allocator=QuotaAllocator(name=name, members=members, bounds=self.bounds, now=self.now),
-            asker=QuotaAsker(name=name, members=members),
+            allocator=QuotaAllocator(
+                name=name, membership=members, bounds=self.bounds, now=self.now
+            ),
+            asker=QuotaClient(name=name, membership=members),
             account=self.account,
         )
 
     def _has_come(self, node: Node, name: str) -> None:
-        node.asker.answered(name)
+        node.asker.record_response(name)
 
     # Requests.
 
@@ -83,32 +85,32 @@
         if left is None:
             left = list(node.asker.allocators(self.account.name, self.now))
         if not left:
-            self._end(node.allocator.take_own(self.account, tokens, self.now), tokens, sent)
+            self._end(node.allocator.allocate_local(self.account, tokens, self.now), tokens, sent)
             return
         allocator, rest = left[0], left[1:]
 
-        def take(word: QuotaWord | None) -> None:
-            if word is None or word.verdict is Verdict.NOT_MINE:
+        def take(word: QuotaDecision | None) -> None:
+            if word is None or word.outcome is QuotaOutcome.NOT_ALLOCATOR:
                 self._ask(node, tokens, sent, rest)
             else:
                 self._end(word, tokens, sent)
 
         if allocator == node.name:
-            take(node.allocator.take(self.account, tokens, self.now))
+            take(node.allocator.allocate(self.account, tokens, self.now))
             return
         number = next(self._numbers)
         node.open[number] = take
 
         def silent() -> None:
             if node.open.pop(number, None):
-                node.asker.silent(allocator, self.now)
+                node.asker.record_unresponsive(allocator, self.now)
                 take(None)
 
         self._send(node, allocator, lambda other: self._answer(other, node.name, number, tokens))
         self._later(node, ANSWER_S, silent)
 
     def _answer(self, other: Node, asker: str, number: int, tokens: int) -> None:
-        word = other.allocator.take(self.account, tokens, self.now)
+        word = other.allocator.allocate(self.account, tokens, self.now)
 
         def deliver(node: Node) -> None:
             take: Any = node.open.pop(number, None)
@@ -117,10 +119,10 @@
 
         self._send(other, asker, deliver)
 
-    def _end(self, word: QuotaWord, tokens: int, sent: float) -> None:
-        if word.verdict is Verdict.GRANTED:
+    def _end(self, word: QuotaDecision, tokens: int, sent: float) -> None:
+        if word.outcome is QuotaOutcome.GRANTED:
             self.uses.append(Use(sent, self.now, tokens))
-        elif word == NOT_MINE:
+        elif word == NOT_ALLOCATOR:
             self.unknown += 1
         else:
             self.refused += 1
--- a/tests/test_named_limits.py
+++ b/tests/test_advertised_limits.py
@@ -5,16 +5,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankhinge.decisions import NamedLimits
-from crankhinge.decisions._named_limits import MOST_NAMED, MOST_NOTED, NOTE_AGE_S
+from crankhinge.decisions import AdvertisedLimits
+from crankhinge.decisions._advertised_limits import (
+    MAX_PUBLISHED_LIMITS,
+    MAX_RECORD_AGE_S,
+    MAX_TRACKED_SERVERS,
+)
 
 SERVER = "i-1"
 
 
-def named(per_s: float, at: float) -> NamedLimits:
+def named(per_s: float, at: float) -> AdvertisedLimits:
     """Return what is believed after one word."""
-    limits = NamedLimits()
-    limits.named(SERVER, per_s, at)
+    limits = AdvertisedLimits()
+    limits.record_limit(SERVER, per_s, at)
     return limits
 
 
@@ -24,35 +28,35 @@
     def test_the_last_one_stands(self) -> None:
         """One that was heard before it and comes later changes nothing."""
         limits = named(4.0, 10.0)
-        assert limits.named(SERVER, 3.0, 11.0)
-        assert not limits.named(SERVER, 5.0, 10.5)
-        assert not limits.named(SERVER, 3.0, 12.0)
+        assert limits.record_limit(SERVER, 3.0, 11.0)
+        assert not limits.record_limit(SERVER, 5.0, 10.5)
+        assert not limits.record_limit(SERVER, 3.0, 12.0)
         limit = limits.get(SERVER)
         assert limit is not None
-        assert (limit.per_s, limit.at) == (3.0, 12.0)
+        assert (limit.per_s, limit.received_at) == (3.0, 12.0)
 
     def test_an_answer_without_one_ends_it_if_asked_since(self) -> None:
         """A request that was sent before may have been answered before, too."""
         limits = named(4.0, 10.0)
-        assert not limits.unnamed(SERVER, 9.9)
-        assert not limits.unnamed(SERVER, 10.0)
-        assert limits.unnamed(SERVER, 10.1)
+        assert not limits.record_no_limit(SERVER, 9.9)
+        assert not limits.record_no_limit(SERVER, 10.0)
+        assert limits.record_no_limit(SERVER, 10.1)
         assert limits.get(SERVER) is None
 
     def test_a_word_from_before_the_end_does_not_begin_it_again(self) -> None:
         """Another instance's, that was under way for long."""
         limits = named(4.0, 10.0)
-        limits.unnamed(SERVER, 12.0)
-        assert not limits.named(SERVER, 4.0, 11.0)
+        limits.record_no_limit(SERVER, 12.0)
+        assert not limits.record_limit(SERVER, 4.0, 11.0)
         assert limits.get(SERVER) is None
-        assert limits.named(SERVER, 4.0, 12.5)
+        assert limits.record_limit(SERVER, 4.0, 12.5)
 
     def test_what_is_no_rate_keeps_the_last_one(self) -> None:
         """The server is still in need; without a rate nothing is known."""
         limits = named(4.0, 10.0)
-        limits.unreadable(SERVER, 20.0)
-        assert not limits.unnamed(SERVER, 15.0)
-        limits.unreadable("i-2", 20.0)
+        limits.record_unreadable(SERVER, 20.0)
+        assert not limits.record_no_limit(SERVER, 15.0)
+        limits.record_unreadable("i-2", 20.0)
         assert limits.servers == [SERVER]
 
     @given(
@@ -65,12 +69,12 @@
         words = list({at: (kind, at, per_s) for kind, at, per_s in words}.values())
         ends = []
         for order in (words, sorted(words, key=lambda word: word[1])):
-            limits = NamedLimits()
+            limits = AdvertisedLimits()
             for kind, at, per_s in order:
                 if kind == "named":
-                    limits.named(SERVER, per_s, at)
+                    limits.record_limit(SERVER, per_s, at)
                 else:
-                    limits.unnamed(SERVER, at)
+                    limits.record_no_limit(SERVER, at)
             ends.append(limits.get(SERVER))
         last = max(words, key=lambda word: word[1], default=None)
         if last is not None and last[0] == "named":
@@ -83,30 +87,30 @@
     def test_a_rate_that_wobbles_is_not_written_anew(self) -> None:
         """Each change of a note is a priced write."""
         limits = named(4.0, 10.0)
-        assert limits.noted([SERVER], 10.0) == {SERVER: 4.0}
-        limits.named(SERVER, 4.4, 11.0)
-        assert limits.noted([SERVER], 11.0) == {SERVER: 4.0}
-        limits.named(SERVER, 1.9, 12.0)
-        assert limits.noted([SERVER], 12.0) == {SERVER: 1.9}
+        assert limits.to_instance_record([SERVER], 10.0) == {SERVER: 4.0}
+        limits.record_limit(SERVER, 4.4, 11.0)
+        assert limits.to_instance_record([SERVER], 11.0) == {SERVER: 4.0}
+        limits.record_limit(SERVER, 1.9, 12.0)
+        assert limits.to_instance_record([SERVER], 12.0) == {SERVER: 1.9}
 
     def test_only_of_servers_that_were_heard_lately(self) -> None:
         """One that nobody asks may have ceased to name it."""
         limits = named(4.0, 10.0)
-        assert limits.noted([SERVER], 10.0 + NOTE_AGE_S)
-        assert not limits.noted([SERVER], 10.1 + NOTE_AGE_S)
-        assert not named(4.0, 10.0).noted(["i-2"], 10.0)
+        assert limits.to_instance_record([SERVER], 10.0 + MAX_RECORD_AGE_S)
+        assert not limits.to_instance_record([SERVER], 10.1 + MAX_RECORD_AGE_S)
+        assert not named(4.0, 10.0).to_instance_record(["i-2"], 10.0)
 
     def test_what_is_read_does_not_undo_a_later_end(self) -> None:
         """A note is read seconds late."""
         limits = named(4.0, 10.0)
-        limits.unnamed(SERVER, 20.0)
-        assert limits.recall({SERVER: 4.0, "i-2": 3.0}, 30.0) == ["i-2"]
+        limits.record_no_limit(SERVER, 20.0)
+        assert limits.apply_instance_record({SERVER: 4.0, "i-2": 3.0}, 30.0) == ["i-2"]
         assert limits.servers == ["i-2"]
 
     def test_what_is_read_does_not_change_what_was_heard(self) -> None:
         """The server's own word is newer."""
         limits = named(4.0, 10.0)
-        assert limits.recall({SERVER: 9.0}, 11.0) == []
+        assert limits.apply_instance_record({SERVER: 9.0}, 11.0) == []
 
 
 class TestBounds:
@@ -114,9 +118,9 @@
 
     def test_is_bounded(self) -> None:
         """The newest stand."""
-        limits = NamedLimits()
-        for number in range(2 * MOST_NAMED):
-            limits.named(f"i-{number}", 1.0, float(number))
-        assert len(limits) == MOST_NAMED
-        noted = limits.noted(limits.servers, 2.0 * MOST_NAMED)
-        assert len(noted) <= MOST_NOTED
+        limits = AdvertisedLimits()
+        for number in range(2 * MAX_TRACKED_SERVERS):
+            limits.record_limit(f"i-{number}", 1.0, float(number))
+        assert len(limits) == MAX_TRACKED_SERVERS
+        noted = limits.to_instance_record(limits.servers, 2.0 * MAX_TRACKED_SERVERS)
+        assert len(noted) <= MAX_PUBLISHED_LIMITS
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from crankhinge.decisions import RetryBudget, Standing
-from crankhinge.decisions._standing import REFUSED_MOST_S, REFUSED_S
+from crankhinge.decisions import RetryBudget, ServerStats
+from crankhinge.decisions._server_stats import MAX_REFUSAL_PAUSE_S, REFUSAL_PAUSE_S
 
 
 class TestSpend:
@@ -12,8 +12,8 @@
     def test_they_are_taken_from_those_that_are_asked_for(self) -> None:
         """After two refusals only one of three saved repeats is left."""
         budget = RetryBudget(ratio=0.1, burst=3.0)
-        budget.spend()
-        budget.spend()
+        budget.charge_retry()
+        budget.charge_retry()
         assert budget.try_retry()
         assert not budget.try_retry()
 
@@ -21,22 +21,22 @@
         """A hundred refusals must not forbid repeats for ever."""
         budget = RetryBudget(ratio=1.0, burst=3.0)
         for _ in range(100):
-            budget.spend()
-        assert not budget.allows()
+            budget.charge_retry()
+        assert not budget.allows_retry()
         for _ in range(4):
-            budget.first_attempt()
-        assert budget.allows()
+            budget.record_first_attempt()
+        assert budget.allows_retry()
 
 
 def test_refusals_in_a_row_are_waited_out_ever_longer() -> None:
     """Twice as long each time, up to a bound; a success ends it."""
-    standing = Standing()
+    standing = ServerStats()
     waits = []
     for _ in range(6):
-        standing.refused(0.0)
+        standing.record_refusal(0.0)
         waits.append(standing.full_until)
     assert waits == sorted(waits)
-    assert (waits[0], waits[-1]) == (REFUSED_S, REFUSED_MOST_S)
-    standing.succeeded(0.1)
-    standing.refused(0.0)
-    assert standing.full_until == REFUSED_S
+    assert (waits[0], waits[-1]) == (REFUSAL_PAUSE_S, MAX_REFUSAL_PAUSE_S)
+    standing.record_success(0.1)
+    standing.record_refusal(0.0)
+    assert standing.full_until == REFUSAL_PAUSE_S
--- a/tests/test_congestion.py
+++ b/tests/test_congestion.py
@@ -5,25 +5,25 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankhinge.decisions import Congestion
-from crankhinge.decisions._congestion import BACK_LEAST_S, LOWER_EACH_S
+from crankhinge.decisions import CongestionWindow
+from crankhinge.decisions._congestion import MIN_DECREASE_INTERVAL_S, MIN_RETRY_AFTER_S
 
 TARGET_S = 0.3
 
 
-def seen(*took: float, congestion: Congestion | None = None) -> Congestion:
+def seen(*took: float, congestion: CongestionWindow | None = None) -> CongestionWindow:
     """Return what answers that took so long leave, one each tenth of a second."""
-    congestion = congestion or Congestion()
+    congestion = congestion or CongestionWindow()
     for number, took_s in enumerate(took):
-        congestion.answered(took_s, TARGET_S, number / 10)
+        congestion.record_response(took_s, TARGET_S, number / 10)
     return congestion
 
 
-def congested(there: int = 4) -> Congestion:
+def congested(there: int = 4) -> CongestionWindow:
     """Return a service that answered in 0.06 s and then takes 0.5 s, with calls at it."""
     congestion = seen(*[0.06] * 30)
     for _ in range(there):
-        congestion.sent(3.0)
+        congestion.record_sent(3.0)
     return seen(*[0.5] * 6, congestion=congestion)
 
 
@@ -39,23 +39,23 @@
         congestion = congested(there=4)
         assert congestion.window is not None
         assert congestion.window < 4
-        assert not congestion.clear(3.0, late=False)
+        assert not congestion.may_send(3.0, late=False)
         for _ in range(4):
-            congestion.ended()
-        assert congestion.clear(3.0, late=False)
-        assert not congestion.clear(3.0, late=True)
+            congestion.record_end()
+        assert congestion.may_send(3.0, late=False)
+        assert not congestion.may_send(3.0, late=True)
 
     def test_a_refusal_bounds_at_once_and_each_round_once(self) -> None:
         """Refusals of calls that were sent together are one sign, not many."""
         congestion = seen(*[0.06] * 5)
         for _ in range(10):
-            congestion.sent(3.0)
+            congestion.record_sent(3.0)
         for _ in range(5):
-            congestion.refused(1.0)
+            congestion.record_refusal(1.0)
         first = congestion.window
         assert first is not None
         assert 5 < first < 10
-        congestion.refused(1.0 + 2 * LOWER_EACH_S)
+        congestion.record_refusal(1.0 + 2 * MIN_DECREASE_INTERVAL_S)
         assert congestion.window is not None
         assert congestion.window < first
 
@@ -63,9 +63,9 @@
         """The bound rises with each answer in time, and is given up when it binds nothing."""
         congestion = congested(there=2)
         for number in range(200):
-            congestion.answered(0.06, TARGET_S, 10 + number / 10)
+            congestion.record_response(0.06, TARGET_S, 10 + number / 10)
         assert congestion.window is None
-        assert congestion.clear(3.0, late=True)
+        assert congestion.may_send(3.0, late=True)
 
     def test_a_service_slow_by_nature_is_not_held_for_congested(self) -> None:
         """Its answers are late whatever is sent; a late answer is worth more than none."""
@@ -74,27 +74,27 @@
     @given(st.lists(st.tuples(st.floats(0.001, 5), st.booleans()), max_size=80))
     def test_one_call_may_always_be_there(self, steps: list[tuple[float, bool]]) -> None:
         """An instance that sent nothing would never learn that all is well again."""
-        congestion = Congestion()
+        congestion = CongestionWindow()
         now = 0.0
         for took_s, refused in steps:
             now += 0.2
             if refused:
-                congestion.refused(now)
+                congestion.record_refusal(now)
             else:
-                congestion.answered(took_s, TARGET_S, now)
-            assert congestion.clear(now, late=False)
+                congestion.record_response(took_s, TARGET_S, now)
+            assert congestion.may_send(now, late=False)
 
     def test_a_service_that_gets_late_calls_only_recovers(self) -> None:
         """A late call now and then shows that answers come early again, and frees the rest."""
         congestion = congested(there=1)
-        congestion.ended()
+        congestion.record_end()
         now, sent = 3.0, 0
         while congestion.window is not None and now < 60.0:
             now += 0.1
-            if congestion.clear(now, late=True):
-                congestion.sent(now)
-                congestion.ended()
-                congestion.answered(0.06, TARGET_S, now)
+            if congestion.may_send(now, late=True):
+                congestion.record_sent(now)
+                congestion.record_end()
+                congestion.record_response(0.06, TARGET_S, now)
                 sent += 1
         assert congestion.window is None
         assert sent < 30
@@ -102,5 +102,5 @@
     def test_the_way_back_is_as_long_as_it_has_lasted(self) -> None:
         """A service that has been congested for two seconds may well be for two more."""
         congestion = congested()
-        assert congestion.back_s(0.3) == BACK_LEAST_S
-        assert congestion.back_s(4.0) > 3.0
+        assert congestion.retry_after_s(0.3) == MIN_RETRY_AFTER_S
+        assert congestion.retry_after_s(4.0) > 3.0
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -75,10 +75,10 @@
         assert settings.repeat_ratio == 0.05
         budget = repeat_budget(settings)
         for _ in range(1000):
-            budget.first_attempt()
+            budget.record_first_attempt()
         spent = 0
         for _ in range(1000):
-            budget.first_attempt()
+            budget.record_first_attempt()
             spent += budget.try_retry()
         assert 20 <= spent <= 50
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crankhinge.config import BundleView, hash_credential, parse_bundle
-from crankhinge.decisions import Breaker, MemberLimits, RetryBudget, WorkAsk, WorkQueue
+from crankhinge.decisions import Breaker, MemberLimits, RetryBudget, WorkQueue, WorkRequest
 from crankhinge.entry._ask import authenticate, prefix_blocks, read_completion
 from crankhinge.entry._calls import Calls, LinkLost
 from crankhinge.entry._progress import Progress, RequestIds
@@ -166,7 +166,7 @@
         budget = RetryBudget(ratio=0.1, burst=10.0)
         retries = 0
         for _ in range(1000):
-            budget.first_attempt()
+            budget.record_first_attempt()
             retries += budget.try_retry()
         assert 100 <= retries <= 115
 
@@ -178,26 +178,26 @@
         """After three failures nothing passes for a second, then one request does."""
         breaker = Breaker()
         for _ in range(3):
-            breaker.failed(0.0)
-        assert not breaker.allows(0.5)
-        assert breaker.allows(1.5)
-        breaker.sent(1.5)
-        assert not breaker.allows(1.5)
-        breaker.failed(1.6)
-        assert not breaker.allows(3.0)
-        assert breaker.allows(3.7)
-        breaker.sent(3.7)
-        breaker.succeeded()
-        assert breaker.allows(3.8)
+            breaker.record_failure(0.0)
+        assert not breaker.allows_request(0.5)
+        assert breaker.allows_request(1.5)
+        breaker.record_sent(1.5)
+        assert not breaker.allows_request(1.5)
+        breaker.record_failure(1.6)
+        assert not breaker.allows_request(3.0)
+        assert breaker.allows_request(3.7)
+        breaker.record_sent(3.7)
+        breaker.record_success()
+        assert breaker.allows_request(3.8)
 
     def test_a_refused_trial_is_not_the_last(self) -> None:
         """A trial whose outcome says nothing of the server is followed by another."""
         breaker = Breaker()
         for _ in range(3):
-            breaker.failed(0.0)
-        breaker.sent(1.5)
-        assert not breaker.allows(2.0)
-        assert breaker.allows(2.6)
+            breaker.record_failure(0.0)
+        breaker.record_sent(1.5)
+        assert not breaker.allows_request(2.0)
+        assert breaker.allows_request(2.6)
 
 
 class TestLimits:
@@ -206,19 +206,19 @@
     def test_rate_and_concurrency(self) -> None:
         """Requests over a limit are told when to come back."""
         limits = MemberLimits()
-        assert limits.enter("m", 0.0, concurrent=1, per_s=0) is None
-        assert limits.enter("m", 0.0, concurrent=1, per_s=0) is not None
-        limits.leave("m")
-        assert limits.enter("m", 0.0, concurrent=1, per_s=0) is None
+        assert limits.admit("m", 0.0, max_concurrent=1, max_per_s=0) is None
+        assert limits.admit("m", 0.0, max_concurrent=1, max_per_s=0) is not None
+        limits.record_end("m")
+        assert limits.admit("m", 0.0, max_concurrent=1, max_per_s=0) is None
         for _ in range(2):
-            assert limits.enter("r", 0.0, concurrent=0, per_s=2.0) is None
-        assert limits.enter("r", 0.0, concurrent=0, per_s=2.0) == 0.5
-        assert limits.enter("r", 0.6, concurrent=0, per_s=2.0) is None
+            assert limits.admit("r", 0.0, max_concurrent=0, max_per_s=2.0) is None
+        assert limits.admit("r", 0.0, max_concurrent=0, max_per_s=2.0) == 0.5
+        assert limits.admit("r", 0.6, max_concurrent=0, max_per_s=2.0) is None
 
 
-def work(req: int, deadline: float, units: int) -> WorkAsk:
+def work(req: int, deadline: float, units: int) -> WorkRequest:
     """Return a request for work."""
-    return WorkAsk(req=req, partner="p", member="m", rank=1, deadline=deadline, units=units)
+    return WorkRequest(req=req, partner="p", member="m", rank=1, deadline=deadline, units=units)
 
 
 class TestWorkQueue:
@@ -226,29 +226,29 @@
 
     def test_refuses_what_cannot_be_done_in_time(self) -> None:
         """A prompt behind too much work is refused unread, and one that fits is taken."""
-        queue = WorkQueue(width=1, rate=1000.0)
-        assert queue.ask(work(1, 1.0, 800), 0.0) is None
-        starts, late = queue.next(0.0)
+        queue = WorkQueue(width=1, units_per_s=1000.0)
+        assert queue.submit(work(1, 1.0, 800), 0.0) is None
+        starts, late = queue.take_next(0.0)
         assert [ask.req for ask in starts] == [1] and late == []
-        refusal = queue.ask(work(2, 1.0, 800), 0.0)
-        assert refusal is not None and refusal.retry_after > 1.0
-        assert queue.ask(work(3, 1.0, 100), 0.0) is None
+        refusal = queue.submit(work(2, 1.0, 800), 0.0)
+        assert refusal is not None and refusal.retry_after_s > 1.0
+        assert queue.submit(work(3, 1.0, 100), 0.0) is None
 
     def test_what_has_waited_too_long_is_not_started(self) -> None:
         """A prompt whose time ran out in the queue is refused, not read."""
-        queue = WorkQueue(width=1, rate=1000.0)
-        queue.ask(work(1, 9.0, 100), 0.0)
-        queue.next(0.0)
-        queue.ask(work(2, 1.0, 500), 0.0)
-        queue.end(1, 0.9)
-        starts, late = queue.next(0.9)
+        queue = WorkQueue(width=1, units_per_s=1000.0)
+        queue.submit(work(1, 9.0, 100), 0.0)
+        queue.take_next(0.0)
+        queue.submit(work(2, 1.0, 500), 0.0)
+        queue.record_end(1, 0.9)
+        starts, late = queue.take_next(0.9)
         assert starts == [] and [refusal.req for refusal in late] == [2]
 
     def test_learns_the_rate(self) -> None:
         """The rate follows what was measured."""
-        queue = WorkQueue(width=1, rate=1000.0)
+        queue = WorkQueue(width=1, units_per_s=1000.0)
         for req in range(1, 30):
-            queue.ask(work(req, 1e9, 100), float(req))
-            queue.next(float(req))
-            queue.end(req, req + 0.05, done=100)
-        assert 1900 < queue.rate < 2000
+            queue.submit(work(req, 1e9, 100), float(req))
+            queue.take_next(float(req))
+            queue.record_end(req, req + 0.05, done=100)
+        assert 1900 < queue.units_per_s < 2000
