--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -12,18 +12,18 @@
 
 from crankhinge.decisions import FencePair, FenceRecord, FenceRole
 from crankhinge.decisions._fence_actions import ReadRecord, Reply, Send, SwapRecord
-from crankhinge.decisions._fence_keys import BAD_KEY, TOO_OLD, keep_answer
+from crankhinge.decisions._fence_keys import BAD_KEY, TOO_OLD, to_recorded_response
 from crankhinge.decisions._fence_messages import (
+    FenceAlreadyTaken,
+    FenceClaim,
+    FenceClaimReply,
     FenceJoined,
+    FencePermitRequest,
+    FencePermitted,
+    FenceRelease,
+    FenceSettle,
     FenceState,
     FenceSync,
-    Permit,
-    Permitted,
-    Release,
-    Settle,
-    Take,
-    Taken,
-    TakenBefore,
 )
 
 START_MS = 1_000_000_000_000
@@ -97,7 +97,7 @@
                     self.wires[name].append(action.msg)
             elif isinstance(action, Reply):
                 self.replies[action.req] = action.msg
-                if isinstance(action.msg, Permitted):
+                if isinstance(action.msg, FencePermitted):
                     self.given[self.nonces[action.req]].append(action.req)
             else:
                 self.call_kv(name, action)
@@ -115,7 +115,7 @@
             out = (
                 node.on_record(record, index, self.now, self.wall)
                 if self.kv_up
-                else node.on_no_record()
+                else node.on_read_failed()
             )
         else:
             answer = self.write(action) if self.kv_up else None
@@ -140,13 +140,13 @@
         other = "b" if name == "a" else "a"
         node = self.nodes[other]
         handlers: dict[type, Any] = {
-            Take: lambda m: node.on_take(m, self.now),
-            Taken: node.on_taken,
+            FenceClaim: lambda m: node.on_claim(m, self.now),
+            FenceClaimReply: node.on_claim_reply,
             FenceState: lambda m: node.on_state(m, self.now),
             FenceSync: node.on_sync,
             FenceJoined: lambda m: node.on_joined(m, self.now),
-            Release: node.on_release,
-            Settle: node.on_settle,
+            FenceRelease: node.on_release,
+            FenceSettle: node.on_settle,
         }
         self.act(other, handlers[type(msg)](msg))
 
@@ -173,7 +173,9 @@
         """Ask a holder for leave."""
         self.nonces[nonce] = key
         node = self.nodes[name]
-        self.act(name, node.on_permit(Permit(nonce, "r", key, b"d"), self.now, self.wall))
+        self.act(
+            name, node.on_permit(FencePermitRequest(nonce, "r", key, b"d"), self.now, self.wall)
+        )
 
 
 def paired() -> World:
@@ -195,7 +197,7 @@
         world.ask("a", key, 1)
         assert 1 not in world.replies
         world.pass_time(0.1)
-        assert isinstance(world.replies[1], Permitted)
+        assert isinstance(world.replies[1], FencePermitted)
         assert len(world.nodes["b"]) == 1
 
     def test_a_repeat_is_refused_by_either(self) -> None:
@@ -204,12 +206,12 @@
         key = key_born(world.wall)
         world.ask("a", key, 1)
         world.pass_time(0.1)
-        settle = Settle(1, "r", key, keep_answer(200, {}, b"done"))
+        settle = FenceSettle(1, "r", key, to_recorded_response(200, {}, b"done"))
         world.act("a", world.nodes["a"].on_settle(settle))
         world.pass_time(0.1)
         world.ask("b", key, 2)
         reply = world.replies[2]
-        assert isinstance(reply, TakenBefore)
+        assert isinstance(reply, FenceAlreadyTaken)
         assert reply.answer is not None and reply.answer.body == b"done"
 
     def test_asked_of_both_at_once(self) -> None:
@@ -220,7 +222,7 @@
         world.ask("b", key, 2)
         world.pass_time(0.1)
         assert world.given[key] == [1]
-        assert isinstance(world.replies[2], TakenBefore)
+        assert isinstance(world.replies[2], FenceAlreadyTaken)
 
     def test_a_released_key_is_free(self) -> None:
         """An attempt that never ran gives its key back at both holders."""
@@ -228,11 +230,11 @@
         key = key_born(world.wall)
         world.ask("a", key, 1)
         world.pass_time(0.1)
-        world.act("a", world.nodes["a"].on_release(Release(1, "r", key)))
+        world.act("a", world.nodes["a"].on_release(FenceRelease(1, "r", key)))
         world.pass_time(0.1)
         world.ask("b", key, 2)
         world.pass_time(0.1)
-        assert isinstance(world.replies[2], Permitted)
+        assert isinstance(world.replies[2], FencePermitted)
 
     @pytest.mark.parametrize(
         ("born_s", "cause"), [(-3600.0, TOO_OLD), (60.0, BAD_KEY), (None, BAD_KEY)]
@@ -242,7 +244,7 @@
         world = paired()
         key = "m/x" if born_s is None else key_born(world.wall + int(born_s * 1000))
         world.ask("a", key, 1)
-        assert world.replies[1] == TakenBefore(1, cause=cause)
+        assert world.replies[1] == FenceAlreadyTaken(1, cause=cause)
 
 
 class TestFailures:
@@ -259,8 +261,8 @@
         assert world.nodes["b"].role is FenceRole.SOLO
         world.ask("b", old, 2)
         world.ask("b", key_born(world.wall, salt=1), 3)
-        assert isinstance(world.replies[2], TakenBefore)
-        assert isinstance(world.replies[3], Permitted)
+        assert isinstance(world.replies[2], FenceAlreadyTaken)
+        assert isinstance(world.replies[3], FencePermitted)
 
     def test_nobody_goes_on_alone_without_the_service(self) -> None:
         """With the key-value service out as well, nothing is given leave."""
@@ -279,7 +281,7 @@
         world.settle(3600.0)
         world.ask("a", key_born(world.wall), 1)
         world.pass_time(0.1)
-        assert isinstance(world.replies[1], Permitted)
+        assert isinstance(world.replies[1], FencePermitted)
 
     def test_a_paused_holder_wakes_up_powerless(self) -> None:
         """A holder that slept while the other went on alone gives no leave on its own."""
@@ -312,8 +314,8 @@
         world.ask("b", key, 2)
         world.ask("b", key_born(world.wall), 3)
         world.pass_time(0.1)
-        assert world.replies[2] == TakenBefore(2, cause=TOO_OLD)
-        assert isinstance(world.replies[3], Permitted)
+        assert world.replies[2] == FenceAlreadyTaken(2, cause=TOO_OLD)
+        assert isinstance(world.replies[3], FencePermitted)
 
     def test_a_returning_holder_is_paired_again(self) -> None:
         """A holder that comes back empty is given the record, and knows the keys."""
@@ -326,7 +328,7 @@
         world.settle(5.0)
         assert {node.role for node in world.nodes.values()} == {FenceRole.PAIRED}
         world.ask("a", key, 2)
-        assert isinstance(world.replies[2], TakenBefore)
+        assert isinstance(world.replies[2], FenceAlreadyTaken)
 
 
 def ask_both(world: World, rng: random.Random, keys: list[str]) -> None:
@@ -426,4 +428,4 @@
         nonce = len(world.nonces) + 1
         world.ask("a", key_born(world.wall, salt=999), nonce)
         world.pass_time(0.1)
-        assert isinstance(world.replies[nonce], Permitted)
+        assert isinstance(world.replies[nonce], FencePermitted)
--- a/tests/test_legs.py
+++ b/tests/test_legs.py
@@ -83,7 +83,7 @@
         with pytest.raises(type(failure)):
             async with way.legs.open(way.relay, way.server, Leg("i-1", 1.0)):
                 raise failure
-        seen.append(way.backends.standing("i-1").failing)
+        seen.append(way.backends.standing("i-1").failure_share)
 
     run_virtual(world.play, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
     return seen[0]
@@ -95,10 +95,10 @@
     @pytest.mark.parametrize(
         "bar",
         [
-            lambda way: way.backends.bars.says_it_leaves("i-1", 1.0),
-            lambda way: way.backends.bars.asks_rest("i-1", math.inf),
+            lambda way: way.backends.bars.record_leaving("i-1", 1.0),
+            lambda way: way.backends.bars.record_backoff("i-1", math.inf),
             lambda way: way.backends.replaced(way.server),
-            lambda way: way.backends._servers.replace([], 1.0, was_away=False),
+            lambda way: way.backends._servers.apply_list([], 1.0, was_unreachable=False),
         ],
         ids=["leaving", "resting", "replaced", "gone"],
     )
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -8,7 +8,7 @@
 import curio.socket
 import msgspec
 
-from crankhinge.decisions import Phase
+from crankhinge.decisions import EngineRole
 from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._peer_messages import EngineOrdered
 from crankhinge.runtime import get_log, until_first
@@ -17,7 +17,7 @@
 
 STREAM = route("r-stream", "/stream/", "streaming", "llm")
 TOKENS = {"x_token_count": "3000,800", "length_hint": "800"}
-NOTICE = EngineOrdered("i-r0", Phase.WRITE, 13.0)
+NOTICE = EngineOrdered("i-r0", EngineRole.DECODE, 13.0)
 
 
 class Fleet:
@@ -110,7 +110,7 @@
         writer = world.add("i-w", "llm", "decode", behave=stream)
 
         async def story() -> None:
-            await tell(world, EngineOrdered("i-r0", Phase.WRITE, 13.0))
+            await tell(world, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
             for number in range(20):
                 assert (await world.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
             assert ordered.arrivals == []
@@ -131,7 +131,7 @@
         other = world.add("i-r1", "llm", "prefill")
 
         async def story() -> None:
-            await tell(world, EngineOrdered("i-r0", Phase.WRITE, 900.0))
+            await tell(world, EngineOrdered("i-r0", EngineRole.DECODE, 900.0))
             assert (await world.call("q", "/stream/a", **TOKENS))[0] == 200
             assert not ordered.arrivals
             await curio.sleep(14.0)
@@ -149,7 +149,7 @@
         world.add("i-w", "llm", "decode", behave=stream)
 
         async def story() -> None:
-            await tell(world, EngineOrdered("i-r0", Phase.WRITE, 13.0))
+            await tell(world, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
             assert (await world.call("q", "/stream/a", **TOKENS))[0] == 200
             assert ordered.arrivals
 
@@ -162,7 +162,7 @@
         world.add("i-w", "llm", "decode", behave=stream)
 
         async def story() -> None:
-            await tell(world, EngineOrdered("i-gone", Phase.WRITE, 13.0))
+            await tell(world, EngineOrdered("i-gone", EngineRole.DECODE, 13.0))
             assert not world.lines.having("event=server_changing")
             assert (await world.call("q", "/stream/a", **TOKENS))[0] == 200
 
--- a/tests/test_orderer.py
+++ b/tests/test_orderer.py
@@ -10,7 +10,7 @@
 import pytest
 
 from crankhinge.adapters import Note
-from crankhinge.decisions import Phase, WorkMeter, WorkSheet
+from crankhinge.decisions import EngineRole, WorkloadMeter, WorkloadStats
 from crankhinge.gateway._peer_messages import EngineOrdered, PeerMessage
 from platform_fakes import HOST, World, free_port, route, stream
 from virtual_time import run_virtual
@@ -44,7 +44,7 @@
     world: World, name: str, *, read_s: float, admitted: int, pace_s: float = 0.04
 ) -> None:
     """Put the note of another instance; unless told its answers take as long as here."""
-    sheet = WorkSheet(
+    sheet = WorkloadStats(
         admitted=admitted,
         answers=admitted,
         readings=admitted,
@@ -220,7 +220,7 @@
             told = [message for message in said if isinstance(message, EngineOrdered)]
             assert ordered
             assert {notice.server for notice in told} == ordered
-            assert {notice.phase for notice in told} == {Phase.WRITE}
+            assert {notice.phase for notice in told} == {EngineRole.DECODE}
             await task.cancel()
 
         play(world, story)
@@ -234,7 +234,7 @@
             sock = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_DGRAM)
             async with sock:
                 for ident in ("i-r0", "i-r1"):
-                    notice = EngineOrdered(ident, Phase.WRITE, 13.0)
+                    notice = EngineOrdered(ident, EngineRole.DECODE, 13.0)
                     data = msgspec.msgpack.encode(notice)
                     if told:
                         await sock.sendto(data, (HOST, world.peer_port))
@@ -328,7 +328,7 @@
 
 def test_the_meter_needs_both_kinds_of_samples() -> None:
     """Readings alone say nothing about writing."""
-    meter = WorkMeter()
+    meter = WorkloadMeter()
     for _ in range(50):
-        meter.was_read(3000, 0.2)
+        meter.record_prompt(3000, 0.2)
     assert meter.loads() is None
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -13,7 +13,14 @@
 import pytest
 
 from crankhinge.adapters import Leg, ServerWord
-from crankhinge.decisions import PERMIT_S, Loan, Members, Phase, Server, SharedLimits
+from crankhinge.decisions import (
+    PERMIT_TRANSIT_S,
+    EngineRole,
+    Membership,
+    Server,
+    SharedLimits,
+    ShareLease,
+)
 from crankhinge.errors import ServerAtLimit
 from crankhinge.gateway._crashes import CrashDetector
 from crankhinge.gateway._legs import Legs
@@ -82,7 +89,7 @@
         assert len(world.lines.having("event=answered", "sent=1")) == 5
 
 
-SERVER = Server("i-1", "plain", HOST, 9, "z1", Phase.PLAIN, 4, False, 1)
+SERVER = Server("i-1", "plain", HOST, 9, "z1", EngineRole.PLAIN, 4, False, 1)
 
 
 class Alone:
@@ -91,7 +98,7 @@
     def __init__(self) -> None:
         log = get_log(program="t", stream=Lines())
         self.backends = lone_backends(log, SERVER)
-        self.members = Members("here", 0.0)
+        self.members = Membership("here", 0.0)
         limits = lone_limits("here", self.backends, log, self.members)
         self.news, self.permits = limits.news, limits.permits
         self.relay = cast(
@@ -102,7 +109,7 @@
         """Run *story* once its share is its own."""
 
         async def ready() -> None:
-            self.members.hold(math.inf)
+            self.members.set_lease_end(math.inf)
             self.members.join({"here": ""}, await curio.clock(), resumed=True)
             await curio.sleep(SETTLED_S)
             word = ServerWord(False, False, None, names_limit=True, takes_per_s=2.0)
@@ -166,7 +173,7 @@
             await curio.sleep(FILLED_S)
             assert await alone.permits.permit(alone.relay, SERVER)
             assert await alone.left() == 1
-            await curio.sleep(PERMIT_S + 0.1)
+            await curio.sleep(PERMIT_TRANSIT_S + 0.1)
             alone.backends.standing("i-1").limited_until = 0.0
             before = alone.relay.permits["i-1"]
             assert await alone.permits.permit(alone.relay, SERVER)
@@ -220,10 +227,10 @@
 
     def test_lending_at_three_hundred_instances_is_within_control(self) -> None:
         """Ten kilobytes a second for all of control, at the instance that hands out."""
-        members = Members("n0", 0.0)
+        members = Membership("n0", 0.0)
         members.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
-        shared = SharedLimits(name="n0", members=members, life=2**62, now=0.0)
-        loan = Loan(shared.stamp(1234567.123), shared.lend_s, 300)
+        shared = SharedLimits(name="n0", membership=members, incarnation=2**62, now=0.0)
+        loan = ShareLease(shared.stamp(1234567.123), shared.lease_s, 300)
         ask = PermitAsk(
             number=123456,
             lender="frontend-pamplemousses-12",
@@ -236,7 +243,7 @@
         )
         answer = PermitAnswer(number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1)
         sizes = [len(msgspec.msgpack.encode(message)) for message in (ask, answer)]
-        a_second = 300 / shared.renew_s
+        a_second = 300 / shared.renewal_interval_s
         print(f"{sizes} B, {a_second:.1f} a second, {a_second * sizes[0] / 1000:.1f} kB in")
         assert a_second * sum(sizes) <= 10_000
         assert max(sizes) <= MOST_BYTES / 4
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -36,9 +36,9 @@
     ) -> None:
         """By the first, the second and every instance to itself."""
         pools = bounds.pools(limit, instances)
-        each = [pools.main, pools.standby, *([pools.own] * instances)]
+        each = [pools.main, pools.standby, *([pools.local] * instances)]
         total = sum(pool.per_s * bounds.window_s + pool.burst for pool in each)
-        assert total <= bounds.allowed(limit) * 1.000001
+        assert total <= bounds.allowed_in_window(limit) * 1.000001
 
     def test_the_accounts_own_rate_is_whole_where_there_is_slack(self) -> None:
         """Below its limit nobody is refused."""
@@ -96,7 +96,7 @@
         fleet.start()
         calm(fleet, per_s=100.0, tokens=100, until=DAY_S)
         fleet.run(10.0)
-        first = next(iter(fleet.nodes.values())).members.ranked("red")[0]
+        first = next(iter(fleet.nodes.values())).members.rank_instances("red")[0]
         fleet.kill(first)
         fleet.run(DAY_S + 1)
         # The dead instance's own callers find another one.
@@ -108,7 +108,7 @@
         fleet = Fleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(8.0)
-        first = next(iter(fleet.nodes.values())).members.ranked("red")[0]
+        first = next(iter(fleet.nodes.values())).members.rank_instances("red")[0]
         fleet.kill(first)
         fleet.names.remove(first)
         calm(fleet, per_s=900.0, tokens=100, until=DAY_S, begin=26.0)
@@ -120,12 +120,12 @@
         fleet = Fleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(10.0)
-        first = next(iter(fleet.nodes.values())).members.ranked("red")[0]
+        first = next(iter(fleet.nodes.values())).members.rank_instances("red")[0]
         fleet.kill(first)
         fleet.run(12.0)
         fleet.start([first])
         fleet.run(13.0)
-        assert fleet.nodes[first].members.settled(fleet.now)
+        assert fleet.nodes[first].members.may_coordinate(fleet.now)
 
 
 class TestTotalLoss:
@@ -141,7 +141,7 @@
         fleet.run(11.0)
         fleet.start(fleet.names[1:])
         fleet.run(12.5)
-        assert all(node.members.settled(fleet.now) for node in fleet.nodes.values())
+        assert all(node.members.may_coordinate(fleet.now) for node in fleet.nodes.values())
 
 
 class TestAboveTheLimit:
@@ -162,11 +162,11 @@
         fleet = Fleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         for node in fleet.nodes.values():
-            node.members.settled = lambda now: True
-            node.members.ranked = lambda key, name=node.name: [name]
+            node.members.may_coordinate = lambda now: True
+            node.members.rank_instances = lambda key, name=node.name: [name]
         calm(fleet, per_s=6_000.0, tokens=100, until=DAY_S)
         fleet.run(DAY_S + 1)
-        assert fleet.worst() > BOUNDS.allowed(LIMIT)
+        assert fleet.worst() > BOUNDS.allowed_in_window(LIMIT)
 
 
 instance = st.integers(0, INSTANCES - 1)
@@ -204,7 +204,7 @@
             strike(fleet, kind, at, for_s, fleet.names[one], fleet.names[other])
         calm(fleet, per_s=6_000.0, tokens=tokens, until=DAY_S, begin=0.5)
         fleet.run(DAY_S + 1)
-        assert fleet.worst() <= bounds.allowed(LIMIT)
+        assert fleet.worst() <= bounds.allowed_in_window(LIMIT)
 
     def test_holds_though_every_instance_starts_again_and_again(self) -> None:
         """What was handed out in a life before is not known: its bucket begins empty."""
@@ -216,7 +216,7 @@
         calm(fleet, per_s=6_000.0, tokens=100, until=DAY_S)
         fleet.run(DAY_S + 1)
         assert fleet.uses
-        assert fleet.worst() <= TIGHT.allowed(LIMIT)
+        assert fleet.worst() <= TIGHT.allowed_in_window(LIMIT)
 
 
 class TestCompared:
@@ -258,7 +258,7 @@
 ) -> int:
     """Return how many requests are refused where each instance has the same part of all."""
     assert account.limit is not None
-    allowed = bounds.allowed(account.limit) / instances
+    allowed = bounds.allowed_in_window(account.limit) / instances
     per_s = account.limit.per_s / instances
     share = TokenLimit(per_s, allowed - per_s * bounds.window_s)
     buckets = [TokenBucket(0.0) for _ in range(instances)]
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -295,7 +295,7 @@
     """Return the role with a silent log; it passes one call on at a time."""
     return PlainRole(
         service=service,
-        queue=WorkQueue(width=1, rate=10.0),
+        queue=WorkQueue(width=1, units_per_s=10.0),
         keeper=BundleKeeper({}),
         log=get_log(program="test", stream=io.StringIO()),
         metrics=Metrics(prefix="test"),
--- a/tests/test_roll.py
+++ b/tests/test_rollout.py
@@ -3,8 +3,14 @@
 import time
 
 from conftest import patient_spec
-from crankhinge.decisions import RollPlace, RollRecord, to_load, try_acquire, without
-from crankhinge.decisions._roll import LEASE_S
+from crankhinge.decisions import (
+    RolloutLease,
+    RolloutRecord,
+    adapters_to_load,
+    release_rollout,
+    try_acquire_rollout,
+)
+from crankhinge.decisions._rollout import ROLLOUT_LEASE_S
 from crankhinge_bench._cluster import Cluster
 from test_end_to_end import make_client
 
@@ -14,33 +20,33 @@
 
     def test_no_more_than_the_width_at_once(self) -> None:
         """The third of three waits until a place is given back."""
-        record = RollRecord()
+        record = RolloutRecord()
         for name in ("a", "b"):
-            lease = try_acquire(record, name, 2, 1000)
+            lease = try_acquire_rollout(record, name, 2, 1000)
             assert lease is not None
             record = lease.record
-        assert try_acquire(record, "c", 2, 1000) is None
-        assert try_acquire(without(record, "a"), "c", 2, 1000) is not None
+        assert try_acquire_rollout(record, "c", 2, 1000) is None
+        assert try_acquire_rollout(release_rollout(record, "a"), "c", 2, 1000) is not None
 
     def test_a_dead_holder_loses_its_place(self) -> None:
         """After the lease's end another goes on, with a larger token."""
-        lease = try_acquire(RollRecord(), "a", 1, 0)
+        lease = try_acquire_rollout(RolloutRecord(), "a", 1, 0)
         assert lease is not None
-        late = int(LEASE_S * 1000)
-        assert try_acquire(lease.record, "b", 1, late - 1) is None
-        after = try_acquire(lease.record, "b", 1, late)
+        late = int(ROLLOUT_LEASE_S * 1000)
+        assert try_acquire_rollout(lease.record, "b", 1, late - 1) is None
+        after = try_acquire_rollout(lease.record, "b", 1, late)
         assert after is not None and after.token > lease.token
 
     def test_a_restarted_holder_takes_over_its_own_place(self) -> None:
         """An agent that died while loading needn't wait for itself."""
-        record = RollRecord(4, (RollPlace("a", 10**15),))
-        lease = try_acquire(record, "a", 1, 0)
+        record = RolloutRecord(4, (RolloutLease("a", 10**15),))
+        lease = try_acquire_rollout(record, "a", 1, 0)
         assert lease is not None
         assert [place.name for place in lease.record.places] == ["a"]
 
     def test_what_is_to_load(self) -> None:
         """New adapters and new versions, nothing else."""
-        assert to_load({"a": 1, "b": 2, "c": 1}, {"a": 1, "b": 1}) == ["b", "c"]
+        assert adapters_to_load({"a": 1, "b": 2, "c": 1}, {"a": 1, "b": 1}) == ["b", "c"]
 
 
 class TestRoll:
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -5,14 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankhinge.decisions import CallerLimits, Route, RouteKind, RouteTable, Share
+from crankhinge.decisions import CallerLimits, Route, RouteKind, RouteTable, ServiceWeight
 
 LIMITS = CallerLimits(16384, 65536, 3.0, 15.0)
 
 
-def make_route(name: str, host: str, prefix: str, *split: Share) -> Route:
+def make_route(name: str, host: str, prefix: str, *split: ServiceWeight) -> Route:
     """Return a route."""
-    shares = split or (Share("s", 1.0),)
+    shares = split or (ServiceWeight("s", 1.0),)
     return Route(name, host, prefix, RouteKind.ONCE, 1.0, 0.1, 1, 1, False, shares)
 
 
@@ -62,10 +62,15 @@
 
     def test_weights_are_kept(self) -> None:
         """Draws fall into the services by their weights."""
-        route = make_route("r", "h", "/", Share("a", 90), Share("b", 10))
-        assert [route.service_at(draw) for draw in (0.0, 0.89, 0.91, 0.999)] == ["a", "a", "b", "b"]
+        route = make_route("r", "h", "/", ServiceWeight("a", 90), ServiceWeight("b", 10))
+        assert [route.pick_service(draw) for draw in (0.0, 0.89, 0.91, 0.999)] == [
+            "a",
+            "a",
+            "b",
+            "b",
+        ]
 
     def test_a_service_without_weight_gets_nothing(self) -> None:
         """Weight 0 takes a service out."""
-        route = make_route("r", "h", "/", Share("a", 0), Share("b", 1))
-        assert {route.service_at(n / 10) for n in range(10)} == {"b"}
+        route = make_route("r", "h", "/", ServiceWeight("a", 0), ServiceWeight("b", 1))
+        assert {route.pick_service(n / 10) for n in range(10)} == {"b"}
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -4,18 +4,25 @@
 from collections import Counter
 
 from crankhinge.adapters import Instance
-from crankhinge.decisions import Backend, PrefixIndex, RouteAsk, Router, RoutingWeights, rank_by_key
+from crankhinge.decisions import (
+    Backend,
+    PrefixIndex,
+    Router,
+    RouteRequest,
+    RoutingCosts,
+    rank_by_key,
+)
 from crankhinge.entry._subset import subset
 
 
 def make_router(seed: int = 1, **changes: object) -> Router:
     """Return a router with six idle decode backend servers."""
-    router = Router(weights=RoutingWeights(zone="z0"), rng=random.Random(seed))
+    router = Router(costs=RoutingCosts(zone="z0"), rng=random.Random(seed))
     for number in range(6):
-        backend = Backend(f"b{number}", "decode", "write", "z0", linked=True, free=20)
+        backend = Backend(f"b{number}", "decode", "write", "z0", linked=True, free_slots=20)
         for name, value in changes.items():
             setattr(backend, name, value)
-        router.add(backend)
+        router.add_backend(backend)
     return router
 
 
@@ -28,11 +35,11 @@
         for entry in range(20):
             router = make_router(entry)
             for name, backend in router.backends.items():
-                backend.free, backend.backlog_s = (1, 0.0) if name == "b0" else (0, 0.2)
+                backend.free_slots, backend.backlog_s = (1, 0.0) if name == "b0" else (0, 0.2)
             for _ in range(10):
-                best = router.choose(["write"], 0.0)[0]
-                best.sent += 1
-                best.sent_s += 0.1
+                best = router.choose_backends(["write"], 0.0)[0]
+                best.sent_since_report += 1
+                best.sent_work_s += 0.1
                 firsts[best.name] += 1
         assert firsts["b0"] <= 0.35 * sum(firsts.values())
 
@@ -43,8 +50,8 @@
         router.backends["b1"].leaving = True
         router.backends["b2"].draining = True
         for _ in range(3):
-            router.backends["b3"].breaker.failed(0.0)
-        names = {b.name for _ in range(50) for b in router.choose(["write"], 0.5)}
+            router.backends["b3"].breaker.record_failure(0.0)
+        names = {b.name for _ in range(50) for b in router.choose_backends(["write"], 0.5)}
         assert names == {"b4", "b5"}
 
     def test_all_breakers_open(self) -> None:
@@ -52,23 +59,23 @@
         router = make_router()
         for backend in router.backends.values():
             for _ in range(3):
-                backend.breaker.failed(0.0)
-        assert len(router.usable(["write"], 0.5)) == 6
+                backend.breaker.record_failure(0.0)
+        assert len(router.usable_backends(["write"], 0.5)) == 6
 
     def test_a_slow_server_is_avoided(self) -> None:
         """A server whose steps take far longer than usual is the last choice."""
         router = make_router(step_s=0.03)
         router.backends["b0"].step_s = 0.2
-        firsts = {router.choose(["write"], 0.0)[0].name for _ in range(100)}
+        firsts = {router.choose_backends(["write"], 0.0)[0].name for _ in range(100)}
         assert "b0" not in firsts
 
     def test_a_silent_server_is_used_only_when_no_other_is_left(self) -> None:
         """Reports that have stopped rule a server out while others are heard."""
-        router = make_router(reported=100.0)
-        router.backends["b0"].reported = 10.0
-        names = {b.name for _ in range(50) for b in router.choose(["write"], 100.0)}
+        router = make_router(reported_at=100.0)
+        router.backends["b0"].reported_at = 10.0
+        names = {b.name for _ in range(50) for b in router.choose_backends(["write"], 100.0)}
         assert "b0" not in names
-        assert len(router.usable(["write"], 500.0)) == 6
+        assert len(router.usable_backends(["write"], 500.0)) == 6
 
 
 class TestPrefill:
@@ -76,9 +83,9 @@
 
     def test_a_cached_prefix_wins_until_its_server_is_busy(self) -> None:
         """Affinity is worth the tokens it saves, no more."""
-        router = make_router(rate=10_000.0)
-        ask = RouteAsk(5000, tuple(range(64)), 64)
-        router.prefixes.learn("b3", ask.prefix)
+        router = make_router(tokens_per_s=10_000.0)
+        ask = RouteRequest(5000, tuple(range(64)), 64)
+        router.prefixes.record_cached("b3", ask.prefix)
         found = {router.choose_prefill(["write"], ask, "z0", 0.0)[0].name for _ in range(50)}
         assert "b3" in found
         router.backends["b3"].backlog_s = 5.0
@@ -87,20 +94,22 @@
 
     def test_a_slow_link_is_avoided(self) -> None:
         """A prompt is read in the zone where it is written when links between zones are slow."""
-        router = make_router(rate=10_000.0)
-        router.weights = RoutingWeights(
+        router = make_router(tokens_per_s=10_000.0)
+        router.costs = RoutingCosts(
             kv_bytes_per_token=100_000, same_zone_bytes_per_s=1e10, cross_zone_bytes_per_s=1e8
         )
         for name in ("b0", "b1", "b2"):
             router.backends[name].zone = "z1"
-        firsts = [router.choose_prefill(["write"], RouteAsk(2000), "z1", 0.0)[0] for _ in range(50)]
+        firsts = [
+            router.choose_prefill(["write"], RouteRequest(2000), "z1", 0.0)[0] for _ in range(50)
+        ]
         assert sum(b.zone == "z1" for b in firsts) > 40
 
     def test_work_already_done_is_forgotten(self) -> None:
         """A reported backlog shrinks as time goes by."""
-        backend = Backend("b", "prefill", "read", "z", backlog_s=0.3, reported=10.0)
-        assert backend.pending_s(10.1) < 0.3
-        assert backend.pending_s(11.0) == 0.0
+        backend = Backend("b", "prefill", "read", "z", backlog_s=0.3, reported_at=10.0)
+        assert backend.pending_work_s(10.1) < 0.3
+        assert backend.pending_work_s(11.0) == 0.0
 
 
 class TestPrefixIndex:
@@ -109,10 +118,10 @@
     def test_bounded(self) -> None:
         """The oldest blocks go first."""
         index = PrefixIndex(limit=10)
-        index.learn("a", range(20))
+        index.record_cached("a", range(20))
         assert len(index) == 10
-        assert index.matched("a", (10, 11, 12)) == 3
-        assert index.matched("a", (0,)) == 0
+        assert index.count_cached("a", (10, 11, 12)) == 3
+        assert index.count_cached("a", (0,)) == 0
 
 
 class TestSubset:
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -9,22 +9,22 @@
 from hypothesis import strategies as st
 
 from crankhinge.decisions import (
-    LimitPool,
-    Loan,
-    Members,
+    ClockStamp,
+    Membership,
+    PermitPool,
     SharedLimits,
-    Stamp,
+    ShareLease,
     TokenBucket,
     TokenLimit,
 )
-from crankhinge.decisions._limit_pool import (
+from crankhinge.decisions._membership import FLEET_RETENTION_S, MAX_STALE_READ_S
+from crankhinge.decisions._permit_pool import (
     CONNECT_S,
-    PERMIT_S,
-    TRIAL_PER_S,
+    MIN_RATE_PER_S,
+    PERMIT_TRANSIT_S,
     WINDOW_S,
-    burst,
+    burst_limit,
 )
-from crankhinge.decisions._members import FLEET_KEPT_S, STALE_S
 from limit_fleet import SERVER, LimitFleet
 from limit_worlds import allowed, most_in_window
 from member_fleet import PLAYED, strike
@@ -65,11 +65,11 @@
     return fleet, begin
 
 
-class Lone(Members):
+class Lone(Membership):
     """Instances that count themselves alone."""
 
     @property
-    def fleet(self) -> int:
+    def fleet_size(self) -> int:
         """One."""
         return 1
 
@@ -177,7 +177,7 @@
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         fleet.run(READY_S)
-        first = next(iter(fleet.nodes.values())).members.ranked("s")[0]
+        first = next(iter(fleet.nodes.values())).members.rank_instances("s")[0]
         fleet.kill(first)
         fleet.names.remove(first)
         ask(fleet, per_s=20.0, begin=READY_S, until=READY_S + 20.0)
@@ -188,11 +188,11 @@
 
 def instance(name: str = "here", *, now: float = 0.0, life: int = 1) -> SharedLimits:
     """Return an instance that knows five, all of which it has read of at *now*."""
-    members = Members(name, now)
-    members.hold(math.inf)
+    members = Membership(name, now)
+    members.set_lease_end(math.inf)
     members.join({each: f"{each}:1" for each in NAMES}, now, resumed=True)
-    shared = SharedLimits(name=name, members=members, life=life, now=now)
-    shared.limits.named(SERVER, PER_S, now)
+    shared = SharedLimits(name=name, membership=members, incarnation=life, now=now)
+    shared.advertised.record_limit(SERVER, PER_S, now)
     return shared
 
 
@@ -202,11 +202,11 @@
     def test_count_from_the_borrowers_own_clock(self) -> None:
         """The lender echoes the latest moment of it that it has seen."""
         borrower = instance()
-        loan = Loan(borrower.stamp(10.0), for_s=2.4, fleet=5)
-        borrower.borrow(SERVER, "there", loan, 11.0)
-        assert borrower.part(SERVER) == 1 / 5
-        borrower.hand_out(SERVER, 0.0, 12.5)
-        assert borrower.part(SERVER) == 1 / 5  # Its own; the other's is over.
+        loan = ShareLease(borrower.stamp(10.0), duration_s=2.4, fleet_size=5)
+        borrower.accept_lease(SERVER, "there", loan, 11.0)
+        assert borrower.leased_fraction(SERVER) == 1 / 5
+        borrower.take_permit(SERVER, 0.0, 12.5)
+        assert borrower.leased_fraction(SERVER) == 1 / 5  # Its own; the other's is over.
 
     @pytest.mark.parametrize("moment", [(2, 10.0), (1, 30.0), (1, 12.0)])
     def test_of_another_life_or_from_the_future_or_over_lend_nothing(
@@ -214,50 +214,50 @@
     ) -> None:
         """A word that lay unread for seconds comes when its lender has lent elsewhere."""
         borrower = instance()
-        loan = Loan(Stamp(*moment), for_s=2.4, fleet=5)
-        borrower.borrow(SERVER, "there", loan, 20.0)
-        assert borrower.part(SERVER) == 0.0
+        loan = ShareLease(ClockStamp(*moment), duration_s=2.4, fleet_size=5)
+        borrower.accept_lease(SERVER, "there", loan, 20.0)
+        assert borrower.leased_fraction(SERVER) == 0.0
 
     def test_are_given_to_one_at_a_time(self) -> None:
         """Neither another instance nor the lender itself has the share before it is over."""
         lender = instance()
         for borrower in ("n1", "n2"):
-            lender.answered(borrower, Stamp(7, 1.0))
-        assert lender.lend(SERVER, "n1", 10.0) is not None
-        assert lender.lend(SERVER, "n1", 11.0) is not None
-        assert lender.lend(SERVER, "n2", 13.3) is None
-        lender.use_own(SERVER, 13.3)
-        assert lender.part(SERVER) == 0.0
-        assert lender.lend(SERVER, "n2", 13.5) is not None
+            lender.record_response(borrower, ClockStamp(7, 1.0))
+        assert lender.lease_out(SERVER, "n1", 10.0) is not None
+        assert lender.lease_out(SERVER, "n1", 11.0) is not None
+        assert lender.lease_out(SERVER, "n2", 13.3) is None
+        lender.use_local_share(SERVER, 13.3)
+        assert lender.leased_fraction(SERVER) == 0.0
+        assert lender.lease_out(SERVER, "n2", 13.5) is not None
 
     def test_begin_when_those_of_a_life_before_are_over(self) -> None:
         """Nobody knows to whom it lent."""
         lender = instance(now=100.0)
-        lender.answered("n1", Stamp(7, 1.0))
-        assert lender.lend(SERVER, "n1", 102.3) is None
-        lender.use_own(SERVER, 102.3)
-        assert lender.part(SERVER) == 0.0
-        assert lender.lend(SERVER, "n1", 102.5) is not None
+        lender.record_response("n1", ClockStamp(7, 1.0))
+        assert lender.lease_out(SERVER, "n1", 102.3) is None
+        lender.use_local_share(SERVER, 102.3)
+        assert lender.leased_fraction(SERVER) == 0.0
+        assert lender.lease_out(SERVER, "n1", 102.5) is not None
 
     def test_need_a_stamp(self) -> None:
         """Whoever has not answered yet has told no moment of its clock."""
-        assert instance().lend(SERVER, "n1", 10.0) is None
+        assert instance().lease_out(SERVER, "n1", 10.0) is None
 
     def test_end_when_the_fleet_is_not_known_any_more(self) -> None:
         """Others that see it gone have larger shares by then."""
         lender = instance()
-        lender.answered("n1", Stamp(7, 1.0))
-        assert lender.lend(SERVER, "n1", FLEET_KEPT_S - STALE_S) is not None
-        assert lender.lend(SERVER, "n1", FLEET_KEPT_S) is None
+        lender.record_response("n1", ClockStamp(7, 1.0))
+        assert lender.lease_out(SERVER, "n1", FLEET_RETENTION_S - MAX_STALE_READ_S) is not None
+        assert lender.lease_out(SERVER, "n1", FLEET_RETENTION_S) is None
 
     def test_are_as_small_as_those_of_all_that_may_still_use_theirs(self) -> None:
         """An instance that the store lost sight of is counted for two minutes."""
-        members = Members("here", 0.0)
-        members.take({each: f"{each}:1" for each in NAMES}, 0.0)
-        members.take({"here": "here:1"}, 100.0)
-        assert (len(members), members.fleet) == (1, 5)
-        members.take({"here": "here:1"}, FLEET_KEPT_S + 0.1)
-        assert members.fleet == 1
+        members = Membership("here", 0.0)
+        members.apply_records({each: f"{each}:1" for each in NAMES}, 0.0)
+        members.apply_records({"here": "here:1"}, 100.0)
+        assert (len(members), members.fleet_size) == (1, 5)
+        members.apply_records({"here": "here:1"}, FLEET_RETENTION_S + 0.1)
+        assert members.fleet_size == 1
 
 
 class TestPool:
@@ -265,19 +265,19 @@
 
     def test_holds_nothing_at_first(self) -> None:
         """Nobody knows what was sent before."""
-        pool = LimitPool(PER_S, 0.0)
-        pool.lend("here", 10.0, 1, 0.0, counted=1)
-        assert not pool.take(0.0, 1, 0.0).granted
-        assert pool.take(0.0, 1, 1 / PER_S).granted
+        pool = PermitPool(PER_S, 0.0)
+        pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
+        assert not pool.take_permit(0.0, 1, 0.0).granted
+        assert pool.take_permit(0.0, 1, 1 / PER_S).granted
 
     def test_takes_back_what_was_not_sent(self) -> None:
         """Up to what may be sent at once."""
-        pool = LimitPool(PER_S, 0.0)
-        pool.lend("here", 10.0, 1, 0.0, counted=1)
-        assert pool.take(0.0, 1, 1 / PER_S).granted
-        assert not pool.take(0.0, 1, 1 / PER_S).granted
-        pool.give_back(1, 1 / PER_S)
-        assert pool.take(0.0, 1, 1 / PER_S).granted
+        pool = PermitPool(PER_S, 0.0)
+        pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
+        assert pool.take_permit(0.0, 1, 1 / PER_S).granted
+        assert not pool.take_permit(0.0, 1, 1 / PER_S).granted
+        pool.return_permit(1, 1 / PER_S)
+        assert pool.take_permit(0.0, 1, 1 / PER_S).granted
 
     @given(st.floats(0.0, 1e4), st.lists(st.floats(0.0, 1.0), min_size=1, max_size=9))
     def test_parts_together_are_within_what_is_allowed(
@@ -286,9 +286,9 @@
         """In a window's time, and as long before it as a request may be late."""
         total = sum(weights) or 1.0
         parts = [weight / total for weight in weights]
-        rate = max(per_s, TRIAL_PER_S)
-        for_s = WINDOW_S + PERMIT_S + CONNECT_S
-        at_most = sum(part * rate * for_s + burst(per_s, part) for part in parts)
+        rate = max(per_s, MIN_RATE_PER_S)
+        for_s = WINDOW_S + PERMIT_TRANSIT_S + CONNECT_S
+        at_most = sum(part * rate * for_s + burst_limit(per_s, part) for part in parts)
         assert at_most <= per_s * WINDOW_S * 1.5 + 5.0001
 
 
@@ -300,7 +300,7 @@
         fleet = LimitFleet(5, 40.0)
         fleet.start()
         fleet.run(READY_S)
-        first = next(iter(fleet.nodes.values())).members.ranked("s")[0]
+        first = next(iter(fleet.nodes.values())).members.rank_instances("s")[0]
         strike(fleet, "freeze", READY_S, 8.0, first, first)
         ask(fleet, per_s=400.0, begin=READY_S, until=READY_S + 20.0)
         fleet.run(READY_S + 21.0)
@@ -313,7 +313,7 @@
         for node in fleet.nodes.values():
             node.members.__class__ = Lone
             node.shared.allocators = lambda server, now: []  # type: ignore[method-assign]
-            node.shared.hands_out = lambda server: True  # type: ignore[method-assign]
+            node.shared.is_allocator = lambda server: True  # type: ignore[method-assign]
         ask(fleet, per_s=50.0, begin=READY_S, until=READY_S + 20.0)
         fleet.run(READY_S + 20.0)
         assert fleet.worst() > allowed(PER_S)
--- a/tests/test_shared_work.py
+++ b/tests/test_shared_work.py
@@ -8,7 +8,7 @@
 import curio
 
 from crankhinge.adapters import Note, NoteLease, WorkBoard
-from crankhinge.decisions import NOTE_S, Members, WorkMeter, WorkSheet
+from crankhinge.decisions import RECORD_LEASE_S, Membership, WorkloadMeter, WorkloadStats
 from crankhinge.errors import KeyValueUnavailable
 from crankhinge.gateway._shared_work import AGAIN_S, LATEST_S, SharedWork
 from crankhinge.runtime import get_log, until_first
@@ -25,7 +25,7 @@
         self.away = False
 
     @property
-    def published(self) -> list[Mapping[str, WorkSheet]]:
+    def published(self) -> list[Mapping[str, WorkloadStats]]:
         """What notes that told of any work said."""
         return [note.sheets for note in self.notes if note.sheets]
 
@@ -33,19 +33,19 @@
         """Return the note of a life before."""
         if not self.notes:
             return None
-        return self.notes[-1], NoteLease(await curio.clock() + NOTE_S, anew=False)
+        return self.notes[-1], NoteLease(await curio.clock() + RECORD_LEASE_S, anew=False)
 
     async def publish(self, name: str, note: Note) -> NoteLease:
         """Take a note."""
         if self.away:
             raise KeyValueUnavailable("away")
         self.notes.append(note)
-        return NoteLease(await curio.clock() + NOTE_S, anew=len(self.notes) == 1)
+        return NoteLease(await curio.clock() + RECORD_LEASE_S, anew=len(self.notes) == 1)
 
     async def renew(self) -> NoteLease | None:
         """Have the note last longer."""
         self.renewals += 1
-        return NoteLease(await curio.clock() + NOTE_S, anew=False)
+        return NoteLease(await curio.clock() + RECORD_LEASE_S, anew=False)
 
     async def read(self, *, stale: bool = True) -> dict[str, Note]:
         """Return the last note, also under another instance's name, and one of a third one."""
@@ -65,10 +65,10 @@
         self.board = Board()
         if resumed:
             self.board.notes.append(Note("127.0.0.1:7", {}, settled=True))
-        self.meter = WorkMeter()
+        self.meter = WorkloadMeter()
         self.lines = Lines()
         log = get_log(program="t", stream=self.lines)
-        self.members = Members("here", 0.0)
+        self.members = Membership("here", 0.0)
         self.limits = lone_limits("here", lone_backends(log), log)
         self.work = SharedWork(
             name="here",
@@ -85,9 +85,9 @@
     def serve(self, count: int, *, pace_s: float = 0.004) -> None:
         """Note *count* requests."""
         for _ in range(count):
-            self.meter.was_read(3000, 0.1)
-            self.meter.was_admitted(0.1, 800)
-            self.meter.was_written(800, 800 * pace_s)
+            self.meter.record_prompt(3000, 0.1)
+            self.meter.record_admission(0.1, 800)
+            self.meter.record_answer(800, 800 * pace_s)
 
     def play(self, story: object) -> None:
         """Run the task under *story*."""
@@ -116,7 +116,7 @@
 
         async def story() -> None:
             await curio.sleep(13.0)
-            assert set(here.members.peers) == {"127.0.0.1:7", "127.0.0.1:9"}
+            assert set(here.members.peer_addresses) == {"127.0.0.1:7", "127.0.0.1:9"}
 
         here.play(story)
 
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankhinge.decisions import Loads, WorkMeter, loads_of, wanted_readers
+from crankhinge.decisions import PoolLoads, WorkloadMeter, combined_loads, wanted_prompt_engines
 
 MANY = 1000
 
@@ -19,51 +19,51 @@
 
     def test_moves_an_engine_to_where_the_load_is(self) -> None:
         """Four reading engines out of nine are too many for long answers."""
-        assert wanted_readers(Loads(0.1, 0.4), 4, 5, MANY) == 2
+        assert wanted_prompt_engines(PoolLoads(0.1, 0.4), 4, 5, MANY) == 2
 
     def test_a_small_gain_is_not_worth_an_order(self) -> None:
         """The present split stays unless a change pays."""
-        assert wanted_readers(Loads(0.1, 0.2), 2, 4, MANY) == 2
+        assert wanted_prompt_engines(PoolLoads(0.1, 0.2), 2, 4, MANY) == 2
 
     def test_two_engines_stay_in_each_pool(self) -> None:
         """One that crashes must not be the last (found on a day with one reader left)."""
-        assert wanted_readers(Loads(0.001, 1.0), 3, 3, MANY) == 2
-        assert wanted_readers(Loads(1.0, 0.001), 3, 3, MANY) == 4
+        assert wanted_prompt_engines(PoolLoads(0.001, 1.0), 3, 3, MANY) == 2
+        assert wanted_prompt_engines(PoolLoads(1.0, 0.001), 3, 3, MANY) == 4
 
     def test_few_answers_turn_no_engine_back_to_reading(self) -> None:
         """The first answers to end are short ones, which makes writing look cheap."""
-        assert wanted_readers(Loads(0.4, 0.1), 2, 7, 20) == 2
-        assert wanted_readers(Loads(0.4, 0.1), 2, 7, MANY) == 5
+        assert wanted_prompt_engines(PoolLoads(0.4, 0.1), 2, 7, 20) == 2
+        assert wanted_prompt_engines(PoolLoads(0.4, 0.1), 2, 7, MANY) == 5
 
     def test_one_change_takes_a_third_of_a_pool_at_most(self) -> None:
         """What was measured may be wrong, and a pool that is left too small costs seconds."""
-        assert wanted_readers(Loads(0.037, 0.435), 6, 22, MANY) == 6
-        assert wanted_readers(Loads(0.037, 0.435), 12, 16, MANY) == 8
-        assert wanted_readers(Loads(1.0, 0.1), 3, 25, MANY) == 12
+        assert wanted_prompt_engines(PoolLoads(0.037, 0.435), 6, 22, MANY) == 6
+        assert wanted_prompt_engines(PoolLoads(0.037, 0.435), 12, 16, MANY) == 8
+        assert wanted_prompt_engines(PoolLoads(1.0, 0.1), 3, 25, MANY) == 12
 
     def test_an_empty_pool_is_filled(self) -> None:
         """Without a reader, one is made."""
-        assert wanted_readers(Loads(0.1, 0.4), 0, 6, MANY) == 2
+        assert wanted_prompt_engines(PoolLoads(0.1, 0.4), 0, 6, MANY) == 2
 
     @given(st.floats(0.01, 1.0), st.floats(0.01, 1.0), st.integers(0, 12), st.integers(0, 12))
     def test_never_worse_than_now(
         self, read_s: float, write_s: float, readers: int, writers: int
     ) -> None:
         """Compared with every other split, and with the present one."""
-        loads = Loads(read_s, write_s)
-        wanted = wanted_readers(loads, readers, writers, MANY)
+        loads = PoolLoads(read_s, write_s)
+        wanted = wanted_prompt_engines(loads, readers, writers, MANY)
         total = readers + writers
         assert 0 <= wanted <= total
         if wanted != readers:
-            chosen = loads.larger(wanted, total - wanted)
+            chosen = loads.max_per_engine(wanted, total - wanted)
             least = 2 if total >= 4 else 1
             fewest = max(least, readers - -(-readers // 3))
             most = min(total - least, readers + -(-writers // 3))
             if readers == 0 or writers == 0:
                 fewest, most = least, total - least
-            naive = min(loads.larger(n, total - n) for n in range(fewest, most + 1))
+            naive = min(loads.max_per_engine(n, total - n) for n in range(fewest, most + 1))
             assert chosen == naive
-            assert chosen < loads.larger(readers, writers)
+            assert chosen < loads.max_per_engine(readers, writers)
 
 
 class TestMeter:
@@ -72,77 +72,77 @@
     def test_waiting_readings_do_not_count_as_work(self) -> None:
         """0.06 s fixed and 33 us a token, with waits before many: the work is near 33 us."""
         rng = random.Random(5)
-        meter = WorkMeter()
+        meter = WorkloadMeter()
         for _ in range(200):
             tokens = rng.randrange(1200, 6600)
             wait = rng.choice((0.0, 0.05, 0.2))
-            meter.was_read(tokens, 0.06 + tokens * 33e-6 + wait)
-            meter.was_admitted(0.1, 800)
-            meter.was_written(800, 3.0)
+            meter.record_prompt(tokens, 0.06 + tokens * 33e-6 + wait)
+            meter.record_admission(0.1, 800)
+            meter.record_answer(800, 3.0)
         loads = meter.loads()
         assert loads is not None
-        assert 0.09 < loads.read_s < 0.17
+        assert 0.09 < loads.prompt_s < 0.17
         # A tenth of the memory, for 3 s of writing and some 0.3 s of reading before.
-        assert 0.31 < loads.write_s < 0.35
+        assert 0.31 < loads.answer_s < 0.35
 
     def test_prompts_that_were_kept_do_not_hide_the_work(self) -> None:
         """A repeated prompt is found read; one in ten must not make reading look cheap."""
         rng = random.Random(7)
-        meter = WorkMeter()
+        meter = WorkloadMeter()
         for number in range(200):
             tokens = rng.randrange(1200, 6600)
             kept = number % 10 == 3
-            meter.was_read(tokens, 0.01 if kept else 0.06 + tokens * 33e-6)
-            meter.was_admitted(0.1, 800)
-            meter.was_written(800, 3.0)
+            meter.record_prompt(tokens, 0.01 if kept else 0.06 + tokens * 33e-6)
+            meter.record_admission(0.1, 800)
+            meter.record_answer(800, 3.0)
         loads = meter.loads()
         assert loads is not None
-        assert loads.read_s > 0.09
+        assert loads.prompt_s > 0.09
 
     def test_a_short_reading_that_waited_does_not_hide_the_work(self) -> None:
         """The slope from it is flat; a part of the fastest reading counts all the same."""
-        meter = WorkMeter()
+        meter = WorkloadMeter()
         for _ in range(20):
-            meter.was_read(1500, 0.19)
-            meter.was_read(3500, 0.20)
-            meter.was_admitted(0.1, 800)
-            meter.was_written(800, 3.0)
+            meter.record_prompt(1500, 0.19)
+            meter.record_prompt(3500, 0.20)
+            meter.record_admission(0.1, 800)
+            meter.record_answer(800, 3.0)
         loads = meter.loads()
         assert loads is not None
-        assert loads.read_s > 0.08
+        assert loads.prompt_s > 0.08
 
     def test_notes_count_by_their_samples(self) -> None:
         """Forty requests of one instance weigh four times as much as ten of another.
 
         What a token takes is that of the faster quarter: the other's readings waited.
         """
-        many, few = WorkMeter(), WorkMeter()
+        many, few = WorkloadMeter(), WorkloadMeter()
         for meter, count, read_s, part in ((many, 40, 0.1, 0.1), (few, 10, 0.6, 0.2)):
             for _ in range(count):
-                meter.was_read(3000, read_s)
-                meter.was_admitted(part, 800)
-                meter.was_written(800, 3.0)
-        sheets = [meter.sheet() for meter in (many, few)]
-        loads = loads_of([sheet for sheet in sheets if sheet is not None])
+                meter.record_prompt(3000, read_s)
+                meter.record_admission(part, 800)
+                meter.record_answer(800, 3.0)
+        sheets = [meter.stats() for meter in (many, few)]
+        loads = combined_loads([sheet for sheet in sheets if sheet is not None])
         assert loads is not None
-        assert abs(loads.read_s - 0.1) < 1e-6
+        assert abs(loads.prompt_s - 0.1) < 1e-6
         # Parts of 0.1 and 0.2 are 0.12 together, readings with their waits 0.2 s.
-        assert abs(loads.write_s - 0.12 * (0.2 + 3.0)) < 1e-6
+        assert abs(loads.answer_s - 0.12 * (0.2 + 3.0)) < 1e-6
 
     def test_instances_know_enough_together(self) -> None:
         """None of five has seen enough by itself."""
         sheets = []
         for _ in range(5):
-            meter = WorkMeter()
+            meter = WorkloadMeter()
             for _ in range(2):
-                meter.was_read(3000, 0.1)
-                meter.was_admitted(0.1, 800)
-                meter.was_written(800, 3.0)
+                meter.record_prompt(3000, 0.1)
+                meter.record_admission(0.1, 800)
+                meter.record_answer(800, 3.0)
             assert meter.loads() is None
-            sheet = meter.sheet()
+            sheet = meter.stats()
             assert sheet is not None
             sheets.append(sheet)
-        assert loads_of(sheets) is not None
+        assert combined_loads(sheets) is not None
 
     def test_instances_know_together_what_a_reading_takes(self) -> None:
         """Thirty instances with four readings each, of which two in three waited.
@@ -153,84 +153,86 @@
         rng = random.Random(11)
         sheets = []
         for _ in range(30):
-            meter = WorkMeter()
+            meter = WorkloadMeter()
             for _ in range(4):
                 tokens = rng.randrange(700, 6600)
                 waited_s = rng.choice((0.0, 0.06, 0.2))
-                meter.was_read(tokens, 0.07 + tokens * 33e-6 + waited_s)
-                meter.was_admitted(0.1, 800)
-                meter.was_written(800, 3.0)
-            sheet = meter.sheet()
+                meter.record_prompt(tokens, 0.07 + tokens * 33e-6 + waited_s)
+                meter.record_admission(0.1, 800)
+                meter.record_answer(800, 3.0)
+            sheet = meter.stats()
             assert sheet is not None
             sheets.append(sheet)
         alone = sorted(sheet.token_s for sheet in sheets)
         assert alone[len(alone) // 2] > 1.2 * 33e-6
         assert alone[len(alone) * 3 // 4] > 1.4 * 33e-6
-        loads = loads_of(sheets)
+        loads = combined_loads(sheets)
         assert loads is not None
         tokens = sum(sheet.tokens for sheet in sheets) / len(sheets)
-        assert abs(loads.read_s / tokens - 33e-6) < 4e-6
+        assert abs(loads.prompt_s / tokens - 33e-6) < 4e-6
 
     def test_an_instance_that_tells_no_readings_counts(self) -> None:
         """One of an older version, in the middle of a roll, tells only its own sum."""
-        old, new = WorkMeter(), WorkMeter()
+        old, new = WorkloadMeter(), WorkloadMeter()
         for meter in (old, new):
             for _ in range(20):
-                meter.was_read(3000, 0.3 if meter is old else 0.1)
-                meter.was_admitted(0.1, 800)
-                meter.was_written(800, 3.0)
-        sheets = [meter.sheet() for meter in (old, old, old, new)]
+                meter.record_prompt(3000, 0.3 if meter is old else 0.1)
+                meter.record_admission(0.1, 800)
+                meter.record_answer(800, 3.0)
+        sheets = [meter.stats() for meter in (old, old, old, new)]
         told = [sheet for sheet in sheets if sheet is not None]
         assert len(told) == 4
-        loads = loads_of([dataclasses.replace(sheet, newest=()) for sheet in told[:3]] + told[3:])
+        loads = combined_loads(
+            [dataclasses.replace(sheet, newest=()) for sheet in told[:3]] + told[3:]
+        )
         assert loads is not None
-        assert loads.read_s > 0.25
+        assert loads.prompt_s > 0.25
 
     def test_says_nothing_of_little(self) -> None:
         """A few samples say nothing."""
-        meter = WorkMeter()
-        meter.was_read(3000, 0.2)
-        meter.was_admitted(0.1, 800)
-        meter.was_written(800, 3.0)
+        meter = WorkloadMeter()
+        meter.record_prompt(3000, 0.2)
+        meter.record_admission(0.1, 800)
+        meter.record_answer(800, 3.0)
         assert meter.loads() is None
 
     def test_answers_that_end_first_do_not_make_writing_look_cheap(self) -> None:
         """Ten are let in, the three short ones have ended: the long ones count as well."""
-        meter = WorkMeter()
+        meter = WorkloadMeter()
         for tokens in (100, 100, 100, 1000, 1000, 1000, 1000, 1000, 1000, 1000):
-            meter.was_admitted(0.1, tokens)
+            meter.record_admission(0.1, tokens)
         for _ in range(3):
-            meter.was_read(3000, 0.2)
-            meter.was_written(100, 0.4)
+            meter.record_prompt(3000, 0.2)
+            meter.record_answer(100, 0.4)
         loads = meter.loads()
         assert loads is not None
         # 730 tokens on the average at 4 ms, and 0.2 s of reading.
-        assert abs(loads.write_s - 0.1 * (730 * 0.004 + 0.2)) < 1e-6
+        assert abs(loads.answer_s - 0.1 * (730 * 0.004 + 0.2)) < 1e-6
 
     def test_tells_how_long_an_answer_takes(self) -> None:
         """The reading and its tokens at the pace of the others; nothing before some have ended."""
-        meter = WorkMeter()
-        assert meter.serve_s(1000) is None
+        meter = WorkloadMeter()
+        assert meter.expected_service_s(1000) is None
         for _ in range(5):
-            meter.was_read(3000, 0.25)
-            meter.was_written(500, 2.5)
-        serve_s = meter.serve_s(1000)
+            meter.record_prompt(3000, 0.25)
+            meter.record_answer(500, 2.5)
+        serve_s = meter.expected_service_s(1000)
         assert serve_s is not None
         assert abs(serve_s - 5.25) < 1e-9
 
 
 def test_the_time_to_the_first_event_is_known_after_some() -> None:
     """A single one may have been lucky; then the mean of the newest counts."""
-    meter = WorkMeter()
-    meter.was_first(0.1)
-    assert meter.first_s is None
+    meter = WorkloadMeter()
+    meter.record_first_event(0.1)
+    assert meter.mean_first_event_s is None
     for _ in range(9):
-        meter.was_first(0.3)
-    assert meter.first_s == pytest.approx(0.28)
+        meter.record_first_event(0.3)
+    assert meter.mean_first_event_s == pytest.approx(0.28)
 
 
 def test_engines_that_read_are_kept_with_headroom() -> None:
     """Of nineteen engines four would be loaded like those that write; a fifth reads."""
-    loads = Loads(read_s=0.118, write_s=0.43)
-    assert loads.read_s / 4 < loads.write_s / 14 < loads.read_s / 3
-    assert wanted_readers(loads, 7, 12, 1000) == 5
+    loads = PoolLoads(prompt_s=0.118, answer_s=0.43)
+    assert loads.prompt_s / 4 < loads.answer_s / 14 < loads.prompt_s / 3
+    assert wanted_prompt_engines(loads, 7, 12, 1000) == 5
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -19,7 +19,7 @@
 
 import crankhinge.gateway
 from behaviours import REST_S, Resting, break_off, fail, slowly
-from crankhinge.decisions import Bar
+from crankhinge.decisions import ExclusionReason
 from limit_worlds import (
     ONCE,
     RESUMED,
@@ -207,15 +207,15 @@
     "stream-taken-up-elsewhere": taken_up,
 }
 WORDS: dict[str, tuple[Say, Check]] = {
-    Bar.LEAVING.value: (leaves, none_late),
-    Bar.RESTING.value: (rests, none_in_rest),
-    Bar.GONE.value: (loses_entry, none_late),
-    Bar.REPLACED.value: (is_replaced, none_misdirected),
+    ExclusionReason.LEAVING.value: (leaves, none_late),
+    ExclusionReason.BACKOFF.value: (rests, none_in_rest),
+    ExclusionReason.GONE.value: (loses_entry, none_late),
+    ExclusionReason.REPLACED.value: (is_replaced, none_misdirected),
     "limit": (names_limit, none_over_limit),
 }
 # How each ends, and the least requests that show it: more than a limit that stands would allow.
 LIFTED: dict[str, tuple[Lift, int]] = {
-    Bar.RESTING.value: (rests_no_more, 1),
+    ExclusionReason.BACKOFF.value: (rests_no_more, 1),
     "limit": (names_no_limit, 8),
 }
 # Modules that send requests to servers, each with its ways above.
@@ -278,7 +278,7 @@
 
     def test_each_bar_has_its_word(self) -> None:
         """A new kind of bar is to be tried on each way."""
-        assert {bar.value for bar in Bar} <= set(WORDS)
+        assert {bar.value for bar in ExclusionReason} <= set(WORDS)
 
     def test_each_sender_is_known(self) -> None:
         """A module that sends requests by a way of its own needs an entry."""
