--- a/src/crankhinge/burn/_caller_value.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -28,7 +28,13 @@
 import msgspec
 
 from crankhinge.burn._log_events import parse_line
-from crankhinge.decisions import FIRSTS_LEAST, FIRSTS_PART, HELD_PER_S, LATE_WORTH, RETURNED_PART
+from crankhinge.decisions import (
+    LATE_VALUE,
+    MIN_FIRST_ATTEMPTS,
+    RETRY_OF_LONGEST_WAIT,
+    RETRY_OF_SHORTEST_FIRST_WAIT,
+    WAIT_COST_PER_S,
+)
 from crankhinge.errors import SettingsError
 
 # A refusal within this time counts as immediate. Requests for capacity to three engines take about
@@ -60,8 +66,8 @@
         kinds: value of a request of mean size, by kind of route; 1 for kinds that are not listed.
     """
 
-    late: CostFraction = LATE_WORTH
-    held_per_s: CostFraction = HELD_PER_S
+    late: CostFraction = LATE_VALUE
+    held_per_s: CostFraction = WAIT_COST_PER_S
     failed_return: CostFraction = 0.3
     needless: CostFraction = 0.5
     kinds: dict[str, float] = {}
@@ -275,9 +281,9 @@
         if attempt.on_reused_connection:
             first_waits_ms[attempt.route].append(attempt.max_wait_ms)
     return {
-        route: FIRSTS_PART * min(first_waits_ms[route])
-        if len(first_waits_ms[route]) >= FIRSTS_LEAST
-        else RETURNED_PART * max(route_waits_ms)
+        route: RETRY_OF_SHORTEST_FIRST_WAIT * min(first_waits_ms[route])
+        if len(first_waits_ms[route]) >= MIN_FIRST_ATTEMPTS
+        else RETRY_OF_LONGEST_WAIT * max(route_waits_ms)
         for route, route_waits_ms in all_waits_ms.items()
     }
 
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -114,10 +114,10 @@
             return HttpLimits()
         limits = table.limits
         return HttpLimits(
-            max_body_bytes=limits.body_bytes,
-            max_header_bytes=limits.header_bytes,
-            idle_timeout_s=limits.idle_s,
-            read_timeout_s=limits.header_s + limits.idle_s,
+            max_body_bytes=limits.max_body_bytes,
+            max_header_bytes=limits.max_header_bytes,
+            idle_timeout_s=limits.idle_timeout_s,
+            read_timeout_s=limits.header_timeout_s + limits.idle_timeout_s,
         )
 
     @property
