--- a/src/crankhinge_bench/_load.py
+++ b/src/crankhinge_bench/_load.py
@@ -13,7 +13,7 @@
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.http import ClientStream, HttpClient, SseParser
 from crankhinge_bench._trace import Arrival
-from crankhinge_standins._model import answer_to
+from crankhinge_standins._model import make_answer
 
 REQUEST_TIMEOUT_S = 60.0
 NOT_RUN = "not-run"
@@ -228,7 +228,7 @@
 
 def _check_answer(arrival: Arrival, seen: Outcome) -> None:
     """Compare what came with what the engine's model says."""
-    right = answer_to({"prompt": arrival.prompt, "max_tokens": arrival.max_tokens})
+    right = make_answer({"prompt": arrival.prompt, "max_tokens": arrival.max_tokens})
     seen.wrong = seen.texts != right[: len(seen.texts)]
     if seen.whole and len(seen.texts) != len(right):
         seen.wrong = True
--- a/src/crankhinge_soak/_check.py
+++ b/src/crankhinge_soak/_check.py
@@ -1,7 +1,7 @@
 """The checker: reads what callers saw and what backend servers recorded, nothing else.
 
 Bounds in time hold for an instance only while nothing befell it or its path to the store for
-``CONTACT_S``; promises without a bound in time hold at every moment.
+``FAULT_RECOVERY_S``; promises without a bound in time hold at every moment.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 from collections import defaultdict
 from collections.abc import Callable
 
-from crankhinge_soak._faults import Trouble
+from crankhinge_soak._faults import InjectedFault
 from crankhinge_soak._fleet import (
-    BURST,
-    LIMITED,
-    ONCE,
-    PER_S,
-    QUOTA_OVERRUN,
-    QUOTA_SLACK,
+    LIMIT_BURST_TOKENS,
+    LIMIT_TOKENS_PER_S,
+    LIMITED_ACCOUNT,
+    ONCE_PATH,
+    QUOTA_OVERRUN_SHARE,
+    QUOTA_SLACK_TOKENS,
     QUOTA_WINDOW_S,
     REVOKE_S,
     ROUTES,
-    SAFE,
-    STREAM,
+    SAFE_PATH,
+    STREAM_PATH,
 )
-from crankhinge_soak._history import CONTACT_S, History
-from crankhinge_soak._load import Seen
-from crankhinge_soak._verdict import Verdict, verdict
-from crankhinge_soak._words_check import keeps_leaving, keeps_rests
+from crankhinge_soak._history import FAULT_RECOVERY_S, History
+from crankhinge_soak._load import ObservedRequest
+from crankhinge_soak._signals_check import check_backoffs, check_leaving_signals
+from crankhinge_soak._verdict import Verdict, make_verdict
 
 # Seconds: a leaving server gets no new work after; a configuration is in force after.
 LEAVE_S = 2.0
@@ -65,19 +65,21 @@
         "a key that was taken away runs nothing after its bound": _revoked,
         "an account's use stays within its limit": _limited,
         "a server gets no more than it says it takes": _server_limits,
-        "a server that says it leaves gets no new work": keeps_leaving,
-        "a server that wants rest gets it": keeps_rests,
+        "a server that says it leaves gets no new work": check_leaving_signals,
+        "a server that wants rest gets it": check_backoffs,
     }
-    return [verdict(promise, *look(history)) for promise, look in checks.items()]
+    return [make_verdict(promise, *look(history)) for promise, look in checks.items()]
 
 
 def _whole_answers(history: History) -> tuple[int, list[str]]:
     answered = [seen for seen in history.seen if seen.status]
-    cases = [f"{seen.ident} by {seen.gateway}: wrong bytes" for seen in answered if not seen.right]
+    cases = [
+        f"{seen.ident} by {seen.gateway}: wrong bytes" for seen in answered if not seen.body_correct
+    ]
     cases += [
         f"{seen.ident} by {seen.gateway}: 200 without a server's signature"
         for seen in answered
-        if seen.status == 200 and seen.own
+        if seen.status == 200 and seen.from_instance
     ]
     return len(answered), cases
 
@@ -95,7 +97,9 @@
     told = [
         seen
         for seen in history.seen
-        if seen.own and seen.status in NOT_RUN_STATUS and seen.path in (ONCE, STREAM)
+        if seen.from_instance
+        and seen.status in NOT_RUN_STATUS
+        and seen.path in (ONCE_PATH, STREAM_PATH)
     ]
     cases = [
         f"{seen.ident}: told {seen.status}, ran" for seen in told if seen.ident in history.runs
@@ -118,10 +122,10 @@
             since = leaves.get(row["server"])
             if seen is None or since is None or row["at"] < since + LEAVE_S + SLACK_S:
                 continue
-            path_ok = not history.harmed(
-                [history.places[row["server"]]], row["at"] - CONTACT_S, row["at"]
+            path_ok = not history.has_unplanned_fault(
+                [history.places[row["server"]]], row["at"] - FAULT_RECOVERY_S, row["at"]
             )
-            if path_ok and history.in_touch(seen.gateway, since, row["at"]):
+            if path_ok and history.time_bounds_apply(seen.gateway, since, row["at"]):
                 cases.append(f"{ident} by {seen.gateway}: {row['at'] - since:.1f} s after")
     return len(leaves), cases
 
@@ -138,18 +142,20 @@
     return len(stops), cases
 
 
-def _cut_by_stop(history: History, seen: Seen, stop: Trouble) -> str:
+def _cut_by_stop(history: History, seen: ObservedRequest, stop: InjectedFault) -> str:
     """Return how a planned stop cut a request; empty when it did not."""
-    answered = seen.whole and not (seen.own and seen.status == 502)
-    if answered or seen.left or seen.why.startswith("connect-failed"):
+    answered = seen.complete and not (seen.from_instance and seen.status == 502)
+    if answered or seen.caller_left or seen.failure.startswith("connect-failed"):
         return ""
     crossed = seen.ended - seen.sent < CROSSING_S and seen.ident not in history.arrivals
-    if crossed or history.server_harmed(seen) or history.met_a_killed_server(seen):
+    if crossed or history.reached_faulty_server(seen) or history.reached_killed_server(seen):
         return ""
-    if history.harmed([seen.gateway], seen.sent - CONTACT_S, seen.ended):
+    if history.has_unplanned_fault([seen.gateway], seen.sent - FAULT_RECOVERY_S, seen.ended):
         return ""
     at = seen.sent - stop.began
-    return f"sent {at:+.1f} s from the stop, status {seen.status}, {seen.why or 'no whole answer'}"
+    return (
+        f"sent {at:+.1f} s from the stop, status {seen.status}, {seen.failure or 'no whole answer'}"
+    )
 
 
 def _configuration(history: History) -> tuple[int, list[str]]:
@@ -159,7 +165,7 @@
     for probe in sorted(history.probes, key=lambda probe: probe.sent):
         if probe.known is None:
             continue
-        life = (probe.gateway, probe.life)
+        life = (probe.gateway, probe.incarnation)
         if probe.known:
             highest[life] = max(highest[life], probe.version)
             continue
@@ -167,7 +173,7 @@
             cases.append(f"{probe.gateway}: version {probe.version} after {highest[life]}")
         since = acknowledged[probe.version]
         late = probe.sent - since - IN_FORCE_S - SLACK_S
-        if late > 0 and history.in_touch(probe.gateway, since, probe.sent):
+        if late > 0 and history.time_bounds_apply(probe.gateway, since, probe.sent):
             cases.append(f"{probe.gateway}: version {probe.version} {late:.1f} s late")
     return len(history.acknowledged), cases
 
@@ -178,10 +184,10 @@
     tested = 0
     for ident, rows in history.runs.items():
         seen = history.by_ident.get(ident)
-        if seen is None or seen.path not in (ONCE, SAFE):
+        if seen is None or seen.path not in (ONCE_PATH, SAFE_PATH):
             continue
         begin = seen.sent - IN_FORCE_S - SLACK_S
-        if not history.in_touch(seen.gateway, begin, rows[-1]["at"]):
+        if not history.time_bounds_apply(seen.gateway, begin, rows[-1]["at"]):
             continue
         tested += 1
         allowed = _services_between(history, begin, rows[-1]["at"])
@@ -210,15 +216,17 @@
         f"{seen.ident} by {seen.gateway}: status {seen.status}, no end after "
         f"{seen.ended - seen.sent:.1f} s"
         for seen in history.seen
-        if seen.why == "no end in time"
-        and not seen.left
-        and not history.harmed([seen.gateway], seen.sent - CONTACT_S, seen.ended)
+        if seen.failure == "no end in time"
+        and not seen.caller_left
+        and not history.has_unplanned_fault(
+            [seen.gateway], seen.sent - FAULT_RECOVERY_S, seen.ended
+        )
     ]
     return len(history.seen), cases
 
 
 def _memory(history: History) -> tuple[int, list[str]]:
-    gone = sum(not seen.whole for seen in history.seen)
+    gone = sum(not seen.complete for seen in history.seen)
     return gone, [f"{name}: {held} tokens" for name, held in history.held.items() if held]
 
 
@@ -237,14 +245,16 @@
         seen
         for seen in history.seen
         if seen.sent >= history.calm_from
-        and not seen.left
+        and not seen.caller_left
         and seen.key not in history.revoked
-        and seen.account != LIMITED
+        and seen.account != LIMITED_ACCOUNT
     ]
-    served = sum(seen.status == 200 and seen.whole for seen in calm)
+    served = sum(seen.status == 200 and seen.complete for seen in calm)
     if calm and served >= SERVED * len(calm):
         return len(calm), []
-    failed = [f"{s.ident}: {s.status} {s.why}" for s in calm if s.status != 200 or not s.whole]
+    failed = [
+        f"{s.ident}: {s.status} {s.failure}" for s in calm if s.status != 200 or not s.complete
+    ]
     return len(calm), [f"{served} of {len(calm)} served", *failed]
 
 
@@ -286,8 +296,10 @@
 
 def _limited(history: History) -> tuple[int, list[str]]:
     """The sum over all instances in any window, of what was sent and ran in it."""
-    allowed = (PER_S * QUOTA_WINDOW_S + BURST) * (1 + QUOTA_OVERRUN) + QUOTA_SLACK
-    asked = [seen for seen in history.seen if seen.account == LIMITED]
+    allowed = (LIMIT_TOKENS_PER_S * QUOTA_WINDOW_S + LIMIT_BURST_TOKENS) * (
+        1 + QUOTA_OVERRUN_SHARE
+    ) + QUOTA_SLACK_TOKENS
+    asked = [seen for seen in history.seen if seen.account == LIMITED_ACCOUNT]
     ran = [
         (seen.sent, history.runs[seen.ident][0]["at"], seen.tokens)
         for seen in asked
@@ -307,7 +319,7 @@
     cases = []
     tested = 0
     for server, per_s, times in _limited_spans(history):
-        late = [at for at in times if at >= times[0] + CONTACT_S]
+        late = [at for at in times if at >= times[0] + FAULT_RECOVERY_S]
         tested += bool(late)
         allowed = per_s * LIMIT_WINDOW_S * (1 + LIMIT_OVERRUN) + LIMIT_SLACK
         for number, begin in enumerate(late):
--- a/src/crankhinge_soak/_entries.py
+++ b/src/crankhinge_soak/_entries.py
@@ -18,7 +18,11 @@
 from crankhinge_bench._summary import summarise
 from crankhinge_bench._trace import Load, make_trace
 from crankhinge_soak._entries_check import Drain, History, check
-from crankhinge_soak._entries_evidence import bundles_seen, last_drained, wait_freed
+from crankhinge_soak._entries_evidence import (
+    read_bundles_seen,
+    read_drained_count,
+    wait_until_freed,
+)
 from crankhinge_soak._verdict import Report
 
 SETTLE_S = 12.0
@@ -27,7 +31,7 @@
 GAP_S = (0.5, 2.5)
 
 
-def chaos_spec() -> ClusterSpec:
+def make_cluster_spec() -> ClusterSpec:
     """Return the cluster that failures befall."""
     return ClusterSpec(
         entries=3,
@@ -40,7 +44,7 @@
     )
 
 
-class Chaos:
+class EntryFaultInjector:
     """Plays random faults on a thread of its own.
 
     Args:
@@ -153,7 +157,7 @@
         status = proc.wait(DRAIN_WAIT_S)
         until = time.time()
         self._cluster.procs.pop(name)
-        cut = last_drained(self._cluster.logs / f"{name}.log")
+        cut = read_drained_count(self._cluster.logs / f"{name}.log")
         backend = "" if port else name
         self.drains.append(
             Drain(name=name, at=at, until=until, status=status, backend=backend, cut=cut)
@@ -218,7 +222,7 @@
 
 def run_seed(seed: int, seconds: float, logs: Path | None) -> Report:
     """Play one schedule and check it."""
-    spec = chaos_spec()
+    spec = make_cluster_spec()
     load = Load(
         seconds=seconds,
         per_s=24.0,
@@ -230,7 +234,7 @@
     )
     with Cluster(spec, logs=logs) as cluster:
         runner = LoadRun(cluster.entry_ports, cluster.credentials, repeats=6)
-        chaos = Chaos(cluster, runner, random.Random(seed))
+        chaos = EntryFaultInjector(cluster, runner, random.Random(seed))
         chaos.start()
         outcomes = curio.run(runner.play, make_trace(load, seed))
         chaos.finish()
@@ -239,9 +243,9 @@
             outcomes=outcomes,
             runs=cluster.records("plain"),
             work=[row for row in cluster.records("prefill", "decode") if "prompt" in row],
-            held=wait_freed(cluster),
+            held=wait_until_freed(cluster),
             drains=chaos.drains,
-            bundles=bundles_seen(cluster),
+            bundles=read_bundles_seen(cluster),
             published=chaos.published,
             ended=chaos.ended,
         )
--- a/src/crankhinge_soak/_entries_check.py
+++ b/src/crankhinge_soak/_entries_check.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from crankhinge_bench._load import NOT_RUN, Outcome
-from crankhinge_soak._verdict import Verdict, verdict
+from crankhinge_soak._verdict import Verdict, make_verdict
 
 
 class Drain(msgspec.Struct, kw_only=True):
@@ -102,7 +102,7 @@
         end = ends.get(zlib.crc32(seen.arrival.prompt.encode()), 0.0)
         if seen.gone and end - seen.gone > FREED_S:
             cases.append(f"{seen.ident}: held {end - seen.gone:.1f} s after its caller went")
-    return verdict("no engine memory stays tied", gone + history.ended, cases)
+    return make_verdict("no engine memory stays tied", gone + history.ended, cases)
 
 
 def _answered_once(history: History) -> Verdict:
@@ -110,13 +110,13 @@
     repeated = [seen for seen in history.outcomes if seen.arrival.path and seen.sent > 1]
     runs = Counter(run["key"] for run in history.runs if run["key"])
     cases = [seen.key for seen in repeated if runs[seen.key] > 1]
-    return verdict("no request is answered twice", len(repeated), cases)
+    return make_verdict("no request is answered twice", len(repeated), cases)
 
 
 def _whole_answers(history: History) -> Verdict:
     answered = [seen for seen in history.outcomes if seen.whole or seen.tokens]
     cases = [f"{seen.ident}: wrong tokens" for seen in answered if seen.wrong]
-    return verdict("whole answer to its own request", len(answered), cases)
+    return make_verdict("whole answer to its own request", len(answered), cases)
 
 
 def _not_run_is_true(history: History) -> Verdict:
@@ -131,13 +131,13 @@
             ran = zlib.crc32(seen.arrival.prompt.encode()) in prompts
         if ran:
             cases.append(f"{seen.ident or seen.key}: {seen.code}")
-    return verdict("not run is true", len(told), cases)
+    return make_verdict("not run is true", len(told), cases)
 
 
 def _at_most_once(history: History) -> Verdict:
     runs = Counter(run["key"] for run in history.runs if run["key"])
     cases = [f"{key}: {count} runs" for key, count in runs.items() if count > 1]
-    return verdict("non-repeatable runs at most once", len(runs), cases)
+    return make_verdict("non-repeatable runs at most once", len(runs), cases)
 
 
 def _leaving_gets_nothing(history: History) -> Verdict:
@@ -151,7 +151,7 @@
             if row["place"] == drain.backend and drain.at + LEAVING_S < row["at"] < drain.until
         ]
         cases += [f"{drain.name}: work {row['at'] - drain.at:.1f} s after" for row in late]
-    return verdict("a leaving server gets no new work", len(drains), cases)
+    return make_verdict("a leaving server gets no new work", len(drains), cases)
 
 
 def _planned_stop_cuts_nothing(history: History) -> Verdict:
@@ -160,7 +160,7 @@
         for drain in history.drains
         if drain.status or drain.cut != 0
     ]
-    return verdict("a planned stop cuts nothing", len(history.drains), cases)
+    return make_verdict("a planned stop cuts nothing", len(history.drains), cases)
 
 
 def _bundle_in_force(history: History) -> Verdict:
@@ -174,11 +174,11 @@
         digests = {s.digests[version] for s in history.bundles if version in s.digests}
         if len(digests) > 1:
             cases.append(f"version {version} has {len(digests)} texts")
-    cases += [f"{p}: version {v} after {s:.1f} s" for p, v, s in late_bundles(history)]
-    return verdict("a bundle is in force and never reverts", len(history.published), cases)
+    cases += [f"{p}: version {v} after {s:.1f} s" for p, v, s in find_late_bundles(history)]
+    return make_verdict("a bundle is in force and never reverts", len(history.published), cases)
 
 
-def late_bundles(history: History) -> list[tuple[str, int, float]]:
+def find_late_bundles(history: History) -> list[tuple[str, int, float]]:
     """Return process, version and seconds of each bundle that came after the bound."""
     late = []
     for at, version in history.published:
--- a/src/crankhinge_soak/_entries_evidence.py
+++ b/src/crankhinge_soak/_entries_evidence.py
@@ -15,13 +15,13 @@
 IN_FORCE = re.compile(r"ts=(\S+) .*event=bundle_in_force .*version=(\d+) digest=(\w+)")
 
 
-def last_drained(log: Path) -> int | None:
+def read_drained_count(log: Path) -> int | None:
     """Return how many requests a program had in progress when it ended, by its log."""
     found = re.findall(r"event=drained .*open=(\d+)", log.read_text())
     return int(found[-1]) if found else None
 
 
-def bundles_seen(cluster: Cluster) -> list[BundleSeen]:
+def read_bundles_seen(cluster: Cluster) -> list[BundleSeen]:
     """Return the versions that each start of each process had in force, by the logs."""
     seen = []
     names = [f"entry-{n}" for n in range(cluster.spec.entries)]
@@ -39,7 +39,7 @@
     return seen
 
 
-def wait_freed(cluster: Cluster) -> dict[str, int]:
+def wait_until_freed(cluster: Cluster) -> dict[str, int]:
     """Return what each engine holds once it holds nothing, or after a bound."""
     until = time.monotonic() + HELD_S
     while True:
--- a/src/crankhinge_soak/_faults.py
+++ b/src/crankhinge_soak/_faults.py
@@ -15,7 +15,7 @@
 import curio
 
 from crankhinge_soak._fleet import Fleet, Gateway, Place
-from crankhinge_soak._proxy import Harm, Proxy
+from crankhinge_soak._proxy import PathFault, Proxy
 
 # Seconds between the beginnings of two episodes, and how often one is repeated at once.
 GAP_S = (0.2, 1.6)
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class Trouble:
+class InjectedFault:
     """A fault as it was played.
 
     Attributes:
@@ -82,7 +82,7 @@
         return self.began <= end and begin <= self.ended
 
 
-class Faults:
+class FaultInjector:
     """Plays a seed's schedule.
 
     Args:
@@ -92,7 +92,7 @@
     """
 
     def __init__(self, fleet: Fleet, seed: int, kinds: tuple[str, ...] = ()) -> None:
-        self.played: list[Trouble] = []
+        self.played: list[InjectedFault] = []
         self.exits: list[str] = []
         self._fleet = fleet
         self._seed = seed
@@ -111,7 +111,7 @@
                 await group.spawn(self._of_its_own(number)._series, EPISODES[name])
                 await curio.sleep(self._rng.uniform(*GAP_S))
 
-    def _of_its_own(self, number: int) -> Faults:
+    def _of_its_own(self, number: int) -> FaultInjector:
         """Return a player of the same faults whose draws no other episode disturbs.
 
         Episodes overlap, and the order in which they draw would depend on the machine's speed.
@@ -128,8 +128,8 @@
     def _by_chance(self, share: float) -> bool:
         return self._rng.random() < share
 
-    def _begin(self, kind: str, target: str, *, planned: bool = False) -> Trouble:
-        trouble = Trouble(kind, target, time.time(), planned=planned)
+    def _begin(self, kind: str, target: str, *, planned: bool = False) -> InjectedFault:
+        trouble = InjectedFault(kind, target, time.time(), planned=planned)
         self.played.append(trouble)
         return trouble
 
@@ -140,7 +140,7 @@
         self._busy.add(name)
         return True
 
-    async def _lasting(self, trouble: Trouble) -> None:
+    async def _lasting(self, trouble: InjectedFault) -> None:
         await curio.sleep(self._rng.uniform(*LASTS_S))
         trouble.ended = time.time()
 
@@ -157,7 +157,7 @@
             yield False
             return
         # An exit of its own would be lost with the process.
-        self.exits += [ended for ended in self._fleet.ended() if ended == name]
+        self.exits += [ended for ended in self._fleet.ended_gateways() if ended == name]
         trouble = self._begin(kind, name, planned=planned)
         yield True
         trouble.ended = time.time()
@@ -224,7 +224,7 @@
         they should, and nothing can be done about a signal before the interpreter runs our code.
         """
         gateway = self._gateway()
-        if not self._fleet.listens(gateway) or not self._take(gateway.name):
+        if not self._fleet.is_listening(gateway) or not self._take(gateway.name):
             return
         self._begin("reload", gateway.name, planned=True).ended = time.time()
         if self._by_chance(UNREADABLE_SHARE):
@@ -237,7 +237,7 @@
     async def _clock_gateway(self) -> None:
         gateway = self._gateway()
         trouble = self._begin("clock", gateway.name)
-        clock = self._fleet.clock_of(gateway)
+        clock = self._fleet.clock_file(gateway)
         clock.write_text(str(self._rng.uniform(-JUMP_S, JUMP_S)))
         await self._lasting(trouble)
         clock.write_text("0")
@@ -247,9 +247,9 @@
         # Two at once: more of them meet in the seconds of a seed.
         names = self._rng.sample(sorted(HARMED), 2)
         trouble = self._begin("+".join(names), place.name)
-        await self._fleet.faults(place.port, **{name: HARMED[name] for name in names})
+        await self._fleet.set_faults(place.port, **{name: HARMED[name] for name in names})
         await self._lasting(trouble)
-        await self._fleet.faults(place.port, **WHOLE)
+        await self._fleet.set_faults(place.port, **WHOLE)
 
     def _alike(self, place: Place) -> list[Place]:
         """Return a server, or now and then all of its service."""
@@ -261,20 +261,20 @@
         places = self._alike(self._place())
         limit = self._rng.choice(LIMITS)
         for each in places:
-            await self._fleet.faults(each.port, limit=limit)
+            await self._fleet.set_faults(each.port, limit=limit)
         await curio.sleep(self._rng.uniform(*LIMITED_S))
         for each in places:
-            await self._fleet.faults(each.port, limit="")
+            await self._fleet.set_faults(each.port, limit="")
 
     async def _rest_server(self) -> None:
         """Have a server, or all of its service, refuse requests and ask for rest."""
         places = self._alike(self._place())
         rest_s = self._rng.choice(RESTS_S)
         for each in places:
-            await self._fleet.faults(each.port, refuses=RESTING_REFUSES, rest_s=rest_s)
+            await self._fleet.set_faults(each.port, refuses=RESTING_REFUSES, rest_s=rest_s)
         await curio.sleep(self._rng.uniform(*LIMITED_S))
         for each in places:
-            await self._fleet.faults(each.port, refuses=0.0, rest_s=0.0)
+            await self._fleet.set_faults(each.port, refuses=0.0, rest_s=0.0)
         # What it asked for last holds on; nothing is whole before that.
         await curio.sleep(rest_s)
 
@@ -289,23 +289,23 @@
             proxy.mute()
             trouble.ended = time.time()
             return
-        proxy.harm = self._rng.choice([harm for harm in Harm if harm is not Harm.NONE])
-        trouble.kind = f"{kind}-{proxy.harm.value}"
+        proxy.fault = self._rng.choice([harm for harm in PathFault if harm is not PathFault.NONE])
+        trouble.kind = f"{kind}-{proxy.fault.value}"
         await self._lasting(trouble)
-        proxy.harm = Harm.NONE
+        proxy.fault = PathFault.NONE
 
     async def _path_to_store(self) -> None:
         gateway = self._gateway()
-        await self._path(gateway.store, "store-path", f"{gateway.name}/store")
+        await self._path(gateway.store_proxy, "store-path", f"{gateway.name}/store")
 
     async def _path_of_callers(self) -> None:
         gateway = self._gateway()
         # What a caller sends on a connection that carries nothing reaches nobody.
-        await self._path(gateway.front, "callers-path", gateway.name, mutes=False)
+        await self._path(gateway.caller_proxy, "callers-path", gateway.name, mutes=False)
 
     async def _path_to_server(self) -> None:
         place = self._place()
-        await self._path(place.path, "server-path", place.name)
+        await self._path(place.proxy, "server-path", place.name)
 
     async def _harm_store(self) -> None:
         if not self._take("store"):
@@ -322,10 +322,10 @@
             ]
         )
         trouble = self._begin("store-" + next(iter(fault)), "store")
-        await self._fleet.faults(self._fleet.store_port, **fault)
+        await self._fleet.set_faults(self._fleet.store_port, **fault)
         await self._lasting(trouble)
         whole = {"down": "", "lapse": False, "delay_s": 0.0, "lose_writes": False, "forget": False}
-        await self._fleet.faults(self._fleet.store_port, **whole)
+        await self._fleet.set_faults(self._fleet.store_port, **whole)
         trouble.ended = time.time()
         self._busy.discard("store")
 
@@ -334,31 +334,31 @@
         if not self._take("config"):
             return
         if self._by_chance(LARGE_SHARE):
-            self._fleet.resize_config()
+            self._fleet.toggle_config_size()
         for _ in range(STORM if self._by_chance(STORM_SHARE) else 1):
             move = self._by_chance(MOVE_SHARE)
-            await self._fleet.publish(move=move, revoke=self._by_chance(REVOKE_SHARE))
+            await self._fleet.publish(switch_service=move, revoke_key=self._by_chance(REVOKE_SHARE))
         self._busy.discard("config")
 
 
-Episode = Callable[[Faults], Awaitable[None]]
+Episode = Callable[[FaultInjector], Awaitable[None]]
 
 # What a seed draws from.
 EPISODES: dict[str, Episode] = {
-    "kill-gateway": Faults._kill_gateway,
-    "stop-gateway": Faults._stop_gateway,
-    "pause-gateway": Faults._pause_gateway,
-    "reload-gateway": Faults._reload_gateway,
-    "clock-gateway": Faults._clock_gateway,
-    "kill-server": Faults._kill_server,
-    "stop-server": Faults._stop_server,
-    "pause-server": Faults._pause_server,
-    "harm-server": Faults._harm_server,
-    "limit-server": Faults._limit_server,
-    "rest-server": Faults._rest_server,
-    "path-store": Faults._path_to_store,
-    "path-callers": Faults._path_of_callers,
-    "path-server": Faults._path_to_server,
-    "store": Faults._harm_store,
-    "config": Faults._configure,
+    "kill-gateway": FaultInjector._kill_gateway,
+    "stop-gateway": FaultInjector._stop_gateway,
+    "pause-gateway": FaultInjector._pause_gateway,
+    "reload-gateway": FaultInjector._reload_gateway,
+    "clock-gateway": FaultInjector._clock_gateway,
+    "kill-server": FaultInjector._kill_server,
+    "stop-server": FaultInjector._stop_server,
+    "pause-server": FaultInjector._pause_server,
+    "harm-server": FaultInjector._harm_server,
+    "limit-server": FaultInjector._limit_server,
+    "rest-server": FaultInjector._rest_server,
+    "path-store": FaultInjector._path_to_store,
+    "path-callers": FaultInjector._path_of_callers,
+    "path-server": FaultInjector._path_to_server,
+    "store": FaultInjector._harm_store,
+    "config": FaultInjector._configure,
 }
--- a/src/crankhinge_soak/_fleet.py
+++ b/src/crankhinge_soak/_fleet.py
@@ -33,23 +33,23 @@
 LARGE_ROUTES = 2770
 CALL_S = 2.0
 # The routes that callers use: path, kind, most servers, whether it may be resumed.
-ONCE, SAFE, STREAM, RESUMED = "/once/", "/safe/", "/stream/", "/resumed/"
+ONCE_PATH, SAFE_PATH, STREAM_PATH, RESUMED_PATH = "/once/", "/safe/", "/stream/", "/resumed/"
 ROUTES = (
-    (ONCE, "unsafe", 1, False),
-    (SAFE, "safe", 2, False),
-    (STREAM, "streaming", 1, False),
-    (RESUMED, "streaming", 2, True),
+    (ONCE_PATH, "unsafe", 1, False),
+    (SAFE_PATH, "safe", 2, False),
+    (STREAM_PATH, "streaming", 1, False),
+    (RESUMED_PATH, "streaming", 2, True),
 )
-STREAMS = (STREAM, RESUMED)
+STREAM_PATHS = (STREAM_PATH, RESUMED_PATH)
 # The others, which tell which version is in force, are asked for without a key.
-KEYED = (ONCE, SAFE, STREAM, RESUMED)
+KEYED = (ONCE_PATH, SAFE_PATH, STREAM_PATH, RESUMED_PATH)
 TIMEOUT_S = 6.0
 # The client accounts: one without a limit, whose keys are taken away, and one that asks for more
 # than it may. Seconds after which a key that was taken away runs nothing; what the limit allows.
-FREE, LIMITED = "free", "limited"
+UNLIMITED_ACCOUNT, LIMITED_ACCOUNT = "free", "limited"
 REVOKE_S = 5.0
-PER_S, BURST, PLAIN_TOKENS = 1000, 3000, 200
-QUOTA_WINDOW_S, QUOTA_OVERRUN, QUOTA_SLACK = 8, 0.1, 4000
+LIMIT_TOKENS_PER_S, LIMIT_BURST_TOKENS, PLAIN_REQUEST_TOKENS = 1000, 3000, 200
+QUOTA_WINDOW_S, QUOTA_OVERRUN_SHARE, QUOTA_SLACK_TOKENS = 8, 0.1, 4000
 ENGINE = operator.engine(slots=8, kv_tokens=12000)
 
 
@@ -67,18 +67,18 @@
         port: where it listens for callers.
         ready_port: where it tells whether it is ready.
         peer_port: where it takes notices (UDP).
-        front: the callers' path to it.
-        store: its path to the store.
-        life: counts its starts.
+        caller_proxy: the callers' path to it.
+        store_proxy: its path to the store.
+        incarnation: counts its starts.
     """
 
     name: str
     port: int
     ready_port: int
     peer_port: int
-    front: Proxy
-    store: Proxy
-    life: int = 0
+    caller_proxy: Proxy
+    store_proxy: Proxy
+    incarnation: int = 0
 
 
 @dataclass
@@ -88,16 +88,16 @@
     Attributes:
         name: of its process.
         service: what it serves.
-        phase: the part that it plays at its start.
+        role: the part that it plays at its start.
         port: where it listens.
-        path: the gateways' and other servers' path to it.
+        proxy: the gateways' and other servers' path to it.
     """
 
     name: str
     service: str
-    phase: str
+    role: str
     port: int
-    path: Proxy
+    proxy: Proxy
 
 
 @dataclass
@@ -110,8 +110,8 @@
 
     logs_at: Path | None = None
     version: int = 0
-    more_routes: int = 0
-    plain: str = "plain-a"
+    extra_routes: int = 0
+    plain_service: str = "plain-a"
     acknowledged: list[tuple[float, int, str]] = field(default_factory=list)
     keys: list[str] = field(default_factory=lambda: ["key-1"])
     revoked: dict[str, float] = field(default_factory=dict)
@@ -136,8 +136,10 @@
 
     def proxies(self) -> list[Proxy]:
         """Return the proxy of every path."""
-        paths = [place.path for place in self.places]
-        return paths + [proxy for gw in self.gateways for proxy in (gw.front, gw.store)]
+        paths = [place.proxy for place in self.places]
+        return paths + [
+            proxy for gw in self.gateways for proxy in (gw.caller_proxy, gw.store_proxy)
+        ]
 
     def start(self) -> None:
         """Start the store and everything else."""
@@ -151,19 +153,19 @@
 
     def start_server(self, place: Place, *, silent_leave: bool = False) -> None:
         """Start a new life of a backend server."""
-        args = ["replica", "--port", str(place.port), "--shown", f"{HOST}:{place.path.port}"]
-        args += ["--service", place.service, "--phase", place.phase, "--beat-s", str(BEAT_S)]
-        args += ["--store", f"{HOST}:{self.store_port}", "--record", str(self.record)]
+        args = ["replica", "--port", str(place.port), "--shown", f"{HOST}:{place.proxy.port}"]
+        args += ["--service", place.service, "--phase", place.role, "--beat-s", str(BEAT_S)]
+        args += ["--store", f"{HOST}:{self.store_port}", "--record", str(self.record_file)]
         args += ["--place", place.name]
         args += ["--silent-leave"] if silent_leave else []
         self.run(place.name, "crankhinge_standins.main", *args)
 
-    def ended(self) -> list[str]:
+    def ended_gateways(self) -> list[str]:
         """Return the names of instances that have ended though nobody ended them."""
         procs = {gw.name: self.procs.get(gw.name) for gw in self.gateways}
         return [name for name, proc in procs.items() if proc and proc.poll() is not None]
 
-    def listens(self, gateway: Gateway) -> bool:
+    def is_listening(self, gateway: Gateway) -> bool:
         """Whether an instance has started."""
         try:
             socket.create_connection((HOST, gateway.ready_port), timeout=CALL_S).close()
@@ -173,9 +175,9 @@
 
     def start_gateway(self, gateway: Gateway) -> None:
         """Start a new life of an instance."""
-        gateway.life += 1
+        gateway.incarnation += 1
         path = self.write_settings(gateway)
-        env = {"CRANKHINGE_CONFIG": str(path), CLOCK: str(self.clock_of(gateway))}
+        env = {"CRANKHINGE_CONFIG": str(path), CLOCK: str(self.clock_file(gateway))}
         self.run(gateway.name, "crankhinge_soak._skewed", env=env)
 
     def write_settings(self, gateway: Gateway, text: str = "") -> Path:
@@ -186,74 +188,79 @@
             f'listen = "{HOST}:{gateway.port}"',
             f'ready = "{HOST}:{gateway.ready_port}"',
             f'peer = "{HOST}:{gateway.peer_port}"',
-            f'source = "{HOST}:{gateway.store.port}"',
+            f'source = "{HOST}:{gateway.store_proxy.port}"',
             f"drain_s = {DRAIN_S}",
             f"revoke_s = {REVOKE_S}",
             f"quota_window_s = {QUOTA_WINDOW_S}",
-            f"quota_overrun = {QUOTA_OVERRUN}",
-            f"quota_slack = {QUOTA_SLACK}",
+            f"quota_overrun = {QUOTA_OVERRUN_SHARE}",
+            f"quota_slack = {QUOTA_SLACK_TOKENS}",
         )
         path = self.dir / f"{gateway.name}.toml"
         path.write_text(text or "\n".join(lines))
         return path
 
-    def clock_of(self, gateway: Gateway) -> Path:
+    def clock_file(self, gateway: Gateway) -> Path:
         """Return the file with the seconds by which an instance's time of day is off."""
         return self.dir / f"{gateway.name}.clock"
 
     @property
-    def record(self) -> Path:
+    def record_file(self) -> Path:
         """The file in which all backend servers record what they did."""
         return self.dir / "servers.jsonl"
 
-    def records(self) -> list[dict[str, Any]]:
+    def read_records(self) -> list[dict[str, Any]]:
         """Return what backend servers recorded, in order."""
-        rows = [json.loads(line) for line in self.record.open()]
+        rows = [json.loads(line) for line in self.record_file.open()]
         return sorted(rows, key=lambda row: float(row["at"]))
 
-    def resize_config(self) -> None:
+    def toggle_config_size(self) -> None:
         """Make the configurations from now on large, or small again."""
-        self.more_routes = 0 if self.more_routes else LARGE_ROUTES
+        self.extra_routes = 0 if self.extra_routes else LARGE_ROUTES
 
-    async def publish(self, *, move: bool = False, revoke: bool = False) -> None:
+    async def publish(self, *, switch_service: bool = False, revoke_key: bool = False) -> None:
         """Write the next configuration.
 
         Args:
-            move: plain calls go to the other service.
-            revoke: the newest key is taken away and another one takes its place.
+            switch_service: plain calls go to the other service.
+            revoke_key: the newest key is taken away and another one takes its place.
         """
         self.version += 1
-        gone = self.keys[-1] if revoke else ""
-        if revoke:
+        gone = self.keys[-1] if revoke_key else ""
+        if revoke_key:
             self.keys.append(f"key-{self.version}")
-        if move:
-            self.plain = "plain-b" if self.plain == "plain-a" else "plain-a"
+        if switch_service:
+            self.plain_service = "plain-b" if self.plain_service == "plain-a" else "plain-a"
         routes = [_route(path, kind, most, resumed, self._service_of(path))
                   for path, kind, most, resumed in ROUTES]  # fmt: skip
         known = range(1, self.version + 1)
-        routes += [_route(version_path(n), "safe", 2, False, self.plain) for n in known]
+        routes += [_route(version_path(n), "safe", 2, False, self.plain_service) for n in known]
         routes += [
-            _route(f"/more-{n}/", "safe", 2, False, self.plain) for n in range(self.more_routes)
+            _route(f"/more-{n}/", "safe", 2, False, self.plain_service)
+            for n in range(self.extra_routes)
         ]
         services = [operator.service(name) for name in ("plain-a", "plain-b")]
         services.append(operator.service("llm", ENGINE))
         tenants = [
-            operator.tenant(FREE, self.keys[-1], plain_tokens=PLAIN_TOKENS),
-            operator.tenant(
-                LIMITED, LIMITED, plain_tokens=PLAIN_TOKENS, rate_per_s=PER_S, burst=BURST
+            operator.account(UNLIMITED_ACCOUNT, self.keys[-1], plain_tokens=PLAIN_REQUEST_TOKENS),
+            operator.account(
+                LIMITED_ACCOUNT,
+                LIMITED_ACCOUNT,
+                plain_tokens=PLAIN_REQUEST_TOKENS,
+                rate_per_s=LIMIT_TOKENS_PER_S,
+                burst=LIMIT_BURST_TOKENS,
             ),
         ]
         body = msgspec.json.encode(operator.config(self.version, routes, services, tenants))
         while not await self._put(self.store_port, "/v1/kv-key?private_key=op/config", body):
             await curio.sleep(0.2)
-        self.acknowledged.append((time.time(), self.version, self.plain))
+        self.acknowledged.append((time.time(), self.version, self.plain_service))
         if gone:
             self.revoked[gone] = time.time()
 
     def _service_of(self, path: str) -> str:
-        return "llm" if path in STREAMS else self.plain
+        return "llm" if path in STREAM_PATHS else self.plain_service
 
-    async def faults(self, port: int, **faults: Any) -> bool:
+    async def set_faults(self, port: int, **faults: Any) -> bool:
         """Switch faults of a stand-in; returns whether it has heard."""
         return await self._put(port, "/faults", msgspec.json.encode(faults))
 
--- a/src/crankhinge_soak/_history.py
+++ b/src/crankhinge_soak/_history.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from crankhinge_soak._faults import Trouble
-from crankhinge_soak._fleet import STREAMS
-from crankhinge_soak._load import Probe, Seen
+from crankhinge_soak._faults import InjectedFault
+from crankhinge_soak._fleet import STREAM_PATHS
+from crankhinge_soak._load import ObservedRequest, Probe
 
 # Seconds without trouble after which bounds in time hold again.
-CONTACT_S = 3.0
+FAULT_RECOVERY_S = 3.0
 # How the names of places begin that serve streams and plain calls, and what marks those that read.
 ENGINES, PLAIN, READER = "llm", "plain", "prefill"
 
@@ -33,10 +33,10 @@
         revoked: wall clock at which each key was taken away.
     """
 
-    seen: list[Seen]
+    seen: list[ObservedRequest]
     probes: list[Probe]
     rows: list[dict[str, Any]]
-    troubles: list[Trouble]
+    troubles: list[InjectedFault]
     acknowledged: list[tuple[float, int, str]]
     places: dict[str, str]
     held: dict[str, int]
@@ -56,7 +56,7 @@
                 table.setdefault(row["request"], []).append(row)
         return table
 
-    def befell(self, targets: Iterable[str], begin: float, end: float) -> list[Trouble]:
+    def find_faults(self, targets: Iterable[str], begin: float, end: float) -> list[InjectedFault]:
         """Return what befell any of *targets*, planned or not, between two times."""
         names = set(targets)
         return [
@@ -65,26 +65,26 @@
             if trouble.target in names and trouble.overlaps(begin, end)
         ]
 
-    def harmed(self, targets: Iterable[str], begin: float, end: float) -> bool:
+    def has_unplanned_fault(self, targets: Iterable[str], begin: float, end: float) -> bool:
         """Whether unplanned trouble befell one of *targets* between two times."""
-        return any(not trouble.planned for trouble in self.befell(targets, begin, end))
+        return any(not trouble.planned for trouble in self.find_faults(targets, begin, end))
 
-    def in_touch(self, gateway: str, begin: float, end: float) -> bool:
+    def time_bounds_apply(self, gateway: str, begin: float, end: float) -> bool:
         """Whether an instance's bounds in time hold between two times."""
         targets = (gateway, f"{gateway}/store", "store")
-        begin -= CONTACT_S
+        begin -= FAULT_RECOVERY_S
         stopped = any(
             trouble.kind == "stop" and trouble.planned
-            for trouble in self.befell([gateway], begin, end)
+            for trouble in self.find_faults([gateway], begin, end)
         )
-        return not stopped and not self.harmed(targets, begin, end)
+        return not stopped and not self.has_unplanned_fault(targets, begin, end)
 
-    def server_harmed(self, seen: Seen) -> bool:
+    def reached_faulty_server(self, seen: ObservedRequest) -> bool:
         """Whether a server that a request reached was harmed, or left, in its time."""
         names = {self.places.get(row["server"], "") for row in self.arrivals.get(seen.ident, ())}
-        return bool(self.befell(names, seen.sent - CONTACT_S, seen.ended))
+        return bool(self.find_faults(names, seen.sent - FAULT_RECOVERY_S, seen.ended))
 
-    def met_a_killed_server(self, seen: Seen) -> bool:
+    def reached_killed_server(self, seen: ObservedRequest) -> bool:
         """Whether a request went to a server that was killed before it could record it.
 
         Its prompt may have been read elsewhere, which is recorded.
@@ -92,7 +92,7 @@
         reached = [self.places.get(row["server"], "") for row in self.arrivals.get(seen.ident, ())]
         if any(READER not in name for name in reached):
             return False
-        service = ENGINES if seen.path in STREAMS else PLAIN
+        service = ENGINES if seen.path in STREAM_PATHS else PLAIN
         return any(
             trouble.kind == "kill"
             and trouble.target.startswith(service)
--- a/src/crankhinge_soak/_load.py
+++ b/src/crankhinge_soak/_load.py
@@ -13,19 +13,19 @@
 from crankhinge.http import HttpClient
 from crankhinge_bench._procs import HOST
 from crankhinge_soak._fleet import (
-    FREE,
-    LIMITED,
-    ONCE,
-    PLAIN_TOKENS,
-    RESUMED,
-    SAFE,
-    STREAM,
-    STREAMS,
+    LIMITED_ACCOUNT,
+    ONCE_PATH,
+    PLAIN_REQUEST_TOKENS,
+    RESUMED_PATH,
+    SAFE_PATH,
+    STREAM_PATH,
+    STREAM_PATHS,
+    UNLIMITED_ACCOUNT,
     Fleet,
     Gateway,
     version_path,
 )
-from crankhinge_standins.replica import body_of, events_of
+from crankhinge_standins.replica import make_body, make_events
 
 CALLERS = 12
 # Share of streams among requests, and of callers that leave before their answer is there.
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class Seen:
+class ObservedRequest:
     """What a caller saw of one request.
 
     Attributes:
@@ -60,11 +60,11 @@
         sent: wall clock.
         ended: wall clock of its end.
         status: of the answer; 0 for none.
-        whole: whether an answer came to its proper end.
-        right: whether what came of it is what the request asked for.
-        own: whether the instance itself, and no server, gave the answer.
-        left: whether the caller left before the end.
-        why: how the connection ended where no whole answer came.
+        complete: whether an answer came to its proper end.
+        body_correct: whether what came of it is what the request asked for.
+        from_instance: whether the instance itself, and no server, gave the answer.
+        caller_left: whether the caller left before the end.
+        failure: how the connection ended where no whole answer came.
         account: who asks.
         key: that it shows.
         tokens: that it counts.
@@ -74,16 +74,16 @@
     path: str
     gateway: str
     sent: float
-    account: str = FREE
+    account: str = UNLIMITED_ACCOUNT
     key: str = ""
-    tokens: int = PLAIN_TOKENS
+    tokens: int = PLAIN_REQUEST_TOKENS
     ended: float = 0.0
     status: int = 0
-    whole: bool = False
-    right: bool = True
-    own: bool = False
-    left: bool = False
-    why: str = ""
+    complete: bool = False
+    body_correct: bool = True
+    from_instance: bool = False
+    caller_left: bool = False
+    failure: str = ""
 
 
 @dataclass(frozen=True)
@@ -92,20 +92,20 @@
 
     Attributes:
         gateway: name of the instance.
-        life: which of its starts.
+        incarnation: which of its starts.
         version: whose route was asked for.
         sent: wall clock.
         known: False for 404; None where there was no answer, or no configuration yet.
     """
 
     gateway: str
-    life: int
+    incarnation: int
     version: int
     sent: float
     known: bool | None
 
 
-class Load:
+class LoadGenerator:
     """Callers and probes.
 
     Args:
@@ -114,7 +114,7 @@
     """
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
-        self.seen: list[Seen] = []
+        self.seen: list[ObservedRequest] = []
         self.probes: list[Probe] = []
         self._fleet = fleet
         self._seed = seed
@@ -155,7 +155,7 @@
         while not self._stopped:
             newest = self._fleet.acknowledged[-1][1] if self._fleet.acknowledged else 0
             for version in {newest, max(1, newest - 1)} - {0}:
-                life, sent = gateway.life, time.time()
+                life, sent = gateway.incarnation, time.time()
                 status = await _status(client, version_path(version), ident=self._name("p"))
                 known = None if status in (0, 503) else status != 404
                 self.probes.append(Probe(gateway.name, life, version, sent, known))
@@ -167,28 +167,28 @@
     async def _call(self, rng: random.Random) -> None:
         while not self._stopped:
             gateway = self._pick(rng)
-            client = HttpClient(HOST, gateway.front.port, pool_size=1)
+            client = HttpClient(HOST, gateway.caller_proxy.port, pool_size=1)
             for _ in range(rng.randint(1, KEPT_REQUESTS)):
                 seen = self._request(gateway, rng)
                 self.seen.append(seen)
                 await self._ask(client, seen, rng)
                 await curio.sleep(PAUSE_S * rng.random())
-                if self._stopped or not seen.whole:
+                if self._stopped or not seen.complete:
                     break
             await client.close()
 
-    def _request(self, gateway: Gateway, rng: random.Random) -> Seen:
+    def _request(self, gateway: Gateway, rng: random.Random) -> ObservedRequest:
         streams = rng.random() < STREAM_SHARE
-        path = rng.choice(STREAMS if streams else (ONCE, SAFE))
-        seen = Seen(self._name("q"), path, gateway.name, time.time())
+        path = rng.choice(STREAM_PATHS if streams else (ONCE_PATH, SAFE_PATH))
+        seen = ObservedRequest(self._name("q"), path, gateway.name, time.time())
         if rng.random() < LIMITED_SHARE:
-            seen.account = seen.key = LIMITED
+            seen.account = seen.key = LIMITED_ACCOUNT
         else:
             keys = self._fleet.keys
             seen.key = rng.choice(keys) if rng.random() < OLD_KEY_SHARE else keys[-1]
         return seen
 
-    async def _ask(self, client: HttpClient, seen: Seen, rng: random.Random) -> None:
+    async def _ask(self, client: HttpClient, seen: ObservedRequest, rng: random.Random) -> None:
         """Send a request and note what comes back."""
         leaves = rng.random() < LEAVING_SHARE
         patience = STAY_S * rng.random() if leaves else PATIENCE_S + SLACK_S
@@ -199,7 +199,7 @@
             "x-deadline-ms": str(int(PATIENCE_S * 1000)),
             "authorization": f"Bearer {seen.key}",
         }
-        if seen.path in STREAMS:
+        if seen.path in STREAM_PATHS:
             seen.tokens = prompt + answer
             headers.update(
                 {
@@ -211,36 +211,38 @@
         try:
             await curio.timeout_after(patience, self._take, client, seen, headers)
         except curio.TaskTimeout:
-            seen.left, seen.why = leaves, "no end in time"
+            seen.caller_left, seen.failure = leaves, "no end in time"
         except CrankhingeError as exc:
-            seen.why = f"{exc.code}: {exc.detail}"
+            seen.failure = f"{exc.code}: {exc.detail}"
         seen.ended = time.time()
 
-    async def _take(self, client: HttpClient, seen: Seen, headers: dict[str, str]) -> None:
-        method = "GET" if seen.path == SAFE else "POST"
+    async def _take(
+        self, client: HttpClient, seen: ObservedRequest, headers: dict[str, str]
+    ) -> None:
+        method = "GET" if seen.path == SAFE_PATH else "POST"
         body = b"" if method == "GET" else b"b" * 200
         stream = await client.open(method, seen.path + "x", headers=headers, body=body)
         done = False
         try:
             seen.status = stream.status
-            seen.own = "x-server-seal" not in stream.headers
+            seen.from_instance = "x-server-seal" not in stream.headers
             got = bytearray()
             expected = _expected(seen)
             while chunk := await stream.next_chunk():
                 got += chunk
                 if seen.status == 200 and not expected.startswith(bytes(got)):
                     # Also wrong where the answer never comes to its end.
-                    seen.right = False
-            seen.whole = done = True
-            seen.right = seen.right and (seen.status != 200 or bytes(got) == expected)
+                    seen.body_correct = False
+            seen.complete = done = True
+            seen.body_correct = seen.body_correct and (seen.status != 200 or bytes(got) == expected)
         finally:
             await (stream.close() if done else stream.abort())
 
 
-def _expected(seen: Seen) -> bytes:
-    if seen.path in (STREAM, RESUMED):
-        return b"".join(events_of(seen.ident))
-    return body_of(seen.ident)
+def _expected(seen: ObservedRequest) -> bytes:
+    if seen.path in (STREAM_PATH, RESUMED_PATH):
+        return b"".join(make_events(seen.ident))
+    return make_body(seen.ident)
 
 
 async def _status(client: HttpClient, target: str, *, ident: str = "") -> int:
--- a/src/crankhinge_soak/_proxy.py
+++ b/src/crankhinge_soak/_proxy.py
@@ -21,14 +21,14 @@
 DELAY_S = 0.15
 
 
-class Harm(enum.Enum):
+class PathFault(enum.Enum):
     """What a path does to the bytes that take it."""
 
     NONE = "none"
     SLOW = "slow"
     SILENT = "silent"
-    CUT_THERE = "cut-there"
-    CUT_BACK = "cut-back"
+    CUT_TO_TARGET = "cut-there"
+    CUT_TO_CALLER = "cut-back"
 
 
 class Proxy:
@@ -45,7 +45,7 @@
 
     def __init__(self, port: int, target: int, bytes_per_s: int = 0) -> None:
         self.port = port
-        self.harm = Harm.NONE
+        self.fault = PathFault.NONE
         self._target = target
         self._bytes_per_s = bytes_per_s
         self._socks: set[Any] = set()
@@ -68,7 +68,7 @@
                 sock._socket.shutdown(socket.SHUT_RD)
 
     async def _carry(self, near: Any, _addr: Any) -> None:
-        while self.harm in (Harm.SILENT, Harm.CUT_THERE):
+        while self.fault in (PathFault.SILENT, PathFault.CUT_TO_TARGET):
             await curio.sleep(POLL_S)
         try:
             far = await open_tcp(HOST, self._target, CONNECT_S)
@@ -79,13 +79,13 @@
         self._socks |= {near, far}
         try:
             async with far, curio.TaskGroup() as group:
-                await group.spawn(self._pump, near, far, Harm.CUT_THERE)
-                await group.spawn(self._pump, far, near, Harm.CUT_BACK)
+                await group.spawn(self._pump, near, far, PathFault.CUT_TO_TARGET)
+                await group.spawn(self._pump, far, near, PathFault.CUT_TO_CALLER)
         finally:
             self._socks -= {near, far}
             self._muted -= {near, far}
 
-    async def _pump(self, source: Any, sink: Any, cut: Harm) -> None:
+    async def _pump(self, source: Any, sink: Any, cut: PathFault) -> None:
         """Carry one direction until its end; *cut* is the harm that holds it up."""
         while True:
             try:
@@ -97,11 +97,11 @@
                     await self._end_muted(sink, cut)
                     return
                 continue
-            if self._bytes_per_s and cut is Harm.CUT_BACK:
+            if self._bytes_per_s and cut is PathFault.CUT_TO_CALLER:
                 await curio.sleep(len(data) / self._bytes_per_s)
-            if self.harm is Harm.SLOW:
+            if self.fault is PathFault.SLOW:
                 await curio.sleep(DELAY_S)
-            while self.harm in (Harm.SILENT, cut) and sink in self._socks:
+            while self.fault in (PathFault.SILENT, cut) and sink in self._socks:
                 await curio.sleep(POLL_S)
             if sink not in self._socks:
                 # It was reset: a proper end would come before the reset.
@@ -115,9 +115,9 @@
                 # The other direction tells its end the same way.
                 return
 
-    async def _end_muted(self, sink: Any, cut: Harm) -> None:
+    async def _end_muted(self, sink: Any, cut: PathFault) -> None:
         """End a muted connection when its caller does; the caller is told nothing."""
-        if cut is Harm.CUT_THERE:
+        if cut is PathFault.CUT_TO_TARGET:
             with contextlib.suppress(OSError):
                 await sink.shutdown(socket.SHUT_WR)
 
--- a/src/crankhinge_soak/_words_check.py
+++ b/src/crankhinge_soak/_signals_check.py
@@ -20,24 +20,24 @@
 Sent = dict[tuple[str, str], list[tuple[float, str]]]
 
 
-def keeps_leaving(history: History) -> tuple[int, list[str]]:
+def check_leaving_signals(history: History) -> tuple[int, list[str]]:
     """A server gets nothing from an instance that has passed on its word that it leaves."""
     told: dict[tuple[str, str], float] = {}
     for row in _told(history):
         seen = history.by_ident.get(row["request"])
-        if row["leaving"] and seen is not None and seen.whole and not seen.own:
+        if row["leaving"] and seen is not None and seen.complete and not seen.from_instance:
             told.setdefault((row["server"], seen.gateway), seen.ended)
     cases = []
     all_sent = _sent(history)
     for (server, gateway), at in told.items():
         for arrived, ident in all_sent[server, gateway]:
             sent = history.by_ident[ident].sent
-            if sent > at + LEAVE_S and not history.befell([gateway], at, arrived):
+            if sent > at + LEAVE_S and not history.find_faults([gateway], at, arrived):
                 cases.append(f"{ident} by {gateway} to {server} {sent - at:.2f} s after its word")
     return len(told), cases
 
 
-def keeps_rests(history: History) -> tuple[int, list[str]]:
+def check_backoffs(history: History) -> tuple[int, list[str]]:
     """A server that refused an instance and wants rest gets next to nothing from it meanwhile."""
     cases = []
     tested = 0
@@ -48,7 +48,7 @@
         if seen is None or end - begin <= HEARD_S:
             continue
         names = [seen.gateway, history.places.get(row["server"], "")]
-        if history.befell(names, begin, end):
+        if history.find_faults(names, begin, end):
             continue
         tested += 1
         times = all_sent[row["server"], seen.gateway]
--- a/src/crankhinge_soak/_verdict.py
+++ b/src/crankhinge_soak/_verdict.py
@@ -51,9 +51,9 @@
         return any(verdict.broken for verdict in self.verdicts)
 
 
-def verdict(promise: str, tested: int, cases: list[str]) -> Verdict:
+def make_verdict(invariant: str, tested: int, cases: list[str]) -> Verdict:
     """Return the verdict on a promise that was broken in *cases*."""
-    return Verdict(promise=promise, tested=tested, broken=len(cases), detail=cases[:EXAMPLES])
+    return Verdict(promise=invariant, tested=tested, broken=len(cases), detail=cases[:EXAMPLES])
 
 
 def render(report: Report) -> str:
--- a/src/crankhinge_soak/main.py
+++ b/src/crankhinge_soak/main.py
@@ -17,10 +17,10 @@
 from crankhinge_bench._procs import http_json
 from crankhinge_soak._check import check
 from crankhinge_soak._entries import run_seed as run_entries
-from crankhinge_soak._faults import EPISODES, Faults
+from crankhinge_soak._faults import EPISODES, FaultInjector
 from crankhinge_soak._fleet import Fleet
 from crankhinge_soak._history import History
-from crankhinge_soak._load import Load
+from crankhinge_soak._load import LoadGenerator
 from crankhinge_soak._verdict import Report, render
 
 PROGRAM = "crankhinge-soak"
@@ -42,7 +42,7 @@
     fleet = Fleet(logs)
     try:
         fleet.start()
-        load, faults = Load(fleet, seed), Faults(fleet, seed, kinds)
+        load, faults = LoadGenerator(fleet, seed), FaultInjector(fleet, seed, kinds)
         calm_from = curio.run(_play, fleet, load, faults, seconds)
         history = _history(fleet, load, faults, calm_from)
     finally:
@@ -55,12 +55,12 @@
         seconds=seconds,
         faults=dict(sorted(counts.items())),
         requests=len(load.seen),
-        answered=sum(seen.status == 200 and seen.whole for seen in load.seen),
+        answered=sum(seen.status == 200 and seen.complete for seen in load.seen),
         verdicts=check(history),
     )
 
 
-async def _play(fleet: Fleet, load: Load, faults: Faults, seconds: float) -> float:
+async def _play(fleet: Fleet, load: LoadGenerator, faults: FaultInjector, seconds: float) -> float:
     """Play a seed; returns the wall clock from which all was whole."""
     async with curio.TaskGroup() as paths:
         for proxy in fleet.proxies():
@@ -69,7 +69,7 @@
         async with curio.TaskGroup() as group:
             await group.spawn(load.run)
             await curio.sleep(WARM_S)
-            await fleet.publish(revoke=True)
+            await fleet.publish(revoke_key=True)
             await faults.run(seconds)
             await curio.sleep(SETTLE_S)
             calm_from = time.time()
@@ -80,9 +80,9 @@
     return calm_from
 
 
-def _history(fleet: Fleet, load: Load, faults: Faults, calm_from: float) -> History:
-    rows = fleet.records()
-    engines = [place for place in fleet.places if place.phase]
+def _history(fleet: Fleet, load: LoadGenerator, faults: FaultInjector, calm_from: float) -> History:
+    rows = fleet.read_records()
+    engines = [place for place in fleet.places if place.role]
     return History(
         seen=load.seen,
         probes=load.probes,
@@ -92,7 +92,7 @@
         places={row["server"]: row["place"] for row in rows if row["kind"] == "born"},
         held={place.name: _held(place.port) for place in engines},
         calm_from=calm_from,
-        exits=faults.exits + fleet.ended(),
+        exits=faults.exits + fleet.ended_gateways(),
         revoked=fleet.revoked,
     )
 
@@ -103,7 +103,7 @@
     return held["held"]
 
 
-def seeds_of(args: argparse.Namespace) -> list[tuple[int, float]]:
+def select_seeds(args: argparse.Namespace) -> list[tuple[int, float]]:
     """Return the seeds to play, each with the seconds of its faults."""
     if not args.cases:
         return [(args.seed + number, args.seconds) for number in range(args.repeat)]
@@ -141,7 +141,7 @@
     # curio warns of each operation that ends just after its time-out; nothing is wrong with that.
     logging.getLogger("curio").setLevel(logging.ERROR)
     reports = []
-    for seed, seconds in seeds_of(args):
+    for seed, seconds in select_seeds(args):
         logs = Path(args.logs) / str(seed) if args.logs else None
         if args.of == "entries":
             reports.append(run_entries(seed, seconds, logs))
--- a/src/crankhinge_standins/_model.py
+++ b/src/crankhinge_standins/_model.py
@@ -8,7 +8,7 @@
 VOCABULARY = 5000
 
 
-def context_of(body: dict[str, Any]) -> str:
+def extract_context(body: dict[str, Any]) -> str:
     """Return the text that the model continues."""
     if "prompt" in body:
         return str(body["prompt"])
@@ -24,9 +24,9 @@
     return token, zlib.crc32(token.encode(), state)
 
 
-def answer_to(body: dict[str, Any]) -> list[str]:
+def make_answer(body: dict[str, Any]) -> list[str]:
     """Return the whole answer: what a test compares with."""
-    state = zlib.crc32(context_of(body).encode())
+    state = zlib.crc32(extract_context(body).encode())
     out = []
     for _ in range(int(body.get("max_tokens", 16))):
         token, state = next_token(state)
--- a/src/crankhinge_standins/_replica_state.py
+++ b/src/crankhinge_standins/_replica_state.py
@@ -5,10 +5,10 @@
 import itertools
 from dataclasses import dataclass, field
 
-from crankhinge_standins._web import Switches
+from crankhinge_standins._web import FaultSwitches
 
 
-class ReplicaFaults(Switches):
+class ReplicaFaults(FaultSwitches):
     """Faults of a replica.
 
     Attributes:
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Memory:
+class KvMemory:
     """Memory of an engine that is tied, in tokens, by reason."""
 
     runs: dict[str, int] = field(default_factory=dict)
--- a/src/crankhinge_standins/_web.py
+++ b/src/crankhinge_standins/_web.py
@@ -24,10 +24,10 @@
     await reply(exchange, {"error": exc.detail}, exc.status)
 
 
-class Switches(msgspec.Struct):
+class FaultSwitches(msgspec.Struct):
     """Faults of a stand-in; ``PUT /faults`` with some of their names changes them."""
 
-    def change(self, body: bytes) -> None:
+    def update(self, body: bytes) -> None:
         """Set the faults that the JSON object *body* names. Raises BadHttp for unknown ones."""
         for name, value in msgspec.json.decode(body).items():
             if name not in self.__struct_fields__:
@@ -35,7 +35,7 @@
             setattr(self, name, value)
 
 
-class Faults(Switches):
+class Faults(FaultSwitches):
     """Faults of the stand-ins for the product's own interface.
 
     Attributes:
@@ -74,13 +74,13 @@
             os.write(self._fd, msgspec.json.encode({**row, "at": time.time()}) + b"\n")
 
 
-async def serve(host: str, port: int, handler: Handler, faults: Switches, log: Any) -> None:
+async def serve(host: str, port: int, handler: Handler, faults: FaultSwitches, log: Any) -> None:
     """Serve *handler*, with ``PUT /faults`` beside it."""
 
     async def handle(exchange: Exchange) -> None:
         req = exchange.req
         if req.path == "/faults" and req.method == "PUT":
-            faults.change(req.body)
+            faults.update(req.body)
             await reply(exchange, {"ok": True})
             return
         await handler(exchange)
--- a/src/crankhinge_standins/engine.py
+++ b/src/crankhinge_standins/engine.py
@@ -19,7 +19,7 @@
 from crankhinge.errors import CrankhingeError, HttpClosed
 from crankhinge.http import Exchange, HttpClient, sse_event
 from crankhinge.runtime import until_first
-from crankhinge_standins._model import context_of, next_token
+from crankhinge_standins._model import extract_context, next_token
 from crankhinge_standins._web import Faults, Recorder, reply, serve
 
 BLOCK_WORDS = 64
@@ -210,8 +210,8 @@
         await reply(exchange, {"ok": True})
 
     async def _prefill(self, exchange: Exchange, body: dict[str, Any]) -> None:
-        words = context_of(body).split(" ")
-        self._recorder.write(kind="prefill", prompt=zlib.crc32(context_of(body).encode()))
+        words = extract_context(body).split(" ")
+        self._recorder.write(kind="prefill", prompt=zlib.crc32(extract_context(body).encode()))
         async with self._reader:
             cached = self._cached(words)
             todo = max(1, len(words) - cached)
@@ -283,7 +283,7 @@
         self, exchange: Exchange, body: dict[str, Any], params: dict[str, Any]
     ) -> None:
         self.stats.waiting += 1
-        run = _Running(zlib.crc32(context_of(body).encode()), int(body.get("max_tokens", 16)))
+        run = _Running(zlib.crc32(extract_context(body).encode()), int(body.get("max_tokens", 16)))
         watcher = await curio.spawn(self._watch, exchange, run, daemon=True)
         try:
             async with self._slots:
@@ -315,7 +315,7 @@
         ident = exchange.req.headers.get("x-request-id", "")
         record = {"id": ident, "sent": 0, "end": "running"}
         self.runs.append(record)
-        self._recorder.write(kind="decode", prompt=zlib.crc32(context_of(body).encode()))
+        self._recorder.write(kind="decode", prompt=zlib.crc32(extract_context(body).encode()))
         try:
             await self._stream(exchange, body, run, record)
             record["end"] = "finished"
@@ -328,7 +328,7 @@
             if not record["sent"]:
                 # The reading was fetched and nothing came of it.
                 self.stats.wasted_tokens += computed
-            prompt = zlib.crc32(context_of(body).encode())
+            prompt = zlib.crc32(extract_context(body).encode())
             self._recorder.write(kind="end", prompt=prompt, end=record["end"])
 
     async def _import(self, params: dict[str, Any]) -> int | None:
--- a/src/crankhinge_standins/operator.py
+++ b/src/crankhinge_standins/operator.py
@@ -50,7 +50,7 @@
     return row if engine_row is None else {**row, "engine": engine_row}
 
 
-def tenant(name: str, *keys: str, **more: Any) -> Row:
+def account(name: str, *keys: str, **more: Any) -> Row:
     """Return a client account without a limit; *more* stands for other fields."""
     usual = {
         "name": name,
--- a/src/crankhinge_standins/replica.py
+++ b/src/crankhinge_standins/replica.py
@@ -19,7 +19,7 @@
 
 from crankhinge.errors import BadHttp, HttpClosed, KeyValueUnavailable
 from crankhinge.http import Exchange, HttpClient, HttpRequest
-from crankhinge_standins._replica_state import Memory, ReplicaFaults
+from crankhinge_standins._replica_state import KvMemory, ReplicaFaults
 from crankhinge_standins._web import Recorder, reply, serve
 
 # Tokens of memory of an engine, and requests at once of any replica.
@@ -45,7 +45,7 @@
 ORDER_FIELDS = ("opcode", "holder", "fencing_token")
 
 
-def events_of(ident: str) -> list[bytes]:
+def make_events(ident: str) -> list[bytes]:
     """Return the events that answer the request *ident*, wherever it runs."""
     count = 5 + zlib.crc32(ident.encode()) % 20
     return [
@@ -54,7 +54,7 @@
     ]
 
 
-def body_of(ident: str) -> bytes:
+def make_body(ident: str) -> bytes:
     """Return the body that answers the plain request *ident*, wherever it runs."""
     seed = zlib.crc32(ident.encode())
     return f"{ident}:{seed:08x}:".encode() + b"x" * (seed % 3000)
@@ -103,7 +103,7 @@
         self._silent_leave = silent_leave
         self._place = place
         self._log = log
-        self._memory = Memory()
+        self._memory = KvMemory()
         self._rng = random.Random(self.ident)
         self._leaving = False
         self._switching = False
@@ -263,7 +263,7 @@
         if self._by_chance(self.faults.errors):
             await exchange.respond_as_is(500, self._head(ident), b"failed")
             return
-        body = body_of(ident)
+        body = make_body(ident)
         if self._by_chance(self.faults.garbles):
             length = ("content-length", str(len(body)))
             await exchange.start_as_is(200, [*self._head(ident), length])
@@ -337,7 +337,7 @@
             return False
 
     async def _send_events(self, exchange: Exchange, ident: str) -> bool:
-        events = events_of(ident)
+        events = make_events(ident)
         begin = int(exchange.req.headers.get("last-event-id") or "0")
         await exchange.start_as_is(200, self._head(ident))
         broken_at = self._rng.randrange(len(events)) if self._by_chance(self.faults.garbles) else -1
--- a/src/crankhinge_standins/store.py
+++ b/src/crankhinge_standins/store.py
@@ -19,7 +19,7 @@
 from crankhinge.errors import HttpClosed
 from crankhinge.http import Exchange
 from crankhinge.runtime import get_log
-from crankhinge_standins._web import Switches, serve
+from crankhinge_standins._web import FaultSwitches, serve
 
 # Keys of backend servers' entries begin so.
 SERVERS = "servers/"
@@ -33,7 +33,7 @@
 Item = dict[str, Any]
 
 
-class StoreFaults(Switches):
+class StoreFaults(FaultSwitches):
     """Faults of the store.
 
     Attributes:
@@ -74,8 +74,8 @@
         self.changes: list[Item] = []
         self.calls: list[str] = []
         self.faults = StoreFaults()
-        self.oldest = 0
-        self.waiting = 0
+        self.oldest_revision = 0
+        self.waiting_watches = 0
         self._muted = 0
         self._conns: weakref.WeakSet[Any] = weakref.WeakSet()
         self._muted_conns: weakref.WeakSet[Any] = weakref.WeakSet()
@@ -134,13 +134,15 @@
 
     def forget_history(self) -> None:
         """Drop what changed so far."""
-        self.oldest = self.revision
+        self.oldest_revision = self.revision
 
     def _forget_before(self, moment: float) -> None:
         """Drop what changed before *moment*."""
         kept = bisect.bisect_left(self._changed_at, moment)
         if kept:
-            self.oldest = max(self.oldest, int(self.changes[kept - 1]["revision"]))
+            self.oldest_revision = max(
+                self.oldest_revision, int(self.changes[kept - 1]["revision"])
+            )
             del self.changes[:kept], self._changed_at[:kept]
 
     async def run(self) -> None:
@@ -275,7 +277,7 @@
     async def _watch(self, query: dict[str, str]) -> tuple[int, Any]:
         after, prefix = int(query["after"]), query["path_prefix"]
         until = await curio.clock() + int(query["wait_ms"]) / 1000
-        self.waiting += 1
+        self.waiting_watches += 1
         try:
             if await self._is_forgotten(after):
                 return 410, {}
@@ -294,13 +296,13 @@
                 return 410, {}
             return 200, {"events": seen, "at": self.revision}
         finally:
-            self.waiting -= 1
+            self.waiting_watches -= 1
 
     async def _is_forgotten(self, after: int) -> bool:
         """Whether some of what changed after the revision *after* is no longer remembered."""
         if self._history_s:
             self._forget_before(await curio.clock() - self._history_s)
-        return after < self.oldest
+        return after < self.oldest_revision
 
     async def _txn(self, txn: dict[str, Any]) -> tuple[int, Any]:
         for row in txn["expected_revision"]:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -11,7 +11,7 @@
 from crankhinge_bench._summary import percentile
 from crankhinge_bench._trace import Arrival, Load, make_trace
 from crankhinge_soak._entries_check import BundleSeen, Drain, History, check
-from crankhinge_soak._entries_evidence import last_drained
+from crankhinge_soak._entries_evidence import read_drained_count
 
 CRC = zlib.crc32(b"prompt")
 ASK = Arrival(0.0, "m", prompt="prompt", max_tokens=3)
@@ -124,10 +124,10 @@
     def test_the_last_word_of_a_drain(self, tmp_path: Path) -> None:
         """The number of requests that were cut is read as the programs write it."""
         path = tmp_path / "a.log"
-        assert last_drained(_log(path, 3)) == 3
-        assert last_drained(_log(path, 0)) == 0
+        assert read_drained_count(_log(path, 3)) == 3
+        assert read_drained_count(_log(path, 0)) == 0
         path.write_text("")
-        assert last_drained(path) is None
+        assert read_drained_count(path) is None
 
 
 def _log(path: Path, count: int) -> Path:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -97,7 +97,7 @@
         world.add("i-1", "plain")
 
         async def story() -> None:
-            world.store.oldest = 10**9
+            world.store.oldest_revision = 10**9
             await world.store.put("op/config", config(2, ONCE))
             before = len(world.store.calls)
             await curio.sleep(10.0)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -7,7 +7,7 @@
 from crankhinge_bench._cluster import Cluster
 from crankhinge_bench._load import LoadRun
 from crankhinge_bench._trace import Arrival
-from crankhinge_standins._model import answer_to
+from crankhinge_standins._model import make_answer
 
 
 def make_client(cluster: Cluster, credential: str | None = None) -> openai.OpenAI:
@@ -29,7 +29,7 @@
             model="m1", messages=messages, max_tokens=7, stream=True
         )
         pieces = [c.choices[0].delta.content for c in stream if c.choices[0].delta.content]
-        assert pieces == answer_to({"messages": messages, "max_tokens": 7})
+        assert pieces == make_answer({"messages": messages, "max_tokens": 7})
 
     def test_answers_whole(self, cluster: Cluster) -> None:
         """An answer that isn't streamed carries its usage."""
@@ -37,7 +37,7 @@
             model="m1", prompt="one two three", max_tokens=4
         )
         assert answer.choices[0].text == "".join(
-            answer_to({"prompt": "one two three", "max_tokens": 4})
+            make_answer({"prompt": "one two three", "max_tokens": 4})
         )
         assert answer.usage is not None
         assert answer.usage.completion_tokens == 4
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from crankhinge_standins.operator import tenant
+from crankhinge_standins.operator import account
 from platform_fakes import World, config, route, stream
 from virtual_time import run_virtual
 
@@ -14,7 +14,7 @@
 STREAM = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
 OPEN = route("r-open", "/open/", "safe", "plain", anonymous=True)
 ALL = (ONCE, STREAM, OPEN)
-RED, BLUE = tenant("red", "key-red", "key-red-2"), tenant("blue", "key-blue")
+RED, BLUE = account("red", "key-red", "key-red-2"), account("blue", "key-blue")
 TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
 REVOKE_S = 5.0
 FAIL_CLOSED = {"revoke_s": REVOKE_S, "contact_s": 4.0}
@@ -105,7 +105,7 @@
 
         async def story() -> None:
             assert (await world.call("a", "/once/a", **bearer("key-new")))[0] == 401
-            later = config(2, *ALL, tenants=(tenant("red", "key-new"), BLUE))
+            later = config(2, *ALL, tenants=(account("red", "key-new"), BLUE))
             await world.store.put("op/config", later)
             await curio.sleep(0.5)
             assert (await world.call("b", "/once/a", **bearer("key-new")))[0] == 200
--- a/tests/test_limits_relayed.py
+++ b/tests/test_limits_relayed.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from crankhinge_standins.operator import tenant
+from crankhinge_standins.operator import account
 from platform_fakes import World, config, route, stream
 from virtual_time import run_virtual
 
@@ -20,7 +20,7 @@
 
 def limited(per_s: float, burst: float) -> dict[str, Any]:
     """Return an account with a limit."""
-    return tenant("red", "key-red", rate_per_s=per_s, burst=burst)
+    return account("red", "key-red", rate_per_s=per_s, burst=burst)
 
 
 class Instances:
@@ -113,7 +113,7 @@
 
     def test_an_account_without_limit_asks_nobody(self) -> None:
         """And no request without a key does."""
-        fleet = Instances(2, tenant("red", "key-red"))
+        fleet = Instances(2, account("red", "key-red"))
         fleet.first.add("i-p", "plain")
 
         async def story() -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,12 +15,12 @@
 from crankhinge.runtime import get_log, until_first
 from crankhinge_bench._procs import HOST, free_ports
 from crankhinge_soak._check import check
-from crankhinge_soak._faults import Faults, Trouble
-from crankhinge_soak._fleet import FREE, LIMITED, Fleet
+from crankhinge_soak._faults import FaultInjector, InjectedFault
+from crankhinge_soak._fleet import LIMITED_ACCOUNT, UNLIMITED_ACCOUNT, Fleet
 from crankhinge_soak._history import History
-from crankhinge_soak._load import Probe, Seen
-from crankhinge_soak._proxy import Harm, Proxy
-from crankhinge_soak.main import main, make_parser, run_seed, seeds_of
+from crankhinge_soak._load import ObservedRequest, Probe
+from crankhinge_soak._proxy import PathFault, Proxy
+from crankhinge_soak.main import main, make_parser, run_seed, select_seeds
 
 # What a server records that said it leaves, or that it wants rest.
 LEAVES: dict[str, Any] = {"leaving": True, "rest_s": 0.0}
@@ -30,17 +30,17 @@
 CASES = Path(__file__).resolve().parent.parent / "docs" / "soak-cases.toml"
 
 
-def seen(ident: str, path: str = "/once/", **more: Any) -> Seen:
+def seen(ident: str, path: str = "/once/", **more: Any) -> ObservedRequest:
     """Return a request that was answered well by one instance."""
-    good = {"sent": T0, "ended": T0 + 0.1, "status": 200, "whole": True}
-    return Seen(ident, path, "gateway-0", **{**good, **more})
+    good = {"sent": T0, "ended": T0 + 0.1, "status": 200, "complete": True}
+    return ObservedRequest(ident, path, "gateway-0", **{**good, **more})
 
 
 def row(kind: str, ident: str, at: float = T0 + 0.05, **more: Any) -> dict[str, Any]:
     """Return what a server of the service in force recorded."""
     base = {"kind": kind, "request": ident, "server": "i-1", "service": "plain-a", "at": at}
     if kind == "arrival":
-        base |= {"account": FREE, "key": ""}
+        base |= {"account": UNLIMITED_ACCOUNT, "key": ""}
     return {**base, **more}
 
 
@@ -70,18 +70,18 @@
     assert broken(history()) == []
 
 
-STOP = Trouble("stop", "gateway-0", T0 - 1, T0 + 5, planned=True)
-CUT = {"status": 0, "whole": False, "why": "closed: in mid-body", "ended": T0 + 1}
+STOP = InjectedFault("stop", "gateway-0", T0 - 1, T0 + 5, planned=True)
+CUT = {"status": 0, "complete": False, "failure": "closed: in mid-body", "ended": T0 + 1}
 SECOND = (T0 + 10, 2, "plain-b")
 # What breaks each promise: the promise, and how the history differs from a good one.
 FAULTS: dict[str, tuple[str, dict[str, Any]]] = {
     "bytes of another request": (
         "whole answer to its own request",
-        {"seen": [seen("q1", right=False)]},
+        {"seen": [seen("q1", body_correct=False)]},
     ),
     "a success that no server gave": (
         "whole answer to its own request",
-        {"seen": [seen("q1", own=True)]},
+        {"seen": [seen("q1", from_instance=True)]},
     ),
     "two runs of what may run once": (
         "no request runs more often than allowed",
@@ -89,7 +89,7 @@
     ),
     "told not run, and ran": (
         "not run is true",
-        {"seen": [seen("q1", status=503, own=True)], "calm_from": T0 + 9},
+        {"seen": [seen("q1", status=503, from_instance=True)], "calm_from": T0 + 9},
     ),
     "a run that nobody asked for": (
         "servers run only what callers sent",
@@ -129,7 +129,7 @@
     "no final answer": (
         "a final answer in time",
         {
-            "seen": [seen("q1", status=0, whole=False, why="no end in time", ended=T0 + 6)],
+            "seen": [seen("q1", status=0, complete=False, failure="no end in time", ended=T0 + 6)],
             "calm_from": T0 + 9,
         },
     ),
@@ -139,7 +139,7 @@
     ),
     "another account": (
         "servers are told the account and never the key",
-        {"rows": [row("arrival", "q1", account=LIMITED), row("run", "q1")]},
+        {"rows": [row("arrival", "q1", account=LIMITED_ACCOUNT), row("run", "q1")]},
     ),
     "more than a server takes": (
         "a server gets no more than it says it takes",
@@ -164,7 +164,10 @@
     "a server that wants rest": (
         "a server that wants rest gets it",
         {
-            "seen": [seen("q1", status=503, own=True), *(seen(f"q{n}") for n in range(2, 5))],
+            "seen": [
+                seen("q1", status=503, from_instance=True),
+                *(seen(f"q{n}") for n in range(2, 5)),
+            ],
             "rows": [
                 *(row("arrival", "q1"), row("told", "q1", **RESTS)),
                 *(row("arrival", f"q{n}", T0 + n / 2) for n in range(2, 5)),
@@ -179,7 +182,7 @@
         "an account's use stays within its limit",
         {
             "seen": [
-                *(seen(f"q{n}", account=LIMITED, tokens=4000) for n in range(1, 6)),
+                *(seen(f"q{n}", account=LIMITED_ACCOUNT, tokens=4000) for n in range(1, 6)),
                 seen("q6"),
             ],
             "rows": [row("run", f"q{n}", T0 + n) for n in range(1, 6)],
@@ -197,7 +200,7 @@
     ),
     "nothing served once all is whole": (
         "served again once all is whole",
-        {"seen": [seen("q1", status=503, own=True)], "rows": []},
+        {"seen": [seen("q1", status=503, from_instance=True)], "rows": []},
     ),
     "an exit": ("no process ends by itself", {"exits": ["gateway-1"]}),
 }
@@ -212,7 +215,7 @@
 
 def test_an_episode_draws_for_itself() -> None:
     """However many draws others made before: the seed fixes the schedule, not the machine."""
-    faults = Faults(cast(Fleet, None), 5)
+    faults = FaultInjector(cast(Fleet, None), 5)
     first = faults._of_its_own(2)._rng.random()
     faults._of_its_own(1)._rng.random()
     assert faults._of_its_own(2)._rng.random() == first
@@ -225,13 +228,13 @@
 
     def test_an_instance_out_of_touch_may_be_late(self) -> None:
         """The path to the store was cut until a moment ago."""
-        cut = Trouble("store-path-silent", "gateway-0/store", T0 - 20, T0 - 1)
+        cut = InjectedFault("store-path-silent", "gateway-0/store", T0 - 20, T0 - 1)
         late = Probe("gateway-0", 1, 1, T0, False)
         assert broken(history(probes=[late], troubles=[cut])) == []
 
     def test_but_it_never_goes_back(self) -> None:
         """Whatever befalls its path to the store."""
-        cut = Trouble("store-path-silent", "gateway-0/store", T0 - 20, T0 + 20)
+        cut = InjectedFault("store-path-silent", "gateway-0/store", T0 - 20, T0 + 20)
         probes = [Probe("gateway-0", 1, 1, T0 + n, known) for n, known in ((0, True), (1, False))]
         assert broken(history(probes=probes, troubles=[cut])) == [
             "a configuration is in force and never reverts"
@@ -240,12 +243,12 @@
     def test_a_new_life_may_know_less(self) -> None:
         """It was started again."""
         probes = [Probe("gateway-0", 1, 1, T0 - 9, True), Probe("gateway-0", 2, 1, T0 - 8.9, False)]
-        again = Trouble("kill", "gateway-0", T0 - 9, T0 - 8.9)
+        again = InjectedFault("kill", "gateway-0", T0 - 9, T0 - 8.9)
         assert broken(history(probes=probes, troubles=[again])) == []
 
     def test_a_stop_is_not_blamed_for_a_server_that_was_killed(self) -> None:
         """The stream was on it."""
-        killed = Trouble("kill", "plain-a-one-0", T0 + 0.5, T0 + 0.9)
+        killed = InjectedFault("kill", "plain-a-one-0", T0 + 0.5, T0 + 0.9)
         cut = dataclasses.replace(seen("q1"), **CUT)
         found = history(seen=[cut], troubles=[STOP, killed], calm_from=T0 + 9)
         assert "a planned stop cuts nothing" not in broken(found)
@@ -255,7 +258,7 @@
     def test_a_server_is_told_to_one_instance(self, fault: str, target: str, excuses: bool) -> None:
         """What befell another one excuses nothing."""
         promise, differs = FAULTS[fault]
-        trouble = Trouble("pause", target, T0 + 0.3, T0 + 0.6)
+        trouble = InjectedFault("pause", target, T0 + 0.3, T0 + 0.6)
         assert (promise not in broken(history(**differs, troubles=[trouble]))) is excuses
 
     def test_nor_for_one_that_was_killed_before_it_recorded_the_request(self) -> None:
@@ -263,7 +266,7 @@
         stream = dataclasses.replace(seen("q1", "/stream/"), **CUT)
         read = row("arrival", "q1", server="i-r")
         places = {"i-r": "llm-prefill-0", "i-w": "llm-decode-1"}
-        killed = Trouble("kill", "llm-decode-1", T0 + 0.5, T0 + 0.9)
+        killed = InjectedFault("kill", "llm-decode-1", T0 + 0.5, T0 + 0.9)
         story = {"seen": [stream], "calm_from": T0 + 9, "places": places}
         promise = "a planned stop cuts nothing"
         found = history(**story, troubles=[STOP, killed], rows=[read])
@@ -305,17 +308,19 @@
 
         curio.run(until_first, server, proxy.run, told)
 
-    @pytest.mark.parametrize("harm", [Harm.SILENT, Harm.CUT_THERE, Harm.CUT_BACK])
-    def test_a_cut_holds_bytes_up_until_it_is_over(self, harm: Harm) -> None:
+    @pytest.mark.parametrize(
+        "harm", [PathFault.SILENT, PathFault.CUT_TO_TARGET, PathFault.CUT_TO_CALLER]
+    )
+    def test_a_cut_holds_bytes_up_until_it_is_over(self, harm: PathFault) -> None:
         """They are delivered then, in order."""
 
         async def story(proxy: Proxy, client: HttpClient) -> None:
             assert (await client.call("GET", "/a")).body == b"/a"
-            proxy.harm = harm
+            proxy.fault = harm
             call = await curio.spawn(client.call, "GET", "/b")
             await curio.sleep(0.3)
             assert not call.terminated
-            proxy.harm = Harm.NONE
+            proxy.fault = PathFault.NONE
             assert (await call.join()).body == b"/b"
 
         self.play(story)
@@ -324,14 +329,14 @@
         """And new ones come up."""
 
         async def story(proxy: Proxy, client: HttpClient) -> None:
-            proxy.harm = Harm.CUT_BACK
+            proxy.fault = PathFault.CUT_TO_CALLER
             call = await curio.spawn(client.call, "GET", "/a")
             await curio.sleep(0.2)
             await proxy.reset()
             with pytest.raises(curio.TaskError) as caught:
                 await call.join()
             assert isinstance(caught.value.__cause__, HttpClosed)
-            proxy.harm = Harm.NONE
+            proxy.fault = PathFault.NONE
             assert (await client.call("GET", "/b")).body == b"/b"
 
         self.play(story)
@@ -388,9 +393,12 @@
         kept = tmp_path / "cases.toml"
         kept.write_text("[[case]]\nseed = 7\nseconds = 3\n[[case]]\nseed = 9\nseconds = 4\n")
         parser = make_parser()
-        assert seeds_of(parser.parse_args(["--cases", str(kept)])) == [(7, 3.0), (9, 4.0)]
-        assert seeds_of(parser.parse_args(["--seed", "5", "--repeat", "2"])) == [(5, 20), (6, 20)]
-        assert seeds_of(parser.parse_args(["--cases", str(CASES)]))
+        assert select_seeds(parser.parse_args(["--cases", str(kept)])) == [(7, 3.0), (9, 4.0)]
+        assert select_seeds(parser.parse_args(["--seed", "5", "--repeat", "2"])) == [
+            (5, 20),
+            (6, 20),
+        ]
+        assert select_seeds(parser.parse_args(["--cases", str(CASES)]))
 
     def test_a_short_run_breaks_nothing(self) -> None:
         """One seed of a few seconds; long runs are made by hand (docs/FAULTS.md)."""
