--- a/src/crankhinge_soak/_check.py
+++ b/src/crankhinge_soak/_check.py
@@ -30,48 +30,48 @@
 from crankhinge_soak._verdict import Verdict, make_verdict
 
 # Seconds: a leaving server gets no new work after; a configuration is in force after.
-LEAVE_S = 2.0
-IN_FORCE_S = 2.0
+LEAVING_GRACE_S = 2.0
+CONFIG_PROPAGATION_S = 2.0
 # What a busy machine may add to a bound, in seconds.
-SLACK_S = 1.0
+BUSY_MACHINE_SLACK_S = 1.0
 # A request that crosses the close of its connection was sent at most this long before, in seconds.
-CROSSING_S = 0.3
+CLOSE_RACE_S = 0.3
 # What a server may get beyond its own word: so many seconds' sum may be this part more, and so many
 # requests.
-LIMIT_WINDOW_S, LIMIT_OVERRUN, LIMIT_SLACK = 4.0, 0.5, 5
+LIMIT_WINDOW_S, LIMIT_OVERRUN_SHARE, LIMIT_SLACK_REQUESTS = 4.0, 0.5, 5
 # Least share of requests that are answered once everything is whole again.
-SERVED = 0.9
-MOST_RUNS = {path: most for path, _, most, _ in ROUTES}
-NOT_RUN_STATUS = (408, 421, 429, 503)
+MIN_SERVED_SHARE = 0.9
+MAX_RUNS = {path: most for path, _, most, _ in ROUTES}
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def check(history: History) -> list[Verdict]:
     """Return a verdict for each promise."""
     checks: dict[str, Callable[[History], tuple[int, list[str]]]] = {
-        "whole answer to its own request": _whole_answers,
-        "no request runs more often than allowed": _runs,
-        "not run is true": _not_run_is_true,
-        "servers run only what callers sent": _asked_for,
-        "a leaving server gets no new work": _leaving,
-        "a planned stop cuts nothing": _planned_stop,
-        "a configuration is in force and never reverts": _configuration,
-        "calls go where the configuration sends them": _routed,
-        "a final answer in time": _in_time,
-        "no engine memory stays tied": _memory,
-        "orders come from one holder of a right": _orders,
-        "served again once all is whole": _recovered,
-        "no process ends by itself": _exits,
-        "servers are told the account and never the key": _accounts,
-        "a key that was taken away runs nothing after its bound": _revoked,
-        "an account's use stays within its limit": _limited,
-        "a server gets no more than it says it takes": _server_limits,
+        "whole answer to its own request": _check_responses,
+        "no request runs more often than allowed": _check_run_counts,
+        "not run is true": _check_not_run_responses,
+        "servers run only what callers sent": _check_runs_were_requested,
+        "a leaving server gets no new work": _check_leaving_servers,
+        "a planned stop cuts nothing": _check_planned_stops,
+        "a configuration is in force and never reverts": _check_config_versions,
+        "calls go where the configuration sends them": _check_routing,
+        "a final answer in time": _check_response_times,
+        "no engine memory stays tied": _check_engine_memory,
+        "orders come from one holder of a right": _check_orders,
+        "served again once all is whole": _check_recovery,
+        "no process ends by itself": _check_exits,
+        "servers are told the account and never the key": _check_accounts,
+        "a key that was taken away runs nothing after its bound": _check_revoked_keys,
+        "an account's use stays within its limit": _check_account_limit,
+        "a server gets no more than it says it takes": _check_server_limits,
         "a server that says it leaves gets no new work": check_leaving_signals,
         "a server that wants rest gets it": check_backoffs,
     }
     return [make_verdict(promise, *look(history)) for promise, look in checks.items()]
 
 
-def _whole_answers(history: History) -> tuple[int, list[str]]:
+def _check_responses(history: History) -> tuple[int, list[str]]:
     answered = [seen for seen in history.seen if seen.status]
     cases = [
         f"{seen.ident} by {seen.gateway}: wrong bytes" for seen in answered if not seen.body_correct
@@ -84,21 +84,21 @@
     return len(answered), cases
 
 
-def _runs(history: History) -> tuple[int, list[str]]:
+def _check_run_counts(history: History) -> tuple[int, list[str]]:
     cases = []
     for ident, rows in history.runs.items():
         seen = history.by_ident.get(ident)
-        if seen is not None and len(rows) > MOST_RUNS[seen.path]:
+        if seen is not None and len(rows) > MAX_RUNS[seen.path]:
             cases.append(f"{ident} on {seen.path}: {len(rows)} runs")
     return len(history.runs), cases
 
 
-def _not_run_is_true(history: History) -> tuple[int, list[str]]:
+def _check_not_run_responses(history: History) -> tuple[int, list[str]]:
     told = [
         seen
         for seen in history.seen
         if seen.from_instance
-        and seen.status in NOT_RUN_STATUS
+        and seen.status in NOT_RUN_STATUSES
         and seen.path in (ONCE_PATH, STREAM_PATH)
     ]
     cases = [
@@ -107,20 +107,24 @@
     return len(told), cases
 
 
-def _asked_for(history: History) -> tuple[int, list[str]]:
+def _check_runs_were_requested(history: History) -> tuple[int, list[str]]:
     known = history.by_ident
     ran = [ident for ident in history.runs if not ident.startswith("p")]
     return len(ran), [f"{ident}: nobody sent it" for ident in ran if ident not in known]
 
 
-def _leaving(history: History) -> tuple[int, list[str]]:
+def _check_leaving_servers(history: History) -> tuple[int, list[str]]:
     leaves = {row["server"]: row["at"] for row in history.rows if row["kind"] == "leaves"}
     cases = []
     for ident, rows in history.arrivals.items():
         seen = history.by_ident.get(ident)
         for row in rows:
             since = leaves.get(row["server"])
-            if seen is None or since is None or row["at"] < since + LEAVE_S + SLACK_S:
+            if (
+                seen is None
+                or since is None
+                or row["at"] < since + LEAVING_GRACE_S + BUSY_MACHINE_SLACK_S
+            ):
                 continue
             path_ok = not history.has_unplanned_fault(
                 [history.places[row["server"]]], row["at"] - FAULT_RECOVERY_S, row["at"]
@@ -130,24 +134,24 @@
     return len(leaves), cases
 
 
-def _planned_stop(history: History) -> tuple[int, list[str]]:
+def _check_planned_stops(history: History) -> tuple[int, list[str]]:
     stops = [t for t in history.troubles if t.kind == "stop" and t.target.startswith("gateway")]
     cases = []
     for stop in stops:
         for seen in history.seen:
             if seen.gateway == stop.target and stop.overlaps(seen.sent, seen.ended):
-                why = _cut_by_stop(history, seen, stop)
+                why = _describe_cut(history, seen, stop)
                 if why:
                     cases.append(f"{seen.ident} by {seen.gateway}: {why}")
     return len(stops), cases
 
 
-def _cut_by_stop(history: History, seen: ObservedRequest, stop: InjectedFault) -> str:
+def _describe_cut(history: History, seen: ObservedRequest, stop: InjectedFault) -> str:
     """Return how a planned stop cut a request; empty when it did not."""
     answered = seen.complete and not (seen.from_instance and seen.status == 502)
     if answered or seen.caller_left or seen.failure.startswith("connect-failed"):
         return ""
-    crossed = seen.ended - seen.sent < CROSSING_S and seen.ident not in history.arrivals
+    crossed = seen.ended - seen.sent < CLOSE_RACE_S and seen.ident not in history.arrivals
     if crossed or history.reached_faulty_server(seen) or history.reached_killed_server(seen):
         return ""
     if history.has_unplanned_fault([seen.gateway], seen.sent - FAULT_RECOVERY_S, seen.ended):
@@ -158,7 +162,7 @@
     )
 
 
-def _configuration(history: History) -> tuple[int, list[str]]:
+def _check_config_versions(history: History) -> tuple[int, list[str]]:
     acknowledged = {version: at for at, version, _ in history.acknowledged}
     highest: dict[tuple[str, int], int] = defaultdict(int)
     cases = []
@@ -172,13 +176,13 @@
         if probe.version <= highest[life]:
             cases.append(f"{probe.gateway}: version {probe.version} after {highest[life]}")
         since = acknowledged[probe.version]
-        late = probe.sent - since - IN_FORCE_S - SLACK_S
+        late = probe.sent - since - CONFIG_PROPAGATION_S - BUSY_MACHINE_SLACK_S
         if late > 0 and history.time_bounds_apply(probe.gateway, since, probe.sent):
             cases.append(f"{probe.gateway}: version {probe.version} {late:.1f} s late")
     return len(history.acknowledged), cases
 
 
-def _routed(history: History) -> tuple[int, list[str]]:
+def _check_routing(history: History) -> tuple[int, list[str]]:
     """Plain calls run at a service that a configuration in force sends them to."""
     cases = []
     tested = 0
@@ -186,11 +190,11 @@
         seen = history.by_ident.get(ident)
         if seen is None or seen.path not in (ONCE_PATH, SAFE_PATH):
             continue
-        begin = seen.sent - IN_FORCE_S - SLACK_S
+        begin = seen.sent - CONFIG_PROPAGATION_S - BUSY_MACHINE_SLACK_S
         if not history.time_bounds_apply(seen.gateway, begin, rows[-1]["at"]):
             continue
         tested += 1
-        allowed = _services_between(history, begin, rows[-1]["at"])
+        allowed = _find_allowed_services(history, begin, rows[-1]["at"])
         cases += [
             f"{ident} by {seen.gateway}: ran at {row['service']}"
             for row in rows
@@ -199,19 +203,19 @@
     return tested, cases
 
 
-def _services_between(history: History, begin: float, end: float) -> set[str]:
+def _find_allowed_services(history: History, begin: float, end: float) -> set[str]:
     """Return the services that plain calls may go to between two times."""
     allowed = set()
     for number, (at, _, service) in enumerate(history.acknowledged):
         following = history.acknowledged[number + 1 :]
         over = following[0][0] if following else float("inf")
         # A change may be in force before its writer has the store's answer.
-        if at - SLACK_S <= end and over >= begin:
+        if at - BUSY_MACHINE_SLACK_S <= end and over >= begin:
             allowed.add(service)
     return allowed
 
 
-def _in_time(history: History) -> tuple[int, list[str]]:
+def _check_response_times(history: History) -> tuple[int, list[str]]:
     cases = [
         f"{seen.ident} by {seen.gateway}: status {seen.status}, no end after "
         f"{seen.ended - seen.sent:.1f} s"
@@ -225,12 +229,12 @@
     return len(history.seen), cases
 
 
-def _memory(history: History) -> tuple[int, list[str]]:
+def _check_engine_memory(history: History) -> tuple[int, list[str]]:
     gone = sum(not seen.complete for seen in history.seen)
     return gone, [f"{name}: {held} tokens" for name, held in history.held.items() if held]
 
 
-def _orders(history: History) -> tuple[int, list[str]]:
+def _check_orders(history: History) -> tuple[int, list[str]]:
     holders: dict[int, set[str]] = defaultdict(set)
     orders = [row for row in history.rows if row["kind"] == "order"]
     for row in orders:
@@ -239,7 +243,7 @@
     return len(orders), cases
 
 
-def _recovered(history: History) -> tuple[int, list[str]]:
+def _check_recovery(history: History) -> tuple[int, list[str]]:
     # Nothing is owed to a key that was taken away, nor above an account's limit.
     calm = [
         seen
@@ -250,7 +254,7 @@
         and seen.account != LIMITED_ACCOUNT
     ]
     served = sum(seen.status == 200 and seen.complete for seen in calm)
-    if calm and served >= SERVED * len(calm):
+    if calm and served >= MIN_SERVED_SHARE * len(calm):
         return len(calm), []
     failed = [
         f"{s.ident}: {s.status} {s.failure}" for s in calm if s.status != 200 or not s.complete
@@ -258,11 +262,11 @@
     return len(calm), [f"{served} of {len(calm)} served", *failed]
 
 
-def _exits(history: History) -> tuple[int, list[str]]:
+def _check_exits(history: History) -> tuple[int, list[str]]:
     return len(history.troubles), history.exits
 
 
-def _accounts(history: History) -> tuple[int, list[str]]:
+def _check_accounts(history: History) -> tuple[int, list[str]]:
     cases = []
     tested = 0
     for ident, rows in history.arrivals.items():
@@ -279,7 +283,7 @@
     return tested, cases
 
 
-def _revoked(history: History) -> tuple[int, list[str]]:
+def _check_revoked_keys(history: History) -> tuple[int, list[str]]:
     """Also at instances that are cut off, paused or told nothing by the store."""
     late = [
         seen
@@ -294,7 +298,7 @@
     return len(late), cases
 
 
-def _limited(history: History) -> tuple[int, list[str]]:
+def _check_account_limit(history: History) -> tuple[int, list[str]]:
     """The sum over all instances in any window, of what was sent and ran in it."""
     allowed = (LIMIT_TOKENS_PER_S * QUOTA_WINDOW_S + LIMIT_BURST_TOKENS) * (
         1 + QUOTA_OVERRUN_SHARE
@@ -314,14 +318,14 @@
     return len(asked), cases
 
 
-def _server_limits(history: History) -> tuple[int, list[str]]:
+def _check_server_limits(history: History) -> tuple[int, list[str]]:
     """The sum over all instances, whatever befell them, in any window after the first word."""
     cases = []
     tested = 0
-    for server, per_s, times in _limited_spans(history):
+    for server, per_s, times in _group_by_advertised_limit(history):
         late = [at for at in times if at >= times[0] + FAULT_RECOVERY_S]
         tested += bool(late)
-        allowed = per_s * LIMIT_WINDOW_S * (1 + LIMIT_OVERRUN) + LIMIT_SLACK
+        allowed = per_s * LIMIT_WINDOW_S * (1 + LIMIT_OVERRUN_SHARE) + LIMIT_SLACK_REQUESTS
         for number, begin in enumerate(late):
             got = sum(at <= begin + LIMIT_WINDOW_S for at in late[number:])
             if got > allowed:
@@ -330,7 +334,7 @@
     return tested, cases
 
 
-def _limited_spans(history: History) -> list[tuple[str, float, list[float]]]:
+def _group_by_advertised_limit(history: History) -> list[tuple[str, float, list[float]]]:
     """Return servers, what they said they take, and when requests came meanwhile."""
     rows = [row for row in history.rows if row["kind"] == "arrival"]
     spans = []
--- a/src/crankhinge_soak/_entries.py
+++ b/src/crankhinge_soak/_entries.py
@@ -26,9 +26,9 @@
 from crankhinge_soak._verdict import Report
 
 SETTLE_S = 12.0
-DRAIN_WAIT_S = 40.0
-PAUSE_S = (0.5, 6.0)
-GAP_S = (0.5, 2.5)
+DRAIN_TIMEOUT_S = 40.0
+PAUSE_DURATION_S = (0.5, 6.0)
+FAULT_GAP_S = (0.5, 2.5)
 
 
 def make_cluster_spec() -> ClusterSpec:
@@ -62,9 +62,9 @@
         self._runner = runner
         self._rng = rng
         self._stop = threading.Event()
-        self._busy: set[str] = set()
+        self._claimed: set[str] = set()
         self._workers: list[threading.Thread] = []
-        self._thread = threading.Thread(target=self._play, daemon=True)
+        self._thread = threading.Thread(target=self._inject_faults, daemon=True)
         self._lock = threading.Lock()
 
     def start(self) -> None:
@@ -78,10 +78,17 @@
         for worker in self._workers:
             worker.join()
 
-    def _play(self) -> None:
-        kinds = [self._kill, self._pause, self._drain, self._platform, self._publish, self._engine]
+    def _inject_faults(self) -> None:
+        kinds = [
+            self._kill,
+            self._pause,
+            self._drain,
+            self._fail_platform,
+            self._publish_bundle,
+            self._fail_engine,
+        ]
         weights = [4, 3, 2, 3, 2, 2]
-        while not self._stop.wait(self._rng.uniform(*GAP_S)):
+        while not self._stop.wait(self._rng.uniform(*FAULT_GAP_S)):
             kind = self._rng.choices(kinds, weights)[0]
             worker = threading.Thread(target=kind, daemon=True)
             worker.start()
@@ -91,21 +98,21 @@
         with self._lock:
             self.counts[kind] = self.counts.get(kind, 0) + 1
 
-    def _take(self, names: list[str]) -> str | None:
+    def _claim(self, names: list[str]) -> str | None:
         """Return a process that no other fault is at, one of its kind left alone."""
         with self._lock:
-            free = [name for name in names if name not in self._busy]
+            free = [name for name in names if name not in self._claimed]
             if len(free) < 2:
                 return None
             name = self._rng.choice(free)
-            self._busy.add(name)
+            self._claimed.add(name)
             return name
 
-    def _give_back(self, name: str) -> None:
+    def _release(self, name: str) -> None:
         with self._lock:
-            self._busy.discard(name)
+            self._claimed.discard(name)
 
-    def _groups(self) -> list[list[str]]:
+    def _group_processes(self) -> list[list[str]]:
         places = self._cluster.places
         pools = {place.pool for place in places}
         groups = [[f"entry-{n}" for n in range(self._cluster.spec.entries)]]
@@ -114,14 +121,14 @@
             groups += [names, [f"backend-{name}" for name in names]]
         return groups
 
-    def _pick(self, *, backends: bool = True) -> str | None:
-        groups = [g for g in self._groups() if backends or not g[0].startswith("backend-")]
+    def _claim_any(self, *, backends: bool = True) -> str | None:
+        groups = [g for g in self._group_processes() if backends or not g[0].startswith("backend-")]
         with self._lock:
             group = self._rng.choice(groups)
-        return self._take(group)
+        return self._claim(group)
 
     def _kill(self) -> None:
-        name = self._pick()
+        name = self._claim_any()
         if name is None:
             return
         self._count("kill-" + re.sub(r"-\d+$", "", name))
@@ -130,31 +137,31 @@
         time.sleep(self._rng.uniform(0.2, 3.0))
         self._cluster.start_again(name)
         time.sleep(1.5)
-        self._give_back(name)
+        self._release(name)
 
     def _pause(self) -> None:
-        name = self._pick()
+        name = self._claim_any()
         if name is None:
             return
         self._count("pause-" + re.sub(r"-\d+$", "", name))
         self.ended += 1
         self._cluster.signal(name, signal.SIGSTOP)
-        time.sleep(self._rng.uniform(*PAUSE_S))
+        time.sleep(self._rng.uniform(*PAUSE_DURATION_S))
         self._cluster.signal(name, signal.SIGCONT)
-        self._give_back(name)
+        self._release(name)
 
     def _drain(self) -> None:
-        name = self._pick(backends=False)
+        name = self._claim_any(backends=False)
         if name is None:
             return
         self._count("drain-" + re.sub(r"-\d+$", "", name))
-        port = self._entry_port(name)
+        port = self._find_entry_port(name)
         if port:
             self._runner.shunned.add(port)
         proc = self._cluster.procs[name]
         at = time.time()
         proc.send_signal(signal.SIGTERM)
-        status = proc.wait(DRAIN_WAIT_S)
+        status = proc.wait(DRAIN_TIMEOUT_S)
         until = time.time()
         self._cluster.procs.pop(name)
         cut = read_drained_count(self._cluster.logs / f"{name}.log")
@@ -166,18 +173,18 @@
         time.sleep(1.5)
         if port:
             self._runner.shunned.discard(port)
-        self._give_back(name)
+        self._release(name)
 
-    def _entry_port(self, name: str) -> int:
+    def _find_entry_port(self, name: str) -> int:
         if not name.startswith("entry-"):
             return 0
         return self._cluster.entry_ports[int(name.removeprefix("entry-"))]
 
-    def _platform(self) -> None:
+    def _fail_platform(self) -> None:
         with self._lock:
-            if "platform" in self._busy:
+            if "platform" in self._claimed:
                 return
-            self._busy.add("platform")
+            self._claimed.add("platform")
         fault: dict[str, Any] = self._rng.choice(
             [{"down": True}, {"delay_s": 1.5}, {"lose_answers": True}]
         )
@@ -186,13 +193,13 @@
         self._cluster.faults(port, **fault)
         time.sleep(self._rng.uniform(1.0, 10.0))
         self._cluster.faults(port, down=False, delay_s=0.0, lose_answers=False)
-        self._give_back("platform")
+        self._release("platform")
 
-    def _engine(self) -> None:
+    def _fail_engine(self) -> None:
         places = [place for place in self._cluster.places if place.kind != "plain"]
         place = self._rng.choice(places)
         fault: dict[str, Any] = self._rng.choice([{"slow": 4.0}, {"stall": True}, {"refuse": True}])
-        if self._take([f"backend-{p.name}" for p in places if p.pool == place.pool]) is None:
+        if self._claim([f"backend-{p.name}" for p in places if p.pool == place.pool]) is None:
             return
         self._count("engine-" + next(iter(fault)))
         try:
@@ -202,14 +209,14 @@
         except OSError:
             pass
         for other in places:
-            self._give_back(f"backend-{other.name}")
+            self._release(f"backend-{other.name}")
 
-    def _publish(self) -> None:
+    def _publish_bundle(self) -> None:
         """Two operators race with the next version."""
         with self._lock:
-            if "bundle" in self._busy:
+            if "bundle" in self._claimed:
                 return
-            self._busy.add("bundle")
+            self._claimed.add("bundle")
         try:
             version = self._cluster.version + 1
             won = self._cluster.race(version)
@@ -217,7 +224,7 @@
                 self._count("publish")
                 self.published.append((time.time(), version))
         finally:
-            self._give_back("bundle")
+            self._release("bundle")
 
 
 def run_seed(seed: int, seconds: float, logs: Path | None) -> Report:
--- a/src/crankhinge_soak/_entries_check.py
+++ b/src/crankhinge_soak/_entries_check.py
@@ -75,37 +75,37 @@
     ended: int
 
 
-LEAVING_S = 3.0
-FREED_S = 8.0
-IN_FORCE_S = 5.0
+LEAVING_GRACE_S = 3.0
+MEMORY_RELEASE_S = 8.0
+BUNDLE_PROPAGATION_S = 5.0
 
 
 def check(history: History) -> list[Verdict]:
     """Return a verdict for each promise."""
     return [
-        _memory_freed(history),
-        _answered_once(history),
-        _whole_answers(history),
-        _not_run_is_true(history),
-        _at_most_once(history),
-        _leaving_gets_nothing(history),
-        _planned_stop_cuts_nothing(history),
-        _bundle_in_force(history),
+        _check_memory_freed(history),
+        _check_answered_once(history),
+        _check_responses(history),
+        _check_not_run_responses(history),
+        _check_at_most_once(history),
+        _check_leaving_servers(history),
+        _check_planned_stops(history),
+        _check_bundle_versions(history),
     ]
 
 
-def _memory_freed(history: History) -> Verdict:
+def _check_memory_freed(history: History) -> Verdict:
     gone = sum(seen.cancelled or not seen.whole for seen in history.outcomes)
     cases = [f"{name}: {held} held" for name, held in history.held.items() if held]
     ends = {row["prompt"]: row["at"] for row in history.work if row["kind"] == "end"}
     for seen in history.outcomes:
         end = ends.get(zlib.crc32(seen.arrival.prompt.encode()), 0.0)
-        if seen.gone and end - seen.gone > FREED_S:
+        if seen.gone and end - seen.gone > MEMORY_RELEASE_S:
             cases.append(f"{seen.ident}: held {end - seen.gone:.1f} s after its caller went")
     return make_verdict("no engine memory stays tied", gone + history.ended, cases)
 
 
-def _answered_once(history: History) -> Verdict:
+def _check_answered_once(history: History) -> Verdict:
     """Each identity is answered once: no two answers to one call carry different runs."""
     repeated = [seen for seen in history.outcomes if seen.arrival.path and seen.sent > 1]
     runs = Counter(run["key"] for run in history.runs if run["key"])
@@ -113,13 +113,13 @@
     return make_verdict("no request is answered twice", len(repeated), cases)
 
 
-def _whole_answers(history: History) -> Verdict:
+def _check_responses(history: History) -> Verdict:
     answered = [seen for seen in history.outcomes if seen.whole or seen.tokens]
     cases = [f"{seen.ident}: wrong tokens" for seen in answered if seen.wrong]
     return make_verdict("whole answer to its own request", len(answered), cases)
 
 
-def _not_run_is_true(history: History) -> Verdict:
+def _check_not_run_responses(history: History) -> Verdict:
     told = [s for s in history.outcomes if not s.whole and s.outcome == NOT_RUN]
     keys = {run["key"] for run in history.runs}
     prompts = {row["prompt"] for row in history.work if row["kind"] != "end"}
@@ -134,13 +134,13 @@
     return make_verdict("not run is true", len(told), cases)
 
 
-def _at_most_once(history: History) -> Verdict:
+def _check_at_most_once(history: History) -> Verdict:
     runs = Counter(run["key"] for run in history.runs if run["key"])
     cases = [f"{key}: {count} runs" for key, count in runs.items() if count > 1]
     return make_verdict("non-repeatable runs at most once", len(runs), cases)
 
 
-def _leaving_gets_nothing(history: History) -> Verdict:
+def _check_leaving_servers(history: History) -> Verdict:
     rows = [row for row in history.work + history.runs if row.get("kind") != "end"]
     drains = [drain for drain in history.drains if drain.backend]
     cases = []
@@ -148,13 +148,14 @@
         late = [
             row
             for row in rows
-            if row["place"] == drain.backend and drain.at + LEAVING_S < row["at"] < drain.until
+            if row["place"] == drain.backend
+            and drain.at + LEAVING_GRACE_S < row["at"] < drain.until
         ]
         cases += [f"{drain.name}: work {row['at'] - drain.at:.1f} s after" for row in late]
     return make_verdict("a leaving server gets no new work", len(drains), cases)
 
 
-def _planned_stop_cuts_nothing(history: History) -> Verdict:
+def _check_planned_stops(history: History) -> Verdict:
     cases = [
         f"{drain.name}: status {drain.status}, cut {drain.cut}"
         for drain in history.drains
@@ -163,7 +164,7 @@
     return make_verdict("a planned stop cuts nothing", len(history.drains), cases)
 
 
-def _bundle_in_force(history: History) -> Verdict:
+def _check_bundle_versions(history: History) -> Verdict:
     """No process goes back; each that lives through the bound has each bundle in force by then."""
     cases = []
     for seen in history.bundles:
@@ -186,6 +187,6 @@
             if not seen.versions or seen.versions[0][0] > at:
                 continue
             times = [when for when, has in seen.versions if has >= version]
-            if times and times[0] - at > IN_FORCE_S:
+            if times and times[0] - at > BUNDLE_PROPAGATION_S:
                 late.append((seen.process, version, times[0] - at))
     return late
--- a/src/crankhinge_soak/_entries_evidence.py
+++ b/src/crankhinge_soak/_entries_evidence.py
@@ -11,8 +11,8 @@
 from crankhinge_bench._procs import http_json
 from crankhinge_soak._entries_check import BundleSeen
 
-HELD_S = 15.0
-IN_FORCE = re.compile(r"ts=(\S+) .*event=bundle_in_force .*version=(\d+) digest=(\w+)")
+MEMORY_RELEASE_TIMEOUT_S = 15.0
+BUNDLE_IN_FORCE_LINE = re.compile(r"ts=(\S+) .*event=bundle_in_force .*version=(\d+) digest=(\w+)")
 
 
 def read_drained_count(log: Path) -> int | None:
@@ -31,7 +31,7 @@
             if "event=started" in line:
                 start = BundleSeen(process=name, versions=[])
                 seen.append(start)
-            match = IN_FORCE.search(line)
+            match = BUNDLE_IN_FORCE_LINE.search(line)
             if match and start is not None:
                 when = datetime.fromisoformat(match[1]).timestamp()
                 start.versions.append((when, int(match[2])))
@@ -41,7 +41,7 @@
 
 def wait_until_freed(cluster: Cluster) -> dict[str, int]:
     """Return what each engine holds once it holds nothing, or after a bound."""
-    until = time.monotonic() + HELD_S
+    until = time.monotonic() + MEMORY_RELEASE_TIMEOUT_S
     while True:
         held = {}
         for place in cluster.places:
--- a/src/crankhinge_soak/_fleet.py
+++ b/src/crankhinge_soak/_fleet.py
@@ -19,19 +19,24 @@
 from crankhinge_soak._skewed import CLOCK
 from crankhinge_standins import operator
 
-GATEWAYS = 3
+GATEWAY_COUNT = 3
 # Backend servers: service, phase, how many.
-SERVERS = (("plain-a", "", 2), ("plain-b", "", 2), ("llm", "prefill", 2), ("llm", "decode", 3))
-BEAT_S = 0.4
+SERVER_GROUPS = (
+    ("plain-a", "", 2),
+    ("plain-b", "", 2),
+    ("llm", "prefill", 2),
+    ("llm", "decode", 3),
+)
+HEARTBEAT_S = 0.4
 DRAIN_S = 8
 # Seconds for which the store remembers changes; the users' remembers 20.
-HISTORY_S = 6.0
+STORE_HISTORY_S = 6.0
 # What the last instance's path to the store carries, in bytes a second (5 Mbit/s), and the routes
 # that make a configuration large: 0.83 MB as the store gives it, so 1.33 s on that path. One that
 # comes while another is read is in force after two reads: 2.7 s of the 3 s that are allowed.
-THIN_B_S = 625_000
-LARGE_ROUTES = 2770
-CALL_S = 2.0
+SLOW_PATH_BYTES_PER_S = 625_000
+LARGE_CONFIG_EXTRA_ROUTES = 2770
+CALL_TIMEOUT_S = 2.0
 # The routes that callers use: path, kind, most servers, whether it may be resumed.
 ONCE_PATH, SAFE_PATH, STREAM_PATH, RESUMED_PATH = "/once/", "/safe/", "/stream/", "/resumed/"
 ROUTES = (
@@ -42,15 +47,15 @@
 )
 STREAM_PATHS = (STREAM_PATH, RESUMED_PATH)
 # The others, which tell which version is in force, are asked for without a key.
-KEYED = (ONCE_PATH, SAFE_PATH, STREAM_PATH, RESUMED_PATH)
-TIMEOUT_S = 6.0
+KEYED_PATHS = (ONCE_PATH, SAFE_PATH, STREAM_PATH, RESUMED_PATH)
+ROUTE_TIMEOUT_S = 6.0
 # The client accounts: one without a limit, whose keys are taken away, and one that asks for more
 # than it may. Seconds after which a key that was taken away runs nothing; what the limit allows.
 UNLIMITED_ACCOUNT, LIMITED_ACCOUNT = "free", "limited"
 REVOKE_S = 5.0
 LIMIT_TOKENS_PER_S, LIMIT_BURST_TOKENS, PLAIN_REQUEST_TOKENS = 1000, 3000, 200
 QUOTA_WINDOW_S, QUOTA_OVERRUN_SHARE, QUOTA_SLACK_TOKENS = 8, 0.1, 4000
-ENGINE = operator.engine(slots=8, kv_tokens=12000)
+ENGINE_CAPACITY = operator.engine(slots=8, kv_tokens=12000)
 
 
 def version_path(version: int) -> str:
@@ -118,17 +123,17 @@
 
     def __post_init__(self) -> None:
         super().__init__(self.logs_at)
-        ports = iter(free_ports(1 + 5 * GATEWAYS + 2 * sum(row[2] for row in SERVERS)))
+        ports = iter(free_ports(1 + 5 * GATEWAY_COUNT + 2 * sum(row[2] for row in SERVER_GROUPS)))
         self.store_port = next(ports)
         self.gateways = []
-        for number in range(GATEWAYS):
+        for number in range(GATEWAY_COUNT):
             port, ready, peer = next(ports), next(ports), next(ports)
             front = Proxy(next(ports), port)
-            thin = THIN_B_S if number == GATEWAYS - 1 else 0
+            thin = SLOW_PATH_BYTES_PER_S if number == GATEWAY_COUNT - 1 else 0
             store = Proxy(next(ports), self.store_port, thin)
             self.gateways.append(Gateway(f"gateway-{number}", port, ready, peer, front, store))
         self.places = []
-        for service, phase, count in SERVERS:
+        for service, phase, count in SERVER_GROUPS:
             for number in range(count):
                 port = next(ports)
                 name = f"{service}-{phase or 'one'}-{number}"
@@ -144,7 +149,7 @@
     def start(self) -> None:
         """Start the store and everything else."""
         self.run("store", "crankhinge_standins.main", "store", "--port", str(self.store_port),
-                 "--beat-s", str(BEAT_S), "--history-s", str(HISTORY_S))  # fmt: skip
+                 "--beat-s", str(HEARTBEAT_S), "--history-s", str(STORE_HISTORY_S))  # fmt: skip
         self.wait_for_ports([self.store_port])
         for place in self.places:
             self.start_server(place)
@@ -154,7 +159,7 @@
     def start_server(self, place: Place, *, silent_leave: bool = False) -> None:
         """Start a new life of a backend server."""
         args = ["replica", "--port", str(place.port), "--shown", f"{HOST}:{place.proxy.port}"]
-        args += ["--service", place.service, "--phase", place.role, "--beat-s", str(BEAT_S)]
+        args += ["--service", place.service, "--phase", place.role, "--beat-s", str(HEARTBEAT_S)]
         args += ["--store", f"{HOST}:{self.store_port}", "--record", str(self.record_file)]
         args += ["--place", place.name]
         args += ["--silent-leave"] if silent_leave else []
@@ -168,7 +173,7 @@
     def is_listening(self, gateway: Gateway) -> bool:
         """Whether an instance has started."""
         try:
-            socket.create_connection((HOST, gateway.ready_port), timeout=CALL_S).close()
+            socket.create_connection((HOST, gateway.ready_port), timeout=CALL_TIMEOUT_S).close()
         except OSError:
             return False
         return True
@@ -215,7 +220,7 @@
 
     def toggle_config_size(self) -> None:
         """Make the configurations from now on large, or small again."""
-        self.extra_routes = 0 if self.extra_routes else LARGE_ROUTES
+        self.extra_routes = 0 if self.extra_routes else LARGE_CONFIG_EXTRA_ROUTES
 
     async def publish(self, *, switch_service: bool = False, revoke_key: bool = False) -> None:
         """Write the next configuration.
@@ -230,16 +235,18 @@
             self.keys.append(f"key-{self.version}")
         if switch_service:
             self.plain_service = "plain-b" if self.plain_service == "plain-a" else "plain-a"
-        routes = [_route(path, kind, most, resumed, self._service_of(path))
+        routes = [_make_route(path, kind, most, resumed, self._service_for(path))
                   for path, kind, most, resumed in ROUTES]  # fmt: skip
         known = range(1, self.version + 1)
-        routes += [_route(version_path(n), "safe", 2, False, self.plain_service) for n in known]
         routes += [
-            _route(f"/more-{n}/", "safe", 2, False, self.plain_service)
+            _make_route(version_path(n), "safe", 2, False, self.plain_service) for n in known
+        ]
+        routes += [
+            _make_route(f"/more-{n}/", "safe", 2, False, self.plain_service)
             for n in range(self.extra_routes)
         ]
         services = [operator.service(name) for name in ("plain-a", "plain-b")]
-        services.append(operator.service("llm", ENGINE))
+        services.append(operator.service("llm", ENGINE_CAPACITY))
         tenants = [
             operator.account(UNLIMITED_ACCOUNT, self.keys[-1], plain_tokens=PLAIN_REQUEST_TOKENS),
             operator.account(
@@ -257,7 +264,7 @@
         if gone:
             self.revoked[gone] = time.time()
 
-    def _service_of(self, path: str) -> str:
+    def _service_for(self, path: str) -> str:
         return "llm" if path in STREAM_PATHS else self.plain_service
 
     async def set_faults(self, port: int, **faults: Any) -> bool:
@@ -268,7 +275,7 @@
         client = HttpClient(HOST, port)
         try:
             resp = await curio.timeout_after(
-                CALL_S, lambda: client.call("PUT", target, body=body, fresh=True)
+                CALL_TIMEOUT_S, lambda: client.call("PUT", target, body=body, fresh=True)
             )
         except (HttpClosed, BadHttp, curio.TaskTimeout):
             # A stand-in that was just killed, or a store that is down; the caller decides.
@@ -278,15 +285,15 @@
         return bool(resp.status == 200)
 
 
-def _route(path: str, kind: str, most: int, resumed: bool, service: str) -> dict[str, Any]:
+def _make_route(path: str, kind: str, most: int, resumed: bool, service: str) -> dict[str, Any]:
     return operator.route(
         path.strip("/"),
         path,
         kind,
         service,
-        timeout_ms=TIMEOUT_S * 1000,
+        timeout_ms=ROUTE_TIMEOUT_S * 1000,
         max_attempts=most,
         resumable=resumed,
         sticky=kind == "streaming",
-        anonymous=path not in KEYED,
+        anonymous=path not in KEYED_PATHS,
     )
--- a/src/crankhinge_soak/_history.py
+++ b/src/crankhinge_soak/_history.py
@@ -13,7 +13,7 @@
 # Seconds without trouble after which bounds in time hold again.
 FAULT_RECOVERY_S = 3.0
 # How the names of places begin that serve streams and plain calls, and what marks those that read.
-ENGINES, PLAIN, READER = "llm", "plain", "prefill"
+ENGINE_PREFIX, PLAIN_PREFIX, PREFILL_MARK = "llm", "plain", "prefill"
 
 
 @dataclass
@@ -90,9 +90,9 @@
         Its prompt may have been read elsewhere, which is recorded.
         """
         reached = [self.places.get(row["server"], "") for row in self.arrivals.get(seen.ident, ())]
-        if any(READER not in name for name in reached):
+        if any(PREFILL_MARK not in name for name in reached):
             return False
-        service = ENGINES if seen.path in STREAM_PATHS else PLAIN
+        service = ENGINE_PREFIX if seen.path in STREAM_PATHS else PLAIN_PREFIX
         return any(
             trouble.kind == "kill"
             and trouble.target.startswith(service)
--- a/src/crankhinge_soak/_proxy.py
+++ b/src/crankhinge_soak/_proxy.py
@@ -14,11 +14,11 @@
 from crankhinge_bench._procs import HOST
 
 RECV_BYTES = 65536
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 # How often a held-up direction looks whether the path is whole again, in seconds.
-POLL_S = 0.02
+FAULT_POLL_S = 0.02
 # Seconds that a slow path adds to each piece.
-DELAY_S = 0.15
+SLOW_PATH_DELAY_S = 0.15
 
 
 class PathFault(enum.Enum):
@@ -57,7 +57,9 @@
 
     async def run(self) -> None:
         """Carry connections until cancelled."""
-        await serve_tcp(HOST, self.port, self._carry, log=get_log(program="soak-proxy"))
+        await serve_tcp(
+            HOST, self.port, self._forward_connection, log=get_log(program="soak-proxy")
+        )
 
     async def reset(self) -> None:
         """Reset every connection, in both directions."""
@@ -67,11 +69,11 @@
             with contextlib.suppress(OSError):
                 sock._socket.shutdown(socket.SHUT_RD)
 
-    async def _carry(self, near: Any, _addr: Any) -> None:
+    async def _forward_connection(self, near: Any, _addr: Any) -> None:
         while self.fault in (PathFault.SILENT, PathFault.CUT_TO_TARGET):
-            await curio.sleep(POLL_S)
+            await curio.sleep(FAULT_POLL_S)
         try:
-            far = await open_tcp(HOST, self._target, CONNECT_S)
+            far = await open_tcp(HOST, self._target, CONNECT_TIMEOUT_S)
         except OSError:
             # A process that is down resets whoever connects.
             _reset_on_close(near)
@@ -79,13 +81,13 @@
         self._socks |= {near, far}
         try:
             async with far, curio.TaskGroup() as group:
-                await group.spawn(self._pump, near, far, PathFault.CUT_TO_TARGET)
-                await group.spawn(self._pump, far, near, PathFault.CUT_TO_CALLER)
+                await group.spawn(self._forward_bytes, near, far, PathFault.CUT_TO_TARGET)
+                await group.spawn(self._forward_bytes, far, near, PathFault.CUT_TO_CALLER)
         finally:
             self._socks -= {near, far}
             self._muted -= {near, far}
 
-    async def _pump(self, source: Any, sink: Any, cut: PathFault) -> None:
+    async def _forward_bytes(self, source: Any, sink: Any, cut: PathFault) -> None:
         """Carry one direction until its end; *cut* is the harm that holds it up."""
         while True:
             try:
@@ -100,9 +102,9 @@
             if self._bytes_per_s and cut is PathFault.CUT_TO_CALLER:
                 await curio.sleep(len(data) / self._bytes_per_s)
             if self.fault is PathFault.SLOW:
-                await curio.sleep(DELAY_S)
+                await curio.sleep(SLOW_PATH_DELAY_S)
             while self.fault in (PathFault.SILENT, cut) and sink in self._socks:
-                await curio.sleep(POLL_S)
+                await curio.sleep(FAULT_POLL_S)
             if sink not in self._socks:
                 # It was reset: a proper end would come before the reset.
                 return
--- a/src/crankhinge_soak/_verdict.py
+++ b/src/crankhinge_soak/_verdict.py
@@ -5,7 +5,7 @@
 import msgspec
 
 # Cases of one promise that are told.
-EXAMPLES = 5
+MAX_EXAMPLES = 5
 
 
 class Verdict(msgspec.Struct, kw_only=True):
@@ -53,7 +53,7 @@
 
 def make_verdict(invariant: str, tested: int, cases: list[str]) -> Verdict:
     """Return the verdict on a promise that was broken in *cases*."""
-    return Verdict(promise=invariant, tested=tested, broken=len(cases), detail=cases[:EXAMPLES])
+    return Verdict(promise=invariant, tested=tested, broken=len(cases), detail=cases[:MAX_EXAMPLES])
 
 
 def render(report: Report) -> str:
--- a/src/crankhinge_soak/main.py
+++ b/src/crankhinge_soak/main.py
@@ -27,10 +27,10 @@
 # Seconds: without faults at the beginning; until everything has found its place after the last
 # fault (a paused instance's lease and the list's doubt of lapsed entries are over by then, and an
 # engine that was ordered plays its part); calm that is judged; until memory is free at the end.
-WARM_S = 1.5
+WARM_UP_S = 1.5
 SETTLE_S = 6.0
-CALM_S = 4.0
-FREED_S = 4.0
+FAULT_FREE_S = 4.0
+MEMORY_RELEASE_S = 4.0
 
 
 def run_seed(
@@ -43,8 +43,8 @@
     try:
         fleet.start()
         load, faults = LoadGenerator(fleet, seed), FaultInjector(fleet, seed, kinds)
-        calm_from = curio.run(_play, fleet, load, faults, seconds)
-        history = _history(fleet, load, faults, calm_from)
+        calm_from = curio.run(_run_under_load, fleet, load, faults, seconds)
+        history = _collect_history(fleet, load, faults, calm_from)
     finally:
         fleet.stop()
     counts: dict[str, int] = {}
@@ -60,7 +60,9 @@
     )
 
 
-async def _play(fleet: Fleet, load: LoadGenerator, faults: FaultInjector, seconds: float) -> float:
+async def _run_under_load(
+    fleet: Fleet, load: LoadGenerator, faults: FaultInjector, seconds: float
+) -> float:
     """Play a seed; returns the wall clock from which all was whole."""
     async with curio.TaskGroup() as paths:
         for proxy in fleet.proxies():
@@ -68,19 +70,21 @@
         await fleet.publish()
         async with curio.TaskGroup() as group:
             await group.spawn(load.run)
-            await curio.sleep(WARM_S)
+            await curio.sleep(WARM_UP_S)
             await fleet.publish(revoke_key=True)
             await faults.run(seconds)
             await curio.sleep(SETTLE_S)
             calm_from = time.time()
-            await curio.sleep(CALM_S)
+            await curio.sleep(FAULT_FREE_S)
             load.stop()
-        await curio.sleep(FREED_S)
+        await curio.sleep(MEMORY_RELEASE_S)
         await paths.cancel_remaining()
     return calm_from
 
 
-def _history(fleet: Fleet, load: LoadGenerator, faults: FaultInjector, calm_from: float) -> History:
+def _collect_history(
+    fleet: Fleet, load: LoadGenerator, faults: FaultInjector, calm_from: float
+) -> History:
     rows = fleet.read_records()
     engines = [place for place in fleet.places if place.role]
     return History(
@@ -90,14 +94,14 @@
         troubles=faults.played,
         acknowledged=fleet.acknowledged,
         places={row["server"]: row["place"] for row in rows if row["kind"] == "born"},
-        held={place.name: _held(place.port) for place in engines},
+        held={place.name: _read_held_tokens(place.port) for place in engines},
         calm_from=calm_from,
         exits=faults.exits + fleet.ended_gateways(),
         revoked=fleet.revoked,
     )
 
 
-def _held(port: int) -> int:
+def _read_held_tokens(port: int) -> int:
     """Return the memory that is tied at an engine, in tokens."""
     held: dict[str, int] = http_json("GET", port, "/held")
     return held["held"]
--- a/src/crankhinge_standins/_model.py
+++ b/src/crankhinge_standins/_model.py
@@ -5,7 +5,7 @@
 import zlib
 from typing import Any
 
-VOCABULARY = 5000
+VOCABULARY_SIZE = 5000
 
 
 def extract_context(body: dict[str, Any]) -> str:
@@ -20,7 +20,7 @@
 
 def next_token(state: int) -> tuple[str, int]:
     """Return the token that follows, and the state after it."""
-    token = f" w{state % VOCABULARY}"
+    token = f" w{state % VOCABULARY_SIZE}"
     return token, zlib.crc32(token.encode(), state)
 
 
--- a/src/crankhinge_standins/_web.py
+++ b/src/crankhinge_standins/_web.py
@@ -20,7 +20,7 @@
     await exchange.respond(status, msgspec.json.encode(value))
 
 
-async def _on_bad(exchange: Exchange, exc: BadHttp) -> None:
+async def _reject(exchange: Exchange, exc: BadHttp) -> None:
     await reply(exchange, {"error": exc.detail}, exc.status)
 
 
@@ -86,4 +86,4 @@
         await handler(exchange)
 
     limits = HttpLimits(body_bytes=16 * 1024 * 1024, idle_s=3600.0)
-    await serve_http(host, port, handle, on_bad=_on_bad, log=log, limits=limits)
+    await serve_http(host, port, handle, on_bad=_reject, log=log, limits=limits)
--- a/src/crankhinge_standins/engine.py
+++ b/src/crankhinge_standins/engine.py
@@ -23,7 +23,7 @@
 from crankhinge_standins._web import Faults, Recorder, reply, serve
 
 BLOCK_WORDS = 64
-SSE_HEAD = {"content-type": "text/event-stream", "transfer-encoding": "chunked"}
+SSE_HEADERS = {"content-type": "text/event-stream", "transfer-encoding": "chunked"}
 
 
 @dataclass
@@ -63,25 +63,25 @@
     weights: str = ""
 
 
-class Gone(CrankhingeError):
+class ClientGone(CrankhingeError):
     """The client closed its connection."""
 
 
 @dataclass
-class _Running:
+class _RunningRequest:
     """A request in memory."""
 
     state: int
-    left: int
-    gone: bool = False
+    tokens_left: int
+    client_gone: bool = False
     tokens: list[str] = field(default_factory=list)
 
 
 @dataclass
-class _Kv:
+class _KvCache:
     tokens: int
-    computed: int
-    expires: float
+    computed_tokens: int
+    expires_at: float
 
 
 @dataclass
@@ -111,16 +111,16 @@
         self._recorder = Recorder(cfg.record)
         self.runs: list[dict[str, Any]] = []
         self.adapters: set[str] = set()
-        self._token = 0
+        self._fencing_token = 0
         self._rng = random.Random(seed)
-        self._running: list[_Running] = []
-        self._step = curio.Event()
+        self._running: list[_RunningRequest] = []
+        self._step_done = curio.Event()
         self._slots = curio.Semaphore(cfg.slots)
-        self._reader = curio.Lock()
-        self._kv: dict[str, _Kv] = {}
-        self._cache: OrderedDict[int, None] = OrderedDict()
+        self._prefill_lock = curio.Lock()
+        self._kv_caches: dict[str, _KvCache] = {}
+        self._prefix_cache: OrderedDict[int, None] = OrderedDict()
         self._link_free_at = 0.0
-        self._reported = (0, 0)
+        self._reported_load = (0, 0)
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -130,14 +130,14 @@
 
     async def _report_loop(self) -> None:
         while True:
-            self._reported = (len(self._running), self.stats.waiting)
+            self._reported_load = (len(self._running), self.stats.waiting)
             await self._expire_kv()
             await curio.sleep(self.cfg.load_lag_s)
 
     async def _expire_kv(self) -> None:
         now = await curio.clock()
-        for handle in [h for h, kv in self._kv.items() if kv.expires <= now]:
-            self.stats.wasted_tokens += self._kv.pop(handle).computed
+        for handle in [h for h, kv in self._kv_caches.items() if kv.expires_at <= now]:
+            self.stats.wasted_tokens += self._kv_caches.pop(handle).computed_tokens
 
     async def _step_loop(self) -> None:
         while True:
@@ -146,12 +146,12 @@
             pause = cfg.step_s + cfg.step_per_request_s * max(0, batch - 1)
             await curio.sleep(pause * self.faults.slow)
             for run in self._running:
-                if run.left > 0 and not run.gone:
+                if run.tokens_left > 0 and not run.client_gone:
                     token, run.state = next_token(run.state)
                     run.tokens.append(token)
-                    run.left -= 1
+                    run.tokens_left -= 1
                     self.stats.decoded_tokens += 1
-            event, self._step = self._step, curio.Event()
+            event, self._step_done = self._step_done, curio.Event()
             await event.set()
 
     async def _handle(self, exchange: Exchange) -> None:
@@ -159,25 +159,25 @@
         if self.faults.down:
             raise HttpClosed("down")
         if path in ("/v1/completions", "/v1/chat/completions"):
-            await self._complete(exchange)
+            await self._handle_completion(exchange)
         elif path == "/v1/load_lora_adapter":
             await self._load_adapter(exchange)
         elif path.startswith("/kv/"):
-            await self._export(exchange, path.removeprefix("/kv/"))
+            await self._export_kv_cache(exchange, path.removeprefix("/kv/"))
         elif path == "/metrics":
-            running, waiting = self._reported
+            running, waiting = self._reported_load
             text = f"vllm:num_requests_running {running}\nvllm:num_requests_waiting {waiting}\n"
             await exchange.respond(200, text.encode(), {"content-type": "text/plain"})
         elif path == "/stats":
             self.stats.running = len(self._running)
-            self.stats.kv_held = len(self._kv)
+            self.stats.kv_held = len(self._kv_caches)
             await reply(exchange, self.stats)
         elif path == "/runs":
             await reply(exchange, self.runs)
         else:
             await reply(exchange, {"error": "no such path"}, 404)
 
-    async def _complete(self, exchange: Exchange) -> None:
+    async def _handle_completion(self, exchange: Exchange) -> None:
         body = msgspec.json.decode(exchange.req.body)
         if body["model"] != self.cfg.model and body["model"] not in self.adapters:
             await reply(exchange, {"error": "no such model"}, 404)
@@ -195,10 +195,10 @@
         """Take a fenced order to load an adapter from the weight store."""
         order = msgspec.json.decode(exchange.req.body)
         token = int(exchange.req.headers.get("x-fencing-token", "0"))
-        if token < self._token:
+        if token < self._fencing_token:
             await reply(exchange, {"error": "outdated token"}, 409)
             return
-        self._token = token
+        self._fencing_token = token
         name = order["lora_name"]
         version = exchange.req.headers.get("x-adapter-version", "")
         self._recorder.write(kind="load", name=name, version=version, token=token)
@@ -212,16 +212,18 @@
     async def _prefill(self, exchange: Exchange, body: dict[str, Any]) -> None:
         words = extract_context(body).split(" ")
         self._recorder.write(kind="prefill", prompt=zlib.crc32(extract_context(body).encode()))
-        async with self._reader:
-            cached = self._cached(words)
+        async with self._prefill_lock:
+            cached = self._count_cached_tokens(words)
             todo = max(1, len(words) - cached)
             await curio.sleep(todo / self.cfg.prefill_rate * self.faults.slow)
-            self._remember(words)
+            self._cache_prefix(words)
         self.stats.prefills += 1
         self.stats.prefill_tokens += todo
         self.stats.cached_tokens += cached
         handle = f"{self._rng.getrandbits(64):016x}"
-        self._kv[handle] = _Kv(len(words), todo, await curio.clock() + self.cfg.kv_life_s)
+        self._kv_caches[handle] = _KvCache(
+            len(words), todo, await curio.clock() + self.cfg.kv_life_s
+        )
         answer = {
             "kv_transfer_params": {
                 "remote_block_ids": [handle],
@@ -236,10 +238,10 @@
         try:
             await reply(exchange, answer)
         except HttpClosed:
-            self.stats.wasted_tokens += self._kv.pop(handle).computed
+            self.stats.wasted_tokens += self._kv_caches.pop(handle).computed_tokens
             raise
 
-    def _blocks(self, words: list[str]) -> list[int]:
+    def _hash_blocks(self, words: list[str]) -> list[int]:
         blocks = []
         state = 0
         for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
@@ -247,25 +249,25 @@
             blocks.append(state)
         return blocks
 
-    def _cached(self, words: list[str]) -> int:
+    def _count_cached_tokens(self, words: list[str]) -> int:
         found = 0
-        for block in self._blocks(words):
-            if block not in self._cache:
+        for block in self._hash_blocks(words):
+            if block not in self._prefix_cache:
                 break
             found += BLOCK_WORDS
         return found
 
-    def _remember(self, words: list[str]) -> None:
-        for block in self._blocks(words):
-            self._cache[block] = None
-            self._cache.move_to_end(block)
-        while len(self._cache) > self.cfg.cache_blocks:
-            self._cache.popitem(last=False)
+    def _cache_prefix(self, words: list[str]) -> None:
+        for block in self._hash_blocks(words):
+            self._prefix_cache[block] = None
+            self._prefix_cache.move_to_end(block)
+        while len(self._prefix_cache) > self.cfg.cache_blocks:
+            self._prefix_cache.popitem(last=False)
 
-    async def _export(self, exchange: Exchange, handle: str) -> None:
-        kv = self._kv.get(handle)
+    async def _export_kv_cache(self, exchange: Exchange, handle: str) -> None:
+        kv = self._kv_caches.get(handle)
         now = await curio.clock()
-        if kv is None or kv.expires <= now:
+        if kv is None or kv.expires_at <= now:
             await reply(exchange, {"error": "expired"}, 404)
             return
         while self.faults.stall:
@@ -274,40 +276,42 @@
             took = kv.tokens * self.cfg.kv_bytes_per_token / self.cfg.link_bytes_per_s
             self._link_free_at = max(now, self._link_free_at) + took
             await curio.sleep(self._link_free_at - now)
-        if self._kv.pop(handle, None) is None:
+        if self._kv_caches.pop(handle, None) is None:
             await reply(exchange, {"error": "expired"}, 404)
             return
-        await reply(exchange, {"tokens": kv.tokens, "computed": kv.computed})
+        await reply(exchange, {"tokens": kv.tokens, "computed": kv.computed_tokens})
 
     async def _decode(
         self, exchange: Exchange, body: dict[str, Any], params: dict[str, Any]
     ) -> None:
         self.stats.waiting += 1
-        run = _Running(zlib.crc32(extract_context(body).encode()), int(body.get("max_tokens", 16)))
-        watcher = await curio.spawn(self._watch, exchange, run, daemon=True)
+        run = _RunningRequest(
+            zlib.crc32(extract_context(body).encode()), int(body.get("max_tokens", 16))
+        )
+        watcher = await curio.spawn(self._watch_client, exchange, run, daemon=True)
         try:
             async with self._slots:
                 self.stats.waiting -= 1
-                if run.gone:
+                if run.client_gone:
                     raise HttpClosed("gone while it waited")
                 self._running.append(run)
                 try:
-                    await self._write_answer(exchange, body, params, run)
+                    await self._generate(exchange, body, params, run)
                 finally:
                     self._running.remove(run)
         finally:
             await watcher.cancel()
 
-    async def _watch(self, exchange: Exchange, run: _Running) -> None:
+    async def _watch_client(self, exchange: Exchange, run: _RunningRequest) -> None:
         await exchange.wait_gone()
-        run.gone = True
+        run.client_gone = True
 
-    async def _write_answer(
-        self, exchange: Exchange, body: dict[str, Any], params: dict[str, Any], run: _Running
+    async def _generate(
+        self, exchange: Exchange, body: dict[str, Any], params: dict[str, Any], run: _RunningRequest
     ) -> None:
         computed = 0
         if params.get("do_remote_prefill"):
-            found = await self._import(params)
+            found = await self._import_kv_cache(params)
             if found is None:
                 await reply(exchange, {"error": "KV cache expired"}, 410)
                 return
@@ -317,10 +321,10 @@
         self.runs.append(record)
         self._recorder.write(kind="decode", prompt=zlib.crc32(extract_context(body).encode()))
         try:
-            await self._stream(exchange, body, run, record)
+            await self._stream_tokens(exchange, body, run, record)
             record["end"] = "finished"
             self.stats.finished += 1
-        except (HttpClosed, Gone):
+        except (HttpClosed, ClientGone):
             record["end"] = "cancelled"
             self.stats.cancelled += 1
             raise HttpClosed("gone") from None
@@ -331,7 +335,7 @@
             prompt = zlib.crc32(extract_context(body).encode())
             self._recorder.write(kind="end", prompt=prompt, end=record["end"])
 
-    async def _import(self, params: dict[str, Any]) -> int | None:
+    async def _import_kv_cache(self, params: dict[str, Any]) -> int | None:
         """Fetch a reading; returns the tokens that were computed for it, None when it is gone."""
         client = HttpClient(params["remote_host"], int(params["remote_port"]))
         try:
@@ -342,31 +346,31 @@
             return None
         return int(msgspec.json.decode(resp.body)["computed"])
 
-    async def _stream(
-        self, exchange: Exchange, body: dict[str, Any], run: _Running, record: dict[str, Any]
+    async def _stream_tokens(
+        self, exchange: Exchange, body: dict[str, Any], run: _RunningRequest, record: dict[str, Any]
     ) -> None:
         chat = "messages" in body
-        await exchange.start(200, SSE_HEAD)
+        await exchange.start(200, SSE_HEADERS)
         sent = 0
         while True:
-            await self._step.wait()
-            if run.gone:
-                raise Gone
+            await self._step_done.wait()
+            if run.client_gone:
+                raise ClientGone
             out = b""
             while sent < len(run.tokens):
-                last = run.left == 0 and sent == len(run.tokens) - 1
-                out += sse_event(_chunk(run.tokens[sent], "length" if last else None, chat))
+                last = run.tokens_left == 0 and sent == len(run.tokens) - 1
+                out += sse_event(_encode_chunk(run.tokens[sent], "length" if last else None, chat))
                 sent += 1
             if out:
                 record["sent"] = sent
-                done = run.left == 0
+                done = run.tokens_left == 0
                 await exchange.write(out + (sse_event(b"[DONE]") if done else b""))
                 if done:
                     await exchange.finish()
                     return
 
 
-def _chunk(text: str, finish: str | None, chat: bool) -> bytes:
+def _encode_chunk(text: str, finish: str | None, chat: bool) -> bytes:
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish}
     if chat:
         choice["delta"] = {"content": text}
--- a/src/crankhinge_standins/main.py
+++ b/src/crankhinge_standins/main.py
@@ -16,7 +16,7 @@
 from crankhinge_standins.store import StandinStore
 
 
-def _parser() -> argparse.ArgumentParser:
+def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="crankhinge-standin", description=__doc__)
     kinds = parser.add_subparsers(dest="kind", required=True)
     engine = kinds.add_parser("engine", help="a model engine")
@@ -46,7 +46,7 @@
     return parser
 
 
-def _runner(args: argparse.Namespace) -> Callable[[], Awaitable[None]]:
+def _make_runner(args: argparse.Namespace) -> Callable[[], Awaitable[None]]:
     log = get_log(program=f"standin-{args.kind}", port=args.port)
     if args.kind == "engine":
         names = [field.name for field in dataclasses.fields(EngineConfig)]
@@ -65,7 +65,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Run one stand-in until it is killed."""
     try:
-        curio.run(_runner(_parser().parse_args(argv)))
+        curio.run(_make_runner(_make_parser().parse_args(argv)))
     except KeyboardInterrupt:
         pass
     return 0
--- a/src/crankhinge_standins/operator.py
+++ b/src/crankhinge_standins/operator.py
@@ -14,10 +14,10 @@
     "idle_timeout_ms": 15000,
 }
 
-Row = dict[str, Any]
+ConfigRow = dict[str, Any]
 
 
-def route(name: str, prefix: str, kind: str, service: str, **more: Any) -> Row:
+def route(name: str, prefix: str, kind: str, service: str, **more: Any) -> ConfigRow:
     """Return a route; *more* stands for other fields than the usual ones."""
     usual = {
         "name": name,
@@ -33,7 +33,7 @@
     return {**usual, **more}
 
 
-def engine(*, slots: int, kv_tokens: int) -> Row:
+def engine(*, slots: int, kv_tokens: int) -> ConfigRow:
     """Return what the engines of a service hold."""
     return {
         "slots": slots,
@@ -44,13 +44,13 @@
     }
 
 
-def service(name: str, engine_row: Row | None = None) -> Row:
+def service(name: str, engine_row: ConfigRow | None = None) -> ConfigRow:
     """Return a service, of engines where *engine_row* is given."""
-    row: Row = {"name": name, "max_connections": 100}
+    row: ConfigRow = {"name": name, "max_connections": 100}
     return row if engine_row is None else {**row, "engine": engine_row}
 
 
-def account(name: str, *keys: str, **more: Any) -> Row:
+def account(name: str, *keys: str, **more: Any) -> ConfigRow:
     """Return a client account without a limit; *more* stands for other fields."""
     usual = {
         "name": name,
@@ -66,10 +66,10 @@
 
 def config(
     version: int,
-    routes: Iterable[Row],
-    services: Iterable[Row],
-    tenants: Iterable[Row] | None = None,
-) -> Row:
+    routes: Iterable[ConfigRow],
+    services: Iterable[ConfigRow],
+    tenants: Iterable[ConfigRow] | None = None,
+) -> ConfigRow:
     """Return a configuration; callers need a key where *tenants* are given."""
     row = {
         "version": version,
--- a/src/crankhinge_standins/platform.py
+++ b/src/crankhinge_standins/platform.py
@@ -20,19 +20,19 @@
 from crankhinge_standins._web import Faults, reply, serve
 
 SERVICE_PATH = "/v1/health/service/crankhinge-agent"
-READS_PER_S = 2000
-WRITES_PER_S = 300
-WEIGHTS_S = 0.2
+MAX_READS_PER_S = 2000
+MAX_WRITES_PER_S = 300
+WEIGHTS_LOAD_S = 0.2
 
 
 @dataclass
-class _Stored:
+class _StoredValue:
     data: bytes
     index: int
 
 
 @dataclass
-class _Budget:
+class _CallBudget:
     """Calls within the present second."""
 
     per_s: int
@@ -41,7 +41,7 @@
     total: int = 0
     refused: int = 0
 
-    def take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         if int(now) != self.second:
             self.second, self.used = int(now), 0
         self.used += 1
@@ -65,36 +65,36 @@
     def __init__(self, host: str, port: int, list_lag_s: float, log: Any) -> None:
         self._host = host
         self._port = port
-        self._lag_s = list_lag_s
+        self._list_lag_s = list_lag_s
         self._log = log
         self.faults = Faults()
-        self._values: dict[str, _Stored] = {}
+        self._values: dict[str, _StoredValue] = {}
         self._index = 0
         self._changed = curio.Event()
         self._services: dict[str, dict[str, Any]] = {}
-        self._seen: dict[str, dict[str, Any]] = {}
-        self._weights = curio.Lock()
-        self._reads = _Budget(READS_PER_S)
-        self._writes = _Budget(WRITES_PER_S)
+        self._listed_services: dict[str, dict[str, Any]] = {}
+        self._weights_lock = curio.Lock()
+        self._reads = _CallBudget(MAX_READS_PER_S)
+        self._writes = _CallBudget(MAX_WRITES_PER_S)
 
     async def run(self) -> None:
         """Serve until cancelled."""
         listen = partial(serve, self._host, self._port, self._handle, self.faults, self._log)
-        await until_first(self._lag_loop, listen)
+        await until_first(self._update_list_loop, listen)
 
-    async def _lag_loop(self) -> None:
+    async def _update_list_loop(self) -> None:
         while True:
             later = dict(self._services)
-            await curio.sleep(self._lag_s)
-            self._seen = later
+            await curio.sleep(self._list_lag_s)
+            self._listed_services = later
 
     async def _handle(self, exchange: Exchange) -> None:
         req = exchange.req
         path = req.path
         if path.startswith("/weights/"):
             # The store is rate-limited: one set of weights after the other.
-            async with self._weights:
-                await curio.sleep(WEIGHTS_S)
+            async with self._weights_lock:
+                await curio.sleep(WEIGHTS_LOAD_S)
             await reply(exchange, {"weights": path})
         elif path == "/stats":
             await reply(exchange, {"reads": self._reads, "writes": self._writes})
@@ -110,12 +110,12 @@
         if faults.delay_s:
             await curio.sleep(faults.delay_s)
         budget = self._reads if exchange.req.method == "GET" else self._writes
-        if not budget.take(await curio.clock()):
+        if not budget.try_spend(await curio.clock()):
             await reply(exchange, {"error": "over budget"}, 429)
         elif path.startswith("/v1/kv/"):
-            await self._kv(exchange, unquote(path.removeprefix("/v1/kv/")))
+            await self._handle_kv(exchange, unquote(path.removeprefix("/v1/kv/")))
         elif path == SERVICE_PATH:
-            rows = [{"Service": service} for service in self._seen.values()]
+            rows = [{"Service": service} for service in self._listed_services.values()]
             await reply(exchange, rows)
         else:
             await reply(exchange, {"error": "no such path"}, 404)
@@ -128,7 +128,7 @@
             self._services.pop(path.rsplit("/", 1)[1], None)
         await reply(exchange, True)
 
-    async def _kv(self, exchange: Exchange, key: str) -> None:
+    async def _handle_kv(self, exchange: Exchange, key: str) -> None:
         query = parse_qs(exchange.req.target.partition("?")[2], keep_blank_values=True)
         if exchange.req.method == "PUT":
             await self._put(exchange, key, query)
@@ -159,7 +159,7 @@
             await reply(exchange, False)
             return
         self._index += 1
-        self._values[key] = _Stored(exchange.req.body, self._index)
+        self._values[key] = _StoredValue(exchange.req.body, self._index)
         if self.faults.down_after_write:
             self.faults.down_after_write = False
             self.faults.down = True
--- a/src/crankhinge_standins/store.py
+++ b/src/crankhinge_standins/store.py
@@ -22,13 +22,13 @@
 from crankhinge_standins._web import FaultSwitches, serve
 
 # Keys of backend servers' entries begin so.
-SERVERS = "servers/"
+SERVERS_PREFIX = "servers/"
 # An entry goes after this many missed heartbeats.
-BEATS_MISSED = 3.2
+MAX_MISSED_HEARTBEATS = 3.2
 # How often leases and heartbeats are looked at, in seconds.
-SWEEP_S = 0.05
+EXPIRY_CHECK_S = 0.05
 # A paced answer goes out in pieces of this many seconds.
-PIECE_S = 0.02
+PACED_PIECE_S = 0.02
 
 Item = dict[str, Any]
 
@@ -76,14 +76,14 @@
         self.faults = StoreFaults()
         self.oldest_revision = 0
         self.waiting_watches = 0
-        self._muted = 0
+        self._mute_count = 0
         self._conns: weakref.WeakSet[Any] = weakref.WeakSet()
         self._muted_conns: weakref.WeakSet[Any] = weakref.WeakSet()
-        self._beat_s = beat_s
+        self._heartbeat_s = beat_s
         self._history_s = history_s
         # When each change was made, in step with ``changes``.
         self._changed_at: list[float] = []
-        self._beats: dict[str, float] = {}
+        self._heartbeats: dict[str, float] = {}
         self._leases: dict[int, tuple[float, float]] = {}
         self._lease_ids = itertools.count(7)
         self._changed = curio.Event()
@@ -104,15 +104,15 @@
             "lease": lease,
         }
         self.items[key] = item
-        await self._note(item)
+        await self._record_change(item)
 
     async def remove(self, key: str) -> None:
         """End an item."""
         self.revision += 1
         self.items.pop(key, None)
-        await self._note({"private_key": key, "revision": self.revision, "gone": True})
+        await self._record_change({"private_key": key, "revision": self.revision, "gone": True})
 
-    async def _note(self, change: Item) -> None:
+    async def _record_change(self, change: Item) -> None:
         self.changes.append(change)
         self._changed_at.append(await curio.clock())
         await self._changed.set()
@@ -125,7 +125,7 @@
 
     def mute_open_calls(self) -> None:
         """Never answer the calls that wait now; their connections stay open, new ones work."""
-        self._muted += 1
+        self._mute_count += 1
 
     def mute_open_conns(self) -> None:
         """Never answer on the connections that are open now, idle ones too; new ones work."""
@@ -149,14 +149,14 @@
         """Serve until cancelled."""
         log = get_log(program="standin-store")
         async with curio.TaskGroup(wait=any) as group:
-            if self._beat_s:
-                await group.spawn(self._sweep)
+            if self._heartbeat_s:
+                await group.spawn(self._expire_loop)
             await group.spawn(serve, self.host, self.port, self._handle, self.faults, log)
 
-    async def _sweep(self) -> None:
+    async def _expire_loop(self) -> None:
         """End leases and entries whose time is over."""
         while True:
-            await curio.sleep(SWEEP_S)
+            await curio.sleep(EXPIRY_CHECK_S)
             if self.faults.forget:
                 self.forget_history()
             if self.faults.down and not self.faults.lapse:
@@ -164,9 +164,9 @@
             now = await curio.clock()
             for lease in [i for i, (until, _) in self._leases.items() if until < now]:
                 await self._end_lease(lease)
-            latest = now - BEATS_MISSED * self._beat_s
-            for key in [key for key, at in self._beats.items() if at < latest]:
-                del self._beats[key]
+            latest = now - MAX_MISSED_HEARTBEATS * self._heartbeat_s
+            for key in [key for key, at in self._heartbeats.items() if at < latest]:
+                del self._heartbeats[key]
                 await self.remove(key)
 
     async def _end_lease(self, lease: int) -> None:
@@ -181,24 +181,24 @@
         conn = exchange.conn
         self._conns.add(conn)
         if conn in self._muted_conns:
-            await _fall_silent(exchange)
-        muted = self._muted
+            await _never_respond(exchange)
+        muted = self._mute_count
         await self._fail_if_down(exchange)
         if self.faults.delay_s:
             await curio.sleep(self.faults.delay_s)
-        status, body = await self._answer(exchange.req.method, url.path, query, exchange.req.body)
+        status, body = await self._dispatch(exchange.req.method, url.path, query, exchange.req.body)
         await self._fail_if_down(exchange)
-        if muted != self._muted:
-            await _fall_silent(exchange)
+        if muted != self._mute_count:
+            await _never_respond(exchange)
         if self.faults.lose_writes and exchange.req.method == "POST":
-            await _fall_silent(exchange)
+            await _never_respond(exchange)
         data = msgspec.json.encode(body)
         if self.faults.break_off:
-            await _start(exchange, status, data)
+            await _start_response(exchange, status, data)
             await exchange.write(data[: len(data) // 2])
             raise HttpClosed("broken off")
         if self.faults.bytes_per_s:
-            await _respond_slowly(exchange, status, data, self.faults.bytes_per_s)
+            await _respond_paced(exchange, status, data, self.faults.bytes_per_s)
         else:
             await exchange.respond(status, data)
 
@@ -208,16 +208,16 @@
         if down == "busy":
             await exchange.respond(503, b"{}")
         if down == "silent":
-            await _fall_silent(exchange)
+            await _never_respond(exchange)
         if down:
             raise HttpClosed("down")
 
-    async def _answer(
+    async def _dispatch(
         self, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
         if path == "/v1/kv-key" and method == "PUT":
             # How the operator and the replicas write; their own interface is not published.
-            await self._write(query["private_key"], body)
+            await self._write_by_owner(query["private_key"], body)
             return 200, {"revision": self.revision}
         if path == "/v1/kv-key":
             item = self.items.get(query["private_key"])
@@ -229,32 +229,32 @@
         if path == "/v1/kv-watch":
             return await self._watch(query)
         if path == "/v1/kv-txn":
-            return await self._txn(msgspec.json.decode(body))
-        return await self._lease_call(method, path, body)
+            return await self._run_transaction(msgspec.json.decode(body))
+        return await self._handle_lease_call(method, path, body)
 
-    async def _write(self, key: str, body: bytes) -> None:
+    async def _write_by_owner(self, key: str, body: bytes) -> None:
         """Take an item from its owner; an empty one ends it."""
         now = await curio.clock()
         if not body:
-            self._beats.pop(key, None)
+            self._heartbeats.pop(key, None)
             if key in self.items:
                 await self.remove(key)
             return
         value = msgspec.json.decode(body)
-        if key.startswith(SERVERS):
-            self._beats[key] = now
-            if self._only_lives(key, value):
+        if key.startswith(SERVERS_PREFIX):
+            self._heartbeats[key] = now
+            if self._is_heartbeat_only(key, value):
                 return
         await self.put(key, value)
 
-    def _only_lives(self, key: str, entry: dict[str, Any]) -> bool:
+    def _is_heartbeat_only(self, key: str, entry: dict[str, Any]) -> bool:
         """Whether a server's entry says no more than that it lives: then it isn't changed."""
         if key not in self.items:
             return False
         held = msgspec.json.decode(base64.b64decode(self.items[key]["value"]))
         return bool({**held, "sequence": 0} == {**entry, "sequence": 0})
 
-    async def _lease_call(self, method: str, path: str, body: bytes) -> tuple[int, Any]:
+    async def _handle_lease_call(self, method: str, path: str, body: bytes) -> tuple[int, Any]:
         now = await curio.clock()
         if path == "/v1/kv-lease":
             ttl_ms = msgspec.json.decode(body)["ttl_ms"]
@@ -304,7 +304,7 @@
             self._forget_before(await curio.clock() - self._history_s)
         return after < self.oldest_revision
 
-    async def _txn(self, txn: dict[str, Any]) -> tuple[int, Any]:
+    async def _run_transaction(self, txn: dict[str, Any]) -> tuple[int, Any]:
         for row in txn["expected_revision"]:
             held = self.items.get(row["private_key"], {"revision": 0})
             if held["revision"] != row["revision"]:
@@ -317,22 +317,22 @@
         return 200, {"revision": self.revision}
 
 
-async def _start(exchange: Exchange, status: int, data: bytes) -> None:
+async def _start_response(exchange: Exchange, status: int, data: bytes) -> None:
     fields = [("content-type", "application/json"), ("content-length", str(len(data)))]
     await exchange.start_as_is(status, fields)
 
 
-async def _respond_slowly(exchange: Exchange, status: int, data: bytes, per_s: int) -> None:
+async def _respond_paced(exchange: Exchange, status: int, data: bytes, per_s: int) -> None:
     """Send an answer in pieces, each as long as a thin link takes to carry it."""
-    await _start(exchange, status, data)
-    size = max(1, round(per_s * PIECE_S))
+    await _start_response(exchange, status, data)
+    size = max(1, round(per_s * PACED_PIECE_S))
     for begin in range(0, len(data), size):
-        await curio.sleep(PIECE_S)
+        await curio.sleep(PACED_PIECE_S)
         await exchange.write(data[begin : begin + size])
     await exchange.finish()
 
 
-async def _fall_silent(exchange: Exchange) -> None:
+async def _never_respond(exchange: Exchange) -> None:
     """Say nothing more on this connection; it ends when the other side closes it."""
     await exchange.wait_gone()
     raise HttpClosed("silent")
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -93,11 +93,11 @@
         super().__init__(HOST, free_port(), history_s=history_s)
         self.refused = ""
 
-    async def _answer(self, method: str, path: str, query: Any, body: bytes) -> tuple[int, Any]:
+    async def _dispatch(self, method: str, path: str, query: Any, body: bytes) -> tuple[int, Any]:
         """Answer a call, unless calls to its path are refused."""
         if path == self.refused:
             return 503, {}
-        return await super()._answer(method, path, query, body)
+        return await super()._dispatch(method, path, query, body)
 
     @property
     def down(self) -> bool:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -216,11 +216,11 @@
 def test_an_episode_draws_for_itself() -> None:
     """However many draws others made before: the seed fixes the schedule, not the machine."""
     faults = FaultInjector(cast(Fleet, None), 5)
-    first = faults._of_its_own(2)._rng.random()
-    faults._of_its_own(1)._rng.random()
-    assert faults._of_its_own(2)._rng.random() == first
-    assert faults._of_its_own(3)._rng.random() != first
-    assert faults._of_its_own(2).played is faults.played
+    first = faults._with_own_rng(2)._rng.random()
+    faults._with_own_rng(1)._rng.random()
+    assert faults._with_own_rng(2)._rng.random() == first
+    assert faults._with_own_rng(3)._rng.random() != first
+    assert faults._with_own_rng(2).played is faults.played
 
 
 class TestExcuses:
