--- a/src/crankhinge_soak/__init__.py
+++ b/src/crankhinge_soak/__init__.py
@@ -1,6 +1,6 @@
-"""Randomized faults on the real programs, and a checker that sees only what users see.
+"""Injects random faults into real processes and checks what their users see.
 
-The gateway runs as separate processes between stand-ins of the users' platform; faults come from
-outside: signals, proxies on loopback, a store and a clock that misbehave. The checker reads what
-callers got and what backend servers recorded, and no internals.
+The gateways run as separate processes between stand-ins of the users' platform. Faults come from
+outside: signals, proxies on loopback, a faulty store and a skewed clock. The checker reads what
+callers received and what backend servers recorded, and no internal state of the gateways.
 """
--- a/src/crankhinge_soak/_check.py
+++ b/src/crankhinge_soak/_check.py
@@ -1,7 +1,7 @@
-"""The checker: reads what callers saw and what backend servers recorded, nothing else.
+"""Checks the invariants of gateways against what callers saw and what backend servers recorded.
 
-Bounds in time hold for an instance only while nothing befell it or its path to the store for
-``FAULT_RECOVERY_S``; promises without a bound in time hold at every moment.
+An invariant with a time bound applies to an instance only if no fault hit the instance or its path
+to the store within the last ``FAULT_RECOVERY_S``. An invariant without a time bound always applies.
 """
 
 from __future__ import annotations
@@ -29,24 +29,26 @@
 from crankhinge_soak._signals_check import check_backoffs, check_leaving_signals
 from crankhinge_soak._verdict import Verdict, make_verdict
 
-# Seconds: a leaving server gets no new work after; a configuration is in force after.
+# Seconds after which a server that is leaving gets no new request, and after which a published
+# configuration is in force.
 LEAVING_GRACE_S = 2.0
 CONFIG_PROPAGATION_S = 2.0
-# What a busy machine may add to a bound, in seconds.
+# Seconds that a busy machine may add to a time bound.
 BUSY_MACHINE_SLACK_S = 1.0
-# A request that crosses the close of its connection was sent at most this long before, in seconds.
+# A request that its caller sends while the instance closes the connection gets no response, and
+# fails less than this many seconds after it was sent. One that takes longer counts as cut.
 CLOSE_RACE_S = 0.3
-# What a server may get beyond its own word: so many seconds' sum may be this part more, and so many
-# requests.
+# A server that advertises a limit may get more than the limit in any window of LIMIT_WINDOW_S
+# seconds: LIMIT_OVERRUN_SHARE of the limit, plus LIMIT_SLACK_REQUESTS requests.
 LIMIT_WINDOW_S, LIMIT_OVERRUN_SHARE, LIMIT_SLACK_REQUESTS = 4.0, 0.5, 5
-# Least share of requests that are answered once everything is whole again.
+# Minimum share of requests that must succeed after all faults have ended.
 MIN_SERVED_SHARE = 0.9
 MAX_RUNS = {path: most for path, _, most, _ in ROUTES}
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def check(history: History) -> list[Verdict]:
-    """Return a verdict for each promise."""
+    """Return a verdict for each invariant."""
     checks: dict[str, Callable[[History], tuple[int, list[str]]]] = {
         "whole answer to its own request": _check_responses,
         "no request runs more often than allowed": _check_run_counts,
@@ -68,10 +70,11 @@
         "a server that says it leaves gets no new work": check_leaving_signals,
         "a server that wants rest gets it": check_backoffs,
     }
-    return [make_verdict(promise, *look(history)) for promise, look in checks.items()]
+    return [make_verdict(name, *run_check(history)) for name, run_check in checks.items()]
 
 
 def _check_responses(history: History) -> tuple[int, list[str]]:
+    """Check that each response has the right bytes, and each success a server's signature."""
     answered = [seen for seen in history.seen if seen.status]
     cases = [
         f"{seen.ident} by {seen.gateway}: wrong bytes" for seen in answered if not seen.body_correct
@@ -85,6 +88,7 @@
 
 
 def _check_run_counts(history: History) -> tuple[int, list[str]]:
+    """Check that no request runs on more servers than its route allows."""
     cases = []
     for ident, rows in history.runs.items():
         seen = history.by_ident.get(ident)
@@ -94,7 +98,8 @@
 
 
 def _check_not_run_responses(history: History) -> tuple[int, list[str]]:
-    told = [
+    """Check that a request that an instance reported as not run did not run."""
+    denials = [
         seen
         for seen in history.seen
         if seen.from_instance
@@ -102,18 +107,23 @@
         and seen.path in (ONCE_PATH, STREAM_PATH)
     ]
     cases = [
-        f"{seen.ident}: told {seen.status}, ran" for seen in told if seen.ident in history.runs
+        f"{seen.ident}: refused with {seen.status}, but ran"
+        for seen in denials
+        if seen.ident in history.runs
     ]
-    return len(told), cases
+    return len(denials), cases
 
 
 def _check_runs_were_requested(history: History) -> tuple[int, list[str]]:
+    """Check that a caller sent each request that ran."""
     known = history.by_ident
+    # Ids that begin with p are those of probes, which the history keeps apart.
     ran = [ident for ident in history.runs if not ident.startswith("p")]
-    return len(ran), [f"{ident}: nobody sent it" for ident in ran if ident not in known]
+    return len(ran), [f"{ident}: no caller sent it" for ident in ran if ident not in known]
 
 
 def _check_leaving_servers(history: History) -> tuple[int, list[str]]:
+    """Check that a server whose entry says that it is leaving gets no new request."""
     leaves = {row["server"]: row["at"] for row in history.rows if row["kind"] == "leaves"}
     cases = []
     for ident, rows in history.arrivals.items():
@@ -130,51 +140,56 @@
                 [history.places[row["server"]]], row["at"] - FAULT_RECOVERY_S, row["at"]
             )
             if path_ok and history.time_bounds_apply(seen.gateway, since, row["at"]):
-                cases.append(f"{ident} by {seen.gateway}: {row['at'] - since:.1f} s after")
+                cases.append(f"{ident} by {seen.gateway}: {row['at'] - since:.1f} s after it left")
     return len(leaves), cases
 
 
 def _check_planned_stops(history: History) -> tuple[int, list[str]]:
+    """Check that an instance that gets SIGTERM completes all its requests."""
     stops = [t for t in history.troubles if t.kind == "stop" and t.target.startswith("gateway")]
     cases = []
     for stop in stops:
         for seen in history.seen:
             if seen.gateway == stop.target and stop.overlaps(seen.sent, seen.ended):
-                why = _describe_cut(history, seen, stop)
-                if why:
-                    cases.append(f"{seen.ident} by {seen.gateway}: {why}")
+                cut = _describe_cut(history, seen, stop)
+                if cut:
+                    cases.append(f"{seen.ident} by {seen.gateway}: {cut}")
     return len(stops), cases
 
 
 def _describe_cut(history: History, seen: ObservedRequest, stop: InjectedFault) -> str:
-    """Return how a planned stop cut a request; empty when it did not."""
+    """Return how a planned stop cut a request, or an empty string if it did not."""
     answered = seen.complete and not (seen.from_instance and seen.status == 502)
     if answered or seen.caller_left or seen.failure.startswith("connect-failed"):
         return ""
-    crossed = seen.ended - seen.sent < CLOSE_RACE_S and seen.ident not in history.arrivals
-    if crossed or history.reached_faulty_server(seen) or history.reached_killed_server(seen):
+    raced_close = seen.ended - seen.sent < CLOSE_RACE_S and seen.ident not in history.arrivals
+    if raced_close or history.reached_faulty_server(seen) or history.reached_killed_server(seen):
         return ""
     if history.has_unplanned_fault([seen.gateway], seen.sent - FAULT_RECOVERY_S, seen.ended):
         return ""
     at = seen.sent - stop.began
     return (
-        f"sent {at:+.1f} s from the stop, status {seen.status}, {seen.failure or 'no whole answer'}"
+        f"sent {at:+.1f} s from the stop, "
+        f"status {seen.status}, {seen.failure or 'incomplete response'}"
     )
 
 
 def _check_config_versions(history: History) -> tuple[int, list[str]]:
+    """Check that each version is in force in time, and that no incarnation loses it again."""
     acknowledged = {version: at for at, version, _ in history.acknowledged}
     highest: dict[tuple[str, int], int] = defaultdict(int)
     cases = []
     for probe in sorted(history.probes, key=lambda probe: probe.sent):
         if probe.known is None:
             continue
-        life = (probe.gateway, probe.incarnation)
+        incarnation = (probe.gateway, probe.incarnation)
         if probe.known:
-            highest[life] = max(highest[life], probe.version)
+            highest[incarnation] = max(highest[incarnation], probe.version)
             continue
-        if probe.version <= highest[life]:
-            cases.append(f"{probe.gateway}: version {probe.version} after {highest[life]}")
+        if probe.version <= highest[incarnation]:
+            cases.append(
+                f"{probe.gateway}: version {probe.version} lost after {highest[incarnation]}"
+            )
         since = acknowledged[probe.version]
         late = probe.sent - since - CONFIG_PROPAGATION_S - BUSY_MACHINE_SLACK_S
         if late > 0 and history.time_bounds_apply(probe.gateway, since, probe.sent):
@@ -183,7 +198,7 @@
 
 
 def _check_routing(history: History) -> tuple[int, list[str]]:
-    """Plain calls run at a service that a configuration in force sends them to."""
+    """Check that plain calls run at a service that a configuration in force names."""
     cases = []
     tested = 0
     for ident, rows in history.runs.items():
@@ -208,16 +223,17 @@
     allowed = set()
     for number, (at, _, service) in enumerate(history.acknowledged):
         following = history.acknowledged[number + 1 :]
-        over = following[0][0] if following else float("inf")
-        # A change may be in force before its writer has the store's answer.
-        if at - BUSY_MACHINE_SLACK_S <= end and over >= begin:
+        replaced_at = following[0][0] if following else float("inf")
+        # A configuration may be in force before its publisher has received the store's response.
+        if at - BUSY_MACHINE_SLACK_S <= end and replaced_at >= begin:
             allowed.add(service)
     return allowed
 
 
 def _check_response_times(history: History) -> tuple[int, list[str]]:
+    """Check that each request ends by its caller's deadline."""
     cases = [
-        f"{seen.ident} by {seen.gateway}: status {seen.status}, no end after "
+        f"{seen.ident} by {seen.gateway}: status {seen.status}, no end within "
         f"{seen.ended - seen.sent:.1f} s"
         for seen in history.seen
         if seen.failure == "no end in time"
@@ -230,22 +246,27 @@
 
 
 def _check_engine_memory(history: History) -> tuple[int, list[str]]:
-    gone = sum(not seen.complete for seen in history.seen)
-    return gone, [f"{name}: {held} tokens" for name, held in history.held.items() if held]
+    """Check that no engine keeps KV memory in use after all requests have ended."""
+    incomplete = sum(not seen.complete for seen in history.seen)
+    return incomplete, [f"{name}: {held} tokens" for name, held in history.held.items() if held]
 
 
 def _check_orders(history: History) -> tuple[int, list[str]]:
+    """Check that all orders with the same fencing token come from one instance."""
     holders: dict[int, set[str]] = defaultdict(set)
     orders = [row for row in history.rows if row["kind"] == "order"]
     for row in orders:
         holders[row["fencing_token"]].add(row["holder"])
-    cases = [f"fence {fence}: {names}" for fence, names in holders.items() if len(names) > 1]
+    cases = [
+        f"fencing token {token}: {names}" for token, names in holders.items() if len(names) > 1
+    ]
     return len(orders), cases
 
 
 def _check_recovery(history: History) -> tuple[int, list[str]]:
-    # Nothing is owed to a key that was taken away, nor above an account's limit.
-    calm = [
+    """Check that requests succeed again after all faults have ended."""
+    # Requests with a revoked key and those of the account with a limit may be refused.
+    judged = [
         seen
         for seen in history.seen
         if seen.sent >= history.calm_from
@@ -253,20 +274,22 @@
         and seen.key not in history.revoked
         and seen.account != LIMITED_ACCOUNT
     ]
-    served = sum(seen.status == 200 and seen.complete for seen in calm)
-    if calm and served >= MIN_SERVED_SHARE * len(calm):
-        return len(calm), []
+    served = sum(seen.status == 200 and seen.complete for seen in judged)
+    if judged and served >= MIN_SERVED_SHARE * len(judged):
+        return len(judged), []
     failed = [
-        f"{s.ident}: {s.status} {s.failure}" for s in calm if s.status != 200 or not s.complete
+        f"{s.ident}: {s.status} {s.failure}" for s in judged if s.status != 200 or not s.complete
     ]
-    return len(calm), [f"{served} of {len(calm)} served", *failed]
+    return len(judged), [f"{served} of {len(judged)} served", *failed]
 
 
 def _check_exits(history: History) -> tuple[int, list[str]]:
+    """Check that no process under test exits by itself."""
     return len(history.troubles), history.exits
 
 
 def _check_accounts(history: History) -> tuple[int, list[str]]:
+    """Check that servers get the account of each request, and never its API key."""
     cases = []
     tested = 0
     for ident, rows in history.arrivals.items():
@@ -274,9 +297,9 @@
         if seen is None:
             continue
         tested += 1
-        cases += [f"{ident}: key shown to {row['server']}" for row in rows if row["key"]]
+        cases += [f"{ident}: API key sent to {row['server']}" for row in rows if row["key"]]
         cases += [
-            f"{ident}: of {seen.account}, told {row['account']!r}"
+            f"{ident}: account {seen.account}, sent as {row['account']!r}"
             for row in rows
             if row["account"] != seen.account
         ]
@@ -284,14 +307,19 @@
 
 
 def _check_revoked_keys(history: History) -> tuple[int, list[str]]:
-    """Also at instances that are cut off, paused or told nothing by the store."""
+    """Check that a revoked key runs nothing more once ``REVOKE_S`` has passed.
+
+    No fault excuses an instance: the bound also holds while the instance is cut off or paused, or
+    while the store sends it nothing.
+    """
     late = [
         seen
         for seen in history.seen
         if seen.sent > history.revoked.get(seen.key, float("inf")) + REVOKE_S
     ]
     cases = [
-        f"{seen.ident} by {seen.gateway}: {seen.sent - history.revoked[seen.key]:.1f} s after"
+        f"{seen.ident} by {seen.gateway}: "
+        f"{seen.sent - history.revoked[seen.key]:.1f} s after it was revoked"
         for seen in late
         if seen.ident in history.runs
     ]
@@ -299,14 +327,17 @@
 
 
 def _check_account_limit(history: History) -> tuple[int, list[str]]:
-    """The sum over all instances in any window, of what was sent and ran in it."""
+    """Check the tokens of the account with a limit, summed over all instances.
+
+    For each window, the sum counts the requests that were sent and ran within it.
+    """
     allowed = (LIMIT_TOKENS_PER_S * QUOTA_WINDOW_S + LIMIT_BURST_TOKENS) * (
         1 + QUOTA_OVERRUN_SHARE
     ) + QUOTA_SLACK_TOKENS
-    asked = [seen for seen in history.seen if seen.account == LIMITED_ACCOUNT]
+    requests = [seen for seen in history.seen if seen.account == LIMITED_ACCOUNT]
     ran = [
         (seen.sent, history.runs[seen.ident][0]["at"], seen.tokens)
-        for seen in asked
+        for seen in requests
         if seen.ident in history.runs
     ]
     cases = []
@@ -314,12 +345,18 @@
         end = begin + QUOTA_WINDOW_S
         used = sum(tokens for sent, at, tokens in ran if sent >= begin and at <= end)
         if used > allowed:
-            cases.append(f"{used} tokens in {QUOTA_WINDOW_S} s from {begin:.1f}, not {allowed:.0f}")
-    return len(asked), cases
+            cases.append(
+                f"{used} tokens in {QUOTA_WINDOW_S} s from {begin:.1f}, limit {allowed:.0f}"
+            )
+    return len(requests), cases
 
 
 def _check_server_limits(history: History) -> tuple[int, list[str]]:
-    """The sum over all instances, whatever befell them, in any window after the first word."""
+    """Check the number of requests to a server with an advertised limit, summed over all instances.
+
+    No fault excuses an instance. The bound holds for each window that begins at least
+    ``FAULT_RECOVERY_S`` after the first request at which the server advertised its limit.
+    """
     cases = []
     tested = 0
     for server, per_s, times in _group_by_advertised_limit(history):
@@ -329,18 +366,20 @@
         for number, begin in enumerate(late):
             got = sum(at <= begin + LIMIT_WINDOW_S for at in late[number:])
             if got > allowed:
-                cases.append(f"{server}: {got} in {LIMIT_WINDOW_S} s, takes {per_s} a second")
+                cases.append(f"{server}: {got} in {LIMIT_WINDOW_S} s, limit {per_s} a second")
                 break
     return tested, cases
 
 
 def _group_by_advertised_limit(history: History) -> list[tuple[str, float, list[float]]]:
-    """Return servers, what they said they take, and when requests came meanwhile."""
+    """Return servers, their advertised limits, and the arrival times of requests meanwhile."""
     rows = [row for row in history.rows if row["kind"] == "arrival"]
     spans = []
     for server in sorted({row["server"] for row in rows}):
-        own = [row for row in rows if row["server"] == server]
-        for limit, some in itertools.groupby(own, key=lambda row: str(row.get("limit", ""))):
+        server_rows = [row for row in rows if row["server"] == server]
+        for limit, group in itertools.groupby(
+            server_rows, key=lambda row: str(row.get("limit", ""))
+        ):
             if limit:
-                spans.append((server, float(limit), [float(row["at"]) for row in some]))
+                spans.append((server, float(limit), [float(row["at"]) for row in group]))
     return spans
--- a/src/crankhinge_soak/_entries.py
+++ b/src/crankhinge_soak/_entries.py
@@ -1,4 +1,4 @@
-"""The soak of entries and agents: random faults under load, and the checker's verdict."""
+"""Runs entries and agents under load and random faults, and checks the result."""
 
 from __future__ import annotations
 
@@ -25,14 +25,16 @@
 )
 from crankhinge_soak._verdict import Report
 
+# Seconds: time for recovery after the last fault, and maximum duration of a planned stop.
 SETTLE_S = 12.0
 DRAIN_TIMEOUT_S = 40.0
+# Seconds: range of a pause, and range between the starts of two faults.
 PAUSE_DURATION_S = (0.5, 6.0)
 FAULT_GAP_S = (0.5, 2.5)
 
 
 def make_cluster_spec() -> ClusterSpec:
-    """Return the cluster that failures befall."""
+    """Return the cluster that the faults are injected into."""
     return ClusterSpec(
         entries=3,
         engines=(
@@ -45,12 +47,12 @@
 
 
 class EntryFaultInjector:
-    """Plays random faults on a thread of its own.
+    """Injects random faults from a thread of its own.
 
     Args:
-        cluster: what they befall.
-        runner: the load; told which entries leave, as a balancer would be.
-        rng: the schedule.
+        cluster: the processes that faults hit.
+        runner: the load; it stops using entries that drain, as a load balancer would.
+        rng: draws the schedule.
     """
 
     def __init__(self, cluster: Cluster, runner: LoadRun, rng: random.Random) -> None:
@@ -68,11 +70,11 @@
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Begin."""
+        """Start to inject faults."""
         self._thread.start()
 
     def finish(self) -> None:
-        """Play no more, and wait until everything is whole again."""
+        """Inject no more faults, and wait until every fault has ended."""
         self._stop.set()
         self._thread.join()
         for worker in self._workers:
@@ -99,7 +101,7 @@
             self.counts[kind] = self.counts.get(kind, 0) + 1
 
     def _claim(self, names: list[str]) -> str | None:
-        """Return a process that no other fault is at, one of its kind left alone."""
+        """Claim one of *names* that no other fault uses; None if this left none unclaimed."""
         with self._lock:
             free = [name for name in names if name not in self._claimed]
             if len(free) < 2:
@@ -113,6 +115,7 @@
             self._claimed.discard(name)
 
     def _group_processes(self) -> list[list[str]]:
+        """Return groups of processes that can replace each other."""
         places = self._cluster.places
         pools = {place.pool for place in places}
         groups = [[f"entry-{n}" for n in range(self._cluster.spec.entries)]]
@@ -122,6 +125,7 @@
         return groups
 
     def _claim_any(self, *, backends: bool = True) -> str | None:
+        """Claim a process of a random group; None if the group has no process to spare."""
         groups = [g for g in self._group_processes() if backends or not g[0].startswith("backend-")]
         with self._lock:
             group = self._rng.choice(groups)
@@ -176,6 +180,7 @@
         self._release(name)
 
     def _find_entry_port(self, name: str) -> int:
+        """Return the port of an entry; 0 for another process."""
         if not name.startswith("entry-"):
             return 0
         return self._cluster.entry_ports[int(name.removeprefix("entry-"))]
@@ -212,15 +217,15 @@
             self._release(f"backend-{other.name}")
 
     def _publish_bundle(self) -> None:
-        """Two operators race with the next version."""
+        """Let two operators race to publish the next version."""
         with self._lock:
             if "bundle" in self._claimed:
                 return
             self._claimed.add("bundle")
         try:
             version = self._cluster.version + 1
-            won = self._cluster.race(version)
-            if won:
+            accepted = self._cluster.race(version)
+            if accepted:
                 self._count("publish")
                 self.published.append((time.time(), version))
         finally:
@@ -228,7 +233,7 @@
 
 
 def run_seed(seed: int, seconds: float, logs: Path | None) -> Report:
-    """Play one schedule and check it."""
+    """Run the schedule of one seed and check the result."""
     spec = make_cluster_spec()
     load = Load(
         seconds=seconds,
--- a/src/crankhinge_soak/_entries_check.py
+++ b/src/crankhinge_soak/_entries_check.py
@@ -1,7 +1,7 @@
-"""The checker: reads what callers saw and what backend servers recorded, nothing else.
+"""Checks the invariants of entries and agents against what callers and backend servers recorded.
 
-It knows no internals of the product. For each promise of the brief it counts how often it was put
-to the test and how often it was broken; a promise that was never put to the test isn't shown.
+The checker uses no internals of the product. For each invariant it counts tests and violations. An
+invariant that was never tested does not count as proven.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class Drain(msgspec.Struct, kw_only=True):
-    """A planned stop.
+    """A planned stop of a process.
 
     Attributes:
-        name: of the process.
+        name: name of the process.
         at: wall clock of SIGTERM.
-        until: wall clock of its end.
+        until: wall clock of the exit.
         status: exit status.
-        backend: name of the place whose backend server it stands beside; empty for an entry.
-        cut: requests in progress when it ended, by its own last word; None, which counts as a
-            break, when it left no word.
+        backend: name of the place whose backend server the agent runs beside; empty for an entry.
+        cut: number of requests in progress at the exit, from the last line that the process logged
+            about it; None when it logged no such line, which counts as a violation.
     """
 
     name: str
@@ -38,12 +38,12 @@
 
 
 class BundleSeen(msgspec.Struct, kw_only=True):
-    """What one start of a process had in force.
+    """The bundles that one run of a process had in force.
 
     Attributes:
-        process: its name.
-        versions: wall clock and version, in order.
-        digests: of each version's text.
+        process: name of the process.
+        versions: wall clock and version of each bundle, in order.
+        digests: digest of each version's text.
     """
 
     process: str
@@ -52,17 +52,17 @@
 
 
 class History(msgspec.Struct, kw_only=True):
-    """All that the checker looks at.
+    """All input of the checker.
 
     Attributes:
-        outcomes: what callers saw.
-        runs: what plain services recorded.
-        work: what engines recorded.
-        held: requests in each engine's memory after everything had ended.
+        outcomes: what callers saw of each request.
+        runs: calls that plain services recorded.
+        work: requests that engines recorded.
+        held: number of requests still in each engine after all requests had ended.
         drains: planned stops.
-        bundles: versions in force.
+        bundles: bundles that processes had in force.
         published: wall clock and version of each accepted bundle.
-        ended: how many entries and agents were killed, paused or cut off.
+        ended: how often an entry or agent was killed, paused or cut off.
     """
 
     outcomes: list[Outcome]
@@ -75,13 +75,15 @@
     ended: int
 
 
+# Seconds after which a leaving server gets no new request, after which the memory of a request is
+# freed whose caller has left, and after which a published bundle is in force.
 LEAVING_GRACE_S = 3.0
 MEMORY_RELEASE_S = 8.0
 BUNDLE_PROPAGATION_S = 5.0
 
 
 def check(history: History) -> list[Verdict]:
-    """Return a verdict for each promise."""
+    """Return a verdict for each invariant."""
     return [
         _check_memory_freed(history),
         _check_answered_once(history),
@@ -95,18 +97,19 @@
 
 
 def _check_memory_freed(history: History) -> Verdict:
-    gone = sum(seen.cancelled or not seen.whole for seen in history.outcomes)
+    """Check that engines free the memory of requests that ended or whose caller left."""
+    incomplete = sum(seen.cancelled or not seen.whole for seen in history.outcomes)
     cases = [f"{name}: {held} held" for name, held in history.held.items() if held]
     ends = {row["prompt"]: row["at"] for row in history.work if row["kind"] == "end"}
     for seen in history.outcomes:
         end = ends.get(zlib.crc32(seen.arrival.prompt.encode()), 0.0)
         if seen.gone and end - seen.gone > MEMORY_RELEASE_S:
-            cases.append(f"{seen.ident}: held {end - seen.gone:.1f} s after its caller went")
-    return make_verdict("no engine memory stays tied", gone + history.ended, cases)
+            cases.append(f"{seen.ident}: held {end - seen.gone:.1f} s after its caller left")
+    return make_verdict("no engine memory stays tied", incomplete + history.ended, cases)
 
 
 def _check_answered_once(history: History) -> Verdict:
-    """Each identity is answered once: no two answers to one call carry different runs."""
+    """Check that a repeated call is answered from one run: no key has more than one."""
     repeated = [seen for seen in history.outcomes if seen.arrival.path and seen.sent > 1]
     runs = Counter(run["key"] for run in history.runs if run["key"])
     cases = [seen.key for seen in repeated if runs[seen.key] > 1]
@@ -114,33 +117,37 @@
 
 
 def _check_responses(history: History) -> Verdict:
+    """Check that each response has the tokens of its own request."""
     answered = [seen for seen in history.outcomes if seen.whole or seen.tokens]
     cases = [f"{seen.ident}: wrong tokens" for seen in answered if seen.wrong]
     return make_verdict("whole answer to its own request", len(answered), cases)
 
 
 def _check_not_run_responses(history: History) -> Verdict:
-    told = [s for s in history.outcomes if not s.whole and s.outcome == NOT_RUN]
+    """Check that a request that was reported as not run did not run."""
+    denials = [s for s in history.outcomes if not s.whole and s.outcome == NOT_RUN]
     keys = {run["key"] for run in history.runs}
     prompts = {row["prompt"] for row in history.work if row["kind"] != "end"}
     cases = []
-    for seen in told:
+    for seen in denials:
         if seen.arrival.path:
             ran = seen.key in keys
         else:
             ran = zlib.crc32(seen.arrival.prompt.encode()) in prompts
         if ran:
             cases.append(f"{seen.ident or seen.key}: {seen.code}")
-    return make_verdict("not run is true", len(told), cases)
+    return make_verdict("not run is true", len(denials), cases)
 
 
 def _check_at_most_once(history: History) -> Verdict:
+    """Check that no key of a non-repeatable call ran more than once."""
     runs = Counter(run["key"] for run in history.runs if run["key"])
     cases = [f"{key}: {count} runs" for key, count in runs.items() if count > 1]
     return make_verdict("non-repeatable runs at most once", len(runs), cases)
 
 
 def _check_leaving_servers(history: History) -> Verdict:
+    """Check that a backend server whose agent drains gets no new request."""
     rows = [row for row in history.work + history.runs if row.get("kind") != "end"]
     drains = [drain for drain in history.drains if drain.backend]
     cases = []
@@ -151,11 +158,12 @@
             if row["place"] == drain.backend
             and drain.at + LEAVING_GRACE_S < row["at"] < drain.until
         ]
-        cases += [f"{drain.name}: work {row['at'] - drain.at:.1f} s after" for row in late]
+        cases += [f"{drain.name}: work {row['at'] - drain.at:.1f} s after SIGTERM" for row in late]
     return make_verdict("a leaving server gets no new work", len(drains), cases)
 
 
 def _check_planned_stops(history: History) -> Verdict:
+    """Check that a process that gets SIGTERM exits with status 0 and cuts no request."""
     cases = [
         f"{drain.name}: status {drain.status}, cut {drain.cut}"
         for drain in history.drains
@@ -165,28 +173,34 @@
 
 
 def _check_bundle_versions(history: History) -> Verdict:
-    """No process goes back; each that lives through the bound has each bundle in force by then."""
+    """Check the versions that processes had in force.
+
+    No process returns to an earlier version, a version has the same text everywhere, and a process
+    that runs throughout the time bound has each bundle in force by its end.
+    """
     cases = []
     for seen in history.bundles:
         versions = [version for _, version in seen.versions]
         if versions != sorted(set(versions)):
-            cases.append(f"{seen.process}: went back: {versions}")
+            cases.append(f"{seen.process}: versions out of order: {versions}")
     for version in sorted({v for seen in history.bundles for v in seen.digests}):
         digests = {s.digests[version] for s in history.bundles if version in s.digests}
         if len(digests) > 1:
-            cases.append(f"version {version} has {len(digests)} texts")
-    cases += [f"{p}: version {v} after {s:.1f} s" for p, v, s in find_late_bundles(history)]
+            cases.append(f"version {version} has {len(digests)} different texts")
+    cases += [
+        f"{p}: version {v} in force after {s:.1f} s" for p, v, s in find_late_bundles(history)
+    ]
     return make_verdict("a bundle is in force and never reverts", len(history.published), cases)
 
 
 def find_late_bundles(history: History) -> list[tuple[str, int, float]]:
-    """Return process, version and seconds of each bundle that came after the bound."""
+    """Return process, version and delay in seconds of each bundle that was in force too late."""
     late = []
     for at, version in history.published:
         for seen in history.bundles:
             if not seen.versions or seen.versions[0][0] > at:
                 continue
-            times = [when for when, has in seen.versions if has >= version]
+            times = [when for when, newer in seen.versions if newer >= version]
             if times and times[0] - at > BUNDLE_PROPAGATION_S:
                 late.append((seen.process, version, times[0] - at))
     return late
--- a/src/crankhinge_soak/_faults.py
+++ b/src/crankhinge_soak/_faults.py
@@ -1,4 +1,4 @@
-"""The schedule of a seed: which faults come when, in series and overlapping."""
+"""Injects the faults of a seed: single ones and series, which may overlap."""
 
 from __future__ import annotations
 
@@ -17,33 +17,39 @@
 from crankhinge_soak._fleet import Fleet, Gateway, Place
 from crankhinge_soak._proxy import PathFault, Proxy
 
-# Seconds between the beginnings of two episodes, and how often one is repeated at once.
+# Seconds between the starts of two episodes; how often one episode runs in a series at most; and
+# seconds between the episodes of a series.
 EPISODE_GAP_S = (0.2, 1.6)
 MAX_SERIES_LENGTH = 4
 SERIES_GAP_S = (0.1, 1.0)
 # Seconds that a fault lasts.
 FAULT_DURATION_S = (0.3, 4.0)
-# Seconds that a process stays down, and that a planned stop may take.
+# Seconds that a process stays down, and the maximum duration of a planned stop.
 DOWNTIME_S = (0.1, 1.5)
 STOP_TIMEOUT_S = 12.0
-# Faults of a server: shares of its runs and answers, and a factor on its durations.
+# Faults of a server: shares of its runs and responses, and a factor on its durations.
 SERVER_FAULTS = {"errors": 0.5, "resets": 0.5, "garbles": 0.4, "refuses": 0.6, "slow": 8.0}
 NO_SERVER_FAULTS = {"errors": 0.0, "resets": 0.0, "garbles": 0.0, "refuses": 0.0, "slow": 1.0}
-# What servers in need name as the requests a second that they take, and for how many seconds: the
-# bound holds three seconds after the first word, over four.
+# Limits in requests a second that a server advertises, and seconds for which it does. The checker
+# applies a limit from 3 seconds after the first request on, over windows of 4 seconds, so it has to
+# last longer than that.
 ADVERTISED_LIMITS = ("0.5", "2", "5")
 SIGNAL_DURATION_S = (8.0, 12.0)
-# Part of the requests that a server refuses that wants rest, and the seconds that it names.
+# Share of requests refused by a server that asks for backoff, and the backoffs in seconds.
 BACKOFF_REFUSAL_SHARE = 0.7
 BACKOFFS_S = (1.0, 3.0, 6.0)
-# Changes of the configuration in quick succession.
+# Number of configuration changes in quick succession.
 CONFIG_STORM_LENGTH = 6
-# Shares, so that each variant comes now and then: of episodes, those in series; of
-# planned stops of servers, those without a word; of reloads, those of settings that can't be read;
-# of harmed paths, those that are reset and those whose connections fall silent; of outages of the
-# store, those in which entries lapse; of changes of the configuration, those in quick succession,
-# those that move calls, those that take a key away, and those that make it large or small; of
-# servers that name limits or want rest, those whose service does as a whole.
+# Each share makes a variant occur now and then:
+# - SERIES_SHARE: episodes that run as a series;
+# - SILENT_LEAVE_SHARE: planned stops of servers without an announcement;
+# - UNREADABLE_SETTINGS_SHARE: reloads of settings that can't be parsed;
+# - PATH_RESET_SHARE, PATH_MUTE_SHARE: path faults that reset or mute the connections;
+# - STORE_LAPSE_SHARE: store outages in which entries and leases expire;
+# - CONFIG_STORM_SHARE: configuration changes in quick succession;
+# - SERVICE_SWITCH_SHARE, KEY_REVOKE_SHARE, CONFIG_RESIZE_SHARE: configuration changes that switch
+#   the service of plain calls, revoke a key, or make the configuration large or small;
+# - WHOLE_SERVICE_SHARE: advertised limits and backoffs that come from all servers of a service.
 SERIES_SHARE = 0.4
 SILENT_LEAVE_SHARE = 0.3
 UNREADABLE_SETTINGS_SHARE = 0.4
@@ -55,20 +61,20 @@
 KEY_REVOKE_SHARE = 0.4
 CONFIG_RESIZE_SHARE = 0.3
 WHOLE_SERVICE_SHARE = 0.3
-# Seconds by which a clock jumps, at most.
+# Maximum number of seconds by which a clock jumps.
 MAX_CLOCK_JUMP_S = 6.0
 
 
 @dataclass
 class InjectedFault:
-    """A fault as it was played.
+    """A fault that was injected.
 
     Attributes:
-        kind: what it was.
-        target: name of the process; ``store`` harms every instance's knowledge.
-        began: wall clock.
-        ended: wall clock; infinite while it lasts.
-        planned: whether it is a planned stop.
+        kind: kind of the fault.
+        target: name of the process; ``store`` affects what every instance knows.
+        began: wall clock of the start.
+        ended: wall clock of the end; infinite while the fault lasts.
+        planned: whether it is an operator's act that must cut nothing: a stop or a reload.
     """
 
     kind: str
@@ -78,17 +84,17 @@
     planned: bool = False
 
     def overlaps(self, begin: float, end: float) -> bool:
-        """Whether it lasted at some time from *begin* to *end* (wall clock)."""
+        """Whether the fault was active at any time from *begin* to *end* (wall clock)."""
         return self.began <= end and begin <= self.ended
 
 
 class FaultInjector:
-    """Plays a seed's schedule.
+    """Injects the faults of a seed.
 
     Args:
-        fleet: what it befalls.
-        seed: of the schedule.
-        kinds: keys of ``EPISODES`` to play; all by default.
+        fleet: the processes and paths that faults hit.
+        seed: seed of the schedule.
+        kinds: keys of ``EPISODES`` to draw from; all by default.
     """
 
     def __init__(self, fleet: Fleet, seed: int, kinds: tuple[str, ...] = ()) -> None:
@@ -101,7 +107,7 @@
         self._kinds = kinds or tuple(EPISODES)
 
     async def run(self, seconds: float) -> None:
-        """Play for about *seconds*, then wait until everything is whole again."""
+        """Inject faults for about *seconds*, then wait until every fault has ended."""
         until = await curio.clock() + seconds
         async with curio.TaskGroup() as group:
             for number in itertools.count():
@@ -112,13 +118,14 @@
                 await curio.sleep(self._rng.uniform(*EPISODE_GAP_S))
 
     def _with_own_rng(self, number: int) -> FaultInjector:
-        """Return a player of the same faults whose draws no other episode disturbs.
+        """Return an injector that shares all state but the random generator.
 
-        Episodes overlap, and the order in which they draw would depend on the machine's speed.
+        Episodes overlap. If they shared one generator, the speed of the machine would decide the
+        order of their draws, and a seed would not fix the schedule.
         """
-        player = copy.copy(self)
-        player._rng = random.Random(f"{self._seed}-{number}")
-        return player
+        injector = copy.copy(self)
+        injector._rng = random.Random(f"{self._seed}-{number}")
+        return injector
 
     async def _run_series(self, episode: Episode) -> None:
         for _ in range(
@@ -128,23 +135,25 @@
             await curio.sleep(self._rng.uniform(*SERIES_GAP_S))
 
     def _by_chance(self, share: float) -> bool:
+        """Draw True with a probability of *share*."""
         return self._rng.random() < share
 
     def _record_fault(self, kind: str, target: str, *, planned: bool = False) -> InjectedFault:
-        trouble = InjectedFault(kind, target, time.time(), planned=planned)
-        self.played.append(trouble)
-        return trouble
+        record = InjectedFault(kind, target, time.time(), planned=planned)
+        self.played.append(record)
+        return record
 
     def _try_claim(self, name: str) -> bool:
-        """Take a process whose life is to be changed; two of these can't be at it at once."""
+        """Claim a process, which only one fault may stop or start; return whether it was free."""
         if name in self._claimed:
             return False
         self._claimed.add(name)
         return True
 
-    async def _wait_and_end(self, trouble: InjectedFault) -> None:
+    async def _wait_and_end(self, record: InjectedFault) -> None:
+        """Let a fault last for a random time, then record its end."""
         await curio.sleep(self._rng.uniform(*FAULT_DURATION_S))
-        trouble.ended = time.time()
+        record.ended = time.time()
 
     def _pick_gateway(self) -> Gateway:
         return self._rng.choice(self._fleet.gateways)
@@ -156,20 +165,20 @@
     async def _claimed_for_fault(
         self, name: str, kind: str, *, planned: bool = False
     ) -> AsyncIterator[bool]:
-        """Have a process to oneself for a trouble; gives False while another one has it."""
+        """Claim a process during a fault; yields False when another fault has claimed it."""
         if not self._try_claim(name):
             yield False
             return
-        # An exit of its own would be lost with the process.
-        self.exits += [ended for ended in self._fleet.ended_gateways() if ended == name]
-        trouble = self._record_fault(kind, name, planned=planned)
+        # An exit of its own could not be found after the process is replaced.
+        self.exits += [other for other in self._fleet.ended_gateways() if other == name]
+        record = self._record_fault(kind, name, planned=planned)
         yield True
-        trouble.ended = time.time()
+        record.ended = time.time()
         self._claimed.discard(name)
 
     async def _kill(self, name: str, start: Callable[[], None]) -> None:
-        async with self._claimed_for_fault(name, "kill") as taken:
-            if taken:
+        async with self._claimed_for_fault(name, "kill") as claimed:
+            if claimed:
                 self._fleet.kill(name)
                 await curio.sleep(self._rng.uniform(*DOWNTIME_S))
                 start()
@@ -183,13 +192,13 @@
         await self._kill(place.name, lambda: self._fleet.start_server(place))
 
     async def _stop(self, name: str, start: Callable[[], None]) -> None:
-        async with self._claimed_for_fault(name, "stop", planned=True) as taken:
-            if taken:
+        async with self._claimed_for_fault(name, "stop", planned=True) as claimed:
+            if claimed:
                 await self._terminate(name)
                 start()
 
     async def _terminate(self, name: str) -> None:
-        """Ask a process to end; one that does not is noted and killed."""
+        """Send SIGTERM and wait; record and kill a process that does not exit in time."""
         self._fleet.signal(name, signal.SIGTERM)
         proc = self._fleet.procs[name]
         until = time.time() + STOP_TIMEOUT_S
@@ -209,8 +218,8 @@
         await self._stop(place.name, lambda: self._fleet.start_server(place, silent_leave=silent))
 
     async def _pause(self, name: str) -> None:
-        async with self._claimed_for_fault(name, "pause") as taken:
-            if taken:
+        async with self._claimed_for_fault(name, "pause") as claimed:
+            if claimed:
                 self._fleet.signal(name, signal.SIGSTOP)
                 await curio.sleep(self._rng.uniform(*FAULT_DURATION_S))
                 self._fleet.signal(name, signal.SIGCONT)
@@ -222,10 +231,11 @@
         await self._pause(self._pick_place().name)
 
     async def _reload_gateway(self) -> None:
-        """Send SIGHUP, now and then over a file that can't be read.
+        """Send SIGHUP, in a share of cases with settings that can't be parsed.
 
-        Only to an instance that has started: settings that can't be read at a start end it, as
-        they should, and nothing can be done about a signal before the interpreter runs our code.
+        Only an instance that has started gets it. Settings that can't be parsed end an instance at
+        its start, as they should, and a signal that arrives before the interpreter runs the
+        program's code ends the process.
         """
         gateway = self._pick_gateway()
         if not self._fleet.is_listening(gateway) or not self._try_claim(gateway.name):
@@ -240,28 +250,28 @@
 
     async def _skew_gateway_clock(self) -> None:
         gateway = self._pick_gateway()
-        trouble = self._record_fault("clock", gateway.name)
+        record = self._record_fault("clock", gateway.name)
         clock = self._fleet.clock_file(gateway)
         clock.write_text(str(self._rng.uniform(-MAX_CLOCK_JUMP_S, MAX_CLOCK_JUMP_S)))
-        await self._wait_and_end(trouble)
+        await self._wait_and_end(record)
         clock.write_text("0")
 
     async def _fail_server(self) -> None:
         place = self._pick_place()
-        # Two at once: more of them meet in the seconds of a seed.
+        # Two faults at once, so that more combinations occur within a seed's duration.
         names = self._rng.sample(sorted(SERVER_FAULTS), 2)
-        trouble = self._record_fault("+".join(names), place.name)
+        record = self._record_fault("+".join(names), place.name)
         await self._fleet.set_faults(place.port, **{name: SERVER_FAULTS[name] for name in names})
-        await self._wait_and_end(trouble)
+        await self._wait_and_end(record)
         await self._fleet.set_faults(place.port, **NO_SERVER_FAULTS)
 
     def _expand_to_service(self, place: Place) -> list[Place]:
-        """Return a server, or now and then all of its service."""
-        alike = [each for each in self._fleet.places if each.service == place.service]
-        return alike if self._by_chance(WHOLE_SERVICE_SHARE) else [place]
+        """Return the server's place, or in a share of cases all places of its service."""
+        same_service = [each for each in self._fleet.places if each.service == place.service]
+        return same_service if self._by_chance(WHOLE_SERVICE_SHARE) else [place]
 
     async def _limit_server(self) -> None:
-        """Have a server, or all of its service, say how much it takes."""
+        """Let a server, or all servers of its service, advertise a limit."""
         places = self._expand_to_service(self._pick_place())
         limit = self._rng.choice(ADVERTISED_LIMITS)
         for each in places:
@@ -271,31 +281,34 @@
             await self._fleet.set_faults(each.port, limit="")
 
     async def _back_off_server(self) -> None:
-        """Have a server, or all of its service, refuse requests and ask for rest."""
+        """Let a server, or all servers of its service, refuse requests and ask for backoff."""
         places = self._expand_to_service(self._pick_place())
-        rest_s = self._rng.choice(BACKOFFS_S)
+        backoff_s = self._rng.choice(BACKOFFS_S)
         for each in places:
-            await self._fleet.set_faults(each.port, refuses=BACKOFF_REFUSAL_SHARE, rest_s=rest_s)
+            await self._fleet.set_faults(each.port, refuses=BACKOFF_REFUSAL_SHARE, rest_s=backoff_s)
         await curio.sleep(self._rng.uniform(*SIGNAL_DURATION_S))
         for each in places:
             await self._fleet.set_faults(each.port, refuses=0.0, rest_s=0.0)
-        # What it asked for last holds on; nothing is whole before that.
-        await curio.sleep(rest_s)
+        # The last backoff still runs; instances use the server normally only after it.
+        await curio.sleep(backoff_s)
 
     async def _fail_path(self, proxy: Proxy, kind: str, target: str, *, mutes: bool = True) -> None:
-        trouble = self._record_fault(f"{kind}-reset", target)
+        """Reset or mute the connections of a path, or slow or cut it for a while."""
+        record = self._record_fault(f"{kind}-reset", target)
         if self._by_chance(PATH_RESET_SHARE):
             await proxy.reset()
-            trouble.ended = time.time()
+            record.ended = time.time()
             return
         if mutes and self._by_chance(PATH_MUTE_SHARE):
-            trouble.kind = f"{kind}-mute"
+            record.kind = f"{kind}-mute"
             proxy.mute()
-            trouble.ended = time.time()
+            record.ended = time.time()
             return
-        proxy.fault = self._rng.choice([harm for harm in PathFault if harm is not PathFault.NONE])
-        trouble.kind = f"{kind}-{proxy.fault.value}"
-        await self._wait_and_end(trouble)
+        proxy.fault = self._rng.choice(
+            [fault for fault in PathFault if fault is not PathFault.NONE]
+        )
+        record.kind = f"{kind}-{proxy.fault.value}"
+        await self._wait_and_end(record)
         proxy.fault = PathFault.NONE
 
     async def _fail_store_path(self) -> None:
@@ -304,7 +317,7 @@
 
     async def _fail_caller_path(self) -> None:
         gateway = self._pick_gateway()
-        # What a caller sends on a connection that carries nothing reaches nobody.
+        # This path is never muted: no instance would get what a caller sends on a muted connection.
         await self._fail_path(gateway.caller_proxy, "callers-path", gateway.name, mutes=False)
 
     async def _fail_server_path(self) -> None:
@@ -325,31 +338,37 @@
                 {"forget": True},
             ]
         )
-        trouble = self._record_fault("store-" + next(iter(fault)), "store")
+        record = self._record_fault("store-" + next(iter(fault)), "store")
         await self._fleet.set_faults(self._fleet.store_port, **fault)
-        await self._wait_and_end(trouble)
-        whole = {"down": "", "lapse": False, "delay_s": 0.0, "lose_writes": False, "forget": False}
-        await self._fleet.set_faults(self._fleet.store_port, **whole)
-        trouble.ended = time.time()
+        await self._wait_and_end(record)
+        no_faults = {
+            "down": "",
+            "lapse": False,
+            "delay_s": 0.0,
+            "lose_writes": False,
+            "forget": False,
+        }
+        await self._fleet.set_faults(self._fleet.store_port, **no_faults)
+        record.ended = time.time()
         self._claimed.discard("store")
 
     async def _publish_configs(self) -> None:
-        """Publish a change, or several in quick succession."""
+        """Publish one configuration change, or several in quick succession."""
         if not self._try_claim("config"):
             return
         if self._by_chance(CONFIG_RESIZE_SHARE):
             self._fleet.toggle_config_size()
         for _ in range(CONFIG_STORM_LENGTH if self._by_chance(CONFIG_STORM_SHARE) else 1):
-            move = self._by_chance(SERVICE_SWITCH_SHARE)
+            switch = self._by_chance(SERVICE_SWITCH_SHARE)
             await self._fleet.publish(
-                switch_service=move, revoke_key=self._by_chance(KEY_REVOKE_SHARE)
+                switch_service=switch, revoke_key=self._by_chance(KEY_REVOKE_SHARE)
             )
         self._claimed.discard("config")
 
 
 Episode = Callable[[FaultInjector], Awaitable[None]]
 
-# What a seed draws from.
+# The kinds of faults that a seed draws from.
 EPISODES: dict[str, Episode] = {
     "kill-gateway": FaultInjector._kill_gateway,
     "stop-gateway": FaultInjector._stop_gateway,
--- a/src/crankhinge_soak/_fleet.py
+++ b/src/crankhinge_soak/_fleet.py
@@ -1,4 +1,4 @@
-"""The programs under test and what surrounds them: store, backend servers, paths, settings."""
+"""Runs the gateways under test, and the store, backend servers and network paths around them."""
 
 from __future__ import annotations
 
@@ -20,24 +20,27 @@
 from crankhinge_standins import operator
 
 GATEWAY_COUNT = 3
-# Backend servers: service, phase, how many.
+# Backend servers: service, initial engine role, number of servers.
 SERVER_GROUPS = (
     ("plain-a", "", 2),
     ("plain-b", "", 2),
     ("llm", "prefill", 2),
     ("llm", "decode", 3),
 )
+# Seconds between heartbeats of a backend server, and for which a gateway drains at SIGTERM.
 HEARTBEAT_S = 0.4
 DRAIN_S = 8
-# Seconds for which the store remembers changes; the users' remembers 20.
+# Seconds for which the store remembers changes; the store of the users' platform remembers 20.
 STORE_HISTORY_S = 6.0
-# What the last instance's path to the store carries, in bytes a second (5 Mbit/s), and the routes
-# that make a configuration large: 0.83 MB as the store gives it, so 1.33 s on that path. One that
-# comes while another is read is in force after two reads: 2.7 s of the 3 s that are allowed.
+# The path from the store to the last instance carries this many bytes a second (5 Mbit/s). The
+# extra routes make a configuration large: 0.83 MB as the store sends it, which takes 1.33 s on that
+# path. A configuration that is published while the previous one is read is in force after two
+# reads: 2.7 s of the 3 s that are allowed.
 SLOW_PATH_BYTES_PER_S = 625_000
 LARGE_CONFIG_EXTRA_ROUTES = 2770
 CALL_TIMEOUT_S = 2.0
-# The routes that callers use: path, kind, most servers, whether it may be resumed.
+# The routes that callers use: path, kind, maximum number of servers that one request may run on,
+# and whether its stream may be resumed.
 ONCE_PATH, SAFE_PATH, STREAM_PATH, RESUMED_PATH = "/once/", "/safe/", "/stream/", "/resumed/"
 ROUTES = (
     (ONCE_PATH, "unsafe", 1, False),
@@ -46,11 +49,11 @@
     (RESUMED_PATH, "streaming", 2, True),
 )
 STREAM_PATHS = (STREAM_PATH, RESUMED_PATH)
-# The others, which tell which version is in force, are asked for without a key.
+# The other routes show which version is in force; probes request them without a key.
 KEYED_PATHS = (ONCE_PATH, SAFE_PATH, STREAM_PATH, RESUMED_PATH)
 ROUTE_TIMEOUT_S = 6.0
-# The client accounts: one without a limit, whose keys are taken away, and one that asks for more
-# than it may. Seconds after which a key that was taken away runs nothing; what the limit allows.
+# The client accounts: one without a limit, whose keys are revoked, and one that requests more than
+# its limit allows. Then the seconds after which a revoked key runs nothing, and the limit.
 UNLIMITED_ACCOUNT, LIMITED_ACCOUNT = "free", "limited"
 REVOKE_S = 5.0
 LIMIT_TOKENS_PER_S, LIMIT_BURST_TOKENS, PLAIN_REQUEST_TOKENS = 1000, 3000, 200
@@ -68,13 +71,13 @@
     """One instance under test.
 
     Attributes:
-        name: of its process.
-        port: where it listens for callers.
-        ready_port: where it tells whether it is ready.
-        peer_port: where it takes notices (UDP).
-        caller_proxy: the callers' path to it.
-        store_proxy: its path to the store.
-        incarnation: counts its starts.
+        name: name of the process.
+        port: port for callers.
+        ready_port: port of the readiness endpoint.
+        peer_port: port for peer messages (UDP).
+        caller_proxy: path from callers to the instance.
+        store_proxy: path from the instance to the store.
+        incarnation: number of starts.
     """
 
     name: str
@@ -88,14 +91,14 @@
 
 @dataclass
 class Place:
-    """Where a backend server runs, one life after the other.
+    """A name and address at which incarnations of a backend server run one after another.
 
     Attributes:
-        name: of its process.
-        service: what it serves.
-        role: the part that it plays at its start.
-        port: where it listens.
-        proxy: the gateways' and other servers' path to it.
+        name: name of the process.
+        service: name of the service.
+        role: engine role of each incarnation at its start; empty for a plain service.
+        port: port of the server.
+        proxy: path to the server from gateways and other servers.
     """
 
     name: str
@@ -107,10 +110,17 @@
 
 @dataclass
 class Fleet(Procs):
-    """Everything that runs.
+    """All processes and network paths of a run.
 
-    Args:
-        logs: directory for the programs' logs; a temporary one by default.
+    Attributes:
+        logs_at: directory for the programs' logs; a temporary one by default.
+        version: newest configuration version.
+        extra_routes: number of routes that only make the configuration large.
+        plain_service: service that plain calls go to.
+        acknowledged: wall clock, version and service of plain calls of each configuration that the
+            store took.
+        keys: keys of the account without a limit; all but the last are revoked.
+        revoked: wall clock at which each key was revoked.
     """
 
     logs_at: Path | None = None
@@ -128,26 +138,28 @@
         self.gateways = []
         for number in range(GATEWAY_COUNT):
             port, ready, peer = next(ports), next(ports), next(ports)
-            front = Proxy(next(ports), port)
-            thin = SLOW_PATH_BYTES_PER_S if number == GATEWAY_COUNT - 1 else 0
-            store = Proxy(next(ports), self.store_port, thin)
-            self.gateways.append(Gateway(f"gateway-{number}", port, ready, peer, front, store))
+            caller_proxy = Proxy(next(ports), port)
+            bytes_per_s = SLOW_PATH_BYTES_PER_S if number == GATEWAY_COUNT - 1 else 0
+            store_proxy = Proxy(next(ports), self.store_port, bytes_per_s)
+            self.gateways.append(
+                Gateway(f"gateway-{number}", port, ready, peer, caller_proxy, store_proxy)
+            )
         self.places = []
-        for service, phase, count in SERVER_GROUPS:
+        for service, role, count in SERVER_GROUPS:
             for number in range(count):
                 port = next(ports)
-                name = f"{service}-{phase or 'one'}-{number}"
-                self.places.append(Place(name, service, phase, port, Proxy(next(ports), port)))
+                name = f"{service}-{role or 'one'}-{number}"
+                self.places.append(Place(name, service, role, port, Proxy(next(ports), port)))
 
     def proxies(self) -> list[Proxy]:
-        """Return the proxy of every path."""
+        """Return the proxies of all paths."""
         paths = [place.proxy for place in self.places]
         return paths + [
             proxy for gw in self.gateways for proxy in (gw.caller_proxy, gw.store_proxy)
         ]
 
     def start(self) -> None:
-        """Start the store and everything else."""
+        """Start the store, the backend servers and the gateways."""
         self.run("store", "crankhinge_standins.main", "store", "--port", str(self.store_port),
                  "--beat-s", str(HEARTBEAT_S), "--history-s", str(STORE_HISTORY_S))  # fmt: skip
         self.wait_for_ports([self.store_port])
@@ -157,7 +169,7 @@
             self.start_gateway(gateway)
 
     def start_server(self, place: Place, *, silent_leave: bool = False) -> None:
-        """Start a new life of a backend server."""
+        """Start a new incarnation of a backend server."""
         args = ["replica", "--port", str(place.port), "--shown", f"{HOST}:{place.proxy.port}"]
         args += ["--service", place.service, "--phase", place.role, "--beat-s", str(HEARTBEAT_S)]
         args += ["--store", f"{HOST}:{self.store_port}", "--record", str(self.record_file)]
@@ -166,12 +178,12 @@
         self.run(place.name, "crankhinge_standins.main", *args)
 
     def ended_gateways(self) -> list[str]:
-        """Return the names of instances that have ended though nobody ended them."""
+        """Return the names of instances that have exited by themselves."""
         procs = {gw.name: self.procs.get(gw.name) for gw in self.gateways}
         return [name for name, proc in procs.items() if proc and proc.poll() is not None]
 
     def is_listening(self, gateway: Gateway) -> bool:
-        """Whether an instance has started."""
+        """Whether an instance has started and accepts connections."""
         try:
             socket.create_connection((HOST, gateway.ready_port), timeout=CALL_TIMEOUT_S).close()
         except OSError:
@@ -179,14 +191,14 @@
         return True
 
     def start_gateway(self, gateway: Gateway) -> None:
-        """Start a new life of an instance."""
+        """Start a new incarnation of an instance."""
         gateway.incarnation += 1
         path = self.write_settings(gateway)
         env = {"CRANKHINGE_CONFIG": str(path), CLOCK: str(self.clock_file(gateway))}
         self.run(gateway.name, "crankhinge_soak._skewed", env=env)
 
     def write_settings(self, gateway: Gateway, text: str = "") -> Path:
-        """Write an instance's settings, or *text* in their place."""
+        """Write an instance's settings, or *text* in place of them; return the file."""
         lines = (
             f'name = "{gateway.name}"',
             'zone = "z1"',
@@ -205,7 +217,7 @@
         return path
 
     def clock_file(self, gateway: Gateway) -> Path:
-        """Return the file with the seconds by which an instance's time of day is off."""
+        """Return the file with the seconds by which an instance's clock is skewed."""
         return self.dir / f"{gateway.name}.clock"
 
     @property
@@ -214,32 +226,32 @@
         return self.dir / "servers.jsonl"
 
     def read_records(self) -> list[dict[str, Any]]:
-        """Return what backend servers recorded, in order."""
+        """Return what backend servers recorded, ordered by time."""
         rows = [json.loads(line) for line in self.record_file.open()]
         return sorted(rows, key=lambda row: float(row["at"]))
 
     def toggle_config_size(self) -> None:
-        """Make the configurations from now on large, or small again."""
+        """Switch the next configurations between large and small."""
         self.extra_routes = 0 if self.extra_routes else LARGE_CONFIG_EXTRA_ROUTES
 
     async def publish(self, *, switch_service: bool = False, revoke_key: bool = False) -> None:
-        """Write the next configuration.
+        """Publish the next configuration and wait until the store has taken it.
 
         Args:
-            switch_service: plain calls go to the other service.
-            revoke_key: the newest key is taken away and another one takes its place.
+            switch_service: whether plain calls go to the other service.
+            revoke_key: whether to replace the newest key of the account without a limit.
         """
         self.version += 1
-        gone = self.keys[-1] if revoke_key else ""
+        revoked = self.keys[-1] if revoke_key else ""
         if revoke_key:
             self.keys.append(f"key-{self.version}")
         if switch_service:
             self.plain_service = "plain-b" if self.plain_service == "plain-a" else "plain-a"
-        routes = [_make_route(path, kind, most, resumed, self._service_for(path))
-                  for path, kind, most, resumed in ROUTES]  # fmt: skip
-        known = range(1, self.version + 1)
+        routes = [_make_route(path, kind, max_servers, resumable, self._service_for(path))
+                  for path, kind, max_servers, resumable in ROUTES]  # fmt: skip
+        versions = range(1, self.version + 1)
         routes += [
-            _make_route(version_path(n), "safe", 2, False, self.plain_service) for n in known
+            _make_route(version_path(n), "safe", 2, False, self.plain_service) for n in versions
         ]
         routes += [
             _make_route(f"/more-{n}/", "safe", 2, False, self.plain_service)
@@ -261,39 +273,42 @@
         while not await self._put(self.store_port, "/v1/kv-key?private_key=op/config", body):
             await curio.sleep(0.2)
         self.acknowledged.append((time.time(), self.version, self.plain_service))
-        if gone:
-            self.revoked[gone] = time.time()
+        if revoked:
+            self.revoked[revoked] = time.time()
 
     def _service_for(self, path: str) -> str:
         return "llm" if path in STREAM_PATHS else self.plain_service
 
     async def set_faults(self, port: int, **faults: Any) -> bool:
-        """Switch faults of a stand-in; returns whether it has heard."""
+        """Set faults of a stand-in; return whether it has confirmed them."""
         return await self._put(port, "/faults", msgspec.json.encode(faults))
 
     async def _put(self, port: int, target: str, body: bytes) -> bool:
+        """Send a PUT request; return whether the response has status 200."""
         client = HttpClient(HOST, port)
         try:
             resp = await curio.timeout_after(
                 CALL_TIMEOUT_S, lambda: client.call("PUT", target, body=body, fresh=True)
             )
         except (HttpClosed, BadHttp, curio.TaskTimeout):
-            # A stand-in that was just killed, or a store that is down; the caller decides.
+            # The stand-in was just killed, or the store is down; the caller decides what to do.
             return False
         finally:
             await client.close()
         return bool(resp.status == 200)
 
 
-def _make_route(path: str, kind: str, most: int, resumed: bool, service: str) -> dict[str, Any]:
+def _make_route(
+    path: str, kind: str, max_servers: int, resumable: bool, service: str
+) -> dict[str, Any]:
     return operator.route(
         path.strip("/"),
         path,
         kind,
         service,
         timeout_ms=ROUTE_TIMEOUT_S * 1000,
-        max_attempts=most,
-        resumable=resumed,
+        max_attempts=max_servers,
+        resumable=resumable,
         sticky=kind == "streaming",
         anonymous=path not in KEYED_PATHS,
     )
--- a/src/crankhinge_soak/_history.py
+++ b/src/crankhinge_soak/_history.py
@@ -1,4 +1,4 @@
-"""What callers saw and what backend servers recorded, as the checks look at it."""
+"""Holds the input of the checker and looks up which faults hit a process at a time."""
 
 from __future__ import annotations
 
@@ -10,27 +10,31 @@
 from crankhinge_soak._fleet import STREAM_PATHS
 from crankhinge_soak._load import ObservedRequest, Probe
 
-# Seconds without trouble after which bounds in time hold again.
+# Seconds without a fault after which time bounds apply again.
 FAULT_RECOVERY_S = 3.0
-# How the names of places begin that serve streams and plain calls, and what marks those that read.
+# Prefixes of the names of places that serve streams and plain calls, and the part of a name that
+# marks prefill engines.
 ENGINE_PREFIX, PLAIN_PREFIX, PREFILL_MARK = "llm", "plain", "prefill"
 
 
 @dataclass
 class History:
-    """All that the checker looks at.
+    """All input of the checker.
+
+    Times are seconds of the wall clock.
 
     Attributes:
-        seen: what callers saw.
-        probes: which configuration instances had in force.
+        seen: what callers saw of each request.
+        probes: which configuration versions instances had in force.
         rows: what backend servers recorded.
-        troubles: faults as played.
-        acknowledged: wall clock, version and service of plain calls of each configuration.
-        places: name of the place of each server, by its identity.
-        held: memory tied at each engine after everything had ended.
-        calm_from: wall clock from which everything was whole again.
-        exits: processes under test that ended by themselves.
-        revoked: wall clock at which each key was taken away.
+        troubles: the faults that were injected.
+        acknowledged: for each configuration, the time at which the store took it, its version, and
+            the service that plain calls go to.
+        places: name of the place where each server ran, by the server's id.
+        held: tokens of KV memory still in use at each engine after all requests had ended.
+        calm_from: time from which no fault was active.
+        exits: processes under test that exited by themselves.
+        revoked: time at which each key was revoked.
     """
 
     seen: list[ObservedRequest]
@@ -57,45 +61,43 @@
         return table
 
     def find_faults(self, targets: Iterable[str], begin: float, end: float) -> list[InjectedFault]:
-        """Return what befell any of *targets*, planned or not, between two times."""
+        """Return the faults, planned ones included, on any of *targets* between two times."""
         names = set(targets)
         return [
-            trouble
-            for trouble in self.troubles
-            if trouble.target in names and trouble.overlaps(begin, end)
+            fault for fault in self.troubles if fault.target in names and fault.overlaps(begin, end)
         ]
 
     def has_unplanned_fault(self, targets: Iterable[str], begin: float, end: float) -> bool:
-        """Whether unplanned trouble befell one of *targets* between two times."""
-        return any(not trouble.planned for trouble in self.find_faults(targets, begin, end))
+        """Whether a fault other than a planned one hit any of *targets* between two times."""
+        return any(not fault.planned for fault in self.find_faults(targets, begin, end))
 
     def time_bounds_apply(self, gateway: str, begin: float, end: float) -> bool:
-        """Whether an instance's bounds in time hold between two times."""
+        """Whether the time bounds apply to an instance between two times."""
         targets = (gateway, f"{gateway}/store", "store")
         begin -= FAULT_RECOVERY_S
         stopped = any(
-            trouble.kind == "stop" and trouble.planned
-            for trouble in self.find_faults([gateway], begin, end)
+            fault.kind == "stop" and fault.planned
+            for fault in self.find_faults([gateway], begin, end)
         )
         return not stopped and not self.has_unplanned_fault(targets, begin, end)
 
     def reached_faulty_server(self, seen: ObservedRequest) -> bool:
-        """Whether a server that a request reached was harmed, or left, in its time."""
+        """Whether a server that the request reached had a fault meanwhile, planned or not."""
         names = {self.places.get(row["server"], "") for row in self.arrivals.get(seen.ident, ())}
         return bool(self.find_faults(names, seen.sent - FAULT_RECOVERY_S, seen.ended))
 
     def reached_killed_server(self, seen: ObservedRequest) -> bool:
-        """Whether a request went to a server that was killed before it could record it.
+        """Whether a request went to a server that was killed before it could record the request.
 
-        Its prompt may have been read elsewhere, which is recorded.
+        The prefill engine that processed the request's prompt may have recorded it nevertheless.
         """
         reached = [self.places.get(row["server"], "") for row in self.arrivals.get(seen.ident, ())]
         if any(PREFILL_MARK not in name for name in reached):
             return False
         service = ENGINE_PREFIX if seen.path in STREAM_PATHS else PLAIN_PREFIX
         return any(
-            trouble.kind == "kill"
-            and trouble.target.startswith(service)
-            and trouble.overlaps(seen.sent, seen.ended)
-            for trouble in self.troubles
+            fault.kind == "kill"
+            and fault.target.startswith(service)
+            and fault.overlaps(seen.sent, seen.ended)
+            for fault in self.troubles
         )
--- a/src/crankhinge_soak/_load.py
+++ b/src/crankhinge_soak/_load.py
@@ -1,4 +1,4 @@
-"""Callers, the balancer before them, and probes of which configuration is in force."""
+"""Generates the load: callers behind a load balancer, and probes for the configuration in force."""
 
 from __future__ import annotations
 
@@ -28,24 +28,26 @@
 from crankhinge_standins.replica import make_body, make_events
 
 CALLER_COUNT = 12
-# Share of streams among requests, and of callers that leave before their answer is there.
+# Share of streams among the requests, and share of callers that disconnect before the response
+# ends.
 STREAM_SHARE = 0.4
 EARLY_LEAVE_SHARE = 0.06
-# Seconds: a caller's pause between requests, at most; how long it waits for an answer; how long
-# one that leaves early stays.
+# Seconds: maximum pause of a caller between requests; how long a caller waits for a response; and
+# the maximum after which a caller that disconnects early does so.
 MAX_CALLER_PAUSE_S = 0.15
 CALLER_DEADLINE_S = 5.0
 MAX_EARLY_LEAVE_S = 0.25
-# Share of requests for the account with a limit, and of the others those with a key of before.
+# Share of requests of the account with a limit, and share of the others whose key may be revoked.
 LIMITED_ACCOUNT_SHARE = 0.1
 OLD_KEY_SHARE = 0.15
-# What a caller allows beyond its deadline until it calls an answer missing.
+# Seconds after its deadline for which a caller still waits before it counts the response as
+# missing.
 DEADLINE_SLACK_S = 1.0
-# Requests that a caller sends on one connection before it takes a new one.
+# Maximum number of requests that a caller sends on one connection.
 MAX_REQUESTS_PER_CONNECTION = 8
 PROBE_INTERVAL_S = 0.25
 PROBE_TIMEOUT_S = 2.0
-# Misses in a row after which the balancer sends no new connections.
+# Consecutive failed probes after which the load balancer opens no more connections to an instance.
 MAX_FAILED_PROBES = 2
 
 
@@ -54,20 +56,20 @@
     """What a caller saw of one request.
 
     Attributes:
-        ident: of the request.
-        path: of its route.
-        gateway: name of the instance that took it.
-        sent: wall clock.
-        ended: wall clock of its end.
-        status: of the answer; 0 for none.
-        complete: whether an answer came to its proper end.
-        body_correct: whether what came of it is what the request asked for.
-        from_instance: whether the instance itself, and no server, gave the answer.
-        caller_left: whether the caller left before the end.
-        failure: how the connection ended where no whole answer came.
-        account: who asks.
-        key: that it shows.
-        tokens: that it counts.
+        ident: request id.
+        path: path of the route.
+        gateway: name of the instance that the request was sent to.
+        sent: wall clock of the start.
+        ended: wall clock of the end.
+        status: status of the response; 0 for none.
+        complete: whether the response came to its regular end.
+        body_correct: whether all bytes received belong to the response to this request.
+        from_instance: whether the instance itself, and no server, made the response.
+        caller_left: whether the caller disconnected before the end.
+        failure: error code and detail, or "no end in time", when no complete response came.
+        account: client account of the request.
+        key: API key of the request.
+        tokens: tokens that the request counts against its account's limit.
     """
 
     ident: str
@@ -88,14 +90,14 @@
 
 @dataclass(frozen=True)
 class Probe:
-    """Whether an instance knew a version's route.
+    """Whether an instance had a configuration version in force.
 
     Attributes:
         gateway: name of the instance.
-        incarnation: which of its starts.
-        version: whose route was asked for.
+        incarnation: number of the instance's start.
+        version: version whose route was requested.
         sent: wall clock.
-        known: False for 404; None where there was no answer, or no configuration yet.
+        known: False for status 404; None when there was no response or no configuration yet.
     """
 
     gateway: str
@@ -106,11 +108,11 @@
 
 
 class LoadGenerator:
-    """Callers and probes.
+    """Sends the requests of callers, and probes.
 
     Args:
-        fleet: what they call.
-        seed: of what they ask for and when.
+        fleet: the instances to send to.
+        seed: seed of what callers request and when.
     """
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
@@ -123,11 +125,11 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Have every caller end with the request that it is at."""
+        """Let every caller end after its current request."""
         self._stopped = True
 
     async def run(self) -> None:
-        """Call until :meth:`stop`."""
+        """Send requests and probes until :meth:`stop`."""
         async with curio.TaskGroup() as group:
             for gateway in self._fleet.gateways:
                 await group.spawn(self._poll_readiness, gateway)
@@ -136,37 +138,39 @@
                 await group.spawn(self._run_caller, random.Random(f"{self._seed}-{number}"))
 
     async def _poll_readiness(self, gateway: Gateway) -> None:
+        """Count an instance's consecutive failed readiness checks, as a load balancer does."""
         client = HttpClient(HOST, gateway.ready_port, pool_size=0)
         while not self._stopped:
             status = await _get_status(client, "/readyz")
-            missed = self._failed_probes[gateway.name] + 1
-            self._failed_probes[gateway.name] = 0 if status == 200 else missed
+            failed = self._failed_probes[gateway.name] + 1
+            self._failed_probes[gateway.name] = 0 if status == 200 else failed
             await curio.sleep(PROBE_INTERVAL_S)
 
     def _pick_gateway(self, rng: random.Random) -> Gateway:
-        """Return an instance as the balancer would: one that is in, or any when none is."""
+        """Return a random instance that the load balancer considers ready, or any when none is."""
         gateways = self._fleet.gateways
         ready = [gw for gw in gateways if self._failed_probes[gw.name] < MAX_FAILED_PROBES]
         return rng.choice(ready or gateways)
 
     async def _probe_config(self, gateway: Gateway) -> None:
-        """Ask an instance, on its own address, for the newest version's route and an older one."""
+        """Request the routes of the newest two versions directly from an instance."""
         client = HttpClient(HOST, gateway.port, pool_size=0)
         while not self._stopped:
             newest = self._fleet.acknowledged[-1][1] if self._fleet.acknowledged else 0
             for version in {newest, max(1, newest - 1)} - {0}:
-                life, sent = gateway.incarnation, time.time()
+                incarnation, sent = gateway.incarnation, time.time()
                 status = await _get_status(
                     client, version_path(version), ident=self._make_ident("p")
                 )
                 known = None if status in (0, 503) else status != 404
-                self.probes.append(Probe(gateway.name, life, version, sent, known))
+                self.probes.append(Probe(gateway.name, incarnation, version, sent, known))
             await curio.sleep(PROBE_INTERVAL_S)
 
     def _make_ident(self, kind: str) -> str:
         return f"{kind}{self._seed}-{next(self._numbers)}"
 
     async def _run_caller(self, rng: random.Random) -> None:
+        """Open connections one after another and send a few requests on each."""
         while not self._stopped:
             gateway = self._pick_gateway(rng)
             client = HttpClient(HOST, gateway.caller_proxy.port, pool_size=1)
@@ -180,8 +184,8 @@
             await client.close()
 
     def _draw_request(self, gateway: Gateway, rng: random.Random) -> ObservedRequest:
-        streams = rng.random() < STREAM_SHARE
-        path = rng.choice(STREAM_PATHS if streams else (ONCE_PATH, SAFE_PATH))
+        is_stream = rng.random() < STREAM_SHARE
+        path = rng.choice(STREAM_PATHS if is_stream else (ONCE_PATH, SAFE_PATH))
         seen = ObservedRequest(self._make_ident("q"), path, gateway.name, time.time())
         if rng.random() < LIMITED_ACCOUNT_SHARE:
             seen.account = seen.key = LIMITED_ACCOUNT
@@ -193,12 +197,14 @@
     async def _send_request(
         self, client: HttpClient, seen: ObservedRequest, rng: random.Random
     ) -> None:
-        """Send a request and note what comes back."""
-        leaves = rng.random() < EARLY_LEAVE_SHARE
-        patience = (
-            MAX_EARLY_LEAVE_S * rng.random() if leaves else CALLER_DEADLINE_S + DEADLINE_SLACK_S
+        """Send a request and store what the caller sees of it in *seen*."""
+        leaves_early = rng.random() < EARLY_LEAVE_SHARE
+        timeout_s = (
+            MAX_EARLY_LEAVE_S * rng.random()
+            if leaves_early
+            else CALLER_DEADLINE_S + DEADLINE_SLACK_S
         )
-        prompt, answer = rng.randint(100, 3000), rng.randint(50, 300)
+        prompt_tokens, answer_tokens = rng.randint(100, 3000), rng.randint(50, 300)
         headers = {
             "host": "h.example",
             "x-request-id": seen.ident,
@@ -206,18 +212,18 @@
             "authorization": f"Bearer {seen.key}",
         }
         if seen.path in STREAM_PATHS:
-            seen.tokens = prompt + answer
+            seen.tokens = prompt_tokens + answer_tokens
             headers.update(
                 {
                     "x-model": "m",
-                    "x-token-count": f"{prompt},{answer}",
-                    "length-hint": str(answer // 2),
+                    "x-token-count": f"{prompt_tokens},{answer_tokens}",
+                    "length-hint": str(answer_tokens // 2),
                 }
             )
         try:
-            await curio.timeout_after(patience, self._exchange, client, seen, headers)
+            await curio.timeout_after(timeout_s, self._exchange, client, seen, headers)
         except curio.TaskTimeout:
-            seen.caller_left, seen.failure = leaves, "no end in time"
+            seen.caller_left, seen.failure = leaves_early, "no end in time"
         except CrankhingeError as exc:
             seen.failure = f"{exc.code}: {exc.detail}"
         seen.ended = time.time()
@@ -225,24 +231,27 @@
     async def _exchange(
         self, client: HttpClient, seen: ObservedRequest, headers: dict[str, str]
     ) -> None:
+        """Send a request and read the response, and compare it with what a server would send."""
         method = "GET" if seen.path == SAFE_PATH else "POST"
         body = b"" if method == "GET" else b"b" * 200
         stream = await client.open(method, seen.path + "x", headers=headers, body=body)
-        done = False
+        ended = False
         try:
             seen.status = stream.status
             seen.from_instance = "x-server-seal" not in stream.headers
-            got = bytearray()
+            received = bytearray()
             expected = _make_expected_body(seen)
             while chunk := await stream.next_chunk():
-                got += chunk
-                if seen.status == 200 and not expected.startswith(bytes(got)):
-                    # Also wrong where the answer never comes to its end.
+                received += chunk
+                if seen.status == 200 and not expected.startswith(bytes(received)):
+                    # Wrong bytes count even if the response never ends.
                     seen.body_correct = False
-            seen.complete = done = True
-            seen.body_correct = seen.body_correct and (seen.status != 200 or bytes(got) == expected)
+            seen.complete = ended = True
+            seen.body_correct = seen.body_correct and (
+                seen.status != 200 or bytes(received) == expected
+            )
         finally:
-            await (stream.close() if done else stream.abort())
+            await (stream.close() if ended else stream.abort())
 
 
 def _make_expected_body(seen: ObservedRequest) -> bytes:
@@ -252,7 +261,7 @@
 
 
 async def _get_status(client: HttpClient, target: str, *, ident: str = "") -> int:
-    """Return the status that a short question gets; 0 for none."""
+    """Return the status of a short request; 0 when there is no response."""
     headers = {"host": "h.example"}
     if ident:
         headers |= {"x-request-id": ident, "x-deadline-ms": str(int(PROBE_TIMEOUT_S * 1000))}
--- a/src/crankhinge_soak/_proxy.py
+++ b/src/crankhinge_soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that stands for a network path, and harms it on demand."""
+"""A TCP proxy on loopback that simulates a network path and its faults."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 RECV_BYTES = 65536
 CONNECT_TIMEOUT_S = 2.0
-# How often a held-up direction looks whether the path is whole again, in seconds.
+# Seconds between checks of whether a blocked direction may forward again.
 FAULT_POLL_S = 0.02
-# Seconds that a slow path adds to each piece.
+# Seconds of delay that a slow path adds to each chunk.
 SLOW_PATH_DELAY_S = 0.15
 
 
 class PathFault(enum.Enum):
-    """What a path does to the bytes that take it."""
+    """What a path does to the bytes on it."""
 
     NONE = "none"
     SLOW = "slow"
@@ -32,15 +32,16 @@
 
 
 class Proxy:
-    """The path to one listener.
+    """The path to one listening port.
 
-    Bytes that a cut holds up are delivered when it is over, as over a real partition; a reset
-    drops every connection; muted connections stay open, acknowledge, and carry nothing any more.
+    A cut holds bytes back and delivers them when it ends, as a real partition does. A reset closes
+    every connection with RST. Muted connections stay open and acknowledge data, but never forward
+    any.
 
     Args:
-        port: where callers connect.
+        port: port for callers.
         target: port of the listener.
-        bytes_per_s: what the path carries back to callers on each connection; 0 for no bound.
+        bytes_per_s: rate of each connection towards the caller; 0 for no limit.
     """
 
     def __init__(self, port: int, target: int, bytes_per_s: int = 0) -> None:
@@ -52,43 +53,44 @@
         self._muted: set[Any] = set()
 
     def mute(self) -> None:
-        """Have the connections that are open now carry nothing any more, for good."""
+        """Stop forwarding on all open connections for good; new connections work."""
         self._muted |= self._socks
 
     async def run(self) -> None:
-        """Carry connections until cancelled."""
+        """Forward connections until cancelled."""
         await serve_tcp(
             HOST, self.port, self._forward_connection, log=get_log(program="soak-proxy")
         )
 
     async def reset(self) -> None:
-        """Reset every connection, in both directions."""
+        """Reset every connection in both directions."""
         for sock in list(self._socks):
             _reset_on_close(sock)
             self._socks.discard(sock)
             with contextlib.suppress(OSError):
                 sock._socket.shutdown(socket.SHUT_RD)
 
-    async def _forward_connection(self, near: Any, _addr: Any) -> None:
+    async def _forward_connection(self, caller: Any, _addr: Any) -> None:
+        """Forward one connection, from *caller* to the target and back, until its end."""
         while self.fault in (PathFault.SILENT, PathFault.CUT_TO_TARGET):
             await curio.sleep(FAULT_POLL_S)
         try:
-            far = await open_tcp(HOST, self._target, CONNECT_TIMEOUT_S)
+            target = await open_tcp(HOST, self._target, CONNECT_TIMEOUT_S)
         except OSError:
-            # A process that is down resets whoever connects.
-            _reset_on_close(near)
+            # The target's process is down: reset the caller, as a direct connection would be.
+            _reset_on_close(caller)
             return
-        self._socks |= {near, far}
+        self._socks |= {caller, target}
         try:
-            async with far, curio.TaskGroup() as group:
-                await group.spawn(self._forward_bytes, near, far, PathFault.CUT_TO_TARGET)
-                await group.spawn(self._forward_bytes, far, near, PathFault.CUT_TO_CALLER)
+            async with target, curio.TaskGroup() as group:
+                await group.spawn(self._forward_bytes, caller, target, PathFault.CUT_TO_TARGET)
+                await group.spawn(self._forward_bytes, target, caller, PathFault.CUT_TO_CALLER)
         finally:
-            self._socks -= {near, far}
-            self._muted -= {near, far}
+            self._socks -= {caller, target}
+            self._muted -= {caller, target}
 
     async def _forward_bytes(self, source: Any, sink: Any, cut: PathFault) -> None:
-        """Carry one direction until its end; *cut* is the harm that holds it up."""
+        """Forward one direction until its end; *cut* is the path fault that holds it up."""
         while True:
             try:
                 data = await source.recv(RECV_BYTES)
@@ -106,7 +108,7 @@
             while self.fault in (PathFault.SILENT, cut) and sink in self._socks:
                 await curio.sleep(FAULT_POLL_S)
             if sink not in self._socks:
-                # It was reset: a proper end would come before the reset.
+                # The connection was reset; a regular end of stream must not precede the reset.
                 return
             try:
                 if not data:
@@ -114,17 +116,17 @@
                     return
                 await sink.sendall(data)
             except OSError:
-                # The other direction tells its end the same way.
+                # The other direction meets the end of the connection, too, and closes it.
                 return
 
     async def _end_muted(self, sink: Any, cut: PathFault) -> None:
-        """End a muted connection when its caller does; the caller is told nothing."""
+        """Close a muted connection to the target when its caller does; send the caller nothing."""
         if cut is PathFault.CUT_TO_TARGET:
             with contextlib.suppress(OSError):
                 await sink.shutdown(socket.SHUT_WR)
 
 
 def _reset_on_close(sock: Any) -> None:
-    """Have the close of a connection reset it: a linger of zero seconds does."""
+    """Make the close of a connection send RST, which a linger time of zero seconds does."""
     linger = struct.pack("ii", 1, 0)
     sock._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/src/crankhinge_soak/_signals_check.py
+++ b/src/crankhinge_soak/_signals_check.py
@@ -1,7 +1,7 @@
-"""Checks that instances keep to what servers say of themselves: that they leave, or want rest.
+"""Checks that instances obey the signals in servers' responses: leaving and backoff.
 
-Both hold for the instance that was told, whatever befell others; only what befell itself, or its
-path to the server, excuses it.
+Both invariants bind the instance that received the signal, whatever faults hit other instances. It
+is excused only by a fault of its own and, for a backoff, by one of the server or of the path to it.
 """
 
 from __future__ import annotations
@@ -11,34 +11,37 @@
 
 from crankhinge_soak._history import History
 
-# Seconds after which a server that said it leaves gets nothing more, with those of a busy machine.
+# Seconds after which a server that announced its shutdown gets nothing more. This includes the
+# delay that a busy machine adds.
 LEAVING_GRACE_S = 3.0
-# Seconds after its word from which a server that wants rest gets at most so many requests.
+# From BACKOFF_GRACE_S after a server's response with a backoff until the backoff ends, an instance
+# sends the server at most MAX_REQUESTS_IN_BACKOFF requests.
 BACKOFF_GRACE_S, MAX_REQUESTS_IN_BACKOFF = 0.5, 2
 
-# What one instance sent: wall clock and identity of the request, by server and instance.
+# Arrival time (wall clock) and id of each request that an instance sent to a server, by server and
+# instance.
 SentRequests = dict[tuple[str, str], list[tuple[float, str]]]
 
 
 def check_leaving_signals(history: History) -> tuple[int, list[str]]:
-    """A server gets nothing from an instance that has passed on its word that it leaves."""
-    told: dict[tuple[str, str], float] = {}
+    """Check that an instance that relayed a server's leaving signal sends it nothing more."""
+    relayed: dict[tuple[str, str], float] = {}
     for row in _select_signal_rows(history):
         seen = history.by_ident.get(row["request"])
         if row["leaving"] and seen is not None and seen.complete and not seen.from_instance:
-            told.setdefault((row["server"], seen.gateway), seen.ended)
+            relayed.setdefault((row["server"], seen.gateway), seen.ended)
     cases = []
     all_sent = _group_sent_requests(history)
-    for (server, gateway), at in told.items():
+    for (server, gateway), at in relayed.items():
         for arrived, ident in all_sent[server, gateway]:
             sent = history.by_ident[ident].sent
             if sent > at + LEAVING_GRACE_S and not history.find_faults([gateway], at, arrived):
-                cases.append(f"{ident} by {gateway} to {server} {sent - at:.2f} s after its word")
-    return len(told), cases
+                cases.append(f"{ident} by {gateway} to {server} {sent - at:.2f} s after its signal")
+    return len(relayed), cases
 
 
 def check_backoffs(history: History) -> tuple[int, list[str]]:
-    """A server that refused an instance and wants rest gets next to nothing from it meanwhile."""
+    """Check that an instance sends almost nothing to a server during its backoff."""
     cases = []
     tested = 0
     all_sent = _group_sent_requests(history)
@@ -54,11 +57,14 @@
         times = all_sent[row["server"], seen.gateway]
         got = sum(begin + BACKOFF_GRACE_S < at < end for at, _ in times)
         if got > MAX_REQUESTS_IN_BACKOFF:
-            cases.append(f"{got} by {seen.gateway} to {row['server']} in {row['rest_s']} s of rest")
+            cases.append(
+                f"{got} by {seen.gateway} to {row['server']} in {row['rest_s']} s of backoff"
+            )
     return tested, cases
 
 
 def _select_signal_rows(history: History) -> list[dict[str, Any]]:
+    """Return the rows of responses with a leaving or backoff signal."""
     return [row for row in history.rows if row["kind"] == "told"]
 
 
--- a/src/crankhinge_soak/_skewed.py
+++ b/src/crankhinge_soak/_skewed.py
@@ -1,7 +1,7 @@
-"""Starts the gateway with a time of day that is moved by what a file says.
+"""Starts the gateway with a clock that is skewed by the seconds in a file.
 
-A process's clock can't be moved from outside without special rights; so this launcher replaces
-the call that tells the time of day, and nothing else, before the program is imported.
+The clock of a single process can't be changed from outside without special rights. This launcher
+therefore replaces ``time.time``, and nothing else, before it imports the program.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Run the gateway; returns its exit status."""
+    """Run the gateway; return its exit status."""
     path = Path(os.environ[CLOCK])
     true_time = time.time
 
@@ -22,7 +22,7 @@
         try:
             return true_time() + float(path.read_text() or "0")
         except (OSError, ValueError):
-            # Nothing was written yet, or the file is being written.
+            # The file does not exist yet, or is just being written.
             return true_time()
 
     time.time = moved_time
--- a/src/crankhinge_soak/_verdict.py
+++ b/src/crankhinge_soak/_verdict.py
@@ -1,21 +1,21 @@
-"""What a checker found of each promise, and the report on a seed."""
+"""Defines the checker's verdict on an invariant and the report on one seed."""
 
 from __future__ import annotations
 
 import msgspec
 
-# Cases of one promise that are told.
+# Maximum number of violations listed for each invariant.
 MAX_EXAMPLES = 5
 
 
 class Verdict(msgspec.Struct, kw_only=True):
-    """What a checker found of one promise.
+    """The checker's result for one invariant.
 
     Attributes:
-        promise: its name.
-        tested: how often it was put to the test.
-        broken: how often it was broken.
-        detail: the first cases.
+        promise: name of the invariant.
+        tested: number of times it was tested.
+        broken: number of violations.
+        detail: descriptions of the first violations.
     """
 
     promise: str
@@ -25,16 +25,16 @@
 
 
 class Report(msgspec.Struct, kw_only=True):
-    """The outcome of one seed.
+    """The result of one seed.
 
     Attributes:
-        seed: of the schedule and the load.
-        seconds: length of the faults.
-        faults: how often each kind was played.
-        verdicts: of the checker.
-        requests: how many callers sent.
-        answered: how many were answered whole.
-        note: what else the load tells.
+        seed: seed of the schedule and the load.
+        seconds: duration of the faults.
+        faults: number of injected faults of each kind.
+        verdicts: the checker's verdicts.
+        requests: number of requests that callers sent.
+        answered: number of requests that got a complete response.
+        note: further figures of the load, appended to the report's last line.
     """
 
     seed: int
@@ -47,17 +47,17 @@
 
     @property
     def broken(self) -> bool:
-        """Whether a promise was broken."""
+        """Whether any invariant was violated."""
         return any(verdict.broken for verdict in self.verdicts)
 
 
 def make_verdict(invariant: str, tested: int, cases: list[str]) -> Verdict:
-    """Return the verdict on a promise that was broken in *cases*."""
+    """Return the verdict on *invariant*, which each of *cases* violates."""
     return Verdict(promise=invariant, tested=tested, broken=len(cases), detail=cases[:MAX_EXAMPLES])
 
 
 def render(report: Report) -> str:
-    """Return one seed's report as text."""
+    """Return a report as text."""
     faults = ", ".join(f"{kind} {count}" for kind, count in report.faults.items())
     lines = [f"seed {report.seed}, {report.seconds:g} s: {faults}"]
     for found in report.verdicts:
--- a/src/crankhinge_soak/main.py
+++ b/src/crankhinge_soak/main.py
@@ -1,4 +1,4 @@
-"""``crankhinge-soak``: random faults on real processes, and the checker's verdict."""
+"""``crankhinge-soak``: runs real processes under random faults and checks the invariants."""
 
 from __future__ import annotations
 
@@ -24,9 +24,10 @@
 from crankhinge_soak._verdict import Report, render
 
 PROGRAM = "crankhinge-soak"
-# Seconds: without faults at the beginning; until everything has found its place after the last
-# fault (a paused instance's lease and the list's doubt of lapsed entries are over by then, and an
-# engine that was ordered plays its part); calm that is judged; until memory is free at the end.
+# Seconds: load without faults at the start; time for recovery after the last fault (by its end a
+# paused instance's lease has expired, servers whose entries lapsed are no longer kept as suspect,
+# and an engine that was ordered to another role has it); time without faults that the checker
+# judges; and time for engines to free their memory at the end.
 WARM_UP_S = 1.5
 SETTLE_S = 6.0
 FAULT_FREE_S = 4.0
@@ -36,7 +37,7 @@
 def run_seed(
     seed: int, seconds: float, logs: Path | None = None, kinds: tuple[str, ...] = ()
 ) -> Report:
-    """Play one seed and check it; every process that was started is ended."""
+    """Run one seed, check the result, and end every process that was started."""
     if logs is not None:
         logs.mkdir(parents=True, exist_ok=True)
     fleet = Fleet(logs)
@@ -48,8 +49,8 @@
     finally:
         fleet.stop()
     counts: dict[str, int] = {}
-    for trouble in faults.played:
-        counts[trouble.kind] = counts.get(trouble.kind, 0) + 1
+    for fault in faults.played:
+        counts[fault.kind] = counts.get(fault.kind, 0) + 1
     return Report(
         seed=seed,
         seconds=seconds,
@@ -63,7 +64,7 @@
 async def _run_under_load(
     fleet: Fleet, load: LoadGenerator, faults: FaultInjector, seconds: float
 ) -> float:
-    """Play a seed; returns the wall clock from which all was whole."""
+    """Run load and faults of a seed; return the wall clock from which no fault was active."""
     async with curio.TaskGroup() as paths:
         for proxy in fleet.proxies():
             await paths.spawn(proxy.run)
@@ -102,13 +103,13 @@
 
 
 def _read_held_tokens(port: int) -> int:
-    """Return the memory that is tied at an engine, in tokens."""
+    """Return the KV memory in use at an engine, in tokens."""
     held: dict[str, int] = http_json("GET", port, "/held")
     return held["held"]
 
 
 def select_seeds(args: argparse.Namespace) -> list[tuple[int, float]]:
-    """Return the seeds to play, each with the seconds of its faults."""
+    """Return the seeds to run, each with the duration of its faults in seconds."""
     if not args.cases:
         return [(args.seed + number, args.seconds) for number in range(args.repeat)]
     cases: list[dict[str, Any]] = tomllib.loads(Path(args.cases).read_text()).get("case", [])
@@ -116,7 +117,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog=PROGRAM, description=__doc__)
     parser.add_argument("--version", action="version", version=f"{PROGRAM} {__version__}")
     parser.add_argument(
@@ -126,23 +127,29 @@
         help="what is under test: gateways, or entries with their agents",
     )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=20.0, help="length of the faults")
-    parser.add_argument("--repeat", type=int, default=1, help="seeds, counted up from --seed")
-    parser.add_argument("--cases", default="", help="file of seeds that once failed, played again")
-    parser.add_argument("--kinds", default="", help="of gateways: kinds of faults, with commas")
+    parser.add_argument("--seconds", type=float, default=20.0, help="duration of the faults")
+    parser.add_argument(
+        "--repeat", type=int, default=1, help="number of seeds, counted up from --seed"
+    )
+    parser.add_argument("--cases", default="", help="TOML file of seeds to run instead of --seed")
+    parser.add_argument(
+        "--kinds", default="", help="comma-separated kinds of faults (gateways only)"
+    )
     parser.add_argument("--json", default="", help="file for the results")
-    parser.add_argument("--logs", default="", help="directory for the programs' logs")
+    parser.add_argument("--logs", default="", help="directory for the logs of the programs")
     return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command; returns 0 when each promise was put to the test and none was broken."""
+    """Run the command; return 0 if every invariant was tested and none was violated, else 1."""
     parser = make_parser()
     args = parser.parse_args(argv)
     kinds = tuple(name for name in args.kinds.split(",") if name)
     if unknown := set(kinds) - set(EPISODES):
-        parser.error(f"--kinds: {sorted(unknown)} are not among {sorted(EPISODES)}")
-    # curio warns of each operation that ends just after its time-out; nothing is wrong with that.
+        parser.error(
+            f"--kinds: unknown kinds {sorted(unknown)}; known kinds are {sorted(EPISODES)}"
+        )
+    # curio warns of each operation that ends just after its time-out, which is no error here.
     logging.getLogger("curio").setLevel(logging.ERROR)
     reports = []
     for seed, seconds in select_seeds(args):
@@ -158,8 +165,8 @@
     print(f"{len(reports)} seeds, broken: {broken or 'none'}", file=sys.stderr)
     verdicts = [found for report in reports for found in report.verdicts]
     untested = {v.promise for v in verdicts} - {v.promise for v in verdicts if v.tested}
-    for promise in sorted(untested):
-        print(f"never put to the test: {promise}", file=sys.stderr)
+    for invariant in sorted(untested):
+        print(f"never put to the test: {invariant}", file=sys.stderr)
     return 1 if broken or untested else 0
 
 
