--- a/src/crankhinge_standins/__init__.py
+++ b/src/crankhinge_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the systems that crankhinge meets: for tests, the demo and benchmarks.
+"""Stand-ins for the systems around crankhinge, for tests, the demo and benchmarks.
 
 The product never imports this package.
 """
--- a/src/crankhinge_standins/_model.py
+++ b/src/crankhinge_standins/_model.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's "model": a checksum of everything before the next token."""
+"""The stand-in engine's "model": each token is a checksum of everything before it."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def next_token(state: int) -> tuple[str, int]:
-    """Return the token that follows, and the state after it."""
+    """Return the token that follows *state*, and the state after it."""
     token = f" w{state % VOCABULARY_SIZE}"
     return token, zlib.crc32(token.encode(), state)
 
 
 def make_answer(body: dict[str, Any]) -> list[str]:
-    """Return the whole answer: what a test compares with."""
+    """Return all tokens of the model's answer, for tests to compare with."""
     state = zlib.crc32(extract_context(body).encode())
     out = []
     for _ in range(int(body.get("max_tokens", 16))):
--- a/src/crankhinge_standins/_replica_state.py
+++ b/src/crankhinge_standins/_replica_state.py
@@ -1,4 +1,4 @@
-"""What a stand-in replica holds: its faults and the memory that is tied."""
+"""Defines the faults of a stand-in backend server and the KV memory in use on it."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class ReplicaFaults(FaultSwitches):
-    """Faults of a replica.
+    """Faults of a backend server.
 
     Attributes:
         errors: share of runs that end with status 500.
-        resets: share of runs whose answer is lost.
-        garbles: share of answers that break off.
-        refuses: share of arrivals that are refused before they run.
+        resets: share of runs whose connection closes before the response.
+        garbles: share of responses that break off in the middle.
+        refuses: share of requests that the server refuses before they run.
         slow: factor on every duration.
-        rest_s: seconds for which it wants no request from whom it refuses; 0 for no such word.
-        limit: what it names as the requests a second that it takes; empty for nothing.
+        rest_s: backoff in seconds that refusals ask for; 0 for none.
+        limit: requests a second that the server advertises as its limit; empty for none.
     """
 
     errors: float = 0.0
@@ -32,7 +32,13 @@
 
 @dataclass
 class KvMemory:
-    """Memory of an engine that is tied, in tokens, by reason."""
+    """KV memory in use on an engine, in tokens.
+
+    Attributes:
+        runs: memory of requests in progress, by run.
+        holds: reserved memory, by reservation id.
+        handles: KV caches of prompts that wait to be fetched, by KV handle.
+    """
 
     runs: dict[str, int] = field(default_factory=dict)
     holds: dict[str, int] = field(default_factory=dict)
@@ -40,6 +46,6 @@
 
     @property
     def used(self) -> int:
-        """Tokens that are tied."""
-        tied = itertools.chain(self.runs.values(), self.holds.values(), self.handles.values())
-        return sum(tied)
+        """Sum of all tokens in use."""
+        in_use = itertools.chain(self.runs.values(), self.holds.values(), self.handles.values())
+        return sum(in_use)
--- a/src/crankhinge_standins/_web.py
+++ b/src/crankhinge_standins/_web.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: JSON over HTTP, and faults that are switched on from outside."""
+"""Helpers of all stand-ins: JSON over HTTP, faults that are set from outside, and a recorder."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def reply(exchange: Exchange, value: Any, status: int = 200) -> None:
-    """Answer with JSON."""
+    """Send *value* as a JSON response."""
     await exchange.respond(status, msgspec.json.encode(value))
 
 
@@ -25,10 +25,10 @@
 
 
 class FaultSwitches(msgspec.Struct):
-    """Faults of a stand-in; ``PUT /faults`` with some of their names changes them."""
+    """Faults of a stand-in; ``PUT /faults`` with a JSON object sets those that it names."""
 
     def update(self, body: bytes) -> None:
-        """Set the faults that the JSON object *body* names. Raises BadHttp for unknown ones."""
+        """Set the faults that the JSON object *body* names. Raises BadHttp for unknown names."""
         for name, value in msgspec.json.decode(body).items():
             if name not in self.__struct_fields__:
                 raise BadHttp(f"no fault {name!r}")
@@ -36,16 +36,16 @@
 
 
 class Faults(FaultSwitches):
-    """Faults of the stand-ins for the product's own interface.
+    """Faults of the stand-ins for the model engine, the plain service and the platform.
 
     Attributes:
-        down: connections are closed without an answer.
-        delay_s: seconds added before each answer.
-        lose_answers: requests take effect and the connection is closed without an answer.
-        slow: factor on every duration of an engine.
+        down: connections are closed without a response.
+        delay_s: seconds of delay before each response.
+        lose_answers: requests take effect, but the connection is closed without a response.
+        slow: factor on every duration.
         stall: transfers of KV caches never end.
-        refuse: calls are answered with status 503 before they run.
-        down_after_write: the next write takes effect, is answered, and an outage begins.
+        refuse: requests get status 503 before they run.
+        down_after_write: the next write takes effect and is confirmed, then an outage begins.
     """
 
     down: bool = False
@@ -58,10 +58,10 @@
 
 
 class Recorder:
-    """Writes what a stand-in did to a file, which outlives it when it is killed.
+    """Appends what a stand-in does to a file, which remains when the process is killed.
 
     Args:
-        path: the file; empty for none.
+        path: the file; empty to record nothing.
     """
 
     def __init__(self, path: str) -> None:
@@ -69,13 +69,13 @@
         self._fd = os.open(path, flags, 0o644) if path else -1
 
     def write(self, **row: Any) -> None:
-        """Add a row, with the wall clock's time in ``at``."""
+        """Append a row of the given fields, with the wall clock in ``at``."""
         if self._fd >= 0:
             os.write(self._fd, msgspec.json.encode({**row, "at": time.time()}) + b"\n")
 
 
 async def serve(host: str, port: int, handler: Handler, faults: FaultSwitches, log: Any) -> None:
-    """Serve *handler*, with ``PUT /faults`` beside it."""
+    """Serve requests with *handler*, except ``PUT /faults``, which sets *faults*."""
 
     async def handle(exchange: Exchange) -> None:
         req = exchange.req
--- a/src/crankhinge_standins/engine.py
+++ b/src/crankhinge_standins/engine.py
@@ -1,7 +1,7 @@
-"""A model engine: continuous batching, prefix cache, KV transfer, over the OpenAI API.
+"""A stand-in model engine with continuous batching, prefix cache and KV transfer (OpenAI API).
 
-Its "model" is a checksum: the next token depends on every byte before it, so an answer that is
-taken up again from its own text continues exactly as it would have.
+The "model" is a checksum: the next token depends on every byte before it. An answer that is
+continued from its own text therefore has the same tokens as without the interruption.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 
 @dataclass
 class EngineConfig:
-    """What the engine can do.
+    """Properties of the engine; each is also an option of the command line.
 
     Attributes:
-        host: address.
-        port: TCP port.
-        model: name of its model.
-        slots: requests in memory.
-        step_s: seconds a step takes with one request in memory.
-        step_per_request_s: seconds more for each further request.
-        prefill_rate: prompt tokens read per second.
-        kv_life_s: seconds for which a result is kept.
+        host: address to listen on.
+        port: TCP port to listen on.
+        model: name of the model.
+        slots: maximum number of requests in the batch.
+        step_s: seconds of a decode step with one request in the batch.
+        step_per_request_s: further seconds of a step for each further request.
+        prefill_rate: prompt tokens processed per second.
+        kv_life_s: seconds for which the KV cache of a prompt is kept.
         kv_bytes_per_token: size of the KV cache.
         link_bytes_per_s: rate of the engine's outgoing link; 0 for no limit.
-        cache_blocks: size of the prefix cache.
-        load_lag_s: how old its reported load is.
-        record: file for its runs; empty for none.
-        weights: ``host:port`` of the weight store; empty for adapters that load at once.
+        cache_blocks: capacity of the prefix cache in blocks of ``BLOCK_WORDS`` tokens.
+        load_lag_s: interval at which the reported load is updated.
+        record: file for what the engine does; empty to record nothing.
+        weights: ``host:port`` of the weight store; empty if adapters load without delay.
     """
 
     host: str = "127.0.0.1"
@@ -69,7 +69,14 @@
 
 @dataclass
 class _RunningRequest:
-    """A request in memory."""
+    """A request in the batch.
+
+    Attributes:
+        state: state of the model after the last token.
+        tokens_left: number of tokens still to generate.
+        client_gone: whether the client closed its connection.
+        tokens: tokens generated so far.
+    """
 
     state: int
     tokens_left: int
@@ -86,7 +93,7 @@
 
 @dataclass
 class Stats:
-    """The engine's own count of what it did; the truth that the bench's checker reads."""
+    """Counts of what the engine did, from which the bench's checker takes the true figures."""
 
     prefill_tokens: int = 0
     cached_tokens: int = 0
@@ -101,7 +108,13 @@
 
 
 class StandinEngine:
-    """One engine."""
+    """One stand-in engine.
+
+    Args:
+        cfg: properties of the engine.
+        log: log for unexpected failures.
+        seed: seed of the KV handles.
+    """
 
     def __init__(self, cfg: EngineConfig, log: Any, seed: int = 0) -> None:
         self.cfg = cfg
@@ -129,6 +142,7 @@
         await until_first(self._step_loop, self._report_loop, listen)
 
     async def _report_loop(self) -> None:
+        """Update the reported load and drop expired KV caches."""
         while True:
             self._reported_load = (len(self._running), self.stats.waiting)
             await self._expire_kv()
@@ -140,11 +154,12 @@
             self.stats.wasted_tokens += self._kv_caches.pop(handle).computed_tokens
 
     async def _step_loop(self) -> None:
+        """Generate one token of each request in the batch per step."""
         while True:
             cfg = self.cfg
             batch = len(self._running)
-            pause = cfg.step_s + cfg.step_per_request_s * max(0, batch - 1)
-            await curio.sleep(pause * self.faults.slow)
+            step_s = cfg.step_s + cfg.step_per_request_s * max(0, batch - 1)
+            await curio.sleep(step_s * self.faults.slow)
             for run in self._running:
                 if run.tokens_left > 0 and not run.client_gone:
                     token, run.state = next_token(run.state)
@@ -192,7 +207,7 @@
             await self._decode(exchange, body, params)
 
     async def _load_adapter(self, exchange: Exchange) -> None:
-        """Take a fenced order to load an adapter from the weight store."""
+        """Load an adapter from the weight store, unless the order's fencing token is outdated."""
         order = msgspec.json.decode(exchange.req.body)
         token = int(exchange.req.headers.get("x-fencing-token", "0"))
         if token < self._fencing_token:
@@ -214,15 +229,15 @@
         self._recorder.write(kind="prefill", prompt=zlib.crc32(extract_context(body).encode()))
         async with self._prefill_lock:
             cached = self._count_cached_tokens(words)
-            todo = max(1, len(words) - cached)
-            await curio.sleep(todo / self.cfg.prefill_rate * self.faults.slow)
+            uncached = max(1, len(words) - cached)
+            await curio.sleep(uncached / self.cfg.prefill_rate * self.faults.slow)
             self._cache_prefix(words)
         self.stats.prefills += 1
-        self.stats.prefill_tokens += todo
+        self.stats.prefill_tokens += uncached
         self.stats.cached_tokens += cached
         handle = f"{self._rng.getrandbits(64):016x}"
         self._kv_caches[handle] = _KvCache(
-            len(words), todo, await curio.clock() + self.cfg.kv_life_s
+            len(words), uncached, await curio.clock() + self.cfg.kv_life_s
         )
         answer = {
             "kv_transfer_params": {
@@ -242,6 +257,7 @@
             raise
 
     def _hash_blocks(self, words: list[str]) -> list[int]:
+        """Return a hash of each prefix of the prompt that consists of whole blocks."""
         blocks = []
         state = 0
         for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
@@ -265,6 +281,7 @@
             self._prefix_cache.popitem(last=False)
 
     async def _export_kv_cache(self, exchange: Exchange, handle: str) -> None:
+        """Send a KV cache at the rate of the outgoing link, and drop it."""
         kv = self._kv_caches.get(handle)
         now = await curio.clock()
         if kv is None or kv.expires_at <= now:
@@ -273,8 +290,8 @@
         while self.faults.stall:
             await curio.sleep(0.05)
         if self.cfg.link_bytes_per_s:
-            took = kv.tokens * self.cfg.kv_bytes_per_token / self.cfg.link_bytes_per_s
-            self._link_free_at = max(now, self._link_free_at) + took
+            transfer_s = kv.tokens * self.cfg.kv_bytes_per_token / self.cfg.link_bytes_per_s
+            self._link_free_at = max(now, self._link_free_at) + transfer_s
             await curio.sleep(self._link_free_at - now)
         if self._kv_caches.pop(handle, None) is None:
             await reply(exchange, {"error": "expired"}, 404)
@@ -293,7 +310,7 @@
             async with self._slots:
                 self.stats.waiting -= 1
                 if run.client_gone:
-                    raise HttpClosed("gone while it waited")
+                    raise HttpClosed("client disconnected while its request waited")
                 self._running.append(run)
                 try:
                     await self._generate(exchange, body, params, run)
@@ -311,11 +328,11 @@
     ) -> None:
         computed = 0
         if params.get("do_remote_prefill"):
-            found = await self._import_kv_cache(params)
-            if found is None:
+            imported = await self._import_kv_cache(params)
+            if imported is None:
                 await reply(exchange, {"error": "KV cache expired"}, 410)
                 return
-            computed = found
+            computed = imported
         ident = exchange.req.headers.get("x-request-id", "")
         record = {"id": ident, "sent": 0, "end": "running"}
         self.runs.append(record)
@@ -330,13 +347,16 @@
             raise HttpClosed("gone") from None
         finally:
             if not record["sent"]:
-                # The reading was fetched and nothing came of it.
+                # The KV cache was fetched, but no token was generated from it.
                 self.stats.wasted_tokens += computed
             prompt = zlib.crc32(extract_context(body).encode())
             self._recorder.write(kind="end", prompt=prompt, end=record["end"])
 
     async def _import_kv_cache(self, params: dict[str, Any]) -> int | None:
-        """Fetch a reading; returns the tokens that were computed for it, None when it is gone."""
+        """Fetch the KV cache of a prompt from another engine.
+
+        Returns the number of tokens that were computed for it, or None if it no longer exists.
+        """
         client = HttpClient(params["remote_host"], int(params["remote_port"]))
         try:
             resp = await client.call("GET", f"/kv/{params['remote_block_ids'][0]}", fresh=True)
--- a/src/crankhinge_standins/main.py
+++ b/src/crankhinge_standins/main.py
@@ -1,4 +1,4 @@
-"""The command that starts one stand-in."""
+"""``crankhinge-standin``: runs one stand-in."""
 
 from __future__ import annotations
 
@@ -26,19 +26,21 @@
     service = kinds.add_parser("service", help="a plain service")
     service.add_argument("--record", default="")
     service.add_argument("--work-s", type=float, default=0.01)
-    platform = kinds.add_parser("platform", help="key-value service and list of instances")
+    platform = kinds.add_parser("platform", help="key-value store and service list of the platform")
     platform.add_argument("--list-lag-s", type=float, default=1.0)
     store = kinds.add_parser("store", help="the users' platform's metadata store")
     store.add_argument("--beat-s", type=float, default=0.0)
     store.add_argument("--history-s", type=float, default=0.0)
     replica = kinds.add_parser("replica", help="a backend server of the users' platform")
-    replica.add_argument("--shown", required=True, help="host:port under which others reach it")
+    replica.add_argument("--shown", required=True, help="host:port at which others reach it")
     replica.add_argument("--service", required=True)
-    replica.add_argument("--phase", default="", help="prefill or decode; empty: a plain service")
+    replica.add_argument(
+        "--phase", default="", help="initial role: prefill or decode; empty for a plain service"
+    )
     replica.add_argument("--store", required=True, help="host:port")
     replica.add_argument("--record", default="")
     replica.add_argument("--beat-s", type=float, default=1.2)
-    replica.add_argument("--place", default="", help="name of where it runs")
+    replica.add_argument("--place", default="", help="name of the place where it runs")
     replica.add_argument("--silent-leave", action="store_true")
     for kind in (service, platform, store, replica):
         kind.add_argument("--host", default="127.0.0.1")
--- a/src/crankhinge_standins/operator.py
+++ b/src/crankhinge_standins/operator.py
@@ -1,4 +1,4 @@
-"""The configuration as the users' operator writes it: routes, services, limits."""
+"""Builds the configuration as the operator of the users' platform writes it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 HOST_NAME = "h.example"
-# What callers may send, and how long they may take or stay idle.
+# Maximum sizes of requests, and time limits on request headers and idle connections.
 LIMITS = {
     "max_header_bytes": 16384,
     "max_body_bytes": 65536,
@@ -17,9 +17,9 @@
 ConfigRow = dict[str, Any]
 
 
-def route(name: str, prefix: str, kind: str, service: str, **more: Any) -> ConfigRow:
-    """Return a route; *more* stands for other fields than the usual ones."""
-    usual = {
+def route(name: str, prefix: str, kind: str, service: str, **overrides: Any) -> ConfigRow:
+    """Return a route; *overrides* replaces or adds fields."""
+    defaults = {
         "name": name,
         "host": HOST_NAME,
         "path_prefix": prefix,
@@ -30,11 +30,11 @@
         "service": service,
         "max_attempts": 1,
     }
-    return {**usual, **more}
+    return {**defaults, **overrides}
 
 
 def engine(*, slots: int, kv_tokens: int) -> ConfigRow:
-    """Return what the engines of a service hold."""
+    """Return the capacity of each engine of a service."""
     return {
         "slots": slots,
         "kv_tokens": kv_tokens,
@@ -45,14 +45,14 @@
 
 
 def service(name: str, engine_row: ConfigRow | None = None) -> ConfigRow:
-    """Return a service, of engines where *engine_row* is given."""
+    """Return a service; one of engines if *engine_row* is given."""
     row: ConfigRow = {"name": name, "max_connections": 100}
     return row if engine_row is None else {**row, "engine": engine_row}
 
 
-def account(name: str, *keys: str, **more: Any) -> ConfigRow:
-    """Return a client account without a limit; *more* stands for other fields."""
-    usual = {
+def account(name: str, *keys: str, **overrides: Any) -> ConfigRow:
+    """Return a client account without a limit; *overrides* replaces or adds fields."""
+    defaults = {
         "name": name,
         "api_keys": list(keys),
         "priority": 1,
@@ -61,7 +61,7 @@
         "rate_per_s": 0,
         "burst": 0,
     }
-    return {**usual, **more}
+    return {**defaults, **overrides}
 
 
 def config(
@@ -70,7 +70,7 @@
     services: Iterable[ConfigRow],
     tenants: Iterable[ConfigRow] | None = None,
 ) -> ConfigRow:
-    """Return a configuration; callers need a key where *tenants* are given."""
+    """Return a configuration; callers need an API key if *tenants* is given."""
     row = {
         "version": version,
         "routes": list(routes),
--- a/src/crankhinge_standins/platform.py
+++ b/src/crankhinge_standins/platform.py
@@ -1,6 +1,6 @@
-"""The platform: key-value store and lagging list (Consul HTTP API), and a weight store.
+"""A stand-in platform: key-value store, lagging service list (Consul API), and weight store.
 
-It counts calls, a waiting watch as one, and refuses those over its budget.
+The platform counts calls, a blocking watch as one, and refuses those over its budget.
 """
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
 from crankhinge_standins._web import Faults, reply, serve
 
 SERVICE_PATH = "/v1/health/service/crankhinge-agent"
+# Budgets of calls, and seconds that the weight store needs for one set of weights.
 MAX_READS_PER_S = 2000
 MAX_WRITES_PER_S = 300
 WEIGHTS_LOAD_S = 0.2
@@ -33,7 +34,7 @@
 
 @dataclass
 class _CallBudget:
-    """Calls within the present second."""
+    """Counts calls within the current second and refuses those over the budget."""
 
     per_s: int
     second: int = 0
@@ -42,6 +43,7 @@
     refused: int = 0
 
     def try_spend(self, now: float) -> bool:
+        """Count a call; return whether it is within the budget of the current second."""
         if int(now) != self.second:
             self.second, self.used = int(now), 0
         self.used += 1
@@ -53,13 +55,13 @@
 
 
 class StandinPlatform:
-    """One key-value service and list.
+    """One key-value store with its service list.
 
     Args:
-        host: address.
-        port: TCP port.
-        list_lag_s: seconds after which a change of the list is seen.
-        log: for unexpected failures.
+        host: address to listen on.
+        port: TCP port to listen on.
+        list_lag_s: seconds between updates of the service list that clients see.
+        log: log for unexpected failures.
     """
 
     def __init__(self, host: str, port: int, list_lag_s: float, log: Any) -> None:
@@ -84,15 +86,15 @@
 
     async def _update_list_loop(self) -> None:
         while True:
-            later = dict(self._services)
+            registered = dict(self._services)
             await curio.sleep(self._list_lag_s)
-            self._listed_services = later
+            self._listed_services = registered
 
     async def _handle(self, exchange: Exchange) -> None:
         req = exchange.req
         path = req.path
         if path.startswith("/weights/"):
-            # The store is rate-limited: one set of weights after the other.
+            # The weight store is rate-limited: it sends one set of weights at a time.
             async with self._weights_lock:
                 await curio.sleep(WEIGHTS_LOAD_S)
             await reply(exchange, {"weights": path})
@@ -154,8 +156,8 @@
 
     async def _put(self, exchange: Exchange, key: str, query: dict[str, list[str]]) -> None:
         stored = self._values.get(key)
-        wanted = int(query["cas"][0]) if "cas" in query else None
-        if wanted is not None and wanted != (stored.index if stored else 0):
+        expected = int(query["cas"][0]) if "cas" in query else None
+        if expected is not None and expected != (stored.index if stored else 0):
             await reply(exchange, False)
             return
         self._index += 1
@@ -166,5 +168,5 @@
         event, self._changed = self._changed, curio.Event()
         await event.set()
         if self.faults.lose_answers:
-            raise HttpClosed("answer lost")
+            raise HttpClosed("response lost on purpose")
         await reply(exchange, True)
--- a/src/crankhinge_standins/replica.py
+++ b/src/crankhinge_standins/replica.py
@@ -1,7 +1,7 @@
-"""A backend server of the users' platform: a plain service, or an engine that reads or writes.
+"""A stand-in backend server of the users' platform: a plain service, a prefill or a decode engine.
 
-It enters itself in the store, serves what the platform's pages publish, and records every arrival
-and run in a file that outlives it, for a checker to read.
+The server registers itself in the store and speaks the platform's published interface. It records
+every arrival and run in a file that remains when the process is killed, for the checker to read.
 """
 
 from __future__ import annotations
@@ -22,31 +22,32 @@
 from crankhinge_standins._replica_state import KvMemory, ReplicaFaults
 from crankhinge_standins._web import Recorder, reply, serve
 
-# Tokens of memory of an engine, and requests at once of any replica.
+# KV memory of an engine in tokens, and maximum number of requests in progress on any server.
 MAX_KV_TOKENS = 12000
 SLOTS = 8
-# Seconds: work of a plain call, at most; reading of a token; between two events of a stream.
+# Seconds: maximum duration of a plain call, prefill of one token, and interval between two events
+# of a stream.
 MAX_WORK_S = 0.05
 PREFILL_TOKEN_S = 0.00003
 EVENT_INTERVAL_S = 0.02
-# Seconds that the memory of a prompt that was read is kept for whoever fetches it.
+# Seconds for which the KV cache of a prompt is kept until another engine fetches it.
 KV_HANDLE_TTL_S = 0.5
-# Seconds that an engine needs for another part, once its runs have ended.
+# Seconds that an engine needs to switch its role once its requests have ended.
 ROLE_SWITCH_S = 1.0
-# Seconds that a replica serves on after the store took its word that it leaves, and longer by up
-# to the second figure.
+# Seconds for which a server still serves after the store has taken its announcement that it leaves,
+# and the maximum random addition to them.
 DRAIN_S = 2.0
 MAX_EXTRA_DRAIN_S = 1.5
 SIDE_CALL_TIMEOUT_S = 1.0
-# Seconds between looks whether SIGTERM has come.
+# Seconds between checks of whether SIGTERM has arrived.
 SIGTERM_POLL_S = 0.05
-# Status of a refusal for want of room.
+# Status of a refusal for lack of capacity.
 FULL_STATUS = 503
 ORDER_FIELDS = ("opcode", "holder", "fencing_token")
 
 
 def make_events(ident: str) -> list[bytes]:
-    """Return the events that answer the request *ident*, wherever it runs."""
+    """Return the events of the response to the stream request *ident*, the same on any server."""
     count = 5 + zlib.crc32(ident.encode()) % 20
     return [
         b"id: %d\ndata: %08x\n\n" % (n, zlib.crc32(f"{ident}:{n}".encode()))
@@ -55,26 +56,27 @@
 
 
 def make_body(ident: str) -> bytes:
-    """Return the body that answers the plain request *ident*, wherever it runs."""
+    """Return the body of the response to the plain request *ident*, the same on any server."""
     seed = zlib.crc32(ident.encode())
     return f"{ident}:{seed:08x}:".encode() + b"x" * (seed % 3000)
 
 
 class StandinReplica:
-    """One life of a replica.
+    """One incarnation of a backend server.
 
     Args:
-        host: address.
-        port: TCP port.
-        shown: ``host:port`` under which others reach it.
-        service: what it serves.
-        phase: ``prefill`` or ``decode``; empty for a plain service.
+        host: address to listen on.
+        port: TCP port to listen on.
+        shown: ``host:port`` at which others reach the server.
+        service: name of the service.
+        phase: initial engine role, ``prefill`` or ``decode``; empty for a plain service.
         store: ``host:port`` of the store.
-        record: file for what arrived and ran.
+        record: file for arrivals and runs; empty to record nothing.
         beat_s: seconds between heartbeats.
-        place: name of where it runs, the same for each life there.
-        silent_leave: whether its entry goes without a word that it leaves.
-        log: for unexpected failures.
+        silent_leave: whether the server removes its entry at SIGTERM without announcing its
+            shutdown.
+        place: name of the place where the server runs, the same for each incarnation there.
+        log: log for unexpected failures.
     """
 
     def __init__(
@@ -114,7 +116,7 @@
         self._running = 0
 
     async def run(self) -> None:
-        """Serve until SIGTERM and the time to leave."""
+        """Serve until SIGTERM has arrived and the drain is over."""
         self._recorder.write(kind="born", server=self.ident, place=self._place)
         async with curio.TaskGroup(wait=any) as group:
             await group.spawn(serve, self._host, self._port, self._handle, self.faults, self._log)
@@ -128,7 +130,7 @@
             await curio.sleep(self._heartbeat_s * self._rng.uniform(0.9, 1.1))
 
     async def _write_entry(self) -> bool:
-        """Write the entry; returns whether the store has taken it."""
+        """Write the server's entry to the store; return whether the store has taken it."""
         entry: dict[str, Any] = {
             "service": self._service,
             "address": self._advertised_address,
@@ -154,12 +156,12 @@
         return bool(resp.status == 200)
 
     async def _drain_on_sigterm(self) -> None:
-        """Wait for SIGTERM, say so in the store, serve on for a while."""
+        """Wait for SIGTERM, announce the shutdown in the store, and serve on for the drain."""
         signal.signal(signal.SIGTERM, self._on_sigterm)
         while not self._leaving:
             await curio.sleep(SIGTERM_POLL_S)
-        taken = self._remove_entry if self._silent_leave else self._write_entry
-        while not await taken():
+        announce = self._remove_entry if self._silent_leave else self._write_entry
+        while not await announce():
             await curio.sleep(SIDE_CALL_TIMEOUT_S / 4)
         self._recorder.write(kind="leaves", server=self.ident)
         await curio.sleep(DRAIN_S + self._rng.uniform(0.0, MAX_EXTRA_DRAIN_S))
@@ -198,17 +200,17 @@
             key=req.headers.get("authorization", ""),
             limit=self.faults.limit,
         )
-        reading = req.headers.get("x-stage") == "prefill"
-        fits = (self._role == "prefill") == reading
+        is_prefill = req.headers.get("x-stage") == "prefill"
+        role_fits = (self._role == "prefill") == is_prefill
         full = (
             self._running >= SLOTS or self._switching_role or self._by_chance(self.faults.refuses)
         )
-        if not fits or full:
-            await self._refuse(exchange, FULL_STATUS if fits else 421)
+        if not role_fits or full:
+            await self._refuse(exchange, FULL_STATUS if role_fits else 421)
             return
         self._running += 1
         try:
-            if reading:
+            if is_prefill:
                 await self._run_prefill(exchange)
             elif self._role:
                 await self._run_decode(exchange)
@@ -218,6 +220,7 @@
             self._running -= 1
 
     def _by_chance(self, share: float) -> bool:
+        """Draw True with a probability of *share*."""
         return self._rng.random() < share
 
     def _record_run(self, req: HttpRequest) -> str:
@@ -233,7 +236,7 @@
         return [("x-request-id", ident), seal, *self._make_signal_fields(ident)]
 
     def _make_signal_fields(self, ident: str, rest_s: float = 0.0) -> list[tuple[str, str]]:
-        """Return the fields in which it says of itself what it has to say, and record them."""
+        """Return and record the response fields for the limit, leaving and backoff."""
         fields = []
         if self.faults.limit:
             fields.append(("server-limit", self.faults.limit))
@@ -261,7 +264,7 @@
         ident = self._record_run(exchange.req)
         await curio.sleep(MAX_WORK_S * self._rng.random() * self.faults.slow)
         if self._by_chance(self.faults.resets):
-            raise HttpClosed("lost on purpose")
+            raise HttpClosed("response lost on purpose")
         if self._by_chance(self.faults.errors):
             await exchange.respond_as_is(500, self._make_response_fields(ident), b"failed")
             return
@@ -270,10 +273,11 @@
             length = ("content-length", str(len(body)))
             await exchange.start_as_is(200, [*self._make_response_fields(ident), length])
             await exchange.write(body[: len(body) // 2])
-            raise HttpClosed("broken off on purpose")
+            raise HttpClosed("response broken off on purpose")
         await exchange.respond_as_is(200, self._make_response_fields(ident), body)
 
     async def _run_prefill(self, exchange: Exchange) -> None:
+        """Process a prompt, and keep its KV cache for a decode engine to fetch."""
         tokens = int(exchange.req.headers["x-token-count"].partition(",")[0])
         await curio.sleep(tokens * PREFILL_TOKEN_S * self.faults.slow)
         handle = f"h{next(self._id_numbers)}"
@@ -285,15 +289,15 @@
             200, [("x-request-id", ident), *self._make_signal_fields(ident)], body
         )
 
-    async def _expire(self, tied: dict[str, int], name: str, after_s: float) -> None:
+    async def _expire(self, tokens_by_id: dict[str, int], name: str, after_s: float) -> None:
         await curio.sleep(after_s)
-        tied.pop(name, None)
+        tokens_by_id.pop(name, None)
 
     async def _run_decode(self, exchange: Exchange) -> None:
-        """Write an answer, in memory that a reservation may have set aside."""
+        """Generate a decode engine's response, in the memory of its reservation if it has one."""
         req = exchange.req
-        prompt, _, most = req.headers["x-token-count"].partition(",")
-        tokens = int(prompt) + int(most)
+        prompt, _, max_answer = req.headers["x-token-count"].partition(",")
+        tokens = int(prompt) + int(max_answer)
         run = f"r{next(self._id_numbers)}"
         held = self._memory.holds.pop(req.headers.get("hold", ""), 0)
         if self._memory.used + max(tokens, held) > MAX_KV_TOKENS:
@@ -311,12 +315,13 @@
                 writer = await group.spawn(self._stream_events, exchange, ident)
                 await group.spawn(exchange.wait_gone)
             if group.completed is not writer or not writer.result:
-                raise HttpClosed("the caller has gone or the answer was broken off")
+                raise HttpClosed("the caller disconnected, or the response was broken off")
         finally:
             del self._memory.runs[run]
 
     async def _fetch_kv_cache(self, at: str) -> bool:
-        """Take the memory of a prompt from where it was read."""
+        """Fetch a prompt's KV cache from the prefill engine at *at*; return whether it was
+        there."""
         where, _, handle = at.partition("/")
         host, _, port = where.rpartition(":")
         client = HttpClient(host, int(port))
@@ -332,9 +337,10 @@
         return bool(resp.status == 200)
 
     async def _stream_events(self, exchange: Exchange, ident: str) -> bool:
-        """Send the events that the caller has not; returns whether it has them all.
+        """Send the events that the caller does not have yet; return whether it got all of them.
 
-        The kernel reports tasks that raise, so a caller that has gone is a result, too.
+        A caller that closed its connection is a result and not an exception, because curio logs
+        every task that raises.
         """
         try:
             return await self._send_events(exchange, ident)
@@ -345,10 +351,10 @@
         events = make_events(ident)
         begin = int(exchange.req.headers.get("last-event-id") or "0")
         await exchange.start_as_is(200, self._make_response_fields(ident))
-        broken_at = self._rng.randrange(len(events)) if self._by_chance(self.faults.garbles) else -1
+        break_at = self._rng.randrange(len(events)) if self._by_chance(self.faults.garbles) else -1
         for number, event in enumerate(events[begin:], start=begin):
             await curio.sleep(EVENT_INTERVAL_S * self.faults.slow)
-            if number == broken_at:
+            if number == break_at:
                 await exchange.write(event[: len(event) // 2])
                 return False
             await exchange.write(event)
@@ -378,20 +384,21 @@
         else:
             await reply(exchange, {}, 404)
 
-    async def _reserve(self, exchange: Exchange, ask: dict[str, Any]) -> None:
-        if self._role != "decode" or self._memory.used + ask["tokens"] > MAX_KV_TOKENS:
+    async def _reserve(self, exchange: Exchange, request: dict[str, Any]) -> None:
+        """Reserve KV memory for a request to come; the reservation expires after its TTL."""
+        if self._role != "decode" or self._memory.used + request["tokens"] > MAX_KV_TOKENS:
             await reply(exchange, {}, 503)
             return
         hold = f"k{next(self._id_numbers)}"
-        self._memory.holds[hold] = ask["tokens"]
-        lapse_s = ask["ttl_ms"] / 1000
-        await curio.spawn(self._expire, self._memory.holds, hold, lapse_s, daemon=True)
+        self._memory.holds[hold] = request["tokens"]
+        ttl_s = request["ttl_ms"] / 1000
+        await curio.spawn(self._expire, self._memory.holds, hold, ttl_s, daemon=True)
         await reply(exchange, {"hold": hold})
 
     async def _handle_order(self, exchange: Exchange, order: dict[str, Any]) -> None:
         status = self._decide_order(order)
-        told = {name: order.get(name) for name in ORDER_FIELDS}
-        self._recorder.write(kind="order", server=self.ident, status=status, **told)
+        fields = {name: order.get(name) for name in ORDER_FIELDS}
+        self._recorder.write(kind="order", server=self.ident, status=status, **fields)
         if status == 202:
             self._order_count += 1
             self._fencing_token = order["fencing_token"]
@@ -400,6 +407,7 @@
         await reply(exchange, {}, status)
 
     def _decide_order(self, order: dict[str, Any]) -> int:
+        """Return the status for an order to switch the role; 202 means that it is carried out."""
         if any(name not in order for name in ORDER_FIELDS):
             return 400
         if order["fencing_token"] < self._fencing_token:
@@ -411,10 +419,10 @@
             return 409
         return 200 if order["phase"] == self._role else 202
 
-    async def _switch_role(self, phase: str) -> None:
+    async def _switch_role(self, role: str) -> None:
         while self._running:
             await curio.sleep(EVENT_INTERVAL_S)
         await curio.sleep(ROLE_SWITCH_S)
-        self._role = phase
+        self._role = role
         self._switching_role = False
         await self._write_entry()
--- a/src/crankhinge_standins/service.py
+++ b/src/crankhinge_standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service that records every run of every call."""
+"""A stand-in plain service that records every run of every call."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class StandinService:
-    """One replica.
+    """One backend server of a plain service.
 
     Args:
-        host: address.
-        port: TCP port.
-        work_s: seconds a call takes.
-        log: for unexpected failures.
-        record: file for its runs; empty for none.
+        host: address to listen on.
+        port: TCP port to listen on.
+        work_s: duration of a call in seconds.
+        log: log for unexpected failures.
+        record: file for the runs; empty to record nothing.
     """
 
     def __init__(self, host: str, port: int, work_s: float, log: Any, record: str = "") -> None:
@@ -55,5 +55,5 @@
         self._recorder.write(**run)
         await curio.sleep(self._work_s * self.faults.slow)
         if self.faults.lose_answers:
-            raise HttpClosed("answer lost")
+            raise HttpClosed("response lost on purpose")
         await reply(exchange, {"run": len(self.runs), "body": run["body"]})
--- a/src/crankhinge_standins/store.py
+++ b/src/crankhinge_standins/store.py
@@ -1,7 +1,7 @@
-"""The users' platform's metadata store: items with revisions, watches, leases, transactions.
+"""A stand-in metadata store of the users' platform: revisions, watches, leases, transactions.
 
-It speaks the published messages and keeps everything in memory. Tests run it in their own kernel;
-the soak starts it as a process and switches its faults over HTTP.
+The store speaks the platform's published interface and keeps everything in memory. Tests run it in
+their own curio kernel; the soak starts it as a process and sets its faults over HTTP.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from crankhinge.runtime import get_log
 from crankhinge_standins._web import FaultSwitches, serve
 
-# Keys of backend servers' entries begin so.
+# Prefix of the keys of backend servers' entries.
 SERVERS_PREFIX = "servers/"
-# An entry goes after this many missed heartbeats.
+# Number of missed heartbeats after which an entry is removed.
 MAX_MISSED_HEARTBEATS = 3.2
-# How often leases and heartbeats are looked at, in seconds.
+# Seconds between checks for expired leases and missed heartbeats.
 EXPIRY_CHECK_S = 0.05
-# A paced answer goes out in pieces of this many seconds.
+# Interval in seconds between the pieces of a paced response.
 PACED_PIECE_S = 0.02
 
 Item = dict[str, Any]
@@ -37,13 +37,13 @@
     """Faults of the store.
 
     Attributes:
-        down: empty for none; ``silent``, ``busy`` (503) or ``reset``.
-        lapse: whether entries and leases run out while it is down.
-        delay_s: seconds added before each answer.
-        lose_writes: writes are done and the connection falls silent.
-        forget: whether the history of changes is dropped as it grows.
-        bytes_per_s: pace of each answer on its connection, as on a thin link; 0 for no bound.
-        break_off: every answer ends in its middle.
+        down: ``silent``, ``busy`` (status 503) or ``reset``; empty for none.
+        lapse: whether entries and leases expire while the store is down.
+        delay_s: seconds of delay before each response.
+        lose_writes: calls with POST (transactions, leases) take effect, but get no response.
+        forget: whether the history of changes is dropped continuously.
+        bytes_per_s: rate of each response, as on a slow link; 0 for no limit.
+        break_off: every response ends in the middle.
     """
 
     down: str = ""
@@ -56,13 +56,13 @@
 
 
 class StandinStore:
-    """The store.
+    """One stand-in store.
 
     Args:
-        host: address.
-        port: TCP port.
-        beat_s: seconds between heartbeats of servers; 0 where neither entries nor leases run out,
-            as tests with a clock of their own want it.
+        host: address to listen on.
+        port: TCP port to listen on.
+        beat_s: seconds between heartbeats of servers; 0 if neither entries nor leases expire, as
+            tests with their own clock need it.
         history_s: seconds for which changes are remembered; 0 for ever.
     """
 
@@ -81,7 +81,7 @@
         self._muted_conns: weakref.WeakSet[Any] = weakref.WeakSet()
         self._heartbeat_s = beat_s
         self._history_s = history_s
-        # When each change was made, in step with ``changes``.
+        # Time of each change, parallel to ``changes``.
         self._changed_at: list[float] = []
         self._heartbeats: dict[str, float] = {}
         self._leases: dict[int, tuple[float, float]] = {}
@@ -89,61 +89,62 @@
         self._changed = curio.Event()
 
     async def put(self, key: str, value: Any, lease: int = 0) -> None:
-        """Write an item as the operator or a replica does."""
+        """Write an item as the operator or a backend server does."""
         await self._put_data(key, msgspec.json.encode(value), lease)
 
     async def _put_data(self, key: str, value: bytes, lease: int) -> None:
         self.revision += 1
         data = base64.b64encode(value).decode()
-        made = self.items[key]["made"] if key in self.items else self.revision
+        created = self.items[key]["made"] if key in self.items else self.revision
         item = {
             "private_key": key,
             "value": data,
             "revision": self.revision,
-            "made": made,
+            "made": created,
             "lease": lease,
         }
         self.items[key] = item
         await self._record_change(item)
 
     async def remove(self, key: str) -> None:
-        """End an item."""
+        """Remove an item."""
         self.revision += 1
         self.items.pop(key, None)
         await self._record_change({"private_key": key, "revision": self.revision, "gone": True})
 
     async def _record_change(self, change: Item) -> None:
+        """Append a change to the history and wake the watches."""
         self.changes.append(change)
         self._changed_at.append(await curio.clock())
         await self._changed.set()
         self._changed = curio.Event()
 
     async def end_leases(self) -> None:
-        """End every lease with its items."""
+        """End every lease and remove its items."""
         for lease in list(self._leases):
             await self._end_lease(lease)
 
     def mute_open_calls(self) -> None:
-        """Never answer the calls that wait now; their connections stay open, new ones work."""
+        """Never respond to the calls in progress, but keep their connections; new calls work."""
         self._mute_count += 1
 
     def mute_open_conns(self) -> None:
-        """Never answer on the connections that are open now, idle ones too; new ones work."""
+        """Never respond on the connections that are open now, idle ones included; new ones work."""
         self.mute_open_calls()
         self._muted_conns.update(self._conns)
 
     def forget_history(self) -> None:
-        """Drop what changed so far."""
+        """Drop all changes made so far."""
         self.oldest_revision = self.revision
 
     def _forget_before(self, moment: float) -> None:
-        """Drop what changed before *moment*."""
-        kept = bisect.bisect_left(self._changed_at, moment)
-        if kept:
+        """Drop the changes made before *moment*."""
+        first_kept = bisect.bisect_left(self._changed_at, moment)
+        if first_kept:
             self.oldest_revision = max(
-                self.oldest_revision, int(self.changes[kept - 1]["revision"])
+                self.oldest_revision, int(self.changes[first_kept - 1]["revision"])
             )
-            del self.changes[:kept], self._changed_at[:kept]
+            del self.changes[:first_kept], self._changed_at[:first_kept]
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -154,7 +155,7 @@
             await group.spawn(serve, self.host, self.port, self._handle, self.faults, log)
 
     async def _expire_loop(self) -> None:
-        """End leases and entries whose time is over."""
+        """Remove expired leases, and entries whose heartbeats have stopped."""
         while True:
             await curio.sleep(EXPIRY_CHECK_S)
             if self.faults.forget:
@@ -196,14 +197,14 @@
         if self.faults.break_off:
             await _start_response(exchange, status, data)
             await exchange.write(data[: len(data) // 2])
-            raise HttpClosed("broken off")
+            raise HttpClosed("response broken off on purpose")
         if self.faults.bytes_per_s:
             await _respond_paced(exchange, status, data, self.faults.bytes_per_s)
         else:
             await exchange.respond(status, data)
 
     async def _fail_if_down(self, exchange: Exchange) -> None:
-        """Raise, or answer nothing, while the store is down."""
+        """Raise or never respond while the store is down."""
         down = self.faults.down
         if down == "busy":
             await exchange.respond(503, b"{}")
@@ -216,7 +217,7 @@
         self, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
         if path == "/v1/kv-key" and method == "PUT":
-            # How the operator and the replicas write; their own interface is not published.
+            # The operator and the backend servers write through an interface that is not published.
             await self._write_by_owner(query["private_key"], body)
             return 200, {"revision": self.revision}
         if path == "/v1/kv-key":
@@ -233,7 +234,7 @@
         return await self._handle_lease_call(method, path, body)
 
     async def _write_by_owner(self, key: str, body: bytes) -> None:
-        """Take an item from its owner; an empty one ends it."""
+        """Write an item for its owner; an empty body removes it."""
         now = await curio.clock()
         if not body:
             self._heartbeats.pop(key, None)
@@ -248,11 +249,11 @@
         await self.put(key, value)
 
     def _is_heartbeat_only(self, key: str, entry: dict[str, Any]) -> bool:
-        """Whether a server's entry says no more than that it lives: then it isn't changed."""
+        """Whether an entry differs only in its sequence number, which makes no new revision."""
         if key not in self.items:
             return False
-        held = msgspec.json.decode(base64.b64decode(self.items[key]["value"]))
-        return bool({**held, "sequence": 0} == {**entry, "sequence": 0})
+        current = msgspec.json.decode(base64.b64decode(self.items[key]["value"]))
+        return bool({**current, "sequence": 0} == {**entry, "sequence": 0})
 
     async def _handle_lease_call(self, method: str, path: str, body: bytes) -> tuple[int, Any]:
         now = await curio.clock()
@@ -282,33 +283,33 @@
             if await self._is_forgotten(after):
                 return 410, {}
             while True:
-                seen = [
+                matching = [
                     change
                     for change in self.changes
                     if change["revision"] > after and change["private_key"].startswith(prefix)
                 ]
-                left = until - await curio.clock()
-                if seen or left <= 0:
+                remaining_s = until - await curio.clock()
+                if matching or remaining_s <= 0:
                     break
-                await curio.ignore_after(left, self._changed.wait)
-            # A watch that waits is told of lost history only when it would be answered.
+                await curio.ignore_after(remaining_s, self._changed.wait)
+            # A watch that waits learns that history was lost only when it would get a response.
             if await self._is_forgotten(after):
                 return 410, {}
-            return 200, {"events": seen, "at": self.revision}
+            return 200, {"events": matching, "at": self.revision}
         finally:
             self.waiting_watches -= 1
 
     async def _is_forgotten(self, after: int) -> bool:
-        """Whether some of what changed after the revision *after* is no longer remembered."""
+        """Whether a change after the revision *after* is no longer remembered."""
         if self._history_s:
             self._forget_before(await curio.clock() - self._history_s)
         return after < self.oldest_revision
 
     async def _run_transaction(self, txn: dict[str, Any]) -> tuple[int, Any]:
         for row in txn["expected_revision"]:
-            held = self.items.get(row["private_key"], {"revision": 0})
-            if held["revision"] != row["revision"]:
-                return 412, {"items": [held]}
+            current = self.items.get(row["private_key"], {"revision": 0})
+            if current["revision"] != row["revision"]:
+                return 412, {"items": [current]}
         if any(row["lease"] and row["lease"] not in self._leases for row in txn["put"]):
             return 404, {}
         for row in txn["put"]:
@@ -323,7 +324,7 @@
 
 
 async def _respond_paced(exchange: Exchange, status: int, data: bytes, per_s: int) -> None:
-    """Send an answer in pieces, each as long as a thin link takes to carry it."""
+    """Send a response in pieces at the rate of a slow link."""
     await _start_response(exchange, status, data)
     size = max(1, round(per_s * PACED_PIECE_S))
     for begin in range(0, len(data), size):
@@ -333,6 +334,6 @@
 
 
 async def _never_respond(exchange: Exchange) -> None:
-    """Say nothing more on this connection; it ends when the other side closes it."""
+    """Send no response; the connection ends when the client closes it."""
     await exchange.wait_gone()
     raise HttpClosed("silent")
