--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the checker: each promise broken on purpose in a made-up history."""
+"""Tests of the checker of entries and agents: histories that violate one invariant each."""
 
 import zlib
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 def history(**changes: Any) -> History:
-    """Return a history in which every promise was tested and held."""
+    """Return a history in which every invariant was tested and none was violated."""
     values: dict[str, Any] = {
         "outcomes": [
             Outcome(ASK, whole=True, tokens=3),
@@ -39,20 +39,20 @@
 
 
 def broken(changed: History) -> list[str]:
-    """Return the promises that the checker finds broken."""
+    """Return the invariants that the checker reports as violated."""
     return [verdict.promise for verdict in check(changed) if verdict.broken]
 
 
 class TestChecker:
-    """Prove the checker before it is believed."""
+    """The checker finds violations, and nothing else."""
 
-    def test_a_sound_history_holds(self) -> None:
-        """Nothing is broken, and every promise counts as tested."""
+    def test_valid_history_violates_no_invariant(self) -> None:
+        """No invariant is violated, and each counts as tested."""
         verdicts = check(history())
         assert [v.promise for v in verdicts if v.broken or not v.tested] == []
 
     @pytest.mark.parametrize(
-        ("changes", "promise"),
+        ("changes", "invariant"),
         [
             ({"held": {"write-0": 1}}, "no engine memory stays tied"),
             (
@@ -113,16 +113,18 @@
             ),
         ],
     )
-    def test_each_break_is_found(self, changes: dict[str, Any], promise: str) -> None:
-        """Each way to break a promise is found, under its name."""
-        assert promise in broken(history(**changes))
+    def test_violation_is_reported_under_its_invariant(
+        self, changes: dict[str, Any], invariant: str
+    ) -> None:
+        """Each violation is reported under the name of its invariant."""
+        assert invariant in broken(history(**changes))
 
 
 class TestEvidence:
     """What is read from logs."""
 
-    def test_the_last_word_of_a_drain(self, tmp_path: Path) -> None:
-        """The number of requests that were cut is read as the programs write it."""
+    def test_drained_count_comes_from_the_last_event(self, tmp_path: Path) -> None:
+        """The number of cut requests is read in the format that the programs write."""
         path = tmp_path / "a.log"
         assert read_drained_count(_log(path, 3)) == 3
         assert read_drained_count(_log(path, 0)) == 0
@@ -131,22 +133,22 @@
 
 
 def _log(path: Path, count: int) -> Path:
-    """Write a log as an agent does."""
+    """Append a ``drained`` event to a log, as an agent does."""
     with path.open("a") as stream:
         get_log(program="test", stream=stream).bind(name="a").info("drained", open=count)
     return path
 
 
 class TestTrace:
-    """Traces and figures."""
+    """Traces of the load, and percentiles."""
 
-    def test_a_seed_makes_one_trace(self) -> None:
-        """The same seed makes the same trace, another one a different trace."""
+    def test_trace_depends_only_on_the_seed(self) -> None:
+        """The same seed makes the same trace; another seed makes another one."""
         load = Load(seconds=5.0, per_s=5.0)
         assert make_trace(load, 1) == make_trace(load, 1)
         assert make_trace(load, 1) != make_trace(load, 2)
 
     def test_percentile(self) -> None:
-        """The value below which a part of the values lies."""
+        """Returns the value below which the given share of the values lies."""
         assert percentile([1.0, 2.0, 3.0, 4.0], 0.5) == 3.0
         assert percentile([], 0.5) == 0.0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Tests of the soak: its paths, its checker, and a short run of real processes."""
+"""Tests of the soak: its network paths, its checker, and a short run of real processes."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 from crankhinge_soak._proxy import PathFault, Proxy
 from crankhinge_soak.main import main, make_parser, run_seed, select_seeds
 
-# What a server records that said it leaves, or that it wants rest.
-LEAVES: dict[str, Any] = {"leaving": True, "rest_s": 0.0}
-RESTS: dict[str, Any] = {"leaving": False, "rest_s": 3.0}
+# Fields of the row that a server records with a response in which it is leaving or asks for
+# backoff.
+LEAVING_FIELDS: dict[str, Any] = {"leaving": True, "rest_s": 0.0}
+BACKOFF_FIELDS: dict[str, Any] = {"leaving": False, "rest_s": 3.0}
 # Wall clock at which the histories of these tests begin.
 T0 = 1000.0
 CASES = Path(__file__).resolve().parent.parent / "docs" / "soak-cases.toml"
 
 
 def seen(ident: str, path: str = "/once/", **more: Any) -> ObservedRequest:
-    """Return a request that was answered well by one instance."""
-    good = {"sent": T0, "ended": T0 + 0.1, "status": 200, "complete": True}
-    return ObservedRequest(ident, path, "gateway-0", **{**good, **more})
+    """Return a request that got a correct response from one instance."""
+    success = {"sent": T0, "ended": T0 + 0.1, "status": 200, "complete": True}
+    return ObservedRequest(ident, path, "gateway-0", **{**success, **more})
 
 
 def row(kind: str, ident: str, at: float = T0 + 0.05, **more: Any) -> dict[str, Any]:
-    """Return what a server of the service in force recorded."""
+    """Return a row that a server of the service in force recorded."""
     base = {"kind": kind, "request": ident, "server": "i-1", "service": "plain-a", "at": at}
     if kind == "arrival":
         base |= {"account": UNLIMITED_ACCOUNT, "key": ""}
@@ -45,8 +46,8 @@
 
 
 def history(**more: Any) -> History:
-    """Return a history in which one request was run and answered, and nothing was broken."""
-    whole: dict[str, Any] = {
+    """Return a history in which one request ran and was answered, and no invariant was violated."""
+    valid: dict[str, Any] = {
         "seen": [seen("q1")],
         "probes": [],
         "rows": [row("arrival", "q1"), row("run", "q1")],
@@ -57,23 +58,23 @@
         "calm_from": T0,
         "exits": [],
     }
-    return History(**{**whole, **more})
+    return History(**{**valid, **more})
 
 
 def broken(found: History) -> list[str]:
-    """Return the promises that the checker calls broken."""
+    """Return the invariants that the checker reports as violated."""
     return [verdict.promise for verdict in check(found) if verdict.broken]
 
 
-def test_a_good_history_breaks_nothing() -> None:
-    """Otherwise the tests below would show nothing."""
+def test_history_without_faults_violates_no_invariant() -> None:
+    """The tests below rely on it: each changes this history in one way."""
     assert broken(history()) == []
 
 
 STOP = InjectedFault("stop", "gateway-0", T0 - 1, T0 + 5, planned=True)
 CUT = {"status": 0, "complete": False, "failure": "closed: in mid-body", "ended": T0 + 1}
 SECOND = (T0 + 10, 2, "plain-b")
-# What breaks each promise: the promise, and how the history differs from a good one.
+# What violates each invariant: the invariant, and how the history differs from a valid one.
 FAULTS: dict[str, tuple[str, dict[str, Any]]] = {
     "bytes of another request": (
         "whole answer to its own request",
@@ -87,15 +88,15 @@
         "no request runs more often than allowed",
         {"rows": [row("run", "q1"), row("run", "q1", server="i-2")]},
     ),
-    "told not run, and ran": (
+    "a refused request that ran": (
         "not run is true",
         {"seen": [seen("q1", status=503, from_instance=True)], "calm_from": T0 + 9},
     ),
-    "a run that nobody asked for": (
+    "a run without a request": (
         "servers run only what callers sent",
         {"rows": [row("run", "q1"), row("run", "q2")]},
     ),
-    "work for a server that left": (
+    "a request to a server that left": (
         "a leaving server gets no new work",
         {
             "rows": [row("leaves", "", T0 - 6), row("arrival", "q1"), row("run", "q1")],
@@ -105,7 +106,7 @@
         "a planned stop cuts nothing",
         {"seen": [seen("q1", **CUT)], "troubles": [STOP], "calm_from": T0 + 9},
     ),
-    "a version that went back": (
+    "a version that was lost again": (
         "a configuration is in force and never reverts",
         {
             "acknowledged": [(T0 - 10, 1, "plain-a"), (T0 - 0.2, 2, "plain-a")],
@@ -126,22 +127,22 @@
             "rows": [row("run", "q1", service="plain-b")],
         },
     ),
-    "no final answer": (
+    "no final response": (
         "a final answer in time",
         {
             "seen": [seen("q1", status=0, complete=False, failure="no end in time", ended=T0 + 6)],
             "calm_from": T0 + 9,
         },
     ),
-    "a key shown to a server": (
+    "a key sent to a server": (
         "servers are told the account and never the key",
         {"rows": [row("arrival", "q1", key="Bearer key-1"), row("run", "q1")]},
     ),
-    "another account": (
+    "a wrong account": (
         "servers are told the account and never the key",
         {"rows": [row("arrival", "q1", account=LIMITED_ACCOUNT), row("run", "q1")]},
     ),
-    "more than a server takes": (
+    "more requests than an advertised limit": (
         "a server gets no more than it says it takes",
         {
             "seen": [seen(f"q{number}") for number in range(20)],
@@ -151,17 +152,17 @@
             "calm_from": T0 + 99,
         },
     ),
-    "a server that said it leaves": (
+    "a request to a server that signals leaving": (
         "a server that says it leaves gets no new work",
         {
             "seen": [seen("q1"), seen("q2", sent=T0 + 4)],
             "rows": [
-                *(row("arrival", "q1"), row("run", "q1"), row("told", "q1", **LEAVES)),
+                *(row("arrival", "q1"), row("run", "q1"), row("told", "q1", **LEAVING_FIELDS)),
                 *(row("arrival", "q2", T0 + 4.1), row("run", "q2", T0 + 4.1)),
             ],
         },
     ),
-    "a server that wants rest": (
+    "requests during a backoff": (
         "a server that wants rest gets it",
         {
             "seen": [
@@ -169,12 +170,12 @@
                 *(seen(f"q{n}") for n in range(2, 5)),
             ],
             "rows": [
-                *(row("arrival", "q1"), row("told", "q1", **RESTS)),
+                *(row("arrival", "q1"), row("told", "q1", **BACKOFF_FIELDS)),
                 *(row("arrival", f"q{n}", T0 + n / 2) for n in range(2, 5)),
             ],
         },
     ),
-    "a key that was taken away long ago": (
+    "a key that was revoked long ago": (
         "a key that was taken away runs nothing after its bound",
         {"seen": [seen("q1", key="key-1"), seen("q2")], "revoked": {"key-1": T0 - 6}},
     ),
@@ -188,8 +189,8 @@
             "rows": [row("run", f"q{n}", T0 + n) for n in range(1, 6)],
         },
     ),
-    "memory that stays tied": ("no engine memory stays tied", {"held": {"llm-decode-0": 300}}),
-    "one fence for two holders": (
+    "memory that stays in use": ("no engine memory stays tied", {"held": {"llm-decode-0": 300}}),
+    "one fencing token of two instances": (
         "orders come from one holder of a right",
         {
             "rows": [
@@ -198,7 +199,7 @@
             ]
         },
     ),
-    "nothing served once all is whole": (
+    "no success after all faults have ended": (
         "served again once all is whole",
         {"seen": [seen("q1", status=503, from_instance=True)], "rows": []},
     ),
@@ -207,14 +208,14 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_the_checker_finds(fault: str) -> None:
-    """Exactly the promise that the fault breaks."""
-    promise, differs = FAULTS[fault]
-    assert promise in broken(history(**differs))
+def test_checker_reports_the_violated_invariant(fault: str) -> None:
+    """Each fault in the history is reported under the invariant that it violates."""
+    invariant, differs = FAULTS[fault]
+    assert invariant in broken(history(**differs))
 
 
-def test_an_episode_draws_for_itself() -> None:
-    """However many draws others made before: the seed fixes the schedule, not the machine."""
+def test_draws_of_an_episode_are_independent_of_others() -> None:
+    """The seed fixes the schedule: the draws of an episode don't depend on how many others made."""
     faults = FaultInjector(cast(Fleet, None), 5)
     first = faults._with_own_rng(2)._rng.random()
     faults._with_own_rng(1)._rng.random()
@@ -224,63 +225,68 @@
 
 
 class TestExcuses:
-    """What does not count against an instance."""
+    """Faults that excuse an instance, and others that don't."""
 
-    def test_an_instance_out_of_touch_may_be_late(self) -> None:
+    def test_instance_cut_off_from_store_may_be_late(self) -> None:
         """The path to the store was cut until a moment ago."""
         cut = InjectedFault("store-path-silent", "gateway-0/store", T0 - 20, T0 - 1)
         late = Probe("gateway-0", 1, 1, T0, False)
         assert broken(history(probes=[late], troubles=[cut])) == []
 
-    def test_but_it_never_goes_back(self) -> None:
-        """Whatever befalls its path to the store."""
+    def test_instance_cut_off_from_store_must_not_revert(self) -> None:
+        """The path to the store is cut, but the instance has had the version in force before."""
         cut = InjectedFault("store-path-silent", "gateway-0/store", T0 - 20, T0 + 20)
         probes = [Probe("gateway-0", 1, 1, T0 + n, known) for n, known in ((0, True), (1, False))]
         assert broken(history(probes=probes, troubles=[cut])) == [
             "a configuration is in force and never reverts"
         ]
 
-    def test_a_new_life_may_know_less(self) -> None:
-        """It was started again."""
+    def test_new_incarnation_may_know_fewer_versions(self) -> None:
+        """The instance was restarted."""
         probes = [Probe("gateway-0", 1, 1, T0 - 9, True), Probe("gateway-0", 2, 1, T0 - 8.9, False)]
-        again = InjectedFault("kill", "gateway-0", T0 - 9, T0 - 8.9)
-        assert broken(history(probes=probes, troubles=[again])) == []
+        restart = InjectedFault("kill", "gateway-0", T0 - 9, T0 - 8.9)
+        assert broken(history(probes=probes, troubles=[restart])) == []
 
-    def test_a_stop_is_not_blamed_for_a_server_that_was_killed(self) -> None:
-        """The stream was on it."""
+    def test_planned_stop_may_lose_requests_of_a_killed_server(self) -> None:
+        """The server that had the request was killed."""
         killed = InjectedFault("kill", "plain-a-one-0", T0 + 0.5, T0 + 0.9)
         cut = dataclasses.replace(seen("q1"), **CUT)
         found = history(seen=[cut], troubles=[STOP, killed], calm_from=T0 + 9)
         assert "a planned stop cuts nothing" not in broken(found)
 
-    @pytest.mark.parametrize("fault", ["a server that said it leaves", "a server that wants rest"])
+    @pytest.mark.parametrize(
+        "fault", ["a request to a server that signals leaving", "requests during a backoff"]
+    )
     @pytest.mark.parametrize(("target", "excuses"), [("gateway-0", True), ("gateway-1", False)])
-    def test_a_server_is_told_to_one_instance(self, fault: str, target: str, excuses: bool) -> None:
-        """What befell another one excuses nothing."""
-        promise, differs = FAULTS[fault]
-        trouble = InjectedFault("pause", target, T0 + 0.3, T0 + 0.6)
-        assert (promise not in broken(history(**differs, troubles=[trouble]))) is excuses
-
-    def test_nor_for_one_that_was_killed_before_it_recorded_the_request(self) -> None:
-        """The prompt of a stream was read elsewhere; its connection to the writer was reset."""
+    def test_ignored_signals_are_excused_only_by_own_faults(
+        self, fault: str, target: str, excuses: bool
+    ) -> None:
+        """A fault of another instance excuses nothing."""
+        invariant, differs = FAULTS[fault]
+        injected = InjectedFault("pause", target, T0 + 0.3, T0 + 0.6)
+        assert (invariant not in broken(history(**differs, troubles=[injected]))) is excuses
+
+    def test_planned_stop_may_lose_requests_that_a_killed_server_did_not_record(self) -> None:
+        """The killed decode engine had the stream, but only the prefill engine recorded it."""
         stream = dataclasses.replace(seen("q1", "/stream/"), **CUT)
-        read = row("arrival", "q1", server="i-r")
+        prefill = row("arrival", "q1", server="i-r")
         places = {"i-r": "llm-prefill-0", "i-w": "llm-decode-1"}
         killed = InjectedFault("kill", "llm-decode-1", T0 + 0.5, T0 + 0.9)
-        story = {"seen": [stream], "calm_from": T0 + 9, "places": places}
-        promise = "a planned stop cuts nothing"
-        found = history(**story, troubles=[STOP, killed], rows=[read])
-        assert promise not in broken(found)
-        # Another server's record tells which one it was; a kill before or after it is no excuse.
+        case = {"seen": [stream], "calm_from": T0 + 9, "places": places}
+        invariant = "a planned stop cuts nothing"
+        found = history(**case, troubles=[STOP, killed], rows=[prefill])
+        assert invariant not in broken(found)
+        # Another server's record shows that the stream was not on the killed one; a kill before the
+        # request, or of a server of another service, is no excuse either.
         elsewhere = row("arrival", "q1", server="i-w2")
-        for rows, trouble in (
-            ([read, elsewhere], killed),
-            ([read], dataclasses.replace(killed, began=T0 - 3, ended=T0 - 2)),
-            ([read], dataclasses.replace(killed, target="plain-a-one-0")),
+        for rows, injected in (
+            ([prefill, elsewhere], killed),
+            ([prefill], dataclasses.replace(killed, began=T0 - 3, ended=T0 - 2)),
+            ([prefill], dataclasses.replace(killed, target="plain-a-one-0")),
         ):
             places["i-w2"] = "llm-decode-2"
-            found = history(**story, troubles=[STOP, trouble], rows=rows)
-            assert promise in broken(found)
+            found = history(**case, troubles=[STOP, injected], rows=rows)
+            assert invariant in broken(found)
 
 
 async def _echo(exchange: Exchange) -> None:
@@ -292,43 +298,43 @@
 
 
 class TestProxy:
-    """A path and its harm."""
+    """Path faults of the proxy."""
 
-    def play(self, story: Any) -> None:
-        """Run *story* with a path to a server that echoes."""
+    def run_with_proxy(self, scenario: Any) -> None:
+        """Run *scenario* with a proxied path to a server that echoes the request's path."""
         port, target = free_ports(2)
         proxy, log = Proxy(port, target), get_log(program="t")
 
         async def server() -> None:
             await serve_http(HOST, target, _echo, on_bad=_on_bad, log=log)
 
-        async def told() -> None:
+        async def run_scenario() -> None:
             await curio.sleep(0.1)
-            await story(proxy, HttpClient(HOST, port, pool_size=1))
+            await scenario(proxy, HttpClient(HOST, port, pool_size=1))
 
-        curio.run(until_first, server, proxy.run, told)
+        curio.run(until_first, server, proxy.run, run_scenario)
 
     @pytest.mark.parametrize(
-        "harm", [PathFault.SILENT, PathFault.CUT_TO_TARGET, PathFault.CUT_TO_CALLER]
+        "fault", [PathFault.SILENT, PathFault.CUT_TO_TARGET, PathFault.CUT_TO_CALLER]
     )
-    def test_a_cut_holds_bytes_up_until_it_is_over(self, harm: PathFault) -> None:
-        """They are delivered then, in order."""
+    def test_cut_holds_bytes_back_until_it_ends(self, fault: PathFault) -> None:
+        """Bytes that a cut holds back are delivered when it ends."""
 
-        async def story(proxy: Proxy, client: HttpClient) -> None:
+        async def scenario(proxy: Proxy, client: HttpClient) -> None:
             assert (await client.call("GET", "/a")).body == b"/a"
-            proxy.fault = harm
+            proxy.fault = fault
             call = await curio.spawn(client.call, "GET", "/b")
             await curio.sleep(0.3)
             assert not call.terminated
             proxy.fault = PathFault.NONE
             assert (await call.join()).body == b"/b"
 
-        self.play(story)
+        self.run_with_proxy(scenario)
 
-    def test_a_reset_ends_open_connections(self) -> None:
-        """And new ones come up."""
+    def test_reset_closes_open_connections(self) -> None:
+        """The call in progress fails, and new connections work."""
 
-        async def story(proxy: Proxy, client: HttpClient) -> None:
+        async def scenario(proxy: Proxy, client: HttpClient) -> None:
             proxy.fault = PathFault.CUT_TO_CALLER
             call = await curio.spawn(client.call, "GET", "/a")
             await curio.sleep(0.2)
@@ -339,12 +345,12 @@
             proxy.fault = PathFault.NONE
             assert (await client.call("GET", "/b")).body == b"/b"
 
-        self.play(story)
+        self.run_with_proxy(scenario)
 
     def test_muted_connections_stay_open_and_new_ones_work(self) -> None:
-        """Nothing at the connection shows it: only a time-out does."""
+        """The call in progress neither ends nor fails: the caller notices only by a time-out."""
 
-        async def story(proxy: Proxy, client: HttpClient) -> None:
+        async def scenario(proxy: Proxy, client: HttpClient) -> None:
             assert (await client.call("GET", "/a")).body == b"/a"
             proxy.mute()
             call = await curio.spawn(client.call, "GET", "/b")
@@ -354,16 +360,16 @@
             await call.cancel()
             assert (await client.call("GET", "/d")).body == b"/d"
 
-        self.play(story)
+        self.run_with_proxy(scenario)
 
-    def test_a_thin_path_takes_its_time_back_only(self) -> None:
-        """In bytes a second."""
+    def test_byte_rate_applies_to_responses(self) -> None:
+        """A response of 50,000 bytes takes at least 0.4 s at 100,000 bytes a second."""
         port, target = free_ports(2)
 
         async def serve_long(exchange: Exchange) -> None:
             await exchange.respond(200, b"x" * 50_000)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(0.1)
             began = await curio.clock()
             assert len((await HttpClient(HOST, port).call("GET", "/a")).body) == 50_000
@@ -371,44 +377,44 @@
 
         log = get_log(program="t")
         server = partial(serve_http, HOST, target, serve_long, on_bad=_on_bad, log=log)
-        curio.run(until_first, server, Proxy(port, target, 100_000).run, story)
+        curio.run(until_first, server, Proxy(port, target, 100_000).run, scenario)
 
-    def test_a_port_that_nobody_listens_on_resets(self) -> None:
-        """As it does without a path between."""
+    def test_connection_to_a_closed_port_is_reset(self) -> None:
+        """A proxied connection fails like a direct one."""
         port, target = free_ports(2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(0.1)
             with pytest.raises(HttpClosed):
                 await HttpClient(HOST, port).call("GET", "/a")
 
-        curio.run(until_first, Proxy(port, target).run, story)
+        curio.run(until_first, Proxy(port, target).run, scenario)
 
 
 class TestRun:
-    """Real processes under faults."""
+    """The command line, and real processes under faults."""
 
-    def test_kept_cases_can_be_read(self, tmp_path: Path) -> None:
-        """Seeds and lengths, in order; the file of the repository too, which is played by hand."""
-        kept = tmp_path / "cases.toml"
-        kept.write_text("[[case]]\nseed = 7\nseconds = 3\n[[case]]\nseed = 9\nseconds = 4\n")
+    def test_seeds_come_from_cases_or_options(self, tmp_path: Path) -> None:
+        """Cases keep their order; the repository's own file, which is run by hand, is valid."""
+        cases = tmp_path / "cases.toml"
+        cases.write_text("[[case]]\nseed = 7\nseconds = 3\n[[case]]\nseed = 9\nseconds = 4\n")
         parser = make_parser()
-        assert select_seeds(parser.parse_args(["--cases", str(kept)])) == [(7, 3.0), (9, 4.0)]
+        assert select_seeds(parser.parse_args(["--cases", str(cases)])) == [(7, 3.0), (9, 4.0)]
         assert select_seeds(parser.parse_args(["--seed", "5", "--repeat", "2"])) == [
             (5, 20),
             (6, 20),
         ]
         assert select_seeds(parser.parse_args(["--cases", str(CASES)]))
 
-    def test_a_short_run_breaks_nothing(self) -> None:
-        """One seed of a few seconds; long runs are made by hand (docs/FAULTS.md)."""
+    def test_short_run_violates_no_invariant(self) -> None:
+        """Runs one seed for a few seconds; longer runs are started by hand (docs/FAULTS.md)."""
         report = run_seed(1, 6.0)
         assert [verdict for verdict in report.verdicts if verdict.broken] == []
         assert report.requests > 100
         assert report.faults
 
-    def test_unknown_kinds_are_told(self, capsys: pytest.CaptureFixture[str]) -> None:
-        """Exit status 2 and what there is."""
+    def test_unknown_kinds_are_rejected(self, capsys: pytest.CaptureFixture[str]) -> None:
+        """The exit status is 2, and the message lists the known kinds."""
         with pytest.raises(SystemExit) as caught:
             main(["--kinds", "meteor"])
         assert caught.value.code == 2
