--- a/src/crankhinge_soak/_check.py
+++ b/src/crankhinge_soak/_check.py
@@ -123,7 +123,7 @@
 
 
 def _check_leaving_servers(history: History) -> tuple[int, list[str]]:
-    """Check that a server whose entry says that it is leaving gets no new request."""
+    """Check that a server gets no new request once its entry says that it leaves, or is gone."""
     leaves = {row["server"]: row["at"] for row in history.rows if row["kind"] == "leaves"}
     cases = []
     for ident, rows in history.arrivals.items():
@@ -140,7 +140,9 @@
                 [history.places[row["server"]]], row["at"] - FAULT_RECOVERY_S, row["at"]
             )
             if path_ok and history.time_bounds_apply(seen.gateway, since, row["at"]):
-                cases.append(f"{ident} by {seen.gateway}: {row['at'] - since:.1f} s after it left")
+                cases.append(
+                    f"{ident} by {seen.gateway}: {row['at'] - since:.1f} s after it began to leave"
+                )
     return len(leaves), cases
 
 
