--- a/src/crankhinge_soak/_entries.py
+++ b/src/crankhinge_soak/_entries.py
@@ -1,4 +1,4 @@
-"""The soak of entries and agents: random faults under load, and the checker's verdict."""
+"""Runs entries and agents under load and random faults, and checks the result."""
 
 from __future__ import annotations
 
@@ -18,17 +18,23 @@
 from crankhinge_bench._summary import summarise
 from crankhinge_bench._trace import Load, make_trace
 from crankhinge_soak._entries_check import Drain, History, check
-from crankhinge_soak._entries_evidence import bundles_seen, last_drained, wait_freed
+from crankhinge_soak._entries_evidence import (
+    read_bundles_seen,
+    read_drained_count,
+    wait_until_freed,
+)
 from crankhinge_soak._verdict import Report
 
+# Seconds: time for recovery after the last fault, and maximum duration of a planned stop.
 SETTLE_S = 12.0
-DRAIN_WAIT_S = 40.0
-PAUSE_S = (0.5, 6.0)
-GAP_S = (0.5, 2.5)
+DRAIN_TIMEOUT_S = 40.0
+# Seconds: range of a pause, and range between the starts of two faults.
+PAUSE_DURATION_S = (0.5, 6.0)
+FAULT_GAP_S = (0.5, 2.5)
 
 
-def chaos_spec() -> ClusterSpec:
-    """Return the cluster that failures befall."""
+def make_cluster_spec() -> ClusterSpec:
+    """Return the cluster that the faults are injected into."""
     return ClusterSpec(
         entries=3,
         engines=(
@@ -40,13 +46,13 @@
     )
 
 
-class Chaos:
-    """Plays random faults on a thread of its own.
+class EntryFaultInjector:
+    """Injects random faults from a thread of its own.
 
     Args:
-        cluster: what they befall.
-        runner: the load; told which entries leave, as a balancer would be.
-        rng: the schedule.
+        cluster: the processes that faults hit.
+        runner: the load; it stops using entries that drain, as a load balancer would.
+        rng: draws the schedule.
     """
 
     def __init__(self, cluster: Cluster, runner: LoadRun, rng: random.Random) -> None:
@@ -58,26 +64,33 @@
         self._runner = runner
         self._rng = rng
         self._stop = threading.Event()
-        self._busy: set[str] = set()
+        self._claimed: set[str] = set()
         self._workers: list[threading.Thread] = []
-        self._thread = threading.Thread(target=self._play, daemon=True)
+        self._thread = threading.Thread(target=self._inject_faults, daemon=True)
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Begin."""
+        """Start to inject faults."""
         self._thread.start()
 
     def finish(self) -> None:
-        """Play no more, and wait until everything is whole again."""
+        """Inject no more faults, and wait until every fault has ended."""
         self._stop.set()
         self._thread.join()
         for worker in self._workers:
             worker.join()
 
-    def _play(self) -> None:
-        kinds = [self._kill, self._pause, self._drain, self._platform, self._publish, self._engine]
+    def _inject_faults(self) -> None:
+        kinds = [
+            self._kill,
+            self._pause,
+            self._drain,
+            self._fail_platform,
+            self._publish_bundle,
+            self._fail_engine,
+        ]
         weights = [4, 3, 2, 3, 2, 2]
-        while not self._stop.wait(self._rng.uniform(*GAP_S)):
+        while not self._stop.wait(self._rng.uniform(*FAULT_GAP_S)):
             kind = self._rng.choices(kinds, weights)[0]
             worker = threading.Thread(target=kind, daemon=True)
             worker.start()
@@ -87,21 +100,22 @@
         with self._lock:
             self.counts[kind] = self.counts.get(kind, 0) + 1
 
-    def _take(self, names: list[str]) -> str | None:
-        """Return a process that no other fault is at, one of its kind left alone."""
+    def _claim(self, names: list[str]) -> str | None:
+        """Claim one of *names* that no other fault uses; None if this left none unclaimed."""
         with self._lock:
-            free = [name for name in names if name not in self._busy]
+            free = [name for name in names if name not in self._claimed]
             if len(free) < 2:
                 return None
             name = self._rng.choice(free)
-            self._busy.add(name)
+            self._claimed.add(name)
             return name
 
-    def _give_back(self, name: str) -> None:
+    def _release(self, name: str) -> None:
         with self._lock:
-            self._busy.discard(name)
+            self._claimed.discard(name)
 
-    def _groups(self) -> list[list[str]]:
+    def _group_processes(self) -> list[list[str]]:
+        """Return groups of processes that can replace each other."""
         places = self._cluster.places
         pools = {place.pool for place in places}
         groups = [[f"entry-{n}" for n in range(self._cluster.spec.entries)]]
@@ -110,14 +124,15 @@
             groups += [names, [f"backend-{name}" for name in names]]
         return groups
 
-    def _pick(self, *, backends: bool = True) -> str | None:
-        groups = [g for g in self._groups() if backends or not g[0].startswith("backend-")]
+    def _claim_any(self, *, backends: bool = True) -> str | None:
+        """Claim a process of a random group; None if the group has no process to spare."""
+        groups = [g for g in self._group_processes() if backends or not g[0].startswith("backend-")]
         with self._lock:
             group = self._rng.choice(groups)
-        return self._take(group)
+        return self._claim(group)
 
     def _kill(self) -> None:
-        name = self._pick()
+        name = self._claim_any()
         if name is None:
             return
         self._count("kill-" + re.sub(r"-\d+$", "", name))
@@ -126,34 +141,34 @@
         time.sleep(self._rng.uniform(0.2, 3.0))
         self._cluster.start_again(name)
         time.sleep(1.5)
-        self._give_back(name)
+        self._release(name)
 
     def _pause(self) -> None:
-        name = self._pick()
+        name = self._claim_any()
         if name is None:
             return
         self._count("pause-" + re.sub(r"-\d+$", "", name))
         self.ended += 1
         self._cluster.signal(name, signal.SIGSTOP)
-        time.sleep(self._rng.uniform(*PAUSE_S))
+        time.sleep(self._rng.uniform(*PAUSE_DURATION_S))
         self._cluster.signal(name, signal.SIGCONT)
-        self._give_back(name)
+        self._release(name)
 
     def _drain(self) -> None:
-        name = self._pick(backends=False)
+        name = self._claim_any(backends=False)
         if name is None:
             return
         self._count("drain-" + re.sub(r"-\d+$", "", name))
-        port = self._entry_port(name)
+        port = self._find_entry_port(name)
         if port:
             self._runner.shunned.add(port)
         proc = self._cluster.procs[name]
         at = time.time()
         proc.send_signal(signal.SIGTERM)
-        status = proc.wait(DRAIN_WAIT_S)
+        status = proc.wait(DRAIN_TIMEOUT_S)
         until = time.time()
         self._cluster.procs.pop(name)
-        cut = last_drained(self._cluster.logs / f"{name}.log")
+        cut = read_drained_count(self._cluster.logs / f"{name}.log")
         backend = "" if port else name
         self.drains.append(
             Drain(name=name, at=at, until=until, status=status, backend=backend, cut=cut)
@@ -162,18 +177,19 @@
         time.sleep(1.5)
         if port:
             self._runner.shunned.discard(port)
-        self._give_back(name)
+        self._release(name)
 
-    def _entry_port(self, name: str) -> int:
+    def _find_entry_port(self, name: str) -> int:
+        """Return the port of an entry; 0 for another process."""
         if not name.startswith("entry-"):
             return 0
         return self._cluster.entry_ports[int(name.removeprefix("entry-"))]
 
-    def _platform(self) -> None:
+    def _fail_platform(self) -> None:
         with self._lock:
-            if "platform" in self._busy:
+            if "platform" in self._claimed:
                 return
-            self._busy.add("platform")
+            self._claimed.add("platform")
         fault: dict[str, Any] = self._rng.choice(
             [{"down": True}, {"delay_s": 1.5}, {"lose_answers": True}]
         )
@@ -182,13 +198,13 @@
         self._cluster.faults(port, **fault)
         time.sleep(self._rng.uniform(1.0, 10.0))
         self._cluster.faults(port, down=False, delay_s=0.0, lose_answers=False)
-        self._give_back("platform")
+        self._release("platform")
 
-    def _engine(self) -> None:
+    def _fail_engine(self) -> None:
         places = [place for place in self._cluster.places if place.kind != "plain"]
         place = self._rng.choice(places)
         fault: dict[str, Any] = self._rng.choice([{"slow": 4.0}, {"stall": True}, {"refuse": True}])
-        if self._take([f"backend-{p.name}" for p in places if p.pool == place.pool]) is None:
+        if self._claim([f"backend-{p.name}" for p in places if p.pool == place.pool]) is None:
             return
         self._count("engine-" + next(iter(fault)))
         try:
@@ -198,27 +214,27 @@
         except OSError:
             pass
         for other in places:
-            self._give_back(f"backend-{other.name}")
+            self._release(f"backend-{other.name}")
 
-    def _publish(self) -> None:
-        """Two operators race with the next version."""
+    def _publish_bundle(self) -> None:
+        """Let two operators race to publish the next version."""
         with self._lock:
-            if "bundle" in self._busy:
+            if "bundle" in self._claimed:
                 return
-            self._busy.add("bundle")
+            self._claimed.add("bundle")
         try:
             version = self._cluster.version + 1
-            won = self._cluster.race(version)
-            if won:
+            accepted = self._cluster.race(version)
+            if accepted:
                 self._count("publish")
                 self.published.append((time.time(), version))
         finally:
-            self._give_back("bundle")
+            self._release("bundle")
 
 
 def run_seed(seed: int, seconds: float, logs: Path | None) -> Report:
-    """Play one schedule and check it."""
-    spec = chaos_spec()
+    """Run the schedule of one seed and check the result."""
+    spec = make_cluster_spec()
     load = Load(
         seconds=seconds,
         per_s=24.0,
@@ -230,7 +246,7 @@
     )
     with Cluster(spec, logs=logs) as cluster:
         runner = LoadRun(cluster.entry_ports, cluster.credentials, repeats=6)
-        chaos = Chaos(cluster, runner, random.Random(seed))
+        chaos = EntryFaultInjector(cluster, runner, random.Random(seed))
         chaos.start()
         outcomes = curio.run(runner.play, make_trace(load, seed))
         chaos.finish()
@@ -239,9 +255,9 @@
             outcomes=outcomes,
             runs=cluster.records("plain"),
             work=[row for row in cluster.records("prefill", "decode") if "prompt" in row],
-            held=wait_freed(cluster),
+            held=wait_until_freed(cluster),
             drains=chaos.drains,
-            bundles=bundles_seen(cluster),
+            bundles=read_bundles_seen(cluster),
             published=chaos.published,
             ended=chaos.ended,
         )
--- a/src/crankhinge_soak/_load.py
+++ b/src/crankhinge_soak/_load.py
@@ -1,4 +1,4 @@
-"""Callers, the balancer before them, and probes of which configuration is in force."""
+"""Generates the load: callers behind a load balancer, and probes for the configuration in force."""
 
 from __future__ import annotations
 
@@ -13,244 +13,261 @@
 from crankhinge.http import HttpClient
 from crankhinge_bench._procs import HOST
 from crankhinge_soak._fleet import (
-    FREE,
-    LIMITED,
-    ONCE,
-    PLAIN_TOKENS,
-    RESUMED,
-    SAFE,
-    STREAM,
-    STREAMS,
+    LIMITED_ACCOUNT,
+    ONCE_PATH,
+    PLAIN_REQUEST_TOKENS,
+    RESUMED_PATH,
+    SAFE_PATH,
+    STREAM_PATH,
+    STREAM_PATHS,
+    UNLIMITED_ACCOUNT,
     Fleet,
     Gateway,
     version_path,
 )
-from crankhinge_standins.replica import body_of, events_of
+from crankhinge_standins.replica import make_body, make_events
 
-CALLERS = 12
-# Share of streams among requests, and of callers that leave before their answer is there.
+CALLER_COUNT = 12
+# Share of streams among the requests, and share of callers that disconnect before the response
+# ends.
 STREAM_SHARE = 0.4
-LEAVING_SHARE = 0.06
-# Seconds: a caller's pause between requests, at most; how long it waits for an answer; how long
-# one that leaves early stays.
-PAUSE_S = 0.15
-PATIENCE_S = 5.0
-STAY_S = 0.25
-# Share of requests for the account with a limit, and of the others those with a key of before.
-LIMITED_SHARE = 0.1
+EARLY_LEAVE_SHARE = 0.06
+# Seconds: maximum pause of a caller between requests; how long a caller waits for a response; and
+# the maximum after which a caller that disconnects early does so.
+MAX_CALLER_PAUSE_S = 0.15
+CALLER_DEADLINE_S = 5.0
+MAX_EARLY_LEAVE_S = 0.25
+# Share of requests of the account with a limit, and share of the others whose key may be revoked.
+LIMITED_ACCOUNT_SHARE = 0.1
 OLD_KEY_SHARE = 0.15
-# What a caller allows beyond its deadline until it calls an answer missing.
-SLACK_S = 1.0
-# Requests that a caller sends on one connection before it takes a new one.
-KEPT_REQUESTS = 8
-PROBE_S = 0.25
-PROBE_PATIENCE_S = 2.0
-# Misses in a row after which the balancer sends no new connections.
-MISSES = 2
+# Seconds after its deadline for which a caller still waits before it counts the response as
+# missing.
+DEADLINE_SLACK_S = 1.0
+# Maximum number of requests that a caller sends on one connection.
+MAX_REQUESTS_PER_CONNECTION = 8
+PROBE_INTERVAL_S = 0.25
+PROBE_TIMEOUT_S = 2.0
+# Consecutive failed probes after which the load balancer opens no more connections to an instance.
+MAX_FAILED_PROBES = 2
 
 
 @dataclass
-class Seen:
+class ObservedRequest:
     """What a caller saw of one request.
 
     Attributes:
-        ident: of the request.
-        path: of its route.
-        gateway: name of the instance that took it.
-        sent: wall clock.
-        ended: wall clock of its end.
-        status: of the answer; 0 for none.
-        whole: whether an answer came to its proper end.
-        right: whether what came of it is what the request asked for.
-        own: whether the instance itself, and no server, gave the answer.
-        left: whether the caller left before the end.
-        why: how the connection ended where no whole answer came.
-        account: who asks.
-        key: that it shows.
-        tokens: that it counts.
+        ident: request id.
+        path: path of the route.
+        gateway: name of the instance that the request was sent to.
+        sent: wall clock of the start.
+        ended: wall clock of the end.
+        status: status of the response; 0 for none.
+        complete: whether the response came to its regular end.
+        body_correct: whether all bytes received belong to the response to this request.
+        from_instance: whether the instance itself, and no server, made the response.
+        caller_left: whether the caller disconnected before the end.
+        failure: error code and detail, or "no end in time", when no complete response came.
+        account: client account of the request.
+        key: API key of the request.
+        tokens: tokens that the request counts against its account's limit.
     """
 
     ident: str
     path: str
     gateway: str
     sent: float
-    account: str = FREE
+    account: str = UNLIMITED_ACCOUNT
     key: str = ""
-    tokens: int = PLAIN_TOKENS
+    tokens: int = PLAIN_REQUEST_TOKENS
     ended: float = 0.0
     status: int = 0
-    whole: bool = False
-    right: bool = True
-    own: bool = False
-    left: bool = False
-    why: str = ""
+    complete: bool = False
+    body_correct: bool = True
+    from_instance: bool = False
+    caller_left: bool = False
+    failure: str = ""
 
 
 @dataclass(frozen=True)
 class Probe:
-    """Whether an instance knew a version's route.
+    """Whether an instance had a configuration version in force.
 
     Attributes:
         gateway: name of the instance.
-        life: which of its starts.
-        version: whose route was asked for.
+        incarnation: number of the instance's start.
+        version: version whose route was requested.
         sent: wall clock.
-        known: False for 404; None where there was no answer, or no configuration yet.
+        known: False for status 404; None when there was no response or no configuration yet.
     """
 
     gateway: str
-    life: int
+    incarnation: int
     version: int
     sent: float
     known: bool | None
 
 
-class Load:
-    """Callers and probes.
+class LoadGenerator:
+    """Sends the requests of callers, and probes.
 
     Args:
-        fleet: what they call.
-        seed: of what they ask for and when.
+        fleet: the instances to send to.
+        seed: seed of what callers request and when.
     """
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
-        self.seen: list[Seen] = []
+        self.seen: list[ObservedRequest] = []
         self.probes: list[Probe] = []
         self._fleet = fleet
         self._seed = seed
         self._numbers = itertools.count(1)
-        self._misses = dict.fromkeys((gw.name for gw in fleet.gateways), 0)
+        self._failed_probes = dict.fromkeys((gw.name for gw in fleet.gateways), 0)
         self._stopped = False
 
     def stop(self) -> None:
-        """Have every caller end with the request that it is at."""
+        """Let every caller end after its current request."""
         self._stopped = True
 
     async def run(self) -> None:
-        """Call until :meth:`stop`."""
+        """Send requests and probes until :meth:`stop`."""
         async with curio.TaskGroup() as group:
             for gateway in self._fleet.gateways:
-                await group.spawn(self._balance, gateway)
-                await group.spawn(self._probe, gateway)
-            for number in range(CALLERS):
-                await group.spawn(self._call, random.Random(f"{self._seed}-{number}"))
+                await group.spawn(self._poll_readiness, gateway)
+                await group.spawn(self._probe_config, gateway)
+            for number in range(CALLER_COUNT):
+                await group.spawn(self._run_caller, random.Random(f"{self._seed}-{number}"))
 
-    async def _balance(self, gateway: Gateway) -> None:
+    async def _poll_readiness(self, gateway: Gateway) -> None:
+        """Count an instance's consecutive failed readiness checks, as a load balancer does."""
         client = HttpClient(HOST, gateway.ready_port, pool_size=0)
         while not self._stopped:
-            status = await _status(client, "/readyz")
-            missed = self._misses[gateway.name] + 1
-            self._misses[gateway.name] = 0 if status == 200 else missed
-            await curio.sleep(PROBE_S)
+            status = await _get_status(client, "/readyz")
+            failed = self._failed_probes[gateway.name] + 1
+            self._failed_probes[gateway.name] = 0 if status == 200 else failed
+            await curio.sleep(PROBE_INTERVAL_S)
 
-    def _pick(self, rng: random.Random) -> Gateway:
-        """Return an instance as the balancer would: one that is in, or any when none is."""
+    def _pick_gateway(self, rng: random.Random) -> Gateway:
+        """Return a random instance that the load balancer considers ready, or any when none is."""
         gateways = self._fleet.gateways
-        ready = [gw for gw in gateways if self._misses[gw.name] < MISSES]
+        ready = [gw for gw in gateways if self._failed_probes[gw.name] < MAX_FAILED_PROBES]
         return rng.choice(ready or gateways)
 
-    async def _probe(self, gateway: Gateway) -> None:
-        """Ask an instance, on its own address, for the newest version's route and an older one."""
+    async def _probe_config(self, gateway: Gateway) -> None:
+        """Request the routes of the newest two versions directly from an instance."""
         client = HttpClient(HOST, gateway.port, pool_size=0)
         while not self._stopped:
             newest = self._fleet.acknowledged[-1][1] if self._fleet.acknowledged else 0
             for version in {newest, max(1, newest - 1)} - {0}:
-                life, sent = gateway.life, time.time()
-                status = await _status(client, version_path(version), ident=self._name("p"))
+                incarnation, sent = gateway.incarnation, time.time()
+                status = await _get_status(
+                    client, version_path(version), ident=self._make_ident("p")
+                )
                 known = None if status in (0, 503) else status != 404
-                self.probes.append(Probe(gateway.name, life, version, sent, known))
-            await curio.sleep(PROBE_S)
+                self.probes.append(Probe(gateway.name, incarnation, version, sent, known))
+            await curio.sleep(PROBE_INTERVAL_S)
 
-    def _name(self, kind: str) -> str:
+    def _make_ident(self, kind: str) -> str:
         return f"{kind}{self._seed}-{next(self._numbers)}"
 
-    async def _call(self, rng: random.Random) -> None:
+    async def _run_caller(self, rng: random.Random) -> None:
+        """Open connections one after another and send a few requests on each."""
         while not self._stopped:
-            gateway = self._pick(rng)
-            client = HttpClient(HOST, gateway.front.port, pool_size=1)
-            for _ in range(rng.randint(1, KEPT_REQUESTS)):
-                seen = self._request(gateway, rng)
+            gateway = self._pick_gateway(rng)
+            client = HttpClient(HOST, gateway.caller_proxy.port, pool_size=1)
+            for _ in range(rng.randint(1, MAX_REQUESTS_PER_CONNECTION)):
+                seen = self._draw_request(gateway, rng)
                 self.seen.append(seen)
-                await self._ask(client, seen, rng)
-                await curio.sleep(PAUSE_S * rng.random())
-                if self._stopped or not seen.whole:
+                await self._send_request(client, seen, rng)
+                await curio.sleep(MAX_CALLER_PAUSE_S * rng.random())
+                if self._stopped or not seen.complete:
                     break
             await client.close()
 
-    def _request(self, gateway: Gateway, rng: random.Random) -> Seen:
-        streams = rng.random() < STREAM_SHARE
-        path = rng.choice(STREAMS if streams else (ONCE, SAFE))
-        seen = Seen(self._name("q"), path, gateway.name, time.time())
-        if rng.random() < LIMITED_SHARE:
-            seen.account = seen.key = LIMITED
+    def _draw_request(self, gateway: Gateway, rng: random.Random) -> ObservedRequest:
+        is_stream = rng.random() < STREAM_SHARE
+        path = rng.choice(STREAM_PATHS if is_stream else (ONCE_PATH, SAFE_PATH))
+        seen = ObservedRequest(self._make_ident("q"), path, gateway.name, time.time())
+        if rng.random() < LIMITED_ACCOUNT_SHARE:
+            seen.account = seen.key = LIMITED_ACCOUNT
         else:
             keys = self._fleet.keys
             seen.key = rng.choice(keys) if rng.random() < OLD_KEY_SHARE else keys[-1]
         return seen
 
-    async def _ask(self, client: HttpClient, seen: Seen, rng: random.Random) -> None:
-        """Send a request and note what comes back."""
-        leaves = rng.random() < LEAVING_SHARE
-        patience = STAY_S * rng.random() if leaves else PATIENCE_S + SLACK_S
-        prompt, answer = rng.randint(100, 3000), rng.randint(50, 300)
+    async def _send_request(
+        self, client: HttpClient, seen: ObservedRequest, rng: random.Random
+    ) -> None:
+        """Send a request and store what the caller sees of it in *seen*."""
+        leaves_early = rng.random() < EARLY_LEAVE_SHARE
+        timeout_s = (
+            MAX_EARLY_LEAVE_S * rng.random()
+            if leaves_early
+            else CALLER_DEADLINE_S + DEADLINE_SLACK_S
+        )
+        prompt_tokens, answer_tokens = rng.randint(100, 3000), rng.randint(50, 300)
         headers = {
             "host": "h.example",
             "x-request-id": seen.ident,
-            "x-deadline-ms": str(int(PATIENCE_S * 1000)),
+            "x-deadline-ms": str(int(CALLER_DEADLINE_S * 1000)),
             "authorization": f"Bearer {seen.key}",
         }
-        if seen.path in STREAMS:
-            seen.tokens = prompt + answer
+        if seen.path in STREAM_PATHS:
+            seen.tokens = prompt_tokens + answer_tokens
             headers.update(
                 {
                     "x-model": "m",
-                    "x-token-count": f"{prompt},{answer}",
-                    "length-hint": str(answer // 2),
+                    "x-token-count": f"{prompt_tokens},{answer_tokens}",
+                    "length-hint": str(answer_tokens // 2),
                 }
             )
         try:
-            await curio.timeout_after(patience, self._take, client, seen, headers)
+            await curio.timeout_after(timeout_s, self._exchange, client, seen, headers)
         except curio.TaskTimeout:
-            seen.left, seen.why = leaves, "no end in time"
+            seen.caller_left, seen.failure = leaves_early, "no end in time"
         except CrankhingeError as exc:
-            seen.why = f"{exc.code}: {exc.detail}"
+            seen.failure = f"{exc.code}: {exc.detail}"
         seen.ended = time.time()
 
-    async def _take(self, client: HttpClient, seen: Seen, headers: dict[str, str]) -> None:
-        method = "GET" if seen.path == SAFE else "POST"
+    async def _exchange(
+        self, client: HttpClient, seen: ObservedRequest, headers: dict[str, str]
+    ) -> None:
+        """Send a request and read the response, and compare it with what a server would send."""
+        method = "GET" if seen.path == SAFE_PATH else "POST"
         body = b"" if method == "GET" else b"b" * 200
         stream = await client.open(method, seen.path + "x", headers=headers, body=body)
-        done = False
+        ended = False
         try:
             seen.status = stream.status
-            seen.own = "x-server-seal" not in stream.headers
-            got = bytearray()
-            expected = _expected(seen)
+            seen.from_instance = "x-server-seal" not in stream.headers
+            received = bytearray()
+            expected = _make_expected_body(seen)
             while chunk := await stream.next_chunk():
-                got += chunk
-                if seen.status == 200 and not expected.startswith(bytes(got)):
-                    # Also wrong where the answer never comes to its end.
-                    seen.right = False
-            seen.whole = done = True
-            seen.right = seen.right and (seen.status != 200 or bytes(got) == expected)
+                received += chunk
+                if seen.status == 200 and not expected.startswith(bytes(received)):
+                    # Wrong bytes count even if the response never ends.
+                    seen.body_correct = False
+            seen.complete = ended = True
+            seen.body_correct = seen.body_correct and (
+                seen.status != 200 or bytes(received) == expected
+            )
         finally:
-            await (stream.close() if done else stream.abort())
+            await (stream.close() if ended else stream.abort())
 
 
-def _expected(seen: Seen) -> bytes:
-    if seen.path in (STREAM, RESUMED):
-        return b"".join(events_of(seen.ident))
-    return body_of(seen.ident)
+def _make_expected_body(seen: ObservedRequest) -> bytes:
+    if seen.path in (STREAM_PATH, RESUMED_PATH):
+        return b"".join(make_events(seen.ident))
+    return make_body(seen.ident)
 
 
-async def _status(client: HttpClient, target: str, *, ident: str = "") -> int:
-    """Return the status that a short question gets; 0 for none."""
+async def _get_status(client: HttpClient, target: str, *, ident: str = "") -> int:
+    """Return the status of a short request; 0 when there is no response."""
     headers = {"host": "h.example"}
     if ident:
-        headers |= {"x-request-id": ident, "x-deadline-ms": str(int(PROBE_PATIENCE_S * 1000))}
+        headers |= {"x-request-id": ident, "x-deadline-ms": str(int(PROBE_TIMEOUT_S * 1000))}
     try:
         resp = await curio.timeout_after(
-            PROBE_PATIENCE_S,
+            PROBE_TIMEOUT_S,
             lambda: client.call("GET", target, headers=headers, new_connection=True),
         )
     except (HttpClosed, BadHttp, curio.TaskTimeout):
--- a/src/crankhinge_standins/_model.py
+++ b/src/crankhinge_standins/_model.py
@@ -1,14 +1,14 @@
-"""The stand-in engine's "model": a checksum of everything before the next token."""
+"""The stand-in engine's "model": each token is a checksum of everything before it."""
 
 from __future__ import annotations
 
 import zlib
 from typing import Any
 
-VOCABULARY = 5000
+VOCABULARY_SIZE = 5000
 
 
-def context_of(body: dict[str, Any]) -> str:
+def extract_context(body: dict[str, Any]) -> str:
     """Return the text that the model continues."""
     if "prompt" in body:
         return str(body["prompt"])
@@ -19,14 +19,14 @@
 
 
 def next_token(state: int) -> tuple[str, int]:
-    """Return the token that follows, and the state after it."""
-    token = f" w{state % VOCABULARY}"
+    """Return the token that follows *state*, and the state after it."""
+    token = f" w{state % VOCABULARY_SIZE}"
     return token, zlib.crc32(token.encode(), state)
 
 
-def answer_to(body: dict[str, Any]) -> list[str]:
-    """Return the whole answer: what a test compares with."""
-    state = zlib.crc32(context_of(body).encode())
+def make_answer(body: dict[str, Any]) -> list[str]:
+    """Return all tokens of the model's answer, for tests to compare with."""
+    state = zlib.crc32(extract_context(body).encode())
     out = []
     for _ in range(int(body.get("max_tokens", 16))):
         token, state = next_token(state)
--- a/src/crankhinge_standins/engine.py
+++ b/src/crankhinge_standins/engine.py
@@ -1,7 +1,7 @@
-"""A model engine: continuous batching, prefix cache, KV transfer, over the OpenAI API.
+"""A stand-in model engine with continuous batching, prefix cache and KV transfer (OpenAI API).
 
-Its "model" is a checksum: the next token depends on every byte before it, so an answer that is
-taken up again from its own text continues exactly as it would have.
+The "model" is a checksum: the next token depends on every byte before it. An answer that is
+continued from its own text therefore has the same tokens as without the interruption.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 from crankhinge.errors import CrankhingeError, HttpClosed
 from crankhinge.http import Exchange, HttpClient, encode_sse_event
 from crankhinge.runtime import run_until_first_ends
-from crankhinge_standins._model import context_of, next_token
+from crankhinge_standins._model import extract_context, next_token
 from crankhinge_standins._web import Faults, Recorder, reply, serve
 
 BLOCK_WORDS = 64
-SSE_HEAD = {"content-type": "text/event-stream", "transfer-encoding": "chunked"}
+SSE_HEADERS = {"content-type": "text/event-stream", "transfer-encoding": "chunked"}
 
 
 @dataclass
 class EngineConfig:
-    """What the engine can do.
+    """Properties of the engine; each is also an option of the command line.
 
     Attributes:
-        host: address.
-        port: TCP port.
-        model: name of its model.
-        slots: requests in memory.
-        step_s: seconds a step takes with one request in memory.
-        step_per_request_s: seconds more for each further request.
-        prefill_rate: prompt tokens read per second.
-        kv_life_s: seconds for which a result is kept.
+        host: address to listen on.
+        port: TCP port to listen on.
+        model: name of the model.
+        slots: maximum number of requests in the batch.
+        step_s: seconds of a decode step with one request in the batch.
+        step_per_request_s: further seconds of a step for each further request.
+        prefill_rate: prompt tokens processed per second.
+        kv_life_s: seconds for which the KV cache of a prompt is kept.
         kv_bytes_per_token: size of the KV cache.
         link_bytes_per_s: rate of the engine's outgoing link; 0 for no limit.
-        cache_blocks: size of the prefix cache.
-        load_lag_s: how old its reported load is.
-        record: file for its runs; empty for none.
-        weights: ``host:port`` of the weight store; empty for adapters that load at once.
+        cache_blocks: capacity of the prefix cache in blocks of ``BLOCK_WORDS`` tokens.
+        load_lag_s: interval at which the reported load is updated.
+        record: file for what the engine does; empty to record nothing.
+        weights: ``host:port`` of the weight store; empty if adapters load without delay.
     """
 
     host: str = "127.0.0.1"
@@ -63,30 +63,37 @@
     weights: str = ""
 
 
-class Gone(CrankhingeError):
+class ClientGone(CrankhingeError):
     """The client closed its connection."""
 
 
 @dataclass
-class _Running:
-    """A request in memory."""
+class _RunningRequest:
+    """A request in the batch.
+
+    Attributes:
+        state: state of the model after the last token.
+        tokens_left: number of tokens still to generate.
+        client_gone: whether the client closed its connection.
+        tokens: tokens generated so far.
+    """
 
     state: int
-    left: int
-    gone: bool = False
+    tokens_left: int
+    client_gone: bool = False
     tokens: list[str] = field(default_factory=list)
 
 
 @dataclass
-class _Kv:
+class _KvCache:
     tokens: int
-    computed: int
-    expires: float
+    computed_tokens: int
+    expires_at: float
 
 
 @dataclass
 class Stats:
-    """The engine's own count of what it did; the truth that the bench's checker reads."""
+    """Counts of what the engine did, from which the bench's checker takes the true figures."""
 
     prefill_tokens: int = 0
     cached_tokens: int = 0
@@ -101,7 +108,13 @@
 
 
 class StandinEngine:
-    """One engine."""
+    """One stand-in engine.
+
+    Args:
+        cfg: properties of the engine.
+        log: log for unexpected failures.
+        seed: seed of the KV handles.
+    """
 
     def __init__(self, cfg: EngineConfig, log: Any, seed: int = 0) -> None:
         self.cfg = cfg
@@ -111,16 +124,16 @@
         self._recorder = Recorder(cfg.record)
         self.runs: list[dict[str, Any]] = []
         self.adapters: set[str] = set()
-        self._token = 0
+        self._fencing_token = 0
         self._rng = random.Random(seed)
-        self._running: list[_Running] = []
-        self._step = curio.Event()
+        self._running: list[_RunningRequest] = []
+        self._step_done = curio.Event()
         self._slots = curio.Semaphore(cfg.slots)
-        self._reader = curio.Lock()
-        self._kv: dict[str, _Kv] = {}
-        self._cache: OrderedDict[int, None] = OrderedDict()
+        self._prefill_lock = curio.Lock()
+        self._kv_caches: dict[str, _KvCache] = {}
+        self._prefix_cache: OrderedDict[int, None] = OrderedDict()
         self._link_free_at = 0.0
-        self._reported = (0, 0)
+        self._reported_load = (0, 0)
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -129,29 +142,31 @@
         await run_until_first_ends(self._step_loop, self._report_loop, listen)
 
     async def _report_loop(self) -> None:
+        """Update the reported load and drop expired KV caches."""
         while True:
-            self._reported = (len(self._running), self.stats.waiting)
+            self._reported_load = (len(self._running), self.stats.waiting)
             await self._expire_kv()
             await curio.sleep(self.cfg.load_lag_s)
 
     async def _expire_kv(self) -> None:
         now = await curio.clock()
-        for handle in [h for h, kv in self._kv.items() if kv.expires <= now]:
-            self.stats.wasted_tokens += self._kv.pop(handle).computed
+        for handle in [h for h, kv in self._kv_caches.items() if kv.expires_at <= now]:
+            self.stats.wasted_tokens += self._kv_caches.pop(handle).computed_tokens
 
     async def _step_loop(self) -> None:
+        """Generate one token of each request in the batch per step."""
         while True:
             cfg = self.cfg
             batch = len(self._running)
-            pause = cfg.step_s + cfg.step_per_request_s * max(0, batch - 1)
-            await curio.sleep(pause * self.faults.slow)
+            step_s = cfg.step_s + cfg.step_per_request_s * max(0, batch - 1)
+            await curio.sleep(step_s * self.faults.slow)
             for run in self._running:
-                if run.left > 0 and not run.gone:
+                if run.tokens_left > 0 and not run.client_gone:
                     token, run.state = next_token(run.state)
                     run.tokens.append(token)
-                    run.left -= 1
+                    run.tokens_left -= 1
                     self.stats.decoded_tokens += 1
-            event, self._step = self._step, curio.Event()
+            event, self._step_done = self._step_done, curio.Event()
             await event.set()
 
     async def _handle(self, exchange: Exchange) -> None:
@@ -159,25 +174,25 @@
         if self.faults.down:
             raise HttpClosed("down")
         if path in ("/v1/completions", "/v1/chat/completions"):
-            await self._complete(exchange)
+            await self._handle_completion(exchange)
         elif path == "/v1/load_lora_adapter":
             await self._load_adapter(exchange)
         elif path.startswith("/kv/"):
-            await self._export(exchange, path.removeprefix("/kv/"))
+            await self._export_kv_cache(exchange, path.removeprefix("/kv/"))
         elif path == "/metrics":
-            running, waiting = self._reported
+            running, waiting = self._reported_load
             text = f"vllm:num_requests_running {running}\nvllm:num_requests_waiting {waiting}\n"
             await exchange.respond(200, text.encode(), {"content-type": "text/plain"})
         elif path == "/stats":
             self.stats.running = len(self._running)
-            self.stats.kv_held = len(self._kv)
+            self.stats.kv_held = len(self._kv_caches)
             await reply(exchange, self.stats)
         elif path == "/runs":
             await reply(exchange, self.runs)
         else:
             await reply(exchange, {"error": "no such path"}, 404)
 
-    async def _complete(self, exchange: Exchange) -> None:
+    async def _handle_completion(self, exchange: Exchange) -> None:
         body = msgspec.json.decode(exchange.req.body)
         if body["model"] != self.cfg.model and body["model"] not in self.adapters:
             await reply(exchange, {"error": "no such model"}, 404)
@@ -192,13 +207,13 @@
             await self._decode(exchange, body, params)
 
     async def _load_adapter(self, exchange: Exchange) -> None:
-        """Take a fenced order to load an adapter from the weight store."""
+        """Load an adapter from the weight store, unless the order's fencing token is outdated."""
         order = msgspec.json.decode(exchange.req.body)
         token = int(exchange.req.headers.get("x-fencing-token", "0"))
-        if token < self._token:
+        if token < self._fencing_token:
             await reply(exchange, {"error": "outdated token"}, 409)
             return
-        self._token = token
+        self._fencing_token = token
         name = order["lora_name"]
         version = exchange.req.headers.get("x-adapter-version", "")
         self._recorder.write(kind="load", name=name, version=version, token=token)
@@ -210,18 +225,20 @@
         await reply(exchange, {"ok": True})
 
     async def _prefill(self, exchange: Exchange, body: dict[str, Any]) -> None:
-        words = context_of(body).split(" ")
-        self._recorder.write(kind="prefill", prompt=zlib.crc32(context_of(body).encode()))
-        async with self._reader:
-            cached = self._cached(words)
-            todo = max(1, len(words) - cached)
-            await curio.sleep(todo / self.cfg.prefill_rate * self.faults.slow)
-            self._remember(words)
+        words = extract_context(body).split(" ")
+        self._recorder.write(kind="prefill", prompt=zlib.crc32(extract_context(body).encode()))
+        async with self._prefill_lock:
+            cached = self._count_cached_tokens(words)
+            uncached = max(1, len(words) - cached)
+            await curio.sleep(uncached / self.cfg.prefill_rate * self.faults.slow)
+            self._cache_prefix(words)
         self.stats.prefills += 1
-        self.stats.prefill_tokens += todo
+        self.stats.prefill_tokens += uncached
         self.stats.cached_tokens += cached
         handle = f"{self._rng.getrandbits(64):016x}"
-        self._kv[handle] = _Kv(len(words), todo, await curio.clock() + self.cfg.kv_life_s)
+        self._kv_caches[handle] = _KvCache(
+            len(words), uncached, await curio.clock() + self.cfg.kv_life_s
+        )
         answer = {
             "kv_transfer_params": {
                 "remote_block_ids": [handle],
@@ -236,10 +253,11 @@
         try:
             await reply(exchange, answer)
         except HttpClosed:
-            self.stats.wasted_tokens += self._kv.pop(handle).computed
+            self.stats.wasted_tokens += self._kv_caches.pop(handle).computed_tokens
             raise
 
-    def _blocks(self, words: list[str]) -> list[int]:
+    def _hash_blocks(self, words: list[str]) -> list[int]:
+        """Return a hash of each prefix of the prompt that consists of whole blocks."""
         blocks = []
         state = 0
         for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
@@ -247,92 +265,98 @@
             blocks.append(state)
         return blocks
 
-    def _cached(self, words: list[str]) -> int:
+    def _count_cached_tokens(self, words: list[str]) -> int:
         found = 0
-        for block in self._blocks(words):
-            if block not in self._cache:
+        for block in self._hash_blocks(words):
+            if block not in self._prefix_cache:
                 break
             found += BLOCK_WORDS
         return found
 
-    def _remember(self, words: list[str]) -> None:
-        for block in self._blocks(words):
-            self._cache[block] = None
-            self._cache.move_to_end(block)
-        while len(self._cache) > self.cfg.cache_blocks:
-            self._cache.popitem(last=False)
+    def _cache_prefix(self, words: list[str]) -> None:
+        for block in self._hash_blocks(words):
+            self._prefix_cache[block] = None
+            self._prefix_cache.move_to_end(block)
+        while len(self._prefix_cache) > self.cfg.cache_blocks:
+            self._prefix_cache.popitem(last=False)
 
-    async def _export(self, exchange: Exchange, handle: str) -> None:
-        kv = self._kv.get(handle)
+    async def _export_kv_cache(self, exchange: Exchange, handle: str) -> None:
+        """Send a KV cache at the rate of the outgoing link, and drop it."""
+        kv = self._kv_caches.get(handle)
         now = await curio.clock()
-        if kv is None or kv.expires <= now:
+        if kv is None or kv.expires_at <= now:
             await reply(exchange, {"error": "expired"}, 404)
             return
         while self.faults.stall:
             await curio.sleep(0.05)
         if self.cfg.link_bytes_per_s:
-            took = kv.tokens * self.cfg.kv_bytes_per_token / self.cfg.link_bytes_per_s
-            self._link_free_at = max(now, self._link_free_at) + took
+            transfer_s = kv.tokens * self.cfg.kv_bytes_per_token / self.cfg.link_bytes_per_s
+            self._link_free_at = max(now, self._link_free_at) + transfer_s
             await curio.sleep(self._link_free_at - now)
-        if self._kv.pop(handle, None) is None:
+        if self._kv_caches.pop(handle, None) is None:
             await reply(exchange, {"error": "expired"}, 404)
             return
-        await reply(exchange, {"tokens": kv.tokens, "computed": kv.computed})
+        await reply(exchange, {"tokens": kv.tokens, "computed": kv.computed_tokens})
 
     async def _decode(
         self, exchange: Exchange, body: dict[str, Any], params: dict[str, Any]
     ) -> None:
         self.stats.waiting += 1
-        run = _Running(zlib.crc32(context_of(body).encode()), int(body.get("max_tokens", 16)))
-        watcher = await curio.spawn(self._watch, exchange, run, daemon=True)
+        run = _RunningRequest(
+            zlib.crc32(extract_context(body).encode()), int(body.get("max_tokens", 16))
+        )
+        watcher = await curio.spawn(self._watch_client, exchange, run, daemon=True)
         try:
             async with self._slots:
                 self.stats.waiting -= 1
-                if run.gone:
-                    raise HttpClosed("gone while it waited")
+                if run.client_gone:
+                    raise HttpClosed("client disconnected while its request waited")
                 self._running.append(run)
                 try:
-                    await self._write_answer(exchange, body, params, run)
+                    await self._generate(exchange, body, params, run)
                 finally:
                     self._running.remove(run)
         finally:
             await watcher.cancel()
 
-    async def _watch(self, exchange: Exchange, run: _Running) -> None:
+    async def _watch_client(self, exchange: Exchange, run: _RunningRequest) -> None:
         await exchange.wait_for_disconnect()
-        run.gone = True
+        run.client_gone = True
 
-    async def _write_answer(
-        self, exchange: Exchange, body: dict[str, Any], params: dict[str, Any], run: _Running
+    async def _generate(
+        self, exchange: Exchange, body: dict[str, Any], params: dict[str, Any], run: _RunningRequest
     ) -> None:
         computed = 0
         if params.get("do_remote_prefill"):
-            found = await self._import(params)
-            if found is None:
+            imported = await self._import_kv_cache(params)
+            if imported is None:
                 await reply(exchange, {"error": "KV cache expired"}, 410)
                 return
-            computed = found
+            computed = imported
         ident = exchange.req.headers.get("x-request-id", "")
         record = {"id": ident, "sent": 0, "end": "running"}
         self.runs.append(record)
-        self._recorder.write(kind="decode", prompt=zlib.crc32(context_of(body).encode()))
+        self._recorder.write(kind="decode", prompt=zlib.crc32(extract_context(body).encode()))
         try:
-            await self._stream(exchange, body, run, record)
+            await self._stream_tokens(exchange, body, run, record)
             record["end"] = "finished"
             self.stats.finished += 1
-        except (HttpClosed, Gone):
+        except (HttpClosed, ClientGone):
             record["end"] = "cancelled"
             self.stats.cancelled += 1
             raise HttpClosed("gone") from None
         finally:
             if not record["sent"]:
-                # The reading was fetched and nothing came of it.
+                # The KV cache was fetched, but no token was generated from it.
                 self.stats.wasted_tokens += computed
-            prompt = zlib.crc32(context_of(body).encode())
+            prompt = zlib.crc32(extract_context(body).encode())
             self._recorder.write(kind="end", prompt=prompt, end=record["end"])
 
-    async def _import(self, params: dict[str, Any]) -> int | None:
-        """Fetch a reading; returns the tokens that were computed for it, None when it is gone."""
+    async def _import_kv_cache(self, params: dict[str, Any]) -> int | None:
+        """Fetch the KV cache of a prompt from another engine.
+
+        Returns the number of tokens that were computed for it, or None if it no longer exists.
+        """
         client = HttpClient(params["remote_host"], int(params["remote_port"]))
         try:
             resp = await client.call(
@@ -344,31 +368,33 @@
             return None
         return int(msgspec.json.decode(resp.body)["computed"])
 
-    async def _stream(
-        self, exchange: Exchange, body: dict[str, Any], run: _Running, record: dict[str, Any]
+    async def _stream_tokens(
+        self, exchange: Exchange, body: dict[str, Any], run: _RunningRequest, record: dict[str, Any]
     ) -> None:
         chat = "messages" in body
-        await exchange.start(200, SSE_HEAD)
+        await exchange.start(200, SSE_HEADERS)
         sent = 0
         while True:
-            await self._step.wait()
-            if run.gone:
-                raise Gone
+            await self._step_done.wait()
+            if run.client_gone:
+                raise ClientGone
             out = b""
             while sent < len(run.tokens):
-                last = run.left == 0 and sent == len(run.tokens) - 1
-                out += encode_sse_event(_chunk(run.tokens[sent], "length" if last else None, chat))
+                last = run.tokens_left == 0 and sent == len(run.tokens) - 1
+                out += encode_sse_event(
+                    _encode_chunk(run.tokens[sent], "length" if last else None, chat)
+                )
                 sent += 1
             if out:
                 record["sent"] = sent
-                done = run.left == 0
+                done = run.tokens_left == 0
                 await exchange.write(out + (encode_sse_event(b"[DONE]") if done else b""))
                 if done:
                     await exchange.finish()
                     return
 
 
-def _chunk(text: str, finish: str | None, chat: bool) -> bytes:
+def _encode_chunk(text: str, finish: str | None, chat: bool) -> bytes:
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish}
     if chat:
         choice["delta"] = {"content": text}
--- a/src/crankhinge_standins/main.py
+++ b/src/crankhinge_standins/main.py
@@ -1,4 +1,4 @@
-"""The command that starts one stand-in."""
+"""``crankhinge-standin``: runs one stand-in."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from crankhinge_standins.store import StandinStore
 
 
-def _parser() -> argparse.ArgumentParser:
+def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="crankhinge-standin", description=__doc__)
     kinds = parser.add_subparsers(dest="kind", required=True)
     engine = kinds.add_parser("engine", help="a model engine")
@@ -26,19 +26,21 @@
     service = kinds.add_parser("service", help="a plain service")
     service.add_argument("--record", default="")
     service.add_argument("--work-s", type=float, default=0.01)
-    platform = kinds.add_parser("platform", help="key-value service and list of instances")
+    platform = kinds.add_parser("platform", help="key-value store and service list of the platform")
     platform.add_argument("--list-lag-s", type=float, default=1.0)
     store = kinds.add_parser("store", help="the users' platform's metadata store")
     store.add_argument("--beat-s", type=float, default=0.0)
     store.add_argument("--history-s", type=float, default=0.0)
     replica = kinds.add_parser("replica", help="a backend server of the users' platform")
-    replica.add_argument("--shown", required=True, help="host:port under which others reach it")
+    replica.add_argument("--shown", required=True, help="host:port at which others reach it")
     replica.add_argument("--service", required=True)
-    replica.add_argument("--phase", default="", help="prefill or decode; empty: a plain service")
+    replica.add_argument(
+        "--phase", default="", help="initial role: prefill or decode; empty for a plain service"
+    )
     replica.add_argument("--store", required=True, help="host:port")
     replica.add_argument("--record", default="")
     replica.add_argument("--beat-s", type=float, default=1.2)
-    replica.add_argument("--place", default="", help="name of where it runs")
+    replica.add_argument("--place", default="", help="name of the place where it runs")
     replica.add_argument("--silent-leave", action="store_true")
     for kind in (service, platform, store, replica):
         kind.add_argument("--host", default="127.0.0.1")
@@ -46,7 +48,7 @@
     return parser
 
 
-def _runner(args: argparse.Namespace) -> Callable[[], Awaitable[None]]:
+def _make_runner(args: argparse.Namespace) -> Callable[[], Awaitable[None]]:
     log = get_log(program=f"standin-{args.kind}", port=args.port)
     if args.kind == "engine":
         names = [field.name for field in dataclasses.fields(EngineConfig)]
@@ -65,7 +67,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Run one stand-in until it is killed."""
     try:
-        curio.run(_runner(_parser().parse_args(argv)))
+        curio.run(_make_runner(_make_parser().parse_args(argv)))
     except KeyboardInterrupt:
         pass
     return 0
--- a/src/crankhinge_standins/replica.py
+++ b/src/crankhinge_standins/replica.py
@@ -1,7 +1,7 @@
-"""A backend server of the users' platform: a plain service, or an engine that reads or writes.
+"""A stand-in backend server of the users' platform: a plain service, a prefill or a decode engine.
 
-It enters itself in the store, serves what the platform's pages publish, and records every arrival
-and run in a file that outlives it, for a checker to read.
+The server registers itself in the store and speaks the platform's published interface. It records
+every arrival and run in a file that remains when the process is killed, for the checker to read.
 """
 
 from __future__ import annotations
@@ -19,34 +19,35 @@
 
 from crankhinge.errors import BadHttp, HttpClosed, KeyValueUnavailable
 from crankhinge.http import Exchange, HttpClient, HttpRequest
-from crankhinge_standins._replica_state import Memory, ReplicaFaults
+from crankhinge_standins._replica_state import KvMemory, ReplicaFaults
 from crankhinge_standins._web import Recorder, reply, serve
 
-# Tokens of memory of an engine, and requests at once of any replica.
-KV_TOKENS = 12000
+# KV memory of an engine in tokens, and maximum number of requests in progress on any server.
+MAX_KV_TOKENS = 12000
 SLOTS = 8
-# Seconds: work of a plain call, at most; reading of a token; between two events of a stream.
-WORK_S = 0.05
-READ_TOKEN_S = 0.00003
-EVENT_S = 0.02
-# Seconds that the memory of a prompt that was read is kept for whoever fetches it.
-HANDLE_S = 0.5
-# Seconds that an engine needs for another part, once its runs have ended.
-SWITCH_S = 1.0
-# Seconds that a replica serves on after the store took its word that it leaves, and longer by up
-# to the second figure.
+# Seconds: maximum duration of a plain call, prefill of one token, and interval between two events
+# of a stream.
+MAX_WORK_S = 0.05
+PREFILL_TOKEN_S = 0.00003
+EVENT_INTERVAL_S = 0.02
+# Seconds for which the KV cache of a prompt is kept until another engine fetches it.
+KV_HANDLE_TTL_S = 0.5
+# Seconds that an engine needs to switch its role once its requests have ended.
+ROLE_SWITCH_S = 1.0
+# Seconds for which a server still serves after the store has taken its announcement that it leaves,
+# and the maximum random addition to them.
 DRAIN_S = 2.0
-LINGER_S = 1.5
-SIDE_CALL_S = 1.0
-# Seconds between looks whether SIGTERM has come.
-LOOK_S = 0.05
-# Status of a refusal for want of room.
-FULL = 503
+MAX_EXTRA_DRAIN_S = 1.5
+SIDE_CALL_TIMEOUT_S = 1.0
+# Seconds between checks of whether SIGTERM has arrived.
+SIGTERM_POLL_S = 0.05
+# Status of a refusal for lack of capacity.
+FULL_STATUS = 503
 ORDER_FIELDS = ("opcode", "holder", "fencing_token")
 
 
-def events_of(ident: str) -> list[bytes]:
-    """Return the events that answer the request *ident*, wherever it runs."""
+def make_events(ident: str) -> list[bytes]:
+    """Return the events of the response to the stream request *ident*, the same on any server."""
     count = 5 + zlib.crc32(ident.encode()) % 20
     return [
         b"id: %d\ndata: %08x\n\n" % (n, zlib.crc32(f"{ident}:{n}".encode()))
@@ -54,27 +55,28 @@
     ]
 
 
-def body_of(ident: str) -> bytes:
-    """Return the body that answers the plain request *ident*, wherever it runs."""
+def make_body(ident: str) -> bytes:
+    """Return the body of the response to the plain request *ident*, the same on any server."""
     seed = zlib.crc32(ident.encode())
     return f"{ident}:{seed:08x}:".encode() + b"x" * (seed % 3000)
 
 
 class StandinReplica:
-    """One life of a replica.
+    """One incarnation of a backend server.
 
     Args:
-        host: address.
-        port: TCP port.
-        shown: ``host:port`` under which others reach it.
-        service: what it serves.
-        phase: ``prefill`` or ``decode``; empty for a plain service.
+        host: address to listen on.
+        port: TCP port to listen on.
+        shown: ``host:port`` at which others reach the server.
+        service: name of the service.
+        phase: initial engine role, ``prefill`` or ``decode``; empty for a plain service.
         store: ``host:port`` of the store.
-        record: file for what arrived and ran.
+        record: file for arrivals and runs; empty to record nothing.
         beat_s: seconds between heartbeats.
-        place: name of where it runs, the same for each life there.
-        silent_leave: whether its entry goes without a word that it leaves.
-        log: for unexpected failures.
+        silent_leave: whether the server removes its entry at SIGTERM without announcing its
+            shutdown.
+        place: name of the place where the server runs, the same for each incarnation there.
+        log: log for unexpected failures.
     """
 
     def __init__(
@@ -94,83 +96,84 @@
     ) -> None:
         self.ident = f"i-{secrets.token_hex(4)}"
         self.faults = ReplicaFaults()
-        self._host, self._port, self._shown = host, port, shown
-        self._service, self._phase = service, phase
+        self._host, self._port, self._advertised_address = host, port, shown
+        self._service, self._role = service, phase
         store_host, _, store_port = store.rpartition(":")
         self._store = HttpClient(store_host, int(store_port))
         self._recorder = Recorder(record)
-        self._beat_s = beat_s
+        self._heartbeat_s = beat_s
         self._silent_leave = silent_leave
         self._place = place
         self._log = log
-        self._memory = Memory()
+        self._memory = KvMemory()
         self._rng = random.Random(self.ident)
         self._leaving = False
-        self._switching = False
-        self._beats = itertools.count(1)
-        self._names = itertools.count(1)
-        self._orders = 0
-        self._fence = 0
+        self._switching_role = False
+        self._heartbeat_numbers = itertools.count(1)
+        self._id_numbers = itertools.count(1)
+        self._order_count = 0
+        self._fencing_token = 0
         self._running = 0
 
     async def run(self) -> None:
-        """Serve until SIGTERM and the time to leave."""
+        """Serve until SIGTERM has arrived and the drain is over."""
         self._recorder.write(kind="born", server=self.ident, place=self._place)
         async with curio.TaskGroup(wait=any) as group:
             await group.spawn(serve, self._host, self._port, self._handle, self.faults, self._log)
-            await group.spawn(self._keep_entry)
-            await group.spawn(self._leave)
+            await group.spawn(self._refresh_entry)
+            await group.spawn(self._drain_on_sigterm)
 
-    async def _keep_entry(self) -> None:
+    async def _refresh_entry(self) -> None:
         while True:
             if not (self._leaving and self._silent_leave):
-                await self._enter()
-            await curio.sleep(self._beat_s * self._rng.uniform(0.9, 1.1))
+                await self._write_entry()
+            await curio.sleep(self._heartbeat_s * self._rng.uniform(0.9, 1.1))
 
-    async def _enter(self) -> bool:
-        """Write the entry; returns whether the store has taken it."""
+    async def _write_entry(self) -> bool:
+        """Write the server's entry to the store; return whether the store has taken it."""
         entry: dict[str, Any] = {
             "service": self._service,
-            "address": self._shown,
+            "address": self._advertised_address,
             "zone": "z1",
             "slots": SLOTS,
             "state": "draining" if self._leaving else "ready",
-            "sequence": next(self._beats),
+            "sequence": next(self._heartbeat_numbers),
         }
-        if self._phase:
-            entry["phase"] = self._phase
+        if self._role:
+            entry["phase"] = self._role
             entry["models"] = [{"name": "m", "version": 1, "adapters": []}]
-        return await self._write_entry(msgspec.json.encode(entry))
+        return await self._put_entry(msgspec.json.encode(entry))
 
-    async def _write_entry(self, body: bytes) -> bool:
+    async def _put_entry(self, body: bytes) -> bool:
         target = f"/v1/kv-key?private_key=servers/{self.ident}"
         try:
             resp = await curio.timeout_after(
-                SIDE_CALL_S, lambda: self._store.call("PUT", target, body=body, new_connection=True)
+                SIDE_CALL_TIMEOUT_S,
+                lambda: self._store.call("PUT", target, body=body, new_connection=True),
             )
         except (HttpClosed, BadHttp, KeyValueUnavailable, curio.TaskTimeout) as exc:
             self._log.info("entry_not_written", why=repr(exc))
             return False
         return bool(resp.status == 200)
 
-    async def _leave(self) -> None:
-        """Wait for SIGTERM, say so in the store, serve on for a while."""
-        signal.signal(signal.SIGTERM, self._on_term)
+    async def _drain_on_sigterm(self) -> None:
+        """Wait for SIGTERM, announce the shutdown in the store, and serve on for the drain."""
+        signal.signal(signal.SIGTERM, self._on_sigterm)
         while not self._leaving:
-            await curio.sleep(LOOK_S)
-        taken = self._gone if self._silent_leave else self._enter
-        while not await taken():
-            await curio.sleep(SIDE_CALL_S / 4)
+            await curio.sleep(SIGTERM_POLL_S)
+        announce = self._remove_entry if self._silent_leave else self._write_entry
+        while not await announce():
+            await curio.sleep(SIDE_CALL_TIMEOUT_S / 4)
         self._recorder.write(kind="leaves", server=self.ident)
-        await curio.sleep(DRAIN_S + self._rng.uniform(0.0, LINGER_S))
-        await self._gone()
+        await curio.sleep(DRAIN_S + self._rng.uniform(0.0, MAX_EXTRA_DRAIN_S))
+        await self._remove_entry()
         self._recorder.write(kind="left", server=self.ident, running=self._running)
 
-    def _on_term(self, _signum: int, _frame: FrameType | None) -> None:
+    def _on_sigterm(self, _signum: int, _frame: FrameType | None) -> None:
         self._leaving = True
 
-    async def _gone(self) -> bool:
-        return await self._write_entry(b"")
+    async def _remove_entry(self) -> bool:
+        return await self._put_entry(b"")
 
     async def _handle(self, exchange: Exchange) -> None:
         req = exchange.req
@@ -180,11 +183,11 @@
         if req.headers.get("x-expect-instance", self.ident) != self.ident:
             await exchange.respond_with_fields(421, [("x-instance-id", self.ident)], b"")
         elif req.path.startswith("/v1/"):
-            await self._side(exchange)
+            await self._handle_side_call(exchange)
         else:
-            await self._take(exchange)
+            await self._run_or_refuse(exchange)
 
-    async def _take(self, exchange: Exchange) -> None:
+    async def _run_or_refuse(self, exchange: Exchange) -> None:
         """Run a request, or refuse it before it runs."""
         req = exchange.req
         ident = req.headers["x-request-id"]
@@ -198,27 +201,30 @@
             key=req.headers.get("authorization", ""),
             limit=self.faults.limit,
         )
-        reading = req.headers.get("x-stage") == "prefill"
-        fits = (self._phase == "prefill") == reading
-        full = self._running >= SLOTS or self._switching or self._by_chance(self.faults.refuses)
-        if not fits or full:
-            await self._refuse(exchange, FULL if fits else 421)
+        is_prefill = req.headers.get("x-stage") == "prefill"
+        role_fits = (self._role == "prefill") == is_prefill
+        full = (
+            self._running >= SLOTS or self._switching_role or self._by_chance(self.faults.refuses)
+        )
+        if not role_fits or full:
+            await self._refuse(exchange, FULL_STATUS if role_fits else 421)
             return
         self._running += 1
         try:
-            if reading:
-                await self._read(exchange)
-            elif self._phase:
-                await self._write(exchange)
+            if is_prefill:
+                await self._run_prefill(exchange)
+            elif self._role:
+                await self._run_decode(exchange)
             else:
-                await self._work(exchange)
+                await self._run_plain(exchange)
         finally:
             self._running -= 1
 
     def _by_chance(self, share: float) -> bool:
+        """Draw True with a probability of *share*."""
         return self._rng.random() < share
 
-    def _ran(self, req: HttpRequest) -> str:
+    def _record_run(self, req: HttpRequest) -> str:
         ident = req.headers["x-request-id"]
         after = req.headers.get("last-event-id", "")
         self._recorder.write(
@@ -226,12 +232,12 @@
         )
         return ident
 
-    def _head(self, ident: str) -> list[tuple[str, str]]:
+    def _make_response_fields(self, ident: str) -> list[tuple[str, str]]:
         seal = ("x-server-seal", f"{self.ident}.{ident}")
-        return [("x-request-id", ident), seal, *self._words(ident)]
+        return [("x-request-id", ident), seal, *self._make_signal_fields(ident)]
 
-    def _words(self, ident: str, rest_s: float = 0.0) -> list[tuple[str, str]]:
-        """Return the fields in which it says of itself what it has to say, and record them."""
+    def _make_signal_fields(self, ident: str, rest_s: float = 0.0) -> list[tuple[str, str]]:
+        """Return and record the response fields for the limit, leaving and backoff."""
         fields = []
         if self.faults.limit:
             fields.append(("server-limit", self.faults.limit))
@@ -252,75 +258,79 @@
     async def _refuse(self, exchange: Exchange, status: int) -> None:
         ident = exchange.req.headers["x-request-id"]
         head = [("x-request-id", ident), ("x-not-executed", "1"), ("x-instance-id", self.ident)]
-        rest_s = self.faults.rest_s if status == FULL else 0.0
-        await exchange.respond_with_fields(status, head + self._words(ident, rest_s), b"")
+        rest_s = self.faults.rest_s if status == FULL_STATUS else 0.0
+        await exchange.respond_with_fields(
+            status, head + self._make_signal_fields(ident, rest_s), b""
+        )
 
-    async def _work(self, exchange: Exchange) -> None:
-        ident = self._ran(exchange.req)
-        await curio.sleep(WORK_S * self._rng.random() * self.faults.slow)
+    async def _run_plain(self, exchange: Exchange) -> None:
+        ident = self._record_run(exchange.req)
+        await curio.sleep(MAX_WORK_S * self._rng.random() * self.faults.slow)
         if self._by_chance(self.faults.resets):
-            raise HttpClosed("lost on purpose")
+            raise HttpClosed("response lost on purpose")
         if self._by_chance(self.faults.errors):
-            await exchange.respond_with_fields(500, self._head(ident), b"failed")
+            await exchange.respond_with_fields(500, self._make_response_fields(ident), b"failed")
             return
-        body = body_of(ident)
+        body = make_body(ident)
         if self._by_chance(self.faults.garbles):
             length = ("content-length", str(len(body)))
-            await exchange.start_with_fields(200, [*self._head(ident), length])
+            await exchange.start_with_fields(200, [*self._make_response_fields(ident), length])
             await exchange.write(body[: len(body) // 2])
-            raise HttpClosed("broken off on purpose")
-        await exchange.respond_with_fields(200, self._head(ident), body)
+            raise HttpClosed("response broken off on purpose")
+        await exchange.respond_with_fields(200, self._make_response_fields(ident), body)
 
-    async def _read(self, exchange: Exchange) -> None:
+    async def _run_prefill(self, exchange: Exchange) -> None:
+        """Process a prompt, and keep its KV cache for a decode engine to fetch."""
         tokens = int(exchange.req.headers["x-token-count"].partition(",")[0])
-        await curio.sleep(tokens * READ_TOKEN_S * self.faults.slow)
-        handle = f"h{next(self._names)}"
+        await curio.sleep(tokens * PREFILL_TOKEN_S * self.faults.slow)
+        handle = f"h{next(self._id_numbers)}"
         self._memory.handles[handle] = tokens
-        await curio.spawn(self._lapse, self._memory.handles, handle, HANDLE_S, daemon=True)
+        await curio.spawn(self._expire, self._memory.handles, handle, KV_HANDLE_TTL_S, daemon=True)
         body = msgspec.json.encode({"kv_handle": handle, "tokens": tokens, "version": 1})
         ident = exchange.req.headers["x-request-id"]
         await exchange.respond_with_fields(
-            200, [("x-request-id", ident), *self._words(ident)], body
+            200, [("x-request-id", ident), *self._make_signal_fields(ident)], body
         )
 
-    async def _lapse(self, tied: dict[str, int], name: str, after_s: float) -> None:
+    async def _expire(self, tokens_by_id: dict[str, int], name: str, after_s: float) -> None:
         await curio.sleep(after_s)
-        tied.pop(name, None)
+        tokens_by_id.pop(name, None)
 
-    async def _write(self, exchange: Exchange) -> None:
-        """Write an answer, in memory that a reservation may have set aside."""
+    async def _run_decode(self, exchange: Exchange) -> None:
+        """Generate a decode engine's response, in the memory of its reservation if it has one."""
         req = exchange.req
-        prompt, _, most = req.headers["x-token-count"].partition(",")
-        tokens = int(prompt) + int(most)
-        run = f"r{next(self._names)}"
+        prompt, _, max_answer = req.headers["x-token-count"].partition(",")
+        tokens = int(prompt) + int(max_answer)
+        run = f"r{next(self._id_numbers)}"
         held = self._memory.holds.pop(req.headers.get("hold", ""), 0)
-        if self._memory.used + max(tokens, held) > KV_TOKENS:
-            await self._refuse(exchange, FULL)
+        if self._memory.used + max(tokens, held) > MAX_KV_TOKENS:
+            await self._refuse(exchange, FULL_STATUS)
             return
         self._memory.runs[run] = max(tokens, held)
         try:
-            if "kv-from" in req.headers and not await self._fetch(req.headers["kv-from"]):
-                await self._refuse(exchange, FULL)
+            if "kv-from" in req.headers and not await self._fetch_kv_cache(req.headers["kv-from"]):
+                await self._refuse(exchange, FULL_STATUS)
                 return
             if "kv-from" not in req.headers:
-                await curio.sleep(int(prompt) * READ_TOKEN_S * 2 * self.faults.slow)
-            ident = self._ran(req)
+                await curio.sleep(int(prompt) * PREFILL_TOKEN_S * 2 * self.faults.slow)
+            ident = self._record_run(req)
             async with curio.TaskGroup(wait=any) as group:
-                writer = await group.spawn(self._stream, exchange, ident)
+                writer = await group.spawn(self._stream_events, exchange, ident)
                 await group.spawn(exchange.wait_for_disconnect)
             if group.completed is not writer or not writer.result:
-                raise HttpClosed("the caller has gone or the answer was broken off")
+                raise HttpClosed("the caller disconnected, or the response was broken off")
         finally:
             del self._memory.runs[run]
 
-    async def _fetch(self, at: str) -> bool:
-        """Take the memory of a prompt from where it was read."""
+    async def _fetch_kv_cache(self, at: str) -> bool:
+        """Fetch a prompt's KV cache from the prefill engine at *at*; return whether it was
+        there."""
         where, _, handle = at.partition("/")
         host, _, port = where.rpartition(":")
         client = HttpClient(host, int(port))
         try:
             resp = await curio.timeout_after(
-                SIDE_CALL_S,
+                SIDE_CALL_TIMEOUT_S,
                 lambda: client.call("DELETE", f"/v1/kv-handle/{handle}", new_connection=True),
             )
         except (HttpClosed, BadHttp, curio.TaskTimeout):
@@ -329,10 +339,11 @@
             await client.close()
         return bool(resp.status == 200)
 
-    async def _stream(self, exchange: Exchange, ident: str) -> bool:
-        """Send the events that the caller has not; returns whether it has them all.
+    async def _stream_events(self, exchange: Exchange, ident: str) -> bool:
+        """Send the events that the caller does not have yet; return whether it got all of them.
 
-        The kernel reports tasks that raise, so a caller that has gone is a result, too.
+        A caller that closed its connection is a result and not an exception, because curio logs
+        every task that raises.
         """
         try:
             return await self._send_events(exchange, ident)
@@ -340,20 +351,20 @@
             return False
 
     async def _send_events(self, exchange: Exchange, ident: str) -> bool:
-        events = events_of(ident)
+        events = make_events(ident)
         begin = int(exchange.req.headers.get("last-event-id") or "0")
-        await exchange.start_with_fields(200, self._head(ident))
-        broken_at = self._rng.randrange(len(events)) if self._by_chance(self.faults.garbles) else -1
+        await exchange.start_with_fields(200, self._make_response_fields(ident))
+        break_at = self._rng.randrange(len(events)) if self._by_chance(self.faults.garbles) else -1
         for number, event in enumerate(events[begin:], start=begin):
-            await curio.sleep(EVENT_S * self.faults.slow)
-            if number == broken_at:
+            await curio.sleep(EVENT_INTERVAL_S * self.faults.slow)
+            if number == break_at:
                 await exchange.write(event[: len(event) // 2])
                 return False
             await exchange.write(event)
         await exchange.finish()
         return True
 
-    async def _side(self, exchange: Exchange) -> None:
+    async def _handle_side_call(self, exchange: Exchange) -> None:
         req = exchange.req
         name = req.path.rpartition("/")[2]
         if req.path == "/v1/hold-take":
@@ -365,47 +376,56 @@
             known = self._memory.handles.pop(name, None) is not None
             await reply(exchange, {}, 200 if known else 404)
         elif req.path == "/v1/report":
-            report = {"phase": self._phase, "sequence": self._orders, "busy": self._switching}
+            report = {
+                "phase": self._role,
+                "sequence": self._order_count,
+                "busy": self._switching_role,
+            }
             await reply(exchange, {**report, "kv_used": self._memory.used})
         elif req.path == "/v1/order":
-            await self._order(exchange, msgspec.json.decode(req.body))
+            await self._handle_order(exchange, msgspec.json.decode(req.body))
         else:
             await reply(exchange, {}, 404)
 
-    async def _reserve(self, exchange: Exchange, ask: dict[str, Any]) -> None:
-        if self._phase != "decode" or self._memory.used + ask["tokens"] > KV_TOKENS:
+    async def _reserve(self, exchange: Exchange, request: dict[str, Any]) -> None:
+        """Reserve KV memory for a request to come; the reservation expires after its TTL."""
+        if self._role != "decode" or self._memory.used + request["tokens"] > MAX_KV_TOKENS:
             await reply(exchange, {}, 503)
             return
-        hold = f"k{next(self._names)}"
-        self._memory.holds[hold] = ask["tokens"]
-        lapse_s = ask["ttl_ms"] / 1000
-        await curio.spawn(self._lapse, self._memory.holds, hold, lapse_s, daemon=True)
+        hold = f"k{next(self._id_numbers)}"
+        self._memory.holds[hold] = request["tokens"]
+        ttl_s = request["ttl_ms"] / 1000
+        await curio.spawn(self._expire, self._memory.holds, hold, ttl_s, daemon=True)
         await reply(exchange, {"hold": hold})
 
-    async def _order(self, exchange: Exchange, order: dict[str, Any]) -> None:
-        status = self._order_status(order)
-        told = {name: order.get(name) for name in ORDER_FIELDS}
-        self._recorder.write(kind="order", server=self.ident, status=status, **told)
+    async def _handle_order(self, exchange: Exchange, order: dict[str, Any]) -> None:
+        status = self._decide_order(order)
+        fields = {name: order.get(name) for name in ORDER_FIELDS}
+        self._recorder.write(kind="order", server=self.ident, status=status, **fields)
         if status == 202:
-            self._orders += 1
-            self._fence = order["fencing_token"]
-            self._switching = True
-            await curio.spawn(self._switch, order["phase"], daemon=True)
+            self._order_count += 1
+            self._fencing_token = order["fencing_token"]
+            self._switching_role = True
+            await curio.spawn(self._switch_role, order["phase"], daemon=True)
         await reply(exchange, {}, status)
 
-    def _order_status(self, order: dict[str, Any]) -> int:
+    def _decide_order(self, order: dict[str, Any]) -> int:
+        """Return the status for an order to switch the role; 202 means that it is carried out."""
         if any(name not in order for name in ORDER_FIELDS):
             return 400
-        if order["fencing_token"] < self._fence:
+        if order["fencing_token"] < self._fencing_token:
             return 412
-        if self._switching or order.get("expected_revision", self._orders) != self._orders:
+        if (
+            self._switching_role
+            or order.get("expected_revision", self._order_count) != self._order_count
+        ):
             return 409
-        return 200 if order["phase"] == self._phase else 202
+        return 200 if order["phase"] == self._role else 202
 
-    async def _switch(self, phase: str) -> None:
+    async def _switch_role(self, role: str) -> None:
         while self._running:
-            await curio.sleep(EVENT_S)
-        await curio.sleep(SWITCH_S)
-        self._phase = phase
-        self._switching = False
-        await self._enter()
+            await curio.sleep(EVENT_INTERVAL_S)
+        await curio.sleep(ROLE_SWITCH_S)
+        self._role = role
+        self._switching_role = False
+        await self._write_entry()
