--- a/src/crankhinge/decisions/_advertised_limits.py
+++ b/src/crankhinge/decisions/_advertised_limits.py
@@ -43,21 +43,21 @@
     """The rates that servers name, by the servers' identities."""
 
     def __init__(self) -> None:
-        self._named: dict[str, AdvertisedLimit] = {}
-        self._ended: dict[str, float] = {}
-        self._noted: dict[str, float] = {}
+        self._limits: dict[str, AdvertisedLimit] = {}
+        self._ended_at: dict[str, float] = {}
+        self._published: dict[str, float] = {}
 
     def __len__(self) -> int:
-        return len(self._named)
+        return len(self._limits)
 
     @property
     def servers(self) -> list[str]:
         """Identities of the servers that name rates."""
-        return list(self._named)
+        return list(self._limits)
 
     def get(self, server: str) -> AdvertisedLimit | None:
         """Return what a server takes; None where it names nothing."""
-        return self._named.get(server)
+        return self._limits.get(server)
 
     def record_limit(self, server: str, per_s: float, at: float) -> bool:
         """Note that a server named a rate.
@@ -70,19 +70,19 @@
         Returns:
             Whether this instance believed something else.
         """
-        if at <= self._ended.get(server, float("-inf")):
+        if at <= self._ended_at.get(server, float("-inf")):
             return False
-        known = self._named.get(server)
+        known = self._limits.get(server)
         if known is not None and at < known.received_at:
             return False
-        keep_newest(self._named, server, AdvertisedLimit(per_s, at), MAX_TRACKED_SERVERS)
+        keep_newest(self._limits, server, AdvertisedLimit(per_s, at), MAX_TRACKED_SERVERS)
         return known is None or known.per_s != per_s
 
     def record_unreadable(self, server: str, at: float) -> None:
         """Note that a server named something that is no rate: it is still in need."""
-        known = self._named.get(server)
+        known = self._limits.get(server)
         if known is not None and at > known.received_at:
-            keep_newest(self._named, server, AdvertisedLimit(known.per_s, at), MAX_TRACKED_SERVERS)
+            keep_newest(self._limits, server, AdvertisedLimit(known.per_s, at), MAX_TRACKED_SERVERS)
 
     def record_no_limit(self, server: str, sent_at: float) -> bool:
         """Note that a server named nothing in an answer.
@@ -95,11 +95,11 @@
         Returns:
             Whether it has ceased to name a rate by that.
         """
-        known = self._named.get(server)
+        known = self._limits.get(server)
         if known is None or sent_at <= known.received_at:
             return False
-        del self._named[server]
-        keep_newest(self._ended, server, sent_at, MAX_TRACKED_SERVERS)
+        del self._limits[server]
+        keep_newest(self._ended_at, server, sent_at, MAX_TRACKED_SERVERS)
         return True
 
     def to_instance_record(self, servers: Collection[str], now: float) -> Mapping[str, float]:
@@ -109,17 +109,21 @@
             servers: identities.
             now: on the runtime's clock, in seconds.
         """
-        young = [
+        recent = [
             server
-            for server, limit in self._named.items()
+            for server, limit in self._limits.items()
             if server in servers and now - limit.received_at <= MAX_RECORD_AGE_S
         ]
-        noted = {}
-        for server in young[-MAX_PUBLISHED_LIMITS:]:
-            per_s, told = self._named[server].per_s, self._noted.get(server)
-            noted[server] = per_s if told is None or _moved(told, per_s) else told
-        self._noted = noted
-        return dict(noted)
+        published = {}
+        for server in recent[-MAX_PUBLISHED_LIMITS:]:
+            per_s, last_published = self._limits[server].per_s, self._published.get(server)
+            published[server] = (
+                per_s
+                if last_published is None or _has_moved(last_published, per_s)
+                else last_published
+            )
+        self._published = published
+        return dict(published)
 
     def apply_instance_record(self, published: Mapping[str, float], now: float) -> list[str]:
         """Take what was read in a note; returns the servers of which it was news."""
@@ -129,6 +133,6 @@
         ]
 
 
-def _moved(told: float, per_s: float) -> bool:
-    low, high = sorted((told, per_s))
+def _has_moved(published: float, per_s: float) -> bool:
+    low, high = sorted((published, per_s))
     return high > REPUBLISH_FACTOR * low
--- a/src/crankhinge/decisions/_bounded.py
+++ b/src/crankhinge/decisions/_bounded.py
@@ -7,9 +7,9 @@
 T = TypeVar("T")
 
 
-def keep_newest(table: dict[str, T], key: str, value: T, most: int) -> None:
-    """Put *value* last in *table*, and take the first ones out that are more than *most*."""
+def keep_newest(table: dict[str, T], key: str, value: T, max_entries: int) -> None:
+    """Put *value* last in *table*, and take the first ones out that are more than *max_entries*."""
     table.pop(key, None)
     table[key] = value
-    while len(table) > most:
+    while len(table) > max_entries:
         del table[next(iter(table))]
--- a/src/crankhinge/decisions/_congestion.py
+++ b/src/crankhinge/decisions/_congestion.py
@@ -47,18 +47,18 @@
     """What one instance saw of a service's answers, and the window that it keeps therefore."""
 
     def __init__(self) -> None:
-        self._took: deque[float] = deque(maxlen=MAX_KEPT_RESPONSES)
-        self._there = 0
-        self._alone_s = DEFAULT_RESPONSE_S
+        self._response_times: deque[float] = deque(maxlen=MAX_KEPT_RESPONSES)
+        self._in_flight = 0
+        self._unloaded_response_s = DEFAULT_RESPONSE_S
         self._window: float | None = None
-        self._lowered_at = float("-inf")
-        self._since = 0.0
-        self._sent_at = float("-inf")
+        self._decreased_at = float("-inf")
+        self._congested_since = 0.0
+        self._last_sent_at = float("-inf")
 
     @property
     def unloaded_response_s(self) -> float:
         """Seconds that an answer takes where nothing waits before it."""
-        return self._alone_s
+        return self._unloaded_response_s
 
     @property
     def window(self) -> float | None:
@@ -70,36 +70,40 @@
         if self._window is None:
             return True
         if late:
-            return now - self._sent_at >= LATE_PROBE_INTERVAL_S
-        return self._there < max(1, int(self._window))
+            return now - self._last_sent_at >= LATE_PROBE_INTERVAL_S
+        return self._in_flight < max(1, int(self._window))
 
     def record_sent(self, now: float) -> None:
         """Note that a request was sent."""
-        self._there += 1
-        self._sent_at = now
+        self._in_flight += 1
+        self._last_sent_at = now
 
     def record_end(self) -> None:
         """Note that a request that was sent has ended, however it did."""
-        self._there -= 1
+        self._in_flight -= 1
 
     def record_response(self, response_s: float, target_s: float, now: float) -> None:
         """Note an answer to a request that was due within *target_s*."""
-        self._took.append(response_s)
-        self._alone_s = sorted(self._took)[int(len(self._took) * UNLOADED_QUANTILE)]
-        newest = sorted(list(self._took)[-RECENT_RESPONSES:])
-        wait_s = newest[len(newest) // 2] - self._alone_s
-        most_s = max(target_s - self._alone_s, (ALLOWED_SLOWDOWN - 1) * self._alone_s)
+        self._response_times.append(response_s)
+        self._unloaded_response_s = sorted(self._response_times)[
+            int(len(self._response_times) * UNLOADED_QUANTILE)
+        ]
+        newest = sorted(list(self._response_times)[-RECENT_RESPONSES:])
+        wait_s = newest[len(newest) // 2] - self._unloaded_response_s
+        allowed_wait_s = max(
+            target_s - self._unloaded_response_s, (ALLOWED_SLOWDOWN - 1) * self._unloaded_response_s
+        )
         if self._window is None:
-            if wait_s > most_s:
-                self._lower(now)
-        elif wait_s > TARGET_WAIT_SHARE * most_s:
-            self._lower(now)
+            if wait_s > allowed_wait_s:
+                self._decrease(now)
+        elif wait_s > TARGET_WAIT_SHARE * allowed_wait_s:
+            self._decrease(now)
         else:
-            self._raise(self._window)
+            self._increase(self._window)
 
     def record_refusal(self, now: float) -> None:
         """Note that a server had no place."""
-        self._lower(now)
+        self._decrease(now)
 
     def retry_after_s(self, now: float) -> float:
         """Return when the service may have recovered, in seconds.
@@ -107,18 +111,20 @@
         What has lasted so long, for a time that nobody knows, most likely lasts as long again.
         """
         return (
-            MIN_RETRY_AFTER_S if self._window is None else max(MIN_RETRY_AFTER_S, now - self._since)
+            MIN_RETRY_AFTER_S
+            if self._window is None
+            else max(MIN_RETRY_AFTER_S, now - self._congested_since)
         )
 
-    def _lower(self, now: float) -> None:
-        if now - self._lowered_at < MIN_DECREASE_INTERVAL_S:
+    def _decrease(self, now: float) -> None:
+        if now - self._decreased_at < MIN_DECREASE_INTERVAL_S:
             return
-        self._lowered_at = now
+        self._decreased_at = now
         if self._window is None:
-            self._since = now
-        window = self._there if self._window is None else self._window
+            self._congested_since = now
+        window = self._in_flight if self._window is None else self._window
         self._window = max(1.0, window * DECREASE_FACTOR)
 
-    def _raise(self, window: float) -> None:
+    def _increase(self, window: float) -> None:
         raised = window + 1.0 / window
-        self._window = None if raised > UNBOUNDED_FACTOR * max(1, self._there) else raised
+        self._window = None if raised > UNBOUNDED_FACTOR * max(1, self._in_flight) else raised
--- a/src/crankhinge/decisions/_exclusions.py
+++ b/src/crankhinge/decisions/_exclusions.py
@@ -31,9 +31,9 @@
     """
 
     def __init__(self) -> None:
-        self._leaving: dict[str, float] = {}
-        self._rests: dict[str, float] = {}
-        self._last_end = float("-inf")
+        self._leaving_since: dict[str, float] = {}
+        self._backoff_ends: dict[str, float] = {}
+        self._latest_backoff_end = float("-inf")
 
     def record_leaving(self, server: str, at: float) -> bool:
         """Note that a server says it leaves; returns whether that is news.
@@ -44,9 +44,9 @@
             server: its identity.
             at: when it was heard, on the runtime's clock, in seconds.
         """
-        if server in self._leaving:
+        if server in self._leaving_since:
             return False
-        keep_newest(self._leaving, server, at, MAX_TRACKED_SERVERS)
+        keep_newest(self._leaving_since, server, at, MAX_TRACKED_SERVERS)
         return True
 
     def record_backoff(self, server: str, until: float) -> bool:
@@ -56,31 +56,31 @@
             server: its identity.
             until: on the runtime's clock, in seconds.
         """
-        if until <= self._rests.get(server, float("-inf")):
+        if until <= self._backoff_ends.get(server, float("-inf")):
             return False
-        keep_newest(self._rests, server, until, MAX_TRACKED_SERVERS)
-        self._last_end = max(self._last_end, until)
+        keep_newest(self._backoff_ends, server, until, MAX_TRACKED_SERVERS)
+        self._latest_backoff_end = max(self._latest_backoff_end, until)
         return True
 
     def leaving_since(self, server: str) -> float | None:
         """Return when a server was first heard to leave; None where it was not."""
-        return self._leaving.get(server)
+        return self._leaving_since.get(server)
 
     def has_backoffs(self, now: float) -> bool:
         """Whether any server may want no request now; false spares the look at each of them."""
-        return now < self._last_end
+        return now < self._latest_backoff_end
 
     def backoff_until(self, server: str, now: float) -> float | None:
         """Return until when a server wants no request; None where it wants some now."""
-        until = self._rests.get(server, now)
+        until = self._backoff_ends.get(server, now)
         return until if until > now else None
 
     def violation_log_fields(self, server: str, now: float) -> dict[str, float]:
         """Return what tells that a request is sent to a server in spite of what that said."""
-        facts = {}
+        fields = {}
         since, until = self.leaving_since(server), self.backoff_until(server, now)
         if since is not None:
-            facts["leaving_s"] = round(now - since, 2)
+            fields["leaving_s"] = round(now - since, 2)
         if until is not None:
-            facts["rest_left_s"] = round(until - now, 2)
-        return facts
+            fields["rest_left_s"] = round(until - now, 2)
+        return fields
--- a/src/crankhinge/decisions/_fair.py
+++ b/src/crankhinge/decisions/_fair.py
@@ -24,8 +24,8 @@
     """A flow: its children with their start tags, or its waiting items."""
 
     weight: float = 1.0
-    start: float = 0.0
-    virtual: float = 0.0
+    start_tag: float = 0.0
+    virtual_time: float = 0.0
     count: int = 0
     children: dict[str, _Node] = field(default_factory=dict)
     heap: list[tuple[float, int]] = field(default_factory=list)
@@ -80,9 +80,9 @@
         for name, weight in zip(path, weights, strict=True):
             child = node.children.get(name)
             if child is None:
-                child = node.children[name] = _Node(start=node.virtual)
+                child = node.children[name] = _Node(start_tag=node.virtual_time)
             if child.count == 0:
-                child.start = max(child.start, node.virtual)
+                child.start_tag = max(child.start_tag, node.virtual_time)
             child.weight = weight
             child.count += 1
             node = child
@@ -124,7 +124,7 @@
         node = self._root
         while node.children:
             waiting = [child for child in node.children.values() if child.count]
-            node = min(waiting, key=lambda child: child.start)
+            node = min(waiting, key=lambda child: child.start_tag)
         while node.heap[0][1] not in self._entries:
             heapq.heappop(node.heap)
         return node.heap[0][1]
@@ -134,10 +134,10 @@
         node.count -= 1
         for name in entry.path:
             child = node.children[name]
-            node.virtual = max(node.virtual, child.start)
-            child.start += entry.cost / child.weight
+            node.virtual_time = max(node.virtual_time, child.start_tag)
+            child.start_tag += entry.cost / child.weight
             child.count -= 1
-            _forget_idle(node)
+            _remove_idle(node)
             node = child
 
     def share(self, path: FlowPath, weights: tuple[float, ...]) -> float:
@@ -160,7 +160,7 @@
         return [entry.item for entry in self._entries.values()]
 
 
-def _forget_idle(node: _Node) -> None:
-    idle = [n for n, c in node.children.items() if not c.count and c.start <= node.virtual]
+def _remove_idle(node: _Node) -> None:
+    idle = [n for n, c in node.children.items() if not c.count and c.start_tag <= node.virtual_time]
     for name in idle:
         del node.children[name]
--- a/src/crankhinge/decisions/_fence.py
+++ b/src/crankhinge/decisions/_fence.py
@@ -48,15 +48,15 @@
 
 
 @dataclass
-class _Copy:
+class _IncomingCopy:
     """A copy of the record that arrives."""
 
     epoch: int
     since_ms: int
-    sync: int
+    sync_id: int
     rows: list[FenceRow] = field(default_factory=list)
-    whole: bool = False
-    told: bool = False
+    complete: bool = False
+    acknowledged: bool = False
 
 
 class FencePair:
@@ -79,13 +79,13 @@
         self._writer = writer
         self._keys: OrderedDict[str, KeyState] = OrderedDict()
         self._linked = False
-        self._lost_at: float | None = None
+        self._unlinked_at: float | None = None
         self._other_state = ""
-        self._copy: _Copy | None = None
-        self._sync = 0
+        self._copy: _IncomingCopy | None = None
+        self._sync_id = 0
         self._syncing_until = 0.0
         self._swap: FenceRecord | None = None
-        self._reading = False
+        self._read_pending = False
 
     def __len__(self) -> int:
         return len(self._keys)
@@ -102,11 +102,11 @@
         """
         known = self._keys.get(msg.key)
         if known is not None and self.role is not FenceRole.JOINING:
-            return self._on_known(msg, known)
+            return self._on_known_key(msg, known)
         cause = key_time_problem(msg.key, self.since_ms, wall_ms)
         if cause == BAD_KEY or (cause and self.role is not FenceRole.JOINING):
             return [Reply(msg.req, FenceAlreadyTaken(msg.req, cause=cause))]
-        if self.role is FenceRole.SOLO and self._may_go_alone(now):
+        if self.role is FenceRole.SOLO and self._may_grant_alone(now):
             self._keys[msg.key] = KeyState(msg.digest, msg.req, now)
             return [Reply(msg.req, FencePermitted(msg.req))]
         if self.role is FenceRole.PAIRED and self._linked and self._swap is None:
@@ -114,10 +114,10 @@
             return [Send(FenceClaim(self.range_id, self.epoch, msg.key, msg.digest, msg.req))]
         return [Reply(msg.req, None)]
 
-    def _may_go_alone(self, now: float) -> bool:
+    def _may_grant_alone(self, now: float) -> bool:
         return self._swap is None and now >= self._syncing_until
 
-    def _on_known(self, msg: FencePermitRequest, known: KeyState) -> list[FenceAction]:
+    def _on_known_key(self, msg: FencePermitRequest, known: KeyState) -> list[FenceAction]:
         if known.nonce == msg.req:
             return [] if known.awaiting_consent else [Reply(msg.req, FencePermitted(msg.req))]
         same = known.digest == msg.digest
@@ -144,45 +144,45 @@
     def on_linked(self) -> list[FenceAction]:
         """The connection to the other holder is up."""
         self._linked = True
-        self._lost_at = None
-        return [self._tell()]
+        self._unlinked_at = None
+        return [self._announce_state()]
 
     def on_unlinked(self, now: float) -> list[FenceAction]:
         """The connection is gone: what waited for consent is answered "not now"."""
         self._linked = False
-        self._lost_at = now
+        self._unlinked_at = now
         self._other_state = ""
         self._copy = None
-        return self._drop_asking()
+        return self._drop_unconsented()
 
-    def _drop_asking(self) -> list[FenceAction]:
-        asking = [(key, known) for key, known in self._keys.items() if known.awaiting_consent]
-        for key, _ in asking:
+    def _drop_unconsented(self) -> list[FenceAction]:
+        unconsented = [(key, known) for key, known in self._keys.items() if known.awaiting_consent]
+        for key, _ in unconsented:
             del self._keys[key]
-        return [Reply(known.nonce, None) for _, known in asking]
+        return [Reply(known.nonce, None) for _, known in unconsented]
 
-    def _tell(self) -> Send:
+    def _announce_state(self) -> Send:
         return Send(FenceState(self.range_id, self.role.value, self.epoch))
 
     def on_claim(self, msg: FenceClaim, now: float) -> list[FenceAction]:
         """Write a key down for the other holder."""
         valid = self.role is FenceRole.PAIRED and msg.epoch == self.epoch
         if not valid:
-            return [self._taken(msg, valid=False, fresh=False)]
+            return [self._claim_reply(msg, valid=False, fresh=False)]
         known = self._keys.get(msg.key)
-        out: list[FenceAction] = []
+        actions: list[FenceAction] = []
         if known is not None and known.nonce != msg.nonce:
             if not known.awaiting_consent or self.me < self.other:
-                return [self._taken(msg, valid=True, fresh=False)]
+                return [self._claim_reply(msg, valid=True, fresh=False)]
             # Both were asked at once for one key: the holder with the smaller name goes first.
-            out.append(
+            actions.append(
                 Reply(known.nonce, FenceAlreadyTaken(known.nonce, known.digest == msg.digest))
             )
         self._keys[msg.key] = KeyState(msg.digest, msg.nonce, now)
-        out.append(self._taken(msg, valid=True, fresh=True))
-        return out
+        actions.append(self._claim_reply(msg, valid=True, fresh=True))
+        return actions
 
-    def _taken(self, msg: FenceClaim, *, valid: bool, fresh: bool) -> Send:
+    def _claim_reply(self, msg: FenceClaim, *, valid: bool, fresh: bool) -> Send:
         return Send(FenceClaimReply(self.range_id, msg.key, msg.nonce, valid, fresh, self.epoch))
 
     def on_claim_reply(self, msg: FenceClaimReply) -> list[FenceAction]:
@@ -196,10 +196,10 @@
         del self._keys[msg.key]
         if msg.valid:
             return [Reply(msg.nonce, FenceAlreadyTaken(msg.nonce))]
-        out: list[FenceAction] = [Reply(msg.nonce, None)]
+        actions: list[FenceAction] = [Reply(msg.nonce, None)]
         if msg.epoch > self.epoch:
-            out += self._step_down()
-        return out
+            actions += self._step_down()
+        return actions
 
     def on_state(self, msg: FenceState, now: float) -> list[FenceAction]:
         """Act on what the other holder says of itself."""
@@ -207,33 +207,33 @@
         if msg.epoch > self.epoch and self.role is not FenceRole.JOINING:
             return self._step_down()
         if msg.state == FenceRole.JOINING.value:
-            return self._meet_joining(now)
+            return self._on_other_joining(now)
         if self.role is not FenceRole.JOINING:
-            return [] if msg.epoch == self.epoch else [self._tell()]
+            return [] if msg.epoch == self.epoch else [self._announce_state()]
         copy = self._copy
-        if msg.state == FenceRole.PAIRED.value and copy is not None and copy.whole:
+        if msg.state == FenceRole.PAIRED.value and copy is not None and copy.complete:
             # The other, alone until now, has made us its pair.
-            return self._read()
-        return [self._tell()] if copy is None else []
+            return self._read_record()
+        return [self._announce_state()] if copy is None else []
 
     def _step_down(self) -> list[FenceAction]:
         """The record has moved on without us: what we know of it can't be trusted."""
-        out = self._drop_asking()
+        actions = self._drop_unconsented()
         self.role = FenceRole.JOINING
         self._copy = None
         self._swap = None
-        return [*out, self._tell()] if self._linked else out
+        return [*actions, self._announce_state()] if self._linked else actions
 
-    def _meet_joining(self, now: float) -> list[FenceAction]:
+    def _on_other_joining(self, now: float) -> list[FenceAction]:
         if self.role is FenceRole.JOINING:
             # Both memories are empty: one of us begins a new record.
-            return self._read() if self.me < self.other else []
-        self._sync += 1
+            return self._read_record() if self.me < self.other else []
+        self._sync_id += 1
         if self.role is FenceRole.SOLO:
             self._syncing_until = now + SYNC_TIMEOUT_S
-        return [Send(part) for part in self._parts(now)]
+        return [Send(message) for message in self._sync_parts(now)]
 
-    def _parts(self, now: float) -> list[FenceSync]:
+    def _sync_parts(self, now: float) -> list[FenceSync]:
         rows = [
             FenceRow(key, known.digest, known.nonce, now - known.recorded_at, known.response)
             for key, known in self._keys.items()
@@ -244,7 +244,7 @@
                 self.range_id,
                 self.epoch,
                 self.since_ms,
-                self._sync,
+                self._sync_id,
                 tuple(rows[start : start + MAX_SYNC_ROWS]),
                 start + MAX_SYNC_ROWS >= len(rows),
             )
@@ -256,42 +256,42 @@
         if self.role is not FenceRole.JOINING:
             return []
         copy = self._copy
-        if copy is None or copy.sync != msg.sync or copy.epoch != msg.epoch:
-            copy = self._copy = _Copy(msg.epoch, msg.since_ms, msg.sync)
+        if copy is None or copy.sync_id != msg.sync or copy.epoch != msg.epoch:
+            copy = self._copy = _IncomingCopy(msg.epoch, msg.since_ms, msg.sync)
         copy.rows += msg.rows
         if not msg.final:
             return []
-        copy.whole = True
-        return self._read()
+        copy.complete = True
+        return self._read_record()
 
     def on_joined(self, msg: FenceJoined, now: float) -> list[FenceAction]:
         """The other holder has the whole copy: make it our pair."""
-        current = msg.sync == self._sync and msg.epoch == self.epoch
+        current = msg.sync == self._sync_id and msg.epoch == self.epoch
         if self.role is not FenceRole.SOLO or not current or now >= self._syncing_until:
             return []
-        return self._read()
+        return self._read_record()
 
     # -- the key-value service ----------------------------------------------------------------
 
-    def _read(self) -> list[FenceAction]:
-        if self._reading:
+    def _read_record(self) -> list[FenceAction]:
+        if self._read_pending:
             return []
-        self._reading = True
+        self._read_pending = True
         return [ReadRecord()]
 
     def on_record(
         self, record: FenceRecord | None, index: int, now: float, wall_ms: int
     ) -> list[FenceAction]:
         """Act on the record's head; None when there is none yet."""
-        self._reading = False
+        self._read_pending = False
         head = record or FenceRecord(0, "", 0)
         if self._swap is not None:
-            return self._settle_swap(head, index, now, wall_ms)
+            return self._resolve_swap(head, index, now, wall_ms)
         if self.role is FenceRole.JOINING:
-            return self._join(head, index, now)
+            return self._try_join(head, index, now)
         if head.epoch != self.epoch:
             return self._step_down()
-        if self.role is FenceRole.PAIRED and self._is_lost(now):
+        if self.role is FenceRole.PAIRED and self._is_other_lost(now):
             return self._start_swap(index, self.me)
         if self.role is FenceRole.SOLO and now < self._syncing_until:
             return self._start_swap(index, "")
@@ -299,33 +299,33 @@
 
     def on_read_failed(self) -> list[FenceAction]:
         """The key-value service gave no answer to a read; :meth:`on_tick` tries again."""
-        self._reading = False
+        self._read_pending = False
         return []
 
-    def _join(self, head: FenceRecord, index: int, now: float) -> list[FenceAction]:
+    def _try_join(self, head: FenceRecord, index: int, now: float) -> list[FenceAction]:
         copy = self._copy
-        if copy is not None and copy.whole:
+        if copy is not None and copy.complete:
             return self._use_copy(copy, head, now)
         both_empty = self._linked and self._other_state == FenceRole.JOINING.value
         if both_empty and self.me < self.other:
             self.epoch = head.epoch
             return self._start_swap(index, "")
-        if self._is_lost(now, JOINING_GRACE_S) and head.holder in ("", self.me):
+        if self._is_other_lost(now, JOINING_GRACE_S) and head.holder in ("", self.me):
             # The other can't give leave without us, nor go on alone without this same swap.
             self.epoch = head.epoch
             return self._start_swap(index, self.me)
         return []
 
-    def _use_copy(self, copy: _Copy, head: FenceRecord, now: float) -> list[FenceAction]:
+    def _use_copy(self, copy: _IncomingCopy, head: FenceRecord, now: float) -> list[FenceAction]:
         if head.epoch == copy.epoch and head.holder == self.other:
-            copy.told = True
-            return [Send(FenceJoined(self.range_id, copy.epoch, copy.sync))]
+            copy.acknowledged = True
+            return [Send(FenceJoined(self.range_id, copy.epoch, copy.sync_id))]
         paired_since = head.epoch == copy.epoch + 1 and self._other_state == "paired"
         if head.holder or not (head.epoch == copy.epoch or paired_since):
             # The copy is of an older epoch; its sender learns of the newer one from us.
             self._copy = None
             self.epoch = max(self.epoch, head.epoch)
-            return [self._tell()] if self._linked else []
+            return [self._announce_state()] if self._linked else []
         self.epoch = head.epoch
         self.since_ms = copy.since_ms
         self.role = FenceRole.PAIRED
@@ -335,7 +335,7 @@
             self._keys[row.key] = KeyState(
                 row.digest, row.nonce, now - row.age_s, response=row.answer
             )
-        return [self._tell()]
+        return [self._announce_state()]
 
     def _start_swap(self, index: int, holder: str) -> list[FenceAction]:
         self._swap = FenceRecord(self.epoch + 1, holder, self._writer)
@@ -346,10 +346,10 @@
         if self._swap is None:
             return []
         if won:
-            return self._settle_swap(self._swap, 0, now, wall_ms)
-        return self._read()
+            return self._resolve_swap(self._swap, 0, now, wall_ms)
+        return self._read_record()
 
-    def _settle_swap(
+    def _resolve_swap(
         self, head: FenceRecord, index: int, now: float, wall_ms: int
     ) -> list[FenceAction]:
         """Compare the record's head with the swap that was tried."""
@@ -358,14 +358,14 @@
             return []
         if head == swap:
             self._swap = None
-            return self._swapped(swap, now, wall_ms)
+            return self._apply_swap(swap, now, wall_ms)
         if head.epoch < swap.epoch:
             # It may still take effect: the same swap again, of which only one can.
             return [SwapRecord(index, swap)]
         self._swap = None
         return self._step_down()
 
-    def _swapped(self, swap: FenceRecord, now: float, wall_ms: int) -> list[FenceAction]:
+    def _apply_swap(self, swap: FenceRecord, now: float, wall_ms: int) -> list[FenceAction]:
         self.epoch = swap.epoch
         if self.role is FenceRole.JOINING:
             self._keys.clear()
@@ -375,36 +375,36 @@
         if swap.holder:
             self.role = FenceRole.SOLO
             self._syncing_until = 0.0
-            return [self._tell()] if self._linked else []
+            return [self._announce_state()] if self._linked else []
         was_empty = self.role is FenceRole.JOINING
         self.role = FenceRole.PAIRED
         if was_empty:
-            return self._meet_joining(now) if self._linked else []
-        return [self._tell()] if self._linked else []
+            return self._on_other_joining(now) if self._linked else []
+        return [self._announce_state()] if self._linked else []
 
     # -- time ---------------------------------------------------------------------------------
 
-    def _is_lost(self, now: float, grace_s: float = PAIRED_GRACE_S) -> bool:
-        return self._lost_at is not None and now - self._lost_at >= grace_s
+    def _is_other_lost(self, now: float, grace_s: float = PAIRED_GRACE_S) -> bool:
+        return self._unlinked_at is not None and now - self._unlinked_at >= grace_s
 
     def on_tick(self, now: float) -> list[FenceAction]:
         """Do what time calls for: forget old keys, go on alone, try again."""
         drop_expired_keys(self._keys, now)
-        if not self._linked and self._lost_at is None:
-            self._lost_at = now
+        if not self._linked and self._unlinked_at is None:
+            self._unlinked_at = now
         if self._swap is not None:
-            return self._read()
-        if self.role is FenceRole.PAIRED and self._is_lost(now):
-            return self._read()
+            return self._read_record()
+        if self.role is FenceRole.PAIRED and self._is_other_lost(now):
+            return self._read_record()
         return self._tick_joining(now) if self.role is FenceRole.JOINING else []
 
     def _tick_joining(self, now: float) -> list[FenceAction]:
         if not self._linked:
-            return self._read() if self._is_lost(now, JOINING_GRACE_S) else []
+            return self._read_record() if self._is_other_lost(now, JOINING_GRACE_S) else []
         copy = self._copy
-        if copy is not None and copy.whole and not copy.told:
-            return self._read()
-        if copy is not None and copy.whole:
+        if copy is not None and copy.complete and not copy.acknowledged:
+            return self._read_record()
+        if copy is not None and copy.complete:
             # The sender didn't take us on while the copy was fresh: begin again.
             self._copy = None
-        return [self._tell()]
+        return [self._announce_state()]
--- a/src/crankhinge/decisions/_forecast.py
+++ b/src/crankhinge/decisions/_forecast.py
@@ -34,18 +34,20 @@
 
     def __init__(self) -> None:
         self._answers: dict[int, _Answer] = {}
-        self._taken = 0
-        self._promised: list[tuple[float, int]] = []
-        self._share = 0.5
+        self._last_number = 0
+        self._promised_retries: list[tuple[float, int]] = []
+        self._first_attempt_share = 0.5
 
     def record_reserved(
         self, tokens: int, expected_s: float, now: float, *, late: bool = False
     ) -> int:
         """Note memory taken for an answer that is expected to take so long; returns its number."""
-        self._taken += 1
-        self._answers[self._taken] = _Answer(tokens, now, expected_s)
-        self._share += EWMA_WEIGHT * ((0.0 if late else 1.0) - self._share)
-        return self._taken
+        self._last_number += 1
+        self._answers[self._last_number] = _Answer(tokens, now, expected_s)
+        self._first_attempt_share += EWMA_WEIGHT * (
+            (0.0 if late else 1.0) - self._first_attempt_share
+        )
+        return self._last_number
 
     def record_released(self, number: int) -> None:
         """Note that memory was given back."""
@@ -80,11 +82,15 @@
         Returns:
             The seconds; None without any answer in progress.
         """
-        self._promised = [row for row in self._promised if row[0] > now]
-        before = tokens_ahead + sum(row[1] for row in self._promised)
-        free_s = self.free_in_s(before + tokens, now)
-        return None if free_s is None else free_s / max(MIN_RETRY_SHARE, 1.0 - self._share)
+        self._promised_retries = [row for row in self._promised_retries if row[0] > now]
+        tokens_before = tokens_ahead + sum(row[1] for row in self._promised_retries)
+        free_in_s = self.free_in_s(tokens_before + tokens, now)
+        return (
+            None
+            if free_in_s is None
+            else free_in_s / max(MIN_RETRY_SHARE, 1.0 - self._first_attempt_share)
+        )
 
     def record_promised_retry(self, tokens: int, at: float) -> None:
         """Note that a refused request was told to come back at a time."""
-        self._promised.append((at, tokens))
+        self._promised_retries.append((at, tokens))
--- a/src/crankhinge/decisions/_freshness.py
+++ b/src/crankhinge/decisions/_freshness.py
@@ -81,14 +81,14 @@
     @property
     def config_pause_s(self) -> float:
         """Seconds without a call after a change of the configuration."""
-        return self._pause_s(CONFIG_BATCH_SHARE * self.apply_s)
+        return self._bounded_pause_s(CONFIG_BATCH_SHARE * self.apply_s)
 
     @property
     def list_pause_s(self) -> float:
         """Seconds without a call after a change of the list of servers."""
-        return self._pause_s(LIST_BATCH_SHARE * self.leave_s)
+        return self._bounded_pause_s(LIST_BATCH_SHARE * self.leave_s)
 
-    def _pause_s(self, wanted_s: float) -> float:
+    def _bounded_pause_s(self, wanted_s: float) -> float:
         """Return a pause that leaves the watch after it some time."""
         return max(0.0, min(wanted_s, self.max_watch_wait_s - MIN_WATCH_WAIT_S))
 
@@ -102,10 +102,10 @@
 
     def __init__(self, pause_s: float) -> None:
         self._pause_s = pause_s
-        self._changed: deque[float] = deque(maxlen=IMMEDIATE_CHANGES)
+        self._change_times: deque[float] = deque(maxlen=IMMEDIATE_CHANGES)
 
     def record_change(self, now: float) -> float:
         """Note a change; returns the seconds to wait before the next call."""
-        before = sum(now - at < BURST_PAUSES * self._pause_s for at in self._changed)
-        self._changed.append(now)
+        before = sum(now - at < BURST_PAUSES * self._pause_s for at in self._change_times)
+        self._change_times.append(now)
         return self._pause_s if before == IMMEDIATE_CHANGES else 0.0
--- a/src/crankhinge/decisions/_membership.py
+++ b/src/crankhinge/decisions/_membership.py
@@ -59,33 +59,33 @@
     def __init__(self, name: str, now: float) -> None:
         self.changed_at = now
         self._name = name
-        self._peers: dict[str, str] = {}
-        self._ranks: dict[str, list[str]] = {}
+        self._addresses: dict[str, str] = {}
+        self._rankings: dict[str, list[str]] = {}
         # When each was last seen: by a read that was sent then, or by its greeting.
         self._seen_at: dict[str, float] = {}
         # The same, of this instance and of those too that are gone since.
         self._last_seen: dict[str, float] = {name: float("inf")}
-        self._unanswered: set[str] = set()
+        self._unacknowledged: set[str] = set()
         self._read_at = float("-inf")
-        self._held_until = float("-inf")
+        self._lease_until = float("-inf")
         self._joined_at: float | None = None
 
     def __len__(self) -> int:
-        return max(1, len(self._peers))
+        return max(1, len(self._addresses))
 
     @property
     def peer_addresses(self) -> Sequence[str]:
         """Where the other instances take datagrams."""
-        return [peer for name, peer in self._peers.items() if peer and name != self._name]
+        return [peer for name, peer in self._addresses.items() if peer and name != self._name]
 
     @property
     def unacknowledged_addresses(self) -> Sequence[str]:
         """Where those take datagrams that have not answered a greeting."""
-        return [self._peers[name] for name in self._unanswered if self._peers.get(name)]
+        return [self._addresses[name] for name in self._unacknowledged if self._addresses.get(name)]
 
     def peer_address(self, name: str) -> str:
         """Return where an instance takes datagrams; empty for nowhere."""
-        return self._peers.get(name, "")
+        return self._addresses.get(name, "")
 
     @property
     def read_interval_s(self) -> float:
@@ -99,7 +99,7 @@
 
     def set_lease_end(self, until: float) -> None:
         """Note until when this instance's own note surely lasts, on the runtime's clock."""
-        self._held_until = until
+        self._lease_until = until
 
     def join(self, addresses: Mapping[str, str], now: float, *, resumed: bool) -> None:
         """Take the notes that were read, not by a stale read, after the own one was written.
@@ -111,40 +111,43 @@
         """
         self._joined_at = now
         self.apply_records(addresses, now)
-        self._unanswered = set() if resumed else set(self._peers) - {self._name}
+        self._unacknowledged = set() if resumed else set(self._addresses) - {self._name}
 
     def apply_records(self, addresses: Mapping[str, str], now: float) -> None:
         """Take the notes that were read; *now* is when the read was sent."""
         # A read may be stale and lack who has come since; it was there at a time that was seen.
         kept = {name for name, at in self._seen_at.items() if now - at <= MAX_STALE_READ_S}
-        peers = {name: peer for name, peer in self._peers.items() if name in kept}
+        peers = {name: peer for name, peer in self._addresses.items() if name in kept}
         self._seen_at.update(dict.fromkeys(addresses, now))
         self._last_seen = {
             name: at for name, at in self._last_seen.items() if now - at <= FLEET_RETENTION_S
         }
         self._last_seen.update(dict.fromkeys(addresses, now))
         self._last_seen[self._name] = float("inf")
-        self._set({**peers, **{name: peer for name, peer in addresses.items() if peer}}, now)
-        self._unanswered &= set(self._peers)
+        self._set_addresses(
+            {**peers, **{name: peer for name, peer in addresses.items() if peer}}, now
+        )
+        self._unacknowledged &= set(self._addresses)
         self._read_at = now
 
     def record_joined(self, name: str, address: str, now: float) -> None:
         """Note that an instance has come and tells where it takes datagrams."""
         self._seen_at[name] = self._last_seen[name] = now
-        self._set({**self._peers, name: address}, now)
+        self._set_addresses({**self._addresses, name: address}, now)
 
     def record_acknowledged(self, name: str) -> None:
         """Note that an instance counts this one."""
-        self._unanswered.discard(name)
+        self._unacknowledged.discard(name)
 
     def may_coordinate(self, now: float) -> bool:
         """Whether this instance may act as the first."""
-        if self._joined_at is None or now >= self._held_until:
+        if self._joined_at is None or now >= self._lease_until:
             return False
         if now - self._read_at > self.max_read_age_s:
             return False
         return (
-            not self._unanswered or now - self._joined_at > self.max_read_age_s + MAX_STALE_READ_S
+            not self._unacknowledged
+            or now - self._joined_at > self.max_read_age_s + MAX_STALE_READ_S
         )
 
     def has_counted_instances(self, now: float) -> bool:
@@ -170,9 +173,9 @@
 
     def rank_instances(self, key: str) -> Sequence[str]:
         """Return the instances in the order that depends on *key*, the first before all."""
-        if key not in self._ranks:
-            self._ranks[key] = rank_by_key(key.encode(), self._names())
-        return self._ranks[key]
+        if key not in self._rankings:
+            self._rankings[key] = rank_by_key(key.encode(), self._names())
+        return self._rankings[key]
 
     def first_instances(self, key: str, count: int) -> Sequence[str]:
         """Return the first *count* instances in the order of *key*, for keys that are rarely asked.
@@ -183,11 +186,11 @@
 
     def _names(self) -> Iterable[str]:
         """Return all names; this instance counts itself whatever was read."""
-        return {*self._peers, self._name}
+        return {*self._addresses, self._name}
 
-    def _set(self, peers: dict[str, str], now: float) -> None:
-        if set(peers) != set(self._peers):
-            self._ranks.clear()
+    def _set_addresses(self, peers: dict[str, str], now: float) -> None:
+        if set(peers) != set(self._addresses):
+            self._rankings.clear()
             self.changed_at = now
-        self._peers = peers
+        self._addresses = peers
         self._seen_at = {name: self._seen_at.get(name, now) for name in peers}
--- a/src/crankhinge/decisions/_permit_pool.py
+++ b/src/crankhinge/decisions/_permit_pool.py
@@ -71,21 +71,23 @@
 
     def __init__(self, per_s: float, now: float) -> None:
         self.per_s = per_s
-        self._at = now
+        self._refilled_at = now
         # Requests that may be sent at once; negative where some were granted that are sent later.
-        self._level = 0.0
+        self._available = 0.0
         # Requests that were refused and are to come back, which those that are refused next come
         # back after: callers, and instances that ask again for whatever they have by then.
-        self._callers = self._asks = 0.0
+        self._waiting_callers = self._waiting_instances = 0.0
         # When each share is its lender's again, by the lender's name, and no later than the first.
-        self._shares: dict[str, float] = {}
-        self._first_end = math.inf
+        self._share_ends: dict[str, float] = {}
+        self._earliest_end = math.inf
         # Instances that lenders counted, at most.
-        self._counted = 1
+        self._max_lender_fleet_size = 1
 
     def leased_fraction(self, fleet_size: int) -> float:
         """Return the part of all that was lent, where this instance counts *fleet_size* of them."""
-        return len(self._shares) / max(fleet_size, self._counted, len(self._shares))
+        return len(self._share_ends) / max(
+            fleet_size, self._max_lender_fleet_size, len(self._share_ends)
+        )
 
     def add_share(
         self, lender: str, until: float, fleet_size: int, now: float, *, lender_fleet_size: int
@@ -99,15 +101,15 @@
             now: on the runtime's clock, in seconds.
             lender_fleet_size: instances that the lender counts; its share is one part of as many.
         """
-        self._fill(fleet_size, now)
+        self._refill(fleet_size, now)
         if until > now:
-            self._shares[lender] = until
-            self._first_end = min(self._first_end, until)
-            self._counted = max(self._counted, lender_fleet_size)
+            self._share_ends[lender] = until
+            self._earliest_end = min(self._earliest_end, until)
+            self._max_lender_fleet_size = max(self._max_lender_fleet_size, lender_fleet_size)
 
     def set_rate(self, per_s: float, fleet_size: int, now: float) -> None:
         """Note what the server takes from now on."""
-        self._fill(fleet_size, now)
+        self._refill(fleet_size, now)
         self.per_s = per_s
         self._clamp(fleet_size)
 
@@ -123,52 +125,56 @@
             for_caller: whether a caller is told when to come back; each gets a time of its own.
                 Else an instance asks again for whatever it has by then.
         """
-        self._fill(fleet_size, now)
-        part = self.leased_fraction(fleet_size)
-        if burst_limit(self.per_s, part) < 1.0:
+        self._refill(fleet_size, now)
+        fraction = self.leased_fraction(fleet_size)
+        if burst_limit(self.per_s, fraction) < 1.0:
             return PermitDecision(False, NO_SHARE_RETRY_S)
-        rate = part * max(self.per_s, MIN_RATE_PER_S)
-        free_s = max(0.0, (1.0 - self._level) / rate)
-        if free_s <= within_s:
-            self._level -= 1.0
-            return PermitDecision(True, free_s)
-        ahead = self._callers if for_caller else self._asks
-        back_s = max(MIN_RETRY_AFTER_S, free_s + ahead / rate)
-        if back_s >= MAX_RETRY_AFTER_S:
+        rate = fraction * max(self.per_s, MIN_RATE_PER_S)
+        available_in_s = max(0.0, (1.0 - self._available) / rate)
+        if available_in_s <= within_s:
+            self._available -= 1.0
+            return PermitDecision(True, available_in_s)
+        ahead = self._waiting_callers if for_caller else self._waiting_instances
+        retry_after_s = max(MIN_RETRY_AFTER_S, available_in_s + ahead / rate)
+        if retry_after_s >= MAX_RETRY_AFTER_S:
             return PermitDecision(False, MAX_RETRY_AFTER_S)
         if for_caller:
-            self._callers += 1.0
+            self._waiting_callers += 1.0
         else:
-            self._asks += 1.0
-        return PermitDecision(False, back_s)
+            self._waiting_instances += 1.0
+        return PermitDecision(False, retry_after_s)
 
     def return_permit(self, fleet_size: int, now: float) -> None:
         """Take back a request that was not sent."""
-        self._fill(fleet_size, now)
-        self._level += 1.0
+        self._refill(fleet_size, now)
+        self._available += 1.0
         self._clamp(fleet_size)
 
-    def _fill(self, fleet: int, now: float) -> None:
+    def _refill(self, fleet: int, now: float) -> None:
         """Add what the shares gave since the last look."""
-        since, self._at = self._at, max(self._at, now)
-        each = max(self.per_s, MIN_RATE_PER_S) / max(fleet, self._counted, len(self._shares))
-        if now < self._first_end:
-            given = each * len(self._shares) * max(0.0, now - since)
+        since, self._refilled_at = self._refilled_at, max(self._refilled_at, now)
+        share_per_s = max(self.per_s, MIN_RATE_PER_S) / max(
+            fleet, self._max_lender_fleet_size, len(self._share_ends)
+        )
+        if now < self._earliest_end:
+            refilled = share_per_s * len(self._share_ends) * max(0.0, now - since)
         else:
-            ends = self._shares.values()
-            given = each * sum(max(0.0, min(now, until) - since) for until in ends)
-            self._drop_ended(now)
-        self._level += given
+            ends = self._share_ends.values()
+            refilled = share_per_s * sum(max(0.0, min(now, until) - since) for until in ends)
+            self._remove_ended_shares(now)
+        self._available += refilled
         self._clamp(fleet)
-        self._callers = max(0.0, self._callers - given)
-        self._asks = max(0.0, self._asks - given)
+        self._waiting_callers = max(0.0, self._waiting_callers - refilled)
+        self._waiting_instances = max(0.0, self._waiting_instances - refilled)
 
-    def _drop_ended(self, now: float) -> None:
+    def _remove_ended_shares(self, now: float) -> None:
         """Forget shares whose time is up; they give no more."""
-        self._shares = {lender: until for lender, until in self._shares.items() if until > now}
-        self._first_end = min(self._shares.values(), default=math.inf)
-        if not self._shares:
-            self._counted = 1
+        self._share_ends = {
+            lender: until for lender, until in self._share_ends.items() if until > now
+        }
+        self._earliest_end = min(self._share_ends.values(), default=math.inf)
+        if not self._share_ends:
+            self._max_lender_fleet_size = 1
 
     def _clamp(self, fleet: int) -> None:
-        self._level = min(self._level, burst_limit(self.per_s, self.leased_fraction(fleet)))
+        self._available = min(self._available, burst_limit(self.per_s, self.leased_fraction(fleet)))
--- a/src/crankhinge/decisions/_prefix.py
+++ b/src/crankhinge/decisions/_prefix.py
@@ -30,7 +30,7 @@
 
     def count_cached(self, name: str, prefix: tuple[int, ...]) -> int:
         """Return how many leading blocks of *prefix* are believed cached."""
-        for place, block in enumerate(prefix):
+        for position, block in enumerate(prefix):
             if (name, block) not in self._blocks:
-                return place
+                return position
         return len(prefix)
--- a/src/crankhinge/decisions/_quarantine.py
+++ b/src/crankhinge/decisions/_quarantine.py
@@ -50,11 +50,11 @@
 
     Attributes:
         servers: identities of the lives that ended, the first one first.
-        at: when the last of them was heard of.
+        last_crash_at: when the last of them was heard of.
     """
 
     servers: dict[str, None] = field(default_factory=dict)
-    at: float = 0.0
+    last_crash_at: float = 0.0
 
     def add(self, servers: Iterable[str], now: float) -> bool:
         """Add crashes, the newest of which are remembered; returns whether any is new."""
@@ -62,24 +62,24 @@
         self.servers.update(dict.fromkeys(new))
         while len(self.servers) > MAX_CRASHED_SERVERS:
             del self.servers[next(iter(self.servers))]
-        self.at = now
+        self.last_crash_at = now
         return bool(new)
 
 
 @dataclass
-class _Isolated(_Suspect):
+class _Quarantined(_Suspect):
     """A request in quarantine.
 
     Attributes:
-        until: when a trial may begin.
-        own: whether this instance counted the crashes, and so keeps others informed.
+        trial_at: when a trial may begin.
+        counted_here: whether this instance counted the crashes, and so keeps others informed.
     """
 
-    until: float = 0.0
-    own: bool = False
+    trial_at: float = 0.0
+    counted_here: bool = False
 
     @property
-    def wait_s(self) -> float:
+    def quarantine_s(self) -> float:
         """Seconds from the last crash to the trial."""
         return float(
             min(
@@ -109,75 +109,79 @@
 
     def __init__(self) -> None:
         self._suspects: dict[str, _Suspect] = {}
-        self._isolated: dict[str, _Isolated] = {}
-        self._answered: dict[str, float] = {}
+        self._quarantined: dict[str, _Quarantined] = {}
+        self._completed_at: dict[str, float] = {}
 
     def __len__(self) -> int:
-        return len(self._isolated)
+        return len(self._quarantined)
 
     def crash_count(self, fingerprint: str) -> int:
         """Return how many servers are known to have crashed under a request."""
-        suspect = self._isolated.get(fingerprint) or self._suspects.get(fingerprint)
+        suspect = self._quarantined.get(fingerprint) or self._suspects.get(fingerprint)
         return len(suspect.servers) if suspect else 0
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Whether a request is in quarantine, be it refused or due for a trial."""
-        return fingerprint in self._isolated
+        return fingerprint in self._quarantined
 
     def refusal_left_s(self, fingerprint: str, now: float) -> float:
         """Return for how many seconds a request is refused; 0 for one that may run."""
-        isolated = self._isolated.get(fingerprint)
-        return max(0.0, isolated.until - now) if isolated else 0.0
+        entry = self._quarantined.get(fingerprint)
+        return max(0.0, entry.trial_at - now) if entry else 0.0
 
     def record_crash(self, fingerprint: str, server: str, now: float) -> QuarantineUpdate | None:
         """Note that a server crashed while it ran a request.
 
         Returns the quarantine that this begins or lengthens.
         """
-        isolated = self._isolated.get(fingerprint)
-        if isolated is not None:
-            if not isolated.add((server,), now):
+        entry = self._quarantined.get(fingerprint)
+        if entry is not None:
+            if not entry.add((server,), now):
                 return None
-            return self._lengthen(fingerprint, isolated, now)
+            return self._extend(fingerprint, entry, now)
         suspect = self._suspects.pop(fingerprint, None) or _Suspect()
-        if suspect.servers and now - suspect.at > CRASH_RETENTION_S:
+        if suspect.servers and now - suspect.last_crash_at > CRASH_RETENTION_S:
             suspect = _Suspect()
         suspect.add((server,), now)
         if len(suspect.servers) < MAX_CRASHES:
             keep_newest(self._suspects, fingerprint, suspect, MAX_SUSPECTS)
-            self._forget_old(now)
+            self._drop_old(now)
             return None
-        isolated = _Isolated(suspect.servers, now)
-        keep_newest(self._isolated, fingerprint, isolated, MAX_QUARANTINED)
-        return self._lengthen(fingerprint, isolated, now)
+        entry = _Quarantined(suspect.servers, now)
+        keep_newest(self._quarantined, fingerprint, entry, MAX_QUARANTINED)
+        return self._extend(fingerprint, entry, now)
 
-    def _lengthen(self, fingerprint: str, isolated: _Isolated, now: float) -> QuarantineUpdate:
-        isolated.own = True
-        isolated.until = now + isolated.wait_s
-        return QuarantineUpdate(fingerprint, tuple(isolated.servers), isolated.wait_s)
+    def _extend(self, fingerprint: str, entry: _Quarantined, now: float) -> QuarantineUpdate:
+        entry.counted_here = True
+        entry.trial_at = now + entry.quarantine_s
+        return QuarantineUpdate(fingerprint, tuple(entry.servers), entry.quarantine_s)
 
     def begin_trial(self, fingerprint: str, now: float) -> QuarantineUpdate:
         """Let one attempt through: all others are refused until its time is over."""
-        isolated = self._isolated[fingerprint]
-        isolated.until = now + TRIAL_S
-        return QuarantineUpdate(fingerprint, tuple(isolated.servers), TRIAL_S)
+        entry = self._quarantined[fingerprint]
+        entry.trial_at = now + TRIAL_S
+        return QuarantineUpdate(fingerprint, tuple(entry.servers), TRIAL_S)
 
     def apply_update(self, update: QuarantineUpdate, now: float) -> bool:
         """Take what another instance tells; returns whether it was news."""
         fingerprint = update.fingerprint
-        known = self._isolated.get(fingerprint)
-        isolated = known or _Isolated()
-        news = isolated.add(update.servers, now)
-        left_s = min(update.left_s, isolated.wait_s)
-        isolated.until = max(isolated.until, now + left_s)
+        known = self._quarantined.get(fingerprint)
+        entry = known or _Quarantined()
+        is_new = entry.add(update.servers, now)
+        left_s = min(update.left_s, entry.quarantine_s)
+        entry.trial_at = max(entry.trial_at, now + left_s)
         if known is None:
             self._suspects.pop(fingerprint, None)
-            keep_newest(self._isolated, fingerprint, isolated, MAX_QUARANTINED)
-        return news
+            keep_newest(self._quarantined, fingerprint, entry, MAX_QUARANTINED)
+        return is_new
 
     def to_instance_record(self) -> Mapping[str, tuple[str, ...]]:
         """Return what this instance tells in its note: servers by fingerprint, the newest."""
-        own = [(key, tuple(each.servers)) for key, each in self._isolated.items() if each.own]
+        own = [
+            (key, tuple(each.servers))
+            for key, each in self._quarantined.items()
+            if each.counted_here
+        ]
         return dict(own[-MAX_PUBLISHED:])
 
     def apply_instance_record(
@@ -194,32 +198,32 @@
             own: whether an earlier life of this instance wrote it.
         """
         for fingerprint, servers in published.items():
-            if now - self._answered.get(fingerprint, float("-inf")) < COMPLETED_RETENTION_S:
+            if now - self._completed_at.get(fingerprint, float("-inf")) < COMPLETED_RETENTION_S:
                 continue
-            known = self._isolated.get(fingerprint)
+            known = self._quarantined.get(fingerprint)
             if known is not None and known.servers.keys() >= set(servers):
                 continue
-            isolation = QuarantineUpdate(fingerprint, tuple(servers), MAX_QUARANTINE_S)
-            if self.apply_update(isolation, now):
-                self._isolated[fingerprint].own |= own
-                yield isolation
+            update = QuarantineUpdate(fingerprint, tuple(servers), MAX_QUARANTINE_S)
+            if self.apply_update(update, now):
+                self._quarantined[fingerprint].counted_here |= own
+                yield update
 
     def record_completed(self, fingerprint: str, now: float) -> int:
         """Note that a server ran a request to its end; returns the crashes that are forgotten."""
         crashes = self.crash_count(fingerprint)
         if crashes:
             self._suspects.pop(fingerprint, None)
-            self._isolated.pop(fingerprint, None)
-            keep_newest(self._answered, fingerprint, now, MAX_SUSPECTS)
+            self._quarantined.pop(fingerprint, None)
+            keep_newest(self._completed_at, fingerprint, now, MAX_SUSPECTS)
         return crashes
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_old(self, now: float) -> None:
         """Forget requests of which nothing was heard for long; suspects stand in that order."""
         while self._suspects:
             oldest = next(iter(self._suspects))
-            if now - self._suspects[oldest].at <= CRASH_RETENTION_S:
+            if now - self._suspects[oldest].last_crash_at <= CRASH_RETENTION_S:
                 break
             del self._suspects[oldest]
-        for key, isolated in list(self._isolated.items()):
-            if now - max(isolated.at, isolated.until) > CRASH_RETENTION_S:
-                del self._isolated[key]
+        for key, entry in list(self._quarantined.items()):
+            if now - max(entry.last_crash_at, entry.trial_at) > CRASH_RETENTION_S:
+                del self._quarantined[key]
--- a/src/crankhinge/decisions/_quota.py
+++ b/src/crankhinge/decisions/_quota.py
@@ -54,22 +54,22 @@
 
     def allowed_in_window(self, limit: TokenLimit) -> float:
         """Return what an account may use in a window, in tokens."""
-        due = limit.per_s * self.window_s + limit.burst
-        return due * (1.0 + self.overrun) + self.slack
+        entitled = limit.per_s * self.window_s + limit.burst
+        return entitled * (1.0 + self.overrun) + self.slack
 
     def pools(self, limit: TokenLimit, instances: int) -> QuotaPools:
         """Return what is handed out by whom."""
         allowed = self.allowed_in_window(limit)
-        due = limit.per_s * self.window_s + limit.burst
-        part = min(1.0, MAX_MAIN_SHARE * allowed / due)
-        spare = allowed - part * due
+        entitled = limit.per_s * self.window_s + limit.burst
+        main_share = min(1.0, MAX_MAIN_SHARE * allowed / entitled)
+        spare = allowed - main_share * entitled
         return QuotaPools(
-            main=TokenLimit(part * limit.per_s, part * limit.burst),
-            standby=self._spread(STANDBY_SHARE * spare),
-            local=self._spread(LOCAL_SHARE * spare / instances),
+            main=TokenLimit(main_share * limit.per_s, main_share * limit.burst),
+            standby=self._rate_and_burst(STANDBY_SHARE * spare),
+            local=self._rate_and_burst(LOCAL_SHARE * spare / instances),
         )
 
-    def _spread(self, tokens: float) -> TokenLimit:
+    def _rate_and_burst(self, tokens: float) -> TokenLimit:
         """Return the rate and burst that use *tokens* in a window at most."""
         return TokenLimit((1.0 - BURST_SHARE) * tokens / self.window_s, BURST_SHARE * tokens)
 
@@ -101,34 +101,34 @@
 
     def __init__(self, now: float) -> None:
         self.level = 0.0
-        self._at = now
-        self._line_until = now
+        self._refilled_at = now
+        self._queue_until = now
 
     def take(self, tokens: float, limit: TokenLimit, now: float) -> float:
         """Take *tokens*; returns 0, or the seconds after which they may be there.
 
         A request larger than the burst is let in when the bucket is full, and owes the rest.
         """
-        self._fill(limit, now)
-        enough = min(tokens, limit.burst)
-        if self.level >= enough > 0:
+        self._refill(limit, now)
+        needed = min(tokens, limit.burst)
+        if self.level >= needed > 0:
             self.level -= tokens
             return 0.0
         if limit.per_s <= 0 or limit.burst <= 0:
             return MAX_RETRY_AFTER_S
         # Those that were refused before this one come back before it.
-        free_s = max(now + (enough - self.level) / limit.per_s, self._line_until)
-        self._line_until = min(free_s + tokens / limit.per_s, now + MAX_RETRY_AFTER_S)
-        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, free_s - now))
+        available_in_s = max(now + (needed - self.level) / limit.per_s, self._queue_until)
+        self._queue_until = min(available_in_s + tokens / limit.per_s, now + MAX_RETRY_AFTER_S)
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, available_in_s - now))
 
     def put_back(self, tokens: float, limit: TokenLimit) -> None:
         """Put back what a request took that did not run."""
         self.level = min(limit.burst, self.level + tokens)
 
-    def _fill(self, limit: TokenLimit, now: float) -> None:
-        passed = max(0.0, now - self._at)
+    def _refill(self, limit: TokenLimit, now: float) -> None:
+        passed = max(0.0, now - self._refilled_at)
         self.level = min(limit.burst, self.level + passed * limit.per_s)
-        self._at = max(self._at, now)
+        self._refilled_at = max(self._refilled_at, now)
 
 
 class QuotaOutcome(enum.Enum):
@@ -162,15 +162,15 @@
 
     MAIN = "main"
     STANDBY = "standby"
-    OWN = "own"
+    LOCAL = "own"
 
 
 @dataclass
-class _Account:
+class _AccountBuckets:
     """The buckets of one account, by the part in which they were begun."""
 
     buckets: dict[_Role, TokenBucket] = field(default_factory=dict)
-    role: _Role = _Role.OWN
+    role: _Role = _Role.LOCAL
 
 
 class QuotaAllocator:
@@ -187,61 +187,67 @@
         self, *, name: str, membership: Membership, bounds: QuotaBounds, now: float
     ) -> None:
         self._name = name
-        self._members = membership
+        self._membership = membership
         self._bounds = bounds
-        self._began = now
-        self._accounts: dict[str, _Account] = {}
+        self._started_at = now
+        self._accounts: dict[str, _AccountBuckets] = {}
 
     def allocate(self, account: Account, tokens: float, now: float) -> QuotaDecision:
         """Hand out tokens for a request that reached any instance."""
-        role = self._role(account.name, now)
-        if role is _Role.OWN:
+        role = self._role_for(account.name, now)
+        if role is _Role.LOCAL:
             return NOT_ALLOCATOR
-        return self._take(role, account, tokens, now)
+        return self._take_from(role, account, tokens, now)
 
     def allocate_local(self, account: Account, tokens: float, now: float) -> QuotaDecision:
         """Hand out tokens for a request that reached this instance, when nobody else answers."""
-        if not self._members.has_counted_instances(now):
+        if not self._membership.has_counted_instances(now):
             return NOT_ALLOCATOR
-        return self._take(_Role.OWN, account, tokens, now)
+        return self._take_from(_Role.LOCAL, account, tokens, now)
 
     def return_tokens(
         self, account: Account, tokens: float, now: float, *, local: bool = False
     ) -> None:
         """Take tokens back that were handed out for a request that did not run."""
-        held = self._accounts.get(account.name)
-        role = _Role.OWN if local else self._role(account.name, now)
-        bucket = held.buckets.get(role) if held else None
+        account_buckets = self._accounts.get(account.name)
+        role = _Role.LOCAL if local else self._role_for(account.name, now)
+        bucket = account_buckets.buckets.get(role) if account_buckets else None
         if bucket is not None and account.limit is not None:
-            bucket.put_back(tokens, self._limit(role, account.limit))
+            bucket.put_back(tokens, self._limit_of(role, account.limit))
 
-    def _take(self, role: _Role, account: Account, tokens: float, now: float) -> QuotaDecision:
+    def _take_from(self, role: _Role, account: Account, tokens: float, now: float) -> QuotaDecision:
         assert account.limit is not None
         bucket = self._bucket(account.name, role, now)
-        after_s = bucket.take(tokens, self._limit(role, account.limit), now)
-        verdict = QuotaOutcome.OVER_LIMIT if after_s else QuotaOutcome.GRANTED
-        return QuotaDecision(verdict, after_s, bucket.level)
-
-    def _limit(self, role: _Role, limit: TokenLimit) -> TokenLimit:
-        pools = self._bounds.pools(limit, len(self._members))
-        return {_Role.MAIN: pools.main, _Role.STANDBY: pools.standby, _Role.OWN: pools.local}[role]
-
-    def _role(self, account: str, now: float) -> _Role:
-        ranked = self._members.rank_instances(account)
-        if not self._members.may_coordinate(now) or self._name not in ranked[:2]:
-            return _Role.OWN
+        after_s = bucket.take(tokens, self._limit_of(role, account.limit), now)
+        outcome = QuotaOutcome.OVER_LIMIT if after_s else QuotaOutcome.GRANTED
+        return QuotaDecision(outcome, after_s, bucket.level)
+
+    def _limit_of(self, role: _Role, limit: TokenLimit) -> TokenLimit:
+        pools = self._bounds.pools(limit, len(self._membership))
+        return {_Role.MAIN: pools.main, _Role.STANDBY: pools.standby, _Role.LOCAL: pools.local}[
+            role
+        ]
+
+    def _role_for(self, account: str, now: float) -> _Role:
+        ranked = self._membership.rank_instances(account)
+        if not self._membership.may_coordinate(now) or self._name not in ranked[:2]:
+            return _Role.LOCAL
         return _Role.MAIN if ranked[0] == self._name else _Role.STANDBY
 
     def _bucket(self, account: str, role: _Role, now: float) -> TokenBucket:
-        held = self._accounts.setdefault(account, _Account())
-        if role is not _Role.OWN and role is not held.role:
+        account_buckets = self._accounts.setdefault(account, _AccountBuckets())
+        if role is not _Role.LOCAL and role is not account_buckets.role:
             # Another instance had this part until now: what it handed out is not known here.
-            held.buckets.pop(role, None)
-            held.role = role
-        if role not in held.buckets:
-            since = self._began if role is _Role.OWN else max(self._began, self._members.changed_at)
-            held.buckets[role] = TokenBucket(min(since, now))
-        return held.buckets[role]
+            account_buckets.buckets.pop(role, None)
+            account_buckets.role = role
+        if role not in account_buckets.buckets:
+            since = (
+                self._started_at
+                if role is _Role.LOCAL
+                else max(self._started_at, self._membership.changed_at)
+            )
+            account_buckets.buckets[role] = TokenBucket(min(since, now))
+        return account_buckets.buckets[role]
 
 
 class QuotaClient:
@@ -254,21 +260,21 @@
 
     def __init__(self, *, name: str, membership: Membership) -> None:
         self._name = name
-        self._members = membership
-        self._silences = UnresponsivePeers(MAX_MISSES)
+        self._membership = membership
+        self._unresponsive = UnresponsivePeers(MAX_MISSES)
 
     def allocators(self, account: str, now: float) -> Sequence[str]:
         """Return whom to ask, one after the other, until one grants or refuses."""
         return [
             name
-            for name in self._members.rank_instances(account)[:2]
-            if name == self._name or not self._silences.is_skipped(name, now)
+            for name in self._membership.rank_instances(account)[:2]
+            if name == self._name or not self._unresponsive.is_skipped(name, now)
         ]
 
     def record_unresponsive(self, name: str, now: float) -> None:
         """Note that an instance did not answer."""
-        self._silences.record_unresponsive(name, now)
+        self._unresponsive.record_unresponsive(name, now)
 
     def record_response(self, name: str) -> None:
         """Note that an instance answered, or that it has just come."""
-        self._silences.record_response(name)
+        self._unresponsive.record_response(name)
--- a/src/crankhinge/decisions/_reservations.py
+++ b/src/crankhinge/decisions/_reservations.py
@@ -92,9 +92,9 @@
         A late answer is waited for as long as the wait, if it was in vain, costs less than the
         answer is worth.
         """
-        worth = RETRY_VALUE if self.is_retry else LATE_VALUE
+        value = RETRY_VALUE if self.is_retry else LATE_VALUE
         return min(
-            self.max_in_time_wait_s + worth / WAIT_COST_PER_S,
+            self.max_in_time_wait_s + value / WAIT_COST_PER_S,
             self.event_timeout_s - self.first_event_s - EVENT_TIMEOUT_MARGIN_S,
             self.remaining_s - self.service_s,
         )
@@ -130,8 +130,8 @@
     """
 
     def __init__(self) -> None:
-        self._waits: dict[str, deque[float]] = {}
-        self._firsts: dict[str, deque[float]] = {}
+        self._recent_waits: dict[str, deque[float]] = {}
+        self._first_attempt_waits: dict[str, deque[float]] = {}
 
     def record_request(
         self, route: str, within_s: float, *, connection_reused: bool = False
@@ -143,15 +143,15 @@
             within_s: seconds.
             connection_reused: whether earlier requests came on its connection.
         """
-        waits = self._waits.setdefault(route, deque(maxlen=MAX_KEPT_WAITS))
+        waits = self._recent_waits.setdefault(route, deque(maxlen=MAX_KEPT_WAITS))
         waits.append(within_s)
-        firsts = self._firsts.setdefault(route, deque(maxlen=MAX_KEPT_WAITS))
+        first_waits = self._first_attempt_waits.setdefault(route, deque(maxlen=MAX_KEPT_WAITS))
         if connection_reused:
-            firsts.append(within_s)
+            first_waits.append(within_s)
             return False
-        if len(firsts) < MIN_FIRST_ATTEMPTS:
+        if len(first_waits) < MIN_FIRST_ATTEMPTS:
             return within_s < RETRY_OF_LONGEST_WAIT * max(waits)
-        return within_s < RETRY_OF_SHORTEST_FIRST_WAIT * min(firsts)
+        return within_s < RETRY_OF_SHORTEST_FIRST_WAIT * min(first_waits)
 
 
 class ReservationQueue:
@@ -162,16 +162,16 @@
 
     def __init__(self) -> None:
         self._waiting: dict[int, tuple[ReservationRequest, float]] = {}
-        self._entered = 0
+        self._last_number = 0
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def add(self, request: ReservationRequest, now: float) -> int:
         """Add a request; returns its number, since callers may send one identity twice or none."""
-        self._entered += 1
-        self._waiting[self._entered] = (request, now)
-        return self._entered
+        self._last_number += 1
+        self._waiting[self._last_number] = (request, now)
+        return self._last_number
 
     def remove(self, number: int) -> None:
         """Remove a request."""
@@ -179,16 +179,18 @@
 
     def requests_ahead(self, number: int, now: float) -> list[ReservationRequest]:
         """Return the requests before this one."""
-        mine = self._rank(number, now)
+        own_rank = self._rank(number, now)
         return [
-            need
-            for other, (need, _) in self._waiting.items()
-            if other != number and self._rank(other, now) < mine
+            request
+            for other, (request, _) in self._waiting.items()
+            if other != number and self._rank(other, now) < own_rank
         ]
 
     def tokens_of_others(self, number: int) -> int:
         """Return the memory that all others need that wait, in tokens."""
-        return sum(need.tokens for other, (need, _) in self._waiting.items() if other != number)
+        return sum(
+            request.tokens for other, (request, _) in self._waiting.items() if other != number
+        )
 
     def may_try(self, number: int, now: float) -> bool:
         """Whether it may ask an engine now.
@@ -197,11 +199,11 @@
         that come before it.
         """
         tokens = self._waiting[number][0].tokens
-        return all(need.tokens > tokens for need in self.requests_ahead(number, now))
+        return all(other.tokens > tokens for other in self.requests_ahead(number, now))
 
     def _rank(self, number: int, now: float) -> tuple[bool, float]:
-        need, since = self._waiting[number]
-        return need.is_late(now - since), since
+        request, added_at = self._waiting[number]
+        return request.is_late(now - added_at), added_at
 
 
 def stream_event_timeout_s(target_s: float, max_pause_s: float) -> float:
@@ -232,8 +234,8 @@
         max_tokens: most tokens of the answer.
         engine_tokens: tokens of memory of an engine.
     """
-    answer = min(likely_tokens or max_tokens, max_tokens)
-    blocks = -(-(prompt_tokens + answer) // BLOCK_TOKENS)
+    answer_tokens = min(likely_tokens or max_tokens, max_tokens)
+    blocks = -(-(prompt_tokens + answer_tokens) // BLOCK_TOKENS)
     return min(blocks * BLOCK_TOKENS, engine_tokens)
 
 
@@ -258,7 +260,7 @@
         rng: for choices between equals.
         refusal_pause_s: how long an engine that refused is left to others.
     """
-    able = [
+    candidates = [
         (
             stats_of(server.incarnation_id).reserved_tokens * rng.uniform(1.0, 1.1),
             rng.random(),
@@ -270,7 +272,7 @@
         and stats_of(server.incarnation_id).full_until + refusal_pause_s <= now
         and stats_of(server.incarnation_id).reserved_tokens + tokens <= kv_tokens
     ]
-    return [server for _, _, server in sorted(able, key=lambda row: row[:2])]
+    return [server for _, _, server in sorted(candidates, key=lambda row: row[:2])]
 
 
 def retry_delay_s(
@@ -284,8 +286,10 @@
             while there is time for it.
         free_s: seconds until there is memory for it, where that can be predicted.
     """
-    back = (DEFAULT_RETRY_DELAY_S if free_s is None else free_s) * rng.uniform(*RETRY_DELAY_JITTER)
+    delay_s = (DEFAULT_RETRY_DELAY_S if free_s is None else free_s) * rng.uniform(
+        *RETRY_DELAY_JITTER
+    )
     if request is None:
-        return back
+        return delay_s
     latest = request.remaining_s - request.service_s - RETRY_MARGIN_S
-    return max(MIN_RETRY_DELAY_S, min(back, latest) if latest > 0 else back)
+    return max(MIN_RETRY_DELAY_S, min(delay_s, latest) if latest > 0 else delay_s)
--- a/src/crankhinge/decisions/_routing.py
+++ b/src/crankhinge/decisions/_routing.py
@@ -80,7 +80,7 @@
         self.prefixes = PrefixIndex()
         self._rng = rng
         self._mech = mech
-        self._turn = itertools.count()
+        self._turns = itertools.count()
 
     def add_backend(self, backend: Backend) -> None:
         """Know a backend server, or know it anew after its pool has changed."""
@@ -100,9 +100,11 @@
         A backend server whose reports have stopped is used only when no other is left, and one
         whose breaker is open only when all are: then it can only get better.
         """
-        members = [b for pool in pools for b in self._pools.get(pool, {}).values()]
-        present = [b for b in members if b.is_available and (not adapter or adapter in b.adapters)]
-        alive = [b for b in present if b.breaker.allows_request(now)] or present
+        pool_backends = [b for pool in pools for b in self._pools.get(pool, {}).values()]
+        available = [
+            b for b in pool_backends if b.is_available and (not adapter or adapter in b.adapters)
+        ]
+        alive = [b for b in available if b.breaker.allows_request(now)] or available
         limit = now - STALE_REPORT_INTERVALS * self.costs.report_interval_s
         fresh = [b for b in alive if b.reported_at >= limit]
         return fresh or alive
@@ -112,44 +114,46 @@
 
     def choose_backends(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
         """Return decode or plain backend servers to try, best first."""
-        usable = self.usable_backends(pools, now, adapter)
+        backends = self.usable_backends(pools, now, adapter)
         if not self._mech.load_aware:
-            return self._in_turn(usable)
-        usual = _median([b.step_s for b in usable if b.step_s > 0])
-        few = self._sample(usable, RANDOM_CANDIDATES)
-        return sorted(few, key=lambda b: self._cost(b, usual, now))
+            return self._round_robin(backends)
+        usual = _median([b.step_s for b in backends if b.step_s > 0])
+        candidates = self._sample(backends, RANDOM_CANDIDATES)
+        return sorted(candidates, key=lambda b: self._expected_cost_s(b, usual, now))
 
-    def _in_turn(self, usable: list[Backend]) -> list[Backend]:
+    def _round_robin(self, backends: list[Backend]) -> list[Backend]:
         """Return all, beginning with the next in turn."""
-        if not usable:
+        if not backends:
             return []
-        ordered = sorted(usable, key=lambda b: b.name)
-        start = next(self._turn) % len(ordered)
+        ordered = sorted(backends, key=lambda b: b.name)
+        start = next(self._turns) % len(ordered)
         return ordered[start:] + ordered[:start]
 
-    def _cost(self, backend: Backend, usual_step_s: float, now: float) -> float:
+    def _expected_cost_s(self, backend: Backend, usual_step_s: float, now: float) -> float:
         cost = backend.expected_wait_s(now)
         if backend.zone != self.costs.zone:
             cost += 2 * self.costs.cross_zone_s
         if usual_step_s and backend.step_s > SLOW_STEP_FACTOR * usual_step_s:
             cost += SLOW_PENALTY_S
-        spread = backend.sent_since_report / max(1, backend.free_slots)
-        return cost + self.costs.cross_zone_s * spread
+        sent_per_slot = backend.sent_since_report / max(1, backend.free_slots)
+        return cost + self.costs.cross_zone_s * sent_per_slot
 
     def choose_prefill(
         self, pools: Iterable[str], request: RouteRequest, decode_zone: str, now: float
     ) -> list[Backend]:
         """Return prefill servers to try for a request that is written in *decode_zone*."""
-        usable = self.usable_backends(pools, now, request.adapter)
+        backends = self.usable_backends(pools, now, request.adapter)
         if not self._mech.load_aware:
-            return self._in_turn(usable)
-        few = {b.name: b for b in self._sample(usable, RANDOM_CANDIDATES)}
+            return self._round_robin(backends)
+        candidates = {b.name: b for b in self._sample(backends, RANDOM_CANDIDATES)}
         if request.prefix and self._mech.affinity:
-            by_name = {b.name: b for b in usable}
+            by_name = {b.name: b for b in backends}
             key = request.prefix[0].to_bytes(8, "big", signed=False)
             for name in rank_by_key(key, by_name)[:AFFINITY_CANDIDATES]:
-                few[name] = by_name[name]
-        return sorted(few.values(), key=lambda b: self.prefill_cost_s(b, request, decode_zone, now))
+                candidates[name] = by_name[name]
+        return sorted(
+            candidates.values(), key=lambda b: self.prefill_cost_s(b, request, decode_zone, now)
+        )
 
     def prefill_cost_s(
         self, backend: Backend, request: RouteRequest, decode_zone: str, now: float
--- a/src/crankhinge/decisions/_server_stats.py
+++ b/src/crankhinge/decisions/_server_stats.py
@@ -128,13 +128,13 @@
         return base * (OTHER_ZONE_FACTOR if other_zone else 1.0)
 
 
-def _usual_s(standings: Iterable[ServerStats]) -> float:
+def _default_response_s(all_stats: Iterable[ServerStats]) -> float:
     """Return what an answer is held to take at a server of which nothing was seen, in seconds.
 
     As the others on the mean: held for faster, a reader that came in the place of another would get
     the requests of all instances at once.
     """
-    seen = [standing.mean_response_s for standing in standings if standing.mean_response_s]
+    seen = [stats.mean_response_s for stats in all_stats if stats.mean_response_s]
     return sum(seen) / len(seen) if seen else DEFAULT_RESPONSE_S
 
 
@@ -152,25 +152,25 @@
     Servers that take no more now are out of the question. Those whose breaker is open, or that
     refused a moment ago without a word on when to come back, are taken only when there is no other.
     """
-    able = [
+    candidates = [
         server
         for server in servers
         if server.incarnation_id not in avoid
         and stats_of(server.incarnation_id).limited_until <= now
     ]
-    sound = [
+    healthy = [
         server
-        for server in able
+        for server in candidates
         if stats_of(server.incarnation_id).breaker.allows_request(now)
         and stats_of(server.incarnation_id).full_until <= now
     ]
-    choice = sound or able
+    choice = healthy or candidates
     if not choice:
         return None
-    usual_s = _usual_s(stats_of(server.incarnation_id) for server in choice)
+    default_response_s = _default_response_s(stats_of(server.incarnation_id) for server in choice)
     costs = {
         server.incarnation_id: stats_of(server.incarnation_id).expected_cost(
-            usual_s, other_zone=server.zone != zone
+            default_response_s, other_zone=server.zone != zone
         )
         * rng.uniform(1.0, 1.2)
         for server in choice
--- a/src/crankhinge/decisions/_servers.py
+++ b/src/crankhinge/decisions/_servers.py
@@ -69,8 +69,8 @@
     incarnation_id: str = field(init=False)
 
     def __post_init__(self) -> None:
-        ident = f"{self.name}@{self.started_ms}" if self.started_ms else self.name
-        object.__setattr__(self, "incarnation_id", ident)
+        incarnation_id = f"{self.name}@{self.started_ms}" if self.started_ms else self.name
+        object.__setattr__(self, "incarnation_id", incarnation_id)
 
     @property
     def entry_version(self) -> tuple[int, int]:
@@ -104,12 +104,12 @@
 
     def __init__(self) -> None:
         self._known: dict[str, Server] = {}
-        self._idents: dict[str, str] = {}
-        self._doubted: dict[str, float] = {}
+        self._incarnation_ids: dict[str, str] = {}
+        self._suspects: dict[str, float] = {}
         # Last entry of servers that are gone, by name: one that was written late is no life.
-        self._last: dict[str, tuple[int, int]] = {}
+        self._last_versions: dict[str, tuple[int, int]] = {}
         # Identities of servers that are gone and had said that they leave.
-        self._left: dict[str, None] = {}
+        self._gone_leaving: dict[str, None] = {}
 
     def all(self) -> Iterable[Server]:
         """Return every server believed in, leaving ones and doubted ones too."""
@@ -122,32 +122,32 @@
     def is_leaving(self, incarnation_id: str) -> bool:
         """Whether a server said that it leaves; it may have gone since."""
         known = self._known.get(incarnation_id)
-        return known.leaving if known is not None else incarnation_id in self._left
+        return known.leaving if known is not None else incarnation_id in self._gone_leaving
 
     def is_suspect(self, incarnation_id: str) -> bool:
         """Whether the server has no entry and is kept since that may have lapsed."""
-        return incarnation_id in self._doubted
+        return incarnation_id in self._suspects
 
     def suspects(self) -> list[str]:
         """Return the identities of servers that are kept without an entry."""
-        return list(self._doubted)
+        return list(self._suspects)
 
     def apply_entry(self, server: Server) -> bool:
         """Take an entry; returns whether it changed anything."""
         known = self.get_by_name(server.name)
-        last = known.entry_version if known else self._last.get(server.name, (-1, -1))
+        last = known.entry_version if known else self._last_versions.get(server.name, (-1, -1))
         if server.entry_version < last or (known is None and server.entry_version == last):
             return False
         if known is not None and known.incarnation_id != server.incarnation_id:
-            self._drop(known.incarnation_id)
-        self._doubted.pop(server.incarnation_id, None)
+            self._remove(known.incarnation_id)
+        self._suspects.pop(server.incarnation_id, None)
         self._known[server.incarnation_id] = server
-        self._idents[server.name] = server.incarnation_id
+        self._incarnation_ids[server.name] = server.incarnation_id
         return known != server
 
     def get_by_name(self, name: str) -> Server | None:
         """Return the server that the platform calls *name*."""
-        return self._known.get(self._idents.get(name, ""))
+        return self._known.get(self._incarnation_ids.get(name, ""))
 
     def apply_list(
         self,
@@ -166,12 +166,14 @@
             was_unreachable: whether the list's keeper could not be reached since the last word.
         """
         listed = {server.name: server for server in servers}
-        refused = self._refuse(unusable)
+        unusable_ids = self._remove_unusable(unusable)
         missing = [
             known.incarnation_id for known in self._known.values() if known.name not in listed
         ]
-        lapsed = self._lapsed(listed, missing, was_away=was_unreachable)
-        return self._take_all(listed.values(), missing, now, lapsed=lapsed, refused=refused)
+        have_lapsed = self._have_entries_lapsed(listed, missing, was_unreachable=was_unreachable)
+        return self._apply(
+            listed.values(), missing, now, have_lapsed=have_lapsed, unusable_ids=unusable_ids
+        )
 
     def apply_changes(
         self,
@@ -192,58 +194,76 @@
             was_unreachable: as for :meth:`replace`.
         """
         written = {server.name: server for server in servers}
-        refused = self._refuse(unusable)
-        missing = [self._idents[name] for name in gone if name in self._idents]
-        lapsed = self._lapsed(written, missing, was_away=was_unreachable)
-        return self._take_all(written.values(), missing, now, lapsed=lapsed, refused=refused)
+        unusable_ids = self._remove_unusable(unusable)
+        missing = [self._incarnation_ids[name] for name in gone if name in self._incarnation_ids]
+        have_lapsed = self._have_entries_lapsed(written, missing, was_unreachable=was_unreachable)
+        return self._apply(
+            written.values(), missing, now, have_lapsed=have_lapsed, unusable_ids=unusable_ids
+        )
 
-    def _refuse(self, unusable: Iterable[str]) -> tuple[str, ...]:
+    def _remove_unusable(self, unusable: Iterable[str]) -> tuple[str, ...]:
         """Drop the servers of entries that can't be used; returns their identities."""
-        refused = tuple(self._idents[name] for name in unusable if name in self._idents)
-        for ident in refused:
-            self._drop(ident)
-        return refused
+        removed = tuple(
+            self._incarnation_ids[name] for name in unusable if name in self._incarnation_ids
+        )
+        for incarnation_id in removed:
+            self._remove(incarnation_id)
+        return removed
 
-    def _lapsed(self, seen: Mapping[str, Server], missing: list[str], *, was_away: bool) -> bool:
+    def _have_entries_lapsed(
+        self, entries: Mapping[str, Server], missing: list[str], *, was_unreachable: bool
+    ) -> bool:
         """Whether entries are missing because the list's keeper was away for all servers.
 
         Then most of them lapsed, some of those are back already, and none has come in their place.
         Where most stand as they did, or as many others have come, the missing servers left.
         """
-        anew = sum(
-            known.entry_created != seen[known.name].entry_created
+        rewritten = sum(
+            known.entry_created != entries[known.name].entry_created
             for known in self._known.values()
-            if known.name in seen
+            if known.name in entries
+        )
+        newcomers = sum(name not in self._incarnation_ids for name in entries)
+        unchanged = len(self._known) - len(missing) - rewritten
+        min_missing = 1 if was_unreachable else MIN_LAPSED_TOGETHER
+        return (
+            len(missing) >= min_missing
+            and len(missing) + rewritten > unchanged
+            and newcomers < len(missing)
         )
-        others = sum(name not in self._idents for name in seen)
-        standing = len(self._known) - len(missing) - anew
-        least = 1 if was_away else MIN_LAPSED_TOGETHER
-        return len(missing) >= least and len(missing) + anew > standing and others < len(missing)
 
-    def _take_all(
+    def _apply(
         self,
         servers: Collection[Server],
         missing: list[str],
         now: float,
         *,
-        lapsed: bool,
-        refused: tuple[str, ...],
+        have_lapsed: bool,
+        unusable_ids: tuple[str, ...],
     ) -> ServerListChange:
-        before = {server.name: self._idents.get(server.name) for server in servers}
-        seen = tuple(server for server in servers if self._take_new(server))
-        dropped = tuple(ident for ident in missing if not lapsed or self._known[ident].leaving)
-        for ident in dropped:
-            self._drop(ident)
-        doubted = tuple(
-            ident for ident in missing if ident in self._known and ident not in self._doubted
+        before = {server.name: self._incarnation_ids.get(server.name) for server in servers}
+        changed = tuple(server for server in servers if self._apply_if_changed(server))
+        removed = tuple(
+            incarnation_id
+            for incarnation_id in missing
+            if not have_lapsed or self._known[incarnation_id].leaving
+        )
+        for incarnation_id in removed:
+            self._remove(incarnation_id)
+        suspected = tuple(
+            incarnation_id
+            for incarnation_id in missing
+            if incarnation_id in self._known and incarnation_id not in self._suspects
         )
-        self._doubted.update(dict.fromkeys(doubted, now + REENTRY_S))
-        reborn = tuple(
-            ident for name, ident in before.items() if ident and ident != self._idents[name]
+        self._suspects.update(dict.fromkeys(suspected, now + REENTRY_S))
+        restarted = tuple(
+            incarnation_id
+            for name, incarnation_id in before.items()
+            if incarnation_id and incarnation_id != self._incarnation_ids[name]
         )
-        return ServerListChange(seen, refused + dropped, doubted, reborn)
+        return ServerListChange(changed, unusable_ids + removed, suspected, restarted)
 
-    def _take_new(self, server: Server) -> bool:
+    def _apply_if_changed(self, server: Server) -> bool:
         """Take an entry; returns whether it says more than that its server lives."""
         known = self._known.get(server.incarnation_id)
         return self.apply_entry(server) and (
@@ -252,22 +272,24 @@
 
     def next_suspect_expiry(self) -> float | None:
         """Return when the next doubted server's time is up; None without one."""
-        return min(self._doubted.values(), default=None)
+        return min(self._suspects.values(), default=None)
 
     def expire_suspects(self, now: float) -> list[str]:
         """Drop doubted servers whose time is up; returns their identities."""
-        over = [ident for ident, until in self._doubted.items() if until <= now]
-        for ident in over:
-            self._drop(ident)
-        return over
-
-    def _drop(self, ident: str) -> None:
-        self._doubted.pop(ident, None)
-        server = self._known.pop(ident)
-        del self._idents[server.name]
-        self._last[server.name] = server.entry_version
+        expired = [
+            incarnation_id for incarnation_id, until in self._suspects.items() if until <= now
+        ]
+        for incarnation_id in expired:
+            self._remove(incarnation_id)
+        return expired
+
+    def _remove(self, incarnation_id: str) -> None:
+        self._suspects.pop(incarnation_id, None)
+        server = self._known.pop(incarnation_id)
+        del self._incarnation_ids[server.name]
+        self._last_versions[server.name] = server.entry_version
         if server.leaving:
-            self._left[ident] = None
-        for table in (self._last, self._left):
+            self._gone_leaving[incarnation_id] = None
+        for table in (self._last_versions, self._gone_leaving):
             if len(table) > MAX_TRACKED_GONE:
                 del table[next(iter(table))]
--- a/src/crankhinge/decisions/_shared_limits.py
+++ b/src/crankhinge/decisions/_shared_limits.py
@@ -82,14 +82,14 @@
     def __init__(self, *, name: str, membership: Membership, incarnation: int, now: float) -> None:
         self.advertised = AdvertisedLimits()
         self._name = name
-        self._members = membership
-        self._life = incarnation
-        self._began = now
-        self._silences = UnresponsivePeers(MAX_MISSES)
-        self._stamps: dict[str, ClockStamp] = {}
+        self._membership = membership
+        self._incarnation = incarnation
+        self._started_at = now
+        self._unresponsive = UnresponsivePeers(MAX_MISSES)
+        self._clock_stamps: dict[str, ClockStamp] = {}
         self._pools: dict[str, PermitPool] = {}
         # To whom the own share of a server's limit is lent, and until when.
-        self._lent: dict[str, tuple[str, float]] = {}
+        self._leased_out: dict[str, tuple[str, float]] = {}
 
     # Who hands out.
 
@@ -97,33 +97,33 @@
         """Return whom to ask, one after the other, until one answers."""
         return [
             name
-            for name in self._members.rank_instances(server)[:MAX_ALLOCATORS]
-            if name == self._name or not self._silences.is_skipped(name, now)
+            for name in self._membership.rank_instances(server)[:MAX_ALLOCATORS]
+            if name == self._name or not self._unresponsive.is_skipped(name, now)
         ]
 
     def is_allocator(self, server: str) -> bool:
         """Whether others may ask this instance for requests to a server."""
-        return self._name in self._members.rank_instances(server)[:MAX_ALLOCATORS]
+        return self._name in self._membership.rank_instances(server)[:MAX_ALLOCATORS]
 
     def record_unresponsive(self, name: str, now: float) -> None:
         """Note that an instance did not answer."""
-        self._silences.record_unresponsive(name, now)
+        self._unresponsive.record_unresponsive(name, now)
 
     def record_response(self, name: str, stamp: ClockStamp) -> None:
         """Note that an instance answered, and the moment of its clock that it told."""
-        self._silences.record_response(name)
-        self._stamps[name] = stamp
+        self._unresponsive.record_response(name)
+        self._clock_stamps[name] = stamp
 
     def record_joined(self, name: str) -> None:
         """Note that an instance has come."""
-        self._silences.record_response(name)
+        self._unresponsive.record_response(name)
 
     # Lending.
 
     @property
     def lease_s(self) -> float:
         """For how long shares are lent, in seconds."""
-        return max(MIN_SHARE_LEASE_S, SHARE_LEASE_S_PER_INSTANCE * self._members.fleet_size)
+        return max(MIN_SHARE_LEASE_S, SHARE_LEASE_S_PER_INSTANCE * self._membership.fleet_size)
 
     @property
     def renewal_interval_s(self) -> float:
@@ -132,41 +132,41 @@
 
     def lease_out(self, server: str, allocator: str, now: float) -> ShareLease | None:
         """Lend the own share of a server's limit; None where it can't be lent to that instance."""
-        stamp = self._stamps.get(allocator)
+        clock_stamp = self._clock_stamps.get(allocator)
         # Lent to one that is gone, the share would be nobody's for as long.
-        if stamp is None or self._silences.missed_last(allocator):
+        if clock_stamp is None or self._unresponsive.missed_last(allocator):
             return None
-        if not self._may_lend(server, allocator, now):
+        if not self._may_lease(server, allocator, now):
             return None
-        for_s = self.lease_s
-        self._note_lent(server, allocator, now + for_s)
-        return ShareLease(stamp, for_s, self._members.fleet_size)
+        duration_s = self.lease_s
+        self._record_leased(server, allocator, now + duration_s)
+        return ShareLease(clock_stamp, duration_s, self._membership.fleet_size)
 
-    def _may_lend(self, server: str, borrower: str, now: float) -> bool:
+    def _may_lease(self, server: str, allocator: str, now: float) -> bool:
         # A life before may have lent it.
-        if not self._members.may_use_equal_share(now) or now < self._began + self.lease_s:
+        if not self._membership.may_use_equal_share(now) or now < self._started_at + self.lease_s:
             return False
-        to, until = self._lent.get(server, (borrower, 0.0))
-        return to == borrower or until <= now
+        leased_to, until = self._leased_out.get(server, (allocator, 0.0))
+        return leased_to == allocator or until <= now
 
-    def _note_lent(self, server: str, borrower: str, until: float) -> None:
-        keep_newest(self._lent, server, (borrower, until), MAX_TRACKED_SERVERS)
+    def _record_leased(self, server: str, allocator: str, until: float) -> None:
+        keep_newest(self._leased_out, server, (allocator, until), MAX_TRACKED_SERVERS)
 
     # Handing out.
 
     def stamp(self, now: float) -> ClockStamp:
         """Return this moment of this instance's clock, for those that lend to it."""
-        return ClockStamp(self._life, now)
+        return ClockStamp(self._incarnation, now)
 
     def accept_lease(self, server: str, lender: str, lease: ShareLease, now: float) -> None:
         """Take the share of another instance."""
-        if lease.stamp.incarnation != self._life or lease.stamp.at > now:
+        if lease.stamp.incarnation != self._incarnation or lease.stamp.at > now:
             return
-        pool = self._pool(server, now)
+        pool = self._permit_pool(server, now)
         if pool is not None:
             until = lease.stamp.at + lease.duration_s
             pool.add_share(
-                lender, until, self._members.fleet_size, now, lender_fleet_size=lease.fleet_size
+                lender, until, self._membership.fleet_size, now, lender_fleet_size=lease.fleet_size
             )
 
     def take_permit(
@@ -180,36 +180,36 @@
             now: on the runtime's clock, in seconds.
             for_caller: whether a caller is told when to come back.
         """
-        pool = self._pool(server, now)
+        pool = self._permit_pool(server, now)
         if pool is None:
             return PermitDecision(True)
         self.use_local_share(server, now)
-        return pool.take_permit(within_s, self._members.fleet_size, now, for_caller=for_caller)
+        return pool.take_permit(within_s, self._membership.fleet_size, now, for_caller=for_caller)
 
     def use_local_share(self, server: str, now: float) -> None:
         """Lend the own share to this instance itself, where that lets it send anything."""
-        pool = self._pool(server, now)
-        if pool is None or not self._may_lend(server, self._name, now):
+        pool = self._permit_pool(server, now)
+        if pool is None or not self._may_lease(server, self._name, now):
             return
-        fleet = self._members.fleet_size
-        if not self.is_allocator(server) and burst_limit(pool.per_s, 1.0 / fleet) < 1.0:
+        fleet_size = self._membership.fleet_size
+        if not self.is_allocator(server) and burst_limit(pool.per_s, 1.0 / fleet_size) < 1.0:
             return
         until = now + self.lease_s
-        self._note_lent(server, self._name, until)
-        pool.add_share(self._name, until, fleet, now, lender_fleet_size=fleet)
+        self._record_leased(server, self._name, until)
+        pool.add_share(self._name, until, fleet_size, now, lender_fleet_size=fleet_size)
 
     def return_permit(self, server: str, now: float) -> None:
         """Take back a request that was not sent."""
-        pool = self._pool(server, now)
+        pool = self._permit_pool(server, now)
         if pool is not None:
-            pool.return_permit(self._members.fleet_size, now)
+            pool.return_permit(self._membership.fleet_size, now)
 
     def leased_fraction(self, server: str) -> float:
         """Return the part of a server's limit that was lent to this instance."""
         pool = self._pools.get(server)
-        return 0.0 if pool is None else pool.leased_fraction(self._members.fleet_size)
+        return 0.0 if pool is None else pool.leased_fraction(self._membership.fleet_size)
 
-    def _pool(self, server: str, now: float) -> PermitPool | None:
+    def _permit_pool(self, server: str, now: float) -> PermitPool | None:
         """Return what may be sent to a server; None where it names no limit."""
         limit = self.advertised.get(server)
         if limit is None:
@@ -220,5 +220,5 @@
             pool = PermitPool(limit.per_s, now)
             keep_newest(self._pools, server, pool, MAX_TRACKED_SERVERS)
         elif pool.per_s != limit.per_s:
-            pool.set_rate(limit.per_s, self._members.fleet_size, now)
+            pool.set_rate(limit.per_s, self._membership.fleet_size, now)
         return pool
--- a/src/crankhinge/decisions/_slots.py
+++ b/src/crankhinge/decisions/_slots.py
@@ -38,7 +38,7 @@
 @dataclass
 class _Running:
     ask: SlotRequest
-    since: float
+    started_at: float
     produced: int = 0
 
 
@@ -95,20 +95,20 @@
         """Return the seconds until a slot would come free for one more request."""
         if self.free_slots > 0 and not self._queue:
             return 0.0
-        ends = sorted(self._ends(now))
+        ends = sorted(self._slot_ends(now))
         ahead = len(self._queue) + max(0, -self.free_slots)
         if not ends:
             return self._mean_hold_s
         rounds, place = divmod(ahead, max(1, len(ends)))
         return max(0.0, ends[place] - now) + rounds * self._mean_hold_s
 
-    def _end_of(self, run: _Running, now: float) -> float:
+    def _latest_end(self, run: _Running, now: float) -> float:
         """Return when the answer ends at the latest."""
         return now + max(0, run.ask.max_tokens - run.produced) * self.step_s
 
-    def _ends(self, now: float) -> list[float]:
+    def _slot_ends(self, now: float) -> list[float]:
         """Return when each held slot is free at the latest, in no order."""
-        ends = [self._end_of(run, now) for run in self._running.values()]
+        ends = [self._latest_end(run, now) for run in self._running.values()]
         for lease in self._leases.values():
             ends.append(now + lease.ask.lead_s + lease.ask.max_tokens * self.step_s)
         return ends
@@ -131,59 +131,61 @@
         )
         return self.tick(now)
 
-    def _expected_wait(self, ask: SlotRequest, now: float) -> float:
+    def _expected_wait(self, request: SlotRequest, now: float) -> float:
         """Return the seconds until this request's flow would be given a slot.
 
         The flow is served at its share of the engine, so a rival's long queue doesn't count
         against a member that is within its own share.
         """
-        if not self._queue and self._room_for(ask, now):
+        if not self._queue and self._has_room_for(request, now):
             return 0.0
         tokens_per_s = self.capacity / max(self.step_s, 1e-6)
-        share = self._queue.share(ask.flow, ask.flow_weights)
-        own = self._queue.waiting_cost(ask.flow) / (tokens_per_s * share)
-        return own + self._until_next_end(now, ask.lead_s)
+        share = self._queue.share(request.flow, request.flow_weights)
+        own_wait_s = self._queue.waiting_cost(request.flow) / (tokens_per_s * share)
+        return own_wait_s + self._until_next_end(now, request.lead_s)
 
     def _until_next_end(self, now: float, lead: float) -> float:
-        ends = self._ends(now)
+        ends = self._slot_ends(now)
         return max(0.0, min(ends) - now - lead) if ends else 0.0
 
-    def _room_for(self, ask: SlotRequest, now: float) -> bool:
+    def _has_room_for(self, request: SlotRequest, now: float) -> bool:
         if self.free_slots > 0:
             return True
         if not self._mech.ahead:
             return False
-        by = now + ask.lead_s
-        ending = sum(1 for run in self._running.values() if self._end_of(run, now) <= by)
+        by = now + request.lead_s
+        ending = sum(1 for run in self._running.values() if self._latest_end(run, now) <= by)
         return self.free_slots + ending > 0
 
     def tick(self, now: float) -> list[SlotDecision]:
         """Let leases and waiting requests expire, and grant what there is room for."""
         self._expire_leases(now)
-        out: list[SlotDecision] = self._expire_queue(now)
-        while (head := self._queue.peek()) is not None and self._room_for(head, now):
+        decisions: list[SlotDecision] = self._expire_queue(now)
+        while (head := self._queue.peek()) is not None and self._has_room_for(head, now):
             self._queue.pop()
-            out.append(self._grant(head, now))
-        return out
+            decisions.append(self._grant(head, now))
+        return decisions
 
-    def _grant(self, ask: SlotRequest, now: float) -> SlotGrant:
-        lease = ask.lead_s + self._hold_s
+    def _grant(self, request: SlotRequest, now: float) -> SlotGrant:
+        lease = request.lead_s + self._hold_s
         ready = 0.0 if self.free_slots > 0 else self._until_next_end(now, 0.0)
-        self._leases[ask.req] = _Lease(ask, now + lease)
-        return SlotGrant(ask.req, ready, lease)
+        self._leases[request.req] = _Lease(request, now + lease)
+        return SlotGrant(request.req, ready, lease)
 
     def _expire_leases(self, now: float) -> None:
-        late = [req for req, lease in self._leases.items() if lease.expires <= now]
-        for req in late:
+        expired = [req for req, lease in self._leases.items() if lease.expires <= now]
+        for req in expired:
             del self._leases[req]
 
     def _expire_queue(self, now: float) -> list[SlotDecision]:
-        out: list[SlotDecision] = []
-        for ask in self._queue.items():
-            if now > ask.deadline:
-                self._queue.remove(ask.req)
-                out.append(Refusal(ask.req, "overloaded", max(0.1, self._until_next_end(now, 0.0))))
-        return out
+        decisions: list[SlotDecision] = []
+        for request in self._queue.items():
+            if now > request.deadline:
+                self._queue.remove(request.req)
+                decisions.append(
+                    Refusal(request.req, "overloaded", max(0.1, self._until_next_end(now, 0.0)))
+                )
+        return decisions
 
     def can_start(self, req: int) -> bool:
         """Whether the leased slot is free in the engine by now."""
@@ -217,7 +219,7 @@
         self._leases.pop(req, None)
         run = self._running.pop(req, None)
         if run is not None:
-            held = now - run.since
+            held = now - run.started_at
             gain = EWMA_WEIGHT if self._mean_hold_s else 1.0
             self._mean_hold_s += gain * (held - self._mean_hold_s)
         return self.tick(now)
@@ -225,5 +227,5 @@
     def next_tick_at(self) -> float | None:
         """Return when :meth:`tick` has something to do at the latest."""
         times = [lease.expires for lease in self._leases.values()]
-        times += [ask.deadline for ask in self._queue.items()]
+        times += [request.deadline for request in self._queue.items()]
         return min(times, default=None)
--- a/src/crankhinge/decisions/_split.py
+++ b/src/crankhinge/decisions/_split.py
@@ -64,55 +64,61 @@
         )
 
 
-class _Length:
+class _LengthClass:
     """The newest readings of about one length."""
 
-    def __init__(self, kept: int | None) -> None:
-        self._readings: deque[tuple[float, int]] = deque(maxlen=kept)
+    def __init__(self, max_samples: int | None) -> None:
+        self._prefills: deque[tuple[float, int]] = deque(maxlen=max_samples)
 
     def __len__(self) -> int:
-        return len(self._readings)
+        return len(self._prefills)
 
     def add(self, tokens: int, took_s: float) -> None:
         """Note a reading."""
-        self._readings.append((took_s, tokens))
+        self._prefills.append((took_s, tokens))
 
     @property
-    def fast(self) -> tuple[float, int]:
+    def fast_prefill(self) -> tuple[float, int]:
         """Seconds and tokens of a reading that did not wait and was no kept prompt."""
-        ordered = sorted(self._readings)
+        ordered = sorted(self._prefills)
         return ordered[len(ordered) // FAST_QUANTILE_DIVISOR]
 
 
-class _Lengths:
+class _LengthClasses:
     """Readings by their length.
 
     Args:
-        kept: how many of each length, the newest; all by default.
+        max_samples: how many of each length, the newest; all by default.
     """
 
-    def __init__(self, kept: int | None = None) -> None:
-        self._kept = kept
-        self._by_class: dict[int, _Length] = {}
+    def __init__(self, max_samples: int | None = None) -> None:
+        self._max_samples = max_samples
+        self._classes: dict[int, _LengthClass] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._by_class)
+        return bool(self._classes)
 
     def add(self, tokens: int, took_s: float) -> None:
         """Note a reading."""
-        length = self._by_class.setdefault(tokens // LENGTH_CLASS_TOKENS, _Length(self._kept))
-        length.add(tokens, took_s)
+        length_class = self._classes.setdefault(
+            tokens // LENGTH_CLASS_TOKENS, _LengthClass(self._max_samples)
+        )
+        length_class.add(tokens, took_s)
 
     def token_s(self) -> float:
         """Return the seconds that a token keeps an engine busy, rather too many than too few."""
-        lengths = list(self._by_class.values())
-        seen = [length for length in lengths if len(length) >= MIN_CLASS_SAMPLES] or lengths
-        fast = sorted((length.fast for length in seen), key=lambda reading: reading[1])
-        (short_s, shortest), (long_s, longest) = fast[0], fast[-1]
-        alone = long_s / max(1, longest)
-        if longest - shortest < LENGTH_CLASS_TOKENS:
+        classes = list(self._classes.values())
+        seen = [
+            length_class for length_class in classes if len(length_class) >= MIN_CLASS_SAMPLES
+        ] or classes
+        fast = sorted(
+            (length_class.fast_prefill for length_class in seen), key=lambda reading: reading[1]
+        )
+        (short_s, short_tokens), (long_s, long_tokens) = fast[0], fast[-1]
+        alone = long_s / max(1, long_tokens)
+        if long_tokens - short_tokens < LENGTH_CLASS_TOKENS:
             return alone
-        slope = (long_s - short_s) / (longest - shortest)
+        slope = (long_s - short_s) / (long_tokens - short_tokens)
         return min(alone, max(slope, alone * MIN_WORK_SHARE))
 
 
@@ -164,18 +170,18 @@
     """
 
     def __init__(self) -> None:
-        self._readings = 0
+        self._prefills = 0
         self._admitted = 0
         self._answers = 0
-        self._tokens = 0.0
-        self._read_s = 0.0
-        self._part = 0.0
-        self._part_tokens = 0.0
-        self._pace_s = 0.0
-        self._firsts = 0
-        self._first_s = 0.0
-        self._lengths = _Lengths(MAX_CLASS_SAMPLES)
-        self._newest: deque[tuple[int, float]] = deque(maxlen=MAX_PUBLISHED_PREFILLS)
+        self._mean_tokens = 0.0
+        self._mean_prefill_s = 0.0
+        self._mean_memory_share = 0.0
+        self._mean_share_tokens = 0.0
+        self._mean_token_s = 0.0
+        self._first_events = 0
+        self._mean_first_event_s = 0.0
+        self._length_classes = _LengthClasses(MAX_CLASS_SAMPLES)
+        self._newest_prefills: deque[tuple[int, float]] = deque(maxlen=MAX_PUBLISHED_PREFILLS)
 
     @property
     def completed_answers(self) -> int:
@@ -184,105 +190,110 @@
 
     def record_prompt(self, tokens: int, took_s: float) -> None:
         """Note a reading of *tokens* that took *took_s* seconds."""
-        self._readings += 1
-        step = max(EWMA_WEIGHT, 1.0 / self._readings)
-        self._tokens += step * (tokens - self._tokens)
-        self._read_s += step * (took_s - self._read_s)
-        self._lengths.add(tokens, took_s)
-        self._newest.append((tokens, took_s))
-
-    def record_admission(self, part: float, answer_tokens: int) -> None:
-        """Note a request that got *part* of an engine's memory for an answer of likely length."""
+        self._prefills += 1
+        step = max(EWMA_WEIGHT, 1.0 / self._prefills)
+        self._mean_tokens += step * (tokens - self._mean_tokens)
+        self._mean_prefill_s += step * (took_s - self._mean_prefill_s)
+        self._length_classes.add(tokens, took_s)
+        self._newest_prefills.append((tokens, took_s))
+
+    def record_admission(self, memory_share: float, answer_tokens: int) -> None:
+        """Record an admitted request.
+
+        Args:
+            memory_share: share of an engine's KV memory that the request reserves, from 0 to 1.
+            answer_tokens: estimated length of its answer.
+        """
         self._admitted += 1
         step = max(EWMA_WEIGHT, 1.0 / self._admitted)
-        self._part += step * (part - self._part)
-        self._part_tokens += step * (part * answer_tokens - self._part_tokens)
+        self._mean_memory_share += step * (memory_share - self._mean_memory_share)
+        self._mean_share_tokens += step * (memory_share * answer_tokens - self._mean_share_tokens)
 
     def record_answer(self, tokens: int, took_s: float) -> None:
         """Note an answer of *tokens* that was written in *took_s* seconds."""
         self._answers += 1
         step = max(EWMA_WEIGHT, 1.0 / self._answers)
-        self._pace_s += step * (took_s / max(1, tokens) - self._pace_s)
+        self._mean_token_s += step * (took_s / max(1, tokens) - self._mean_token_s)
 
     def record_first_event(self, took_s: float) -> None:
         """Note a first event *took_s* seconds after its place was taken."""
-        self._firsts += 1
-        step = max(EWMA_WEIGHT, 1.0 / self._firsts)
-        self._first_s += step * (took_s - self._first_s)
+        self._first_events += 1
+        step = max(EWMA_WEIGHT, 1.0 / self._first_events)
+        self._mean_first_event_s += step * (took_s - self._mean_first_event_s)
 
     @property
     def mean_first_event_s(self) -> float | None:
         """Return the seconds from a place to the first event; None while too little was seen."""
-        return self._first_s if self._firsts >= MIN_ANSWERS else None
+        return self._mean_first_event_s if self._first_events >= MIN_ANSWERS else None
 
     def expected_service_s(self, answer_tokens: int) -> float | None:
         """Return the seconds that reading and an answer take; None while too little was seen."""
         if self._answers < MIN_ANSWERS:
             return None
-        return self._read_s + answer_tokens * self._pace_s
+        return self._mean_prefill_s + answer_tokens * self._mean_token_s
 
     def stats(self) -> WorkloadStats | None:
         """Return what was measured, or None while one of the three was never seen."""
-        if not self._admitted or not self._answers or not self._lengths:
+        if not self._admitted or not self._answers or not self._length_classes:
             return None
         return WorkloadStats(
             admitted=self._admitted,
             answers=self._answers,
-            readings=self._readings,
-            tokens=self._tokens,
-            read_s=self._read_s,
-            token_s=self._lengths.token_s(),
-            part=self._part,
-            part_tokens=self._part_tokens,
-            pace_s=self._pace_s,
-            newest=tuple(self._newest),
+            readings=self._prefills,
+            tokens=self._mean_tokens,
+            read_s=self._mean_prefill_s,
+            token_s=self._length_classes.token_s(),
+            part=self._mean_memory_share,
+            part_tokens=self._mean_share_tokens,
+            pace_s=self._mean_token_s,
+            newest=tuple(self._newest_prefills),
         )
 
     def loads(self) -> PoolLoads | None:
         """Return the loads as this instance alone sees them, or None while that is too little."""
-        sheet = self.stats()
-        return combined_loads([] if sheet is None else [sheet])
+        stats = self.stats()
+        return combined_loads([] if stats is None else [stats])
 
 
-def combined_loads(stats: Sequence[WorkloadStats]) -> PoolLoads | None:
+def combined_loads(all_stats: Sequence[WorkloadStats]) -> PoolLoads | None:
     """Return the loads that several instances' measurements show together, each by its samples.
 
     Args:
-        stats: one of each instance.
+        all_stats: one of each instance.
 
     Returns:
         The loads, or None while too little was seen by all of them.
     """
-    admitted = sum(sheet.admitted for sheet in stats)
-    if admitted < MIN_ADMITTED or sum(sheet.answers for sheet in stats) < MIN_ANSWERS:
+    admitted = sum(stats.admitted for stats in all_stats)
+    if admitted < MIN_ADMITTED or sum(stats.answers for stats in all_stats) < MIN_ANSWERS:
         return None
     mean = WorkloadStats(
         admitted=admitted,
-        answers=sum(sheet.answers for sheet in stats),
-        readings=sum(sheet.readings for sheet in stats),
-        tokens=_mean((sheet.tokens, sheet.readings) for sheet in stats),
-        read_s=_mean((sheet.read_s, sheet.readings) for sheet in stats),
-        token_s=_token_s(stats),
-        part=_mean((sheet.part, sheet.admitted) for sheet in stats),
-        part_tokens=_mean((sheet.part_tokens, sheet.admitted) for sheet in stats),
-        pace_s=_mean((sheet.pace_s, sheet.answers) for sheet in stats),
+        answers=sum(stats.answers for stats in all_stats),
+        readings=sum(stats.readings for stats in all_stats),
+        tokens=_mean((stats.tokens, stats.readings) for stats in all_stats),
+        read_s=_mean((stats.read_s, stats.readings) for stats in all_stats),
+        token_s=_combined_token_s(all_stats),
+        part=_mean((stats.part, stats.admitted) for stats in all_stats),
+        part_tokens=_mean((stats.part_tokens, stats.admitted) for stats in all_stats),
+        pace_s=_mean((stats.pace_s, stats.answers) for stats in all_stats),
     )
     return mean.loads()
 
 
-def _token_s(sheets: Sequence[WorkloadStats]) -> float:
+def _combined_token_s(all_stats: Sequence[WorkloadStats]) -> float:
     """Return the seconds that a token keeps a reading engine busy, from all readings together."""
-    lengths = _Lengths()
-    for sheet in sheets:
-        for tokens, took_s in sheet.newest or _as_readings(sheet):
-            lengths.add(tokens, took_s)
-    return lengths.token_s()
+    classes = _LengthClasses()
+    for stats in all_stats:
+        for tokens, took_s in stats.newest or _implied_prefills(stats):
+            classes.add(tokens, took_s)
+    return classes.token_s()
 
 
-def _as_readings(sheet: WorkloadStats) -> list[tuple[int, float]]:
+def _implied_prefills(stats: WorkloadStats) -> list[tuple[int, float]]:
     """Return what an instance that tells no readings makes of them, as often as it saw any."""
-    reading = (round(sheet.tokens), sheet.token_s * sheet.tokens)
-    return [reading] * min(sheet.readings, MAX_PUBLISHED_PREFILLS)
+    reading = (round(stats.tokens), stats.token_s * stats.tokens)
+    return [reading] * min(stats.readings, MAX_PUBLISHED_PREFILLS)
 
 
 def _mean(rows: Iterable[tuple[float, int]]) -> float:
@@ -305,16 +316,20 @@
     total = prompt_engines + decode_engines
     if total < 2:
         return prompt_engines
-    least = MIN_POOL_ENGINES if total >= 2 * MIN_POOL_ENGINES else 1
-    choices = range(least, total - least + 1)
+    min_engines = MIN_POOL_ENGINES if total >= 2 * MIN_POOL_ENGINES else 1
+    choices = range(min_engines, total - min_engines + 1)
     if prompt_engines and decode_engines:
-        fewest = prompt_engines - -(-prompt_engines // MAX_CHANGE_DIVISOR)
-        most = prompt_engines + -(-decode_engines // MAX_CHANGE_DIVISOR)
-        choices = range(max(least, fewest), min(total - least, most) + 1)
+        min_prompt_engines = prompt_engines - -(-prompt_engines // MAX_CHANGE_DIVISOR)
+        max_prompt_engines = prompt_engines + -(-decode_engines // MAX_CHANGE_DIVISOR)
+        choices = range(
+            max(min_engines, min_prompt_engines), min(total - min_engines, max_prompt_engines) + 1
+        )
     best = min(choices, key=lambda count: loads.max_per_engine(count, total - count))
-    now = loads.max_per_engine(prompt_engines, decode_engines)
+    current = loads.max_per_engine(prompt_engines, decode_engines)
     if best > prompt_engines >= 1 and answers < MIN_ANSWERS_TO_GROW_PREFILL:
         return prompt_engines
     return (
-        best if loads.max_per_engine(best, total - best) <= now * (1 - MIN_GAIN) else prompt_engines
+        best
+        if loads.max_per_engine(best, total - best) <= current * (1 - MIN_GAIN)
+        else prompt_engines
     )
--- a/src/crankhinge/decisions/_unresponsive.py
+++ b/src/crankhinge/decisions/_unresponsive.py
@@ -17,29 +17,29 @@
     """
 
     def __init__(self, max_misses: int) -> None:
-        self._most = max_misses
-        self._missed: dict[str, int] = {}
-        self._until: dict[str, float] = {}
-        self._for_s: dict[str, float] = {}
+        self._max_misses = max_misses
+        self._misses: dict[str, int] = {}
+        self._skip_until: dict[str, float] = {}
+        self._skip_s: dict[str, float] = {}
 
     def is_skipped(self, name: str, now: float) -> bool:
         """Whether an instance is not worth a question now."""
-        return self._until.get(name, now) > now
+        return self._skip_until.get(name, now) > now
 
     def missed_last(self, name: str) -> bool:
         """Whether the last question to an instance was left unanswered."""
-        return name in self._missed
+        return name in self._misses
 
     def record_unresponsive(self, name: str, now: float) -> None:
         """Note that an instance did not answer."""
-        self._missed[name] = self._missed.get(name, 0) + 1
-        if self._missed[name] < self._most:
+        self._misses[name] = self._misses.get(name, 0) + 1
+        if self._misses[name] < self._max_misses:
             return
-        for_s = self._for_s.get(name, FIRST_SKIP_S)
-        self._until[name] = now + for_s
-        self._for_s[name] = min(MAX_SKIP_S, 2 * for_s)
+        skip_s = self._skip_s.get(name, FIRST_SKIP_S)
+        self._skip_until[name] = now + skip_s
+        self._skip_s[name] = min(MAX_SKIP_S, 2 * skip_s)
 
     def record_response(self, name: str) -> None:
         """Note that an instance answered, or that it has just come."""
-        for table in (self._missed, self._until, self._for_s):
+        for table in (self._misses, self._skip_until, self._skip_s):
             table.pop(name, None)
--- a/src/crankhinge/decisions/_work_queue.py
+++ b/src/crankhinge/decisions/_work_queue.py
@@ -48,8 +48,8 @@
     def backlog_s(self, now: float) -> float:
         """Return the seconds of work already taken on."""
         units = float(self._waiting_units)
-        for ask, since in self._running.values():
-            units += max(0.0, ask.units - (now - since) * self.units_per_s)
+        for request, since in self._running.values():
+            units += max(0.0, request.units - (now - since) * self.units_per_s)
         return units / self.units_per_s
 
     def submit(self, request: WorkRequest, now: float) -> Refusal | None:
@@ -75,14 +75,14 @@
         """Return the requests to start now and those whose time has run out unstarted."""
         starts: list[WorkRequest] = []
         late: list[Refusal] = []
-        while self.free_slots and (ask := self._queue.pop()) is not None:
-            self._waiting_units -= ask.units
-            late_by = now + ask.units / self.units_per_s - ask.deadline
+        while self.free_slots and (request := self._queue.pop()) is not None:
+            self._waiting_units -= request.units
+            late_by = now + request.units / self.units_per_s - request.deadline
             if self._mech.refuse_early and late_by > 0:
-                late.append(Refusal(ask.req, "overloaded", self.backlog_s(now)))
+                late.append(Refusal(request.req, "overloaded", self.backlog_s(now)))
                 continue
-            self._running[ask.req] = (ask, now)
-            starts.append(ask)
+            self._running[request.req] = (request, now)
+            starts.append(request)
         return starts, late
 
     def record_end(self, req: int, now: float, *, done: int = 0) -> None:
@@ -99,5 +99,5 @@
         running = self._running.pop(req, None)
         if running is not None and done > 0:
             took = max(1e-4, now - running[1])
-            alone = done / took * max(1, len(self._running) + 1)
-            self.units_per_s += RATE_EWMA_WEIGHT * (alone - self.units_per_s)
+            measured_per_s = done / took * max(1, len(self._running) + 1)
+            self.units_per_s += RATE_EWMA_WEIGHT * (measured_per_s - self.units_per_s)
