--- a/src/crankhinge/decisions/_advertised_limits.py
+++ b/src/crankhinge/decisions/_advertised_limits.py
@@ -1,10 +1,10 @@
-"""What servers say they take from all instances together, as one instance knows it.
+"""The limits that servers advertise for all instances together, as one instance knows them.
 
-A server in need names a rate in its answers, for as long as the need lasts. Answers overtake each
-other, and instances tell each other what they heard, so of two words the one that can only have
-been said later stands: a rate counts from when it was heard, and its end from when a request was
-sent that an answer without one came to. A server that names something that is no rate is still in
-need; its last rate stands.
+An overloaded server advertises a rate in its responses as long as the overload lasts. Responses
+overtake each other, and instances forward what they received. Of two contradicting messages, the
+one that is certainly later counts: a rate counts from when it was received, and its end from when a
+request was sent whose response advertised none. A server that advertises something that is not a
+rate is still overloaded, and its last rate stays in force.
 """
 
 from __future__ import annotations
@@ -14,25 +14,26 @@
 
 from crankhinge.decisions._bounded import keep_newest
 
-# Servers remembered that name rates, and those that named one before: more than a fleet has that
-# are in need at once.
+# Number of servers with a limit that are remembered, and of servers whose limit has ended: no fleet
+# has more overloaded servers at a time.
 MAX_TRACKED_SERVERS = 1024
-# Rates that an instance tells in its note in the store: 1 kB at most.
+# Maximum number of limits in the instance record in the store: 1 kB at most.
 MAX_PUBLISHED_LIMITS = 16
-# A note tells another rate of a server only when it has moved by this factor: each change of a note
-# is a priced write, and whoever reads it hears the server's own word with its first answer.
+# A published limit is updated only when it has changed by this factor. Each update of the record is
+# a write that is charged for, and its readers get the exact limit with the server's first response.
 REPUBLISH_FACTOR = 2.0
-# How old a rate may be that is read in a note, in seconds: an end that was heard since stands.
+# Assumed age in seconds of a limit that is read from an instance record, so that an end received
+# since then stays in force.
 MAX_RECORD_AGE_S = 40.0
 
 
 @dataclass(frozen=True, slots=True)
 class AdvertisedLimit:
-    """What a server takes.
+    """The limit that a server advertises.
 
     Attributes:
         per_s: requests a second from all instances together.
-        received_at: when it was heard, on the runtime's clock, in seconds.
+        received_at: when it was received, by the runtime's clock in seconds.
     """
 
     per_s: float
@@ -40,7 +41,7 @@
 
 
 class AdvertisedLimits:
-    """The rates that servers name, by the servers' identities."""
+    """The advertised limits, by the incarnation id of the server."""
 
     def __init__(self) -> None:
         self._limits: dict[str, AdvertisedLimit] = {}
@@ -52,23 +53,23 @@
 
     @property
     def servers(self) -> list[str]:
-        """Identities of the servers that name rates."""
+        """Incarnation ids of the servers that advertise a limit."""
         return list(self._limits)
 
     def get(self, server: str) -> AdvertisedLimit | None:
-        """Return what a server takes; None where it names nothing."""
+        """Return the limit of a server; None when it advertises none."""
         return self._limits.get(server)
 
     def record_limit(self, server: str, per_s: float, at: float) -> bool:
-        """Note that a server named a rate.
+        """Record that a server advertised a limit.
 
         Args:
-            server: its identity.
+            server: its incarnation id.
             per_s: requests a second.
-            at: when an answer told so, on the runtime's clock, in seconds.
+            at: when the response with the limit was received, by the runtime's clock in seconds.
 
         Returns:
-            Whether this instance believed something else.
+            Whether this changed the known limit.
         """
         if at <= self._ended_at.get(server, float("-inf")):
             return False
@@ -79,21 +80,22 @@
         return known is None or known.per_s != per_s
 
     def record_unreadable(self, server: str, at: float) -> None:
-        """Note that a server named something that is no rate: it is still in need."""
+        """Record that a server advertised an unreadable limit: it is still overloaded."""
         known = self._limits.get(server)
         if known is not None and at > known.received_at:
             keep_newest(self._limits, server, AdvertisedLimit(known.per_s, at), MAX_TRACKED_SERVERS)
 
     def record_no_limit(self, server: str, sent_at: float) -> bool:
-        """Note that a server named nothing in an answer.
+        """Record that a response of a server advertised no limit.
 
         Args:
-            server: its identity.
-            sent_at: when the request was sent that it answered, on the runtime's clock, in seconds.
-                Sent before the rate was heard, it may have been answered before that, too.
+            server: its incarnation id.
+            sent_at: when the request was sent, by the runtime's clock in seconds. If that was
+                before the limit was received, the response may be older than the limit as well, and
+                ends nothing.
 
         Returns:
-            Whether it has ceased to name a rate by that.
+            Whether this ended a known limit.
         """
         known = self._limits.get(server)
         if known is None or sent_at <= known.received_at:
@@ -103,11 +105,11 @@
         return True
 
     def to_instance_record(self, servers: Collection[str], now: float) -> Mapping[str, float]:
-        """Return what belongs into this instance's note of some servers: their rates, roughly.
+        """Return the approximate limits of some servers for this instance's record in the store.
 
         Args:
-            servers: identities.
-            now: on the runtime's clock, in seconds.
+            servers: incarnation ids.
+            now: time of the runtime's clock in seconds.
         """
         recent = [
             server
@@ -126,7 +128,7 @@
         return dict(published)
 
     def apply_instance_record(self, published: Mapping[str, float], now: float) -> list[str]:
-        """Take what was read in a note; returns the servers of which it was news."""
+        """Apply the limits from an instance record; returns the servers whose limit changed."""
         at = now - MAX_RECORD_AGE_S
         return [
             server for server, per_s in published.items() if self.record_limit(server, per_s, at)
--- a/src/crankhinge/decisions/_exclusions.py
+++ b/src/crankhinge/decisions/_exclusions.py
@@ -1,8 +1,8 @@
-"""What servers say that bars requests from them: that they leave, or want none for a while.
+"""Servers that must get no request now, by what they announced: a shutdown or a backoff.
 
-A bar holds whatever other servers there are. Which of the servers without one gets a request is a
-preference, kept in :class:`ServerStats`, so that no guess of an instance shortens what a server
-said.
+An exclusion holds no matter which other servers exist. The choice among the servers that are not
+excluded is a preference, kept in :class:`ServerStats`; estimates of an instance are kept apart so
+that they never shorten an announcement of a server.
 """
 
 from __future__ import annotations
@@ -11,12 +11,13 @@
 
 from crankhinge.decisions._bounded import keep_newest
 
-# Servers remembered that said something: more than a fleet has that leave or rest at once.
+# Number of servers whose announcements are remembered; no fleet has more servers that leave or back
+# off at the same time.
 MAX_TRACKED_SERVERS = 1024
 
 
 class ExclusionReason(enum.Enum):
-    """Why a server gets no request."""
+    """Why a server must get no request."""
 
     GONE = "gone"
     LEAVING = "leaving"
@@ -25,9 +26,10 @@
 
 
 class ServerExclusions:
-    """What servers said, by the identities of their lives.
+    """What servers announced, by incarnation id.
 
-    A word outlives the server's entry, which may lapse and come back while the same life goes on.
+    An announcement outlives the server's entry in the list: the entry may lapse and be written
+    again by the same incarnation.
     """
 
     def __init__(self) -> None:
@@ -36,13 +38,13 @@
         self._latest_backoff_end = float("-inf")
 
     def record_leaving(self, server: str, at: float) -> bool:
-        """Note that a server says it leaves; returns whether that is news.
+        """Record that a server announced its shutdown; returns whether that is new.
 
-        No life that leaves comes back, so nothing lifts it.
+        The announcement is never withdrawn: an incarnation that is leaving does not come back.
 
         Args:
-            server: its identity.
-            at: when it was heard, on the runtime's clock, in seconds.
+            server: its incarnation id.
+            at: when the announcement was received, by the runtime's clock in seconds.
         """
         if server in self._leaving_since:
             return False
@@ -50,11 +52,11 @@
         return True
 
     def record_backoff(self, server: str, until: float) -> bool:
-        """Note that a server wants no request for a while; returns whether for longer than known.
+        """Record that a server asked for no requests for a while; returns whether this extends it.
 
         Args:
-            server: its identity.
-            until: on the runtime's clock, in seconds.
+            server: its incarnation id.
+            until: end of the backoff by the runtime's clock, in seconds.
         """
         if until <= self._backoff_ends.get(server, float("-inf")):
             return False
@@ -63,20 +65,20 @@
         return True
 
     def leaving_since(self, server: str) -> float | None:
-        """Return when a server was first heard to leave; None where it was not."""
+        """Return when this instance first learned that the server is leaving; None if it is not."""
         return self._leaving_since.get(server)
 
     def has_backoffs(self, now: float) -> bool:
-        """Whether any server may want no request now; false spares the look at each of them."""
+        """Whether any server may be in backoff; if false, callers need not check each server."""
         return now < self._latest_backoff_end
 
     def backoff_until(self, server: str, now: float) -> float | None:
-        """Return until when a server wants no request; None where it wants some now."""
+        """Return the end of a server's backoff; None when it is not in backoff."""
         until = self._backoff_ends.get(server, now)
         return until if until > now else None
 
     def violation_log_fields(self, server: str, now: float) -> dict[str, float]:
-        """Return what tells that a request is sent to a server in spite of what that said."""
+        """Return the log fields for a request sent to a server despite its announcement."""
         fields = {}
         since, until = self.leaving_since(server), self.backoff_until(server, now)
         if since is not None:
--- a/src/crankhinge/decisions/_permit_pool.py
+++ b/src/crankhinge/decisions/_permit_pool.py
@@ -1,41 +1,42 @@
-"""The requests to one server that one instance hands out, from the shares that it was lent."""
+"""Permits for requests to one server, granted by an instance from the shares leased to it."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-# What the operators allow beyond a server's own word: in so many seconds this part more, and so
-# many requests.
+# What the operators allow beyond the advertised limit: within a window of this many seconds, this
+# fraction more plus a fixed number of requests.
 WINDOW_S = 4.0
 ALLOWED_OVERRUN = 0.5
 ALLOWED_SLACK = 5.0
-# Seconds after a request may be sent until it has reached its server, at most: until its prompt was
-# read elsewhere, and a connection made.
+# Upper bound of the seconds between the time at which a request may be sent and its arrival at the
+# server: its prompt is processed elsewhere first, and a connection is made.
 PERMIT_TRANSIT_S = 1.2
 CONNECT_S = 0.4
-# What a server that names less is sent all the same, in requests a second: one in four seconds
-# tells when its need has ended, and the operators allow five.
+# Minimum rate, in requests a second, for a server that advertises less. One request in four seconds
+# finds out when the limit has ended; the operators allow five.
 MIN_RATE_PER_S = 0.25
-# What may be sent at once after a pause: so many seconds of what the server takes, or so many
-# requests. With one request, whatever gathers before the next is asked for would be lost.
+# Burst after a pause: this many seconds of the server's rate, or a minimum number of requests. With
+# a burst of one request, all capacity that accumulates before the next request would be lost.
 BURST_S = 1.0
 MIN_BURST = 2.0
-# When to ask again whoever was lent too little to hand out anything, in seconds.
+# Retry delay in seconds for instances while too few shares are leased to grant any permit.
 NO_SHARE_RETRY_S = 0.5
-# Nobody is told to come back later or sooner than this, in seconds. Whoever is told the latest may
-# find others before it.
+# Bounds of the retry delay in seconds. Callers that get the maximum may meet other callers with an
+# earlier turn when they retry.
 MAX_RETRY_AFTER_S = 5.0
 MIN_RETRY_AFTER_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class PermitDecision:
-    """What is said to who wants to send a request to a server.
+    """The response to a request for a permit.
 
     Attributes:
-        granted: whether it may be sent.
-        after_s: seconds after which it may; where it is not granted, when to ask again.
+        granted: whether the request may be sent.
+        after_s: seconds until the request may be sent; without a grant, until the next attempt to
+            get one.
     """
 
     granted: bool
@@ -43,15 +44,16 @@
 
 
 def allowed_in_window(per_s: float) -> float:
-    """Return how many requests may reach a server in a window that takes *per_s*."""
+    """Return how many requests may reach a server with the limit *per_s* within a window."""
     return per_s * WINDOW_S * (1.0 + ALLOWED_OVERRUN) + ALLOWED_SLACK
 
 
 def burst_limit(per_s: float, fraction: float) -> float:
-    """Return how many requests may be sent at once by who hands out a part of what a server takes.
+    """Return the maximum burst for an allocator that holds a fraction of a server's limit.
 
-    What is handed out in a window's time, and as long before it as a request may be late, is the
-    rate times that and this. For all parts together that is what the operators allow.
+    The permits granted within a window, and in the time before it for which a request may be late,
+    are bounded by the rate times that duration plus this burst. For all fractions together the sum
+    is what the operators allow.
     """
     rate = max(per_s, MIN_RATE_PER_S)
     spare = allowed_in_window(per_s) - rate * (WINDOW_S + PERMIT_TRANSIT_S + CONNECT_S)
@@ -59,32 +61,35 @@
 
 
 class PermitPool:
-    """Requests that may be sent to one server; none at first, since nobody knows who sent what.
+    """Permits for one server; none at first, since earlier grants are unknown.
 
     Args:
-        per_s: requests a second that the server takes from all instances together.
-        now: on the runtime's clock, in seconds.
+        per_s: requests a second that the server accepts from all instances together.
+        now: time of the runtime's clock in seconds.
 
     Attributes:
-        per_s: the same, as the server named it last.
+        per_s: the same, as last advertised by the server.
     """
 
     def __init__(self, per_s: float, now: float) -> None:
         self.per_s = per_s
         self._refilled_at = now
-        # Requests that may be sent at once; negative where some were granted that are sent later.
+        # Permits available now; negative when permits were granted for requests that are sent
+        # later.
         self._available = 0.0
-        # Requests that were refused and are to come back, which those that are refused next come
-        # back after: callers, and instances that ask again for whatever they have by then.
+        # Refused requests that are expected to come back, after which those that are refused next
+        # get their turn: requests of callers, and of instances, which ask again for all that they
+        # have waiting by then.
         self._waiting_callers = self._waiting_instances = 0.0
-        # When each share is its lender's again, by the lender's name, and no later than the first.
+        # End of the lease of each share, by the name of its lender, and a lower bound of these
+        # ends.
         self._share_ends: dict[str, float] = {}
         self._earliest_end = math.inf
-        # Instances that lenders counted, at most.
+        # Largest fleet size that the lenders counted.
         self._max_lender_fleet_size = 1
 
     def leased_fraction(self, fleet_size: int) -> float:
-        """Return the part of all that was lent, where this instance counts *fleet_size* of them."""
+        """Return the fraction of the limit that is leased to this instance, from 0 to 1."""
         return len(self._share_ends) / max(
             fleet_size, self._max_lender_fleet_size, len(self._share_ends)
         )
@@ -92,14 +97,15 @@
     def add_share(
         self, lender: str, until: float, fleet_size: int, now: float, *, lender_fleet_size: int
     ) -> None:
-        """Take the share of an instance.
+        """Add the share of an instance.
 
         Args:
             lender: its name.
-            until: when its share is its own again, on the runtime's clock, in seconds.
-            fleet_size: instances that this one counts.
-            now: on the runtime's clock, in seconds.
-            lender_fleet_size: instances that the lender counts; its share is one part of as many.
+            until: end of the lease by the runtime's clock, in seconds.
+            fleet_size: number of instances that this instance counts.
+            now: time of the runtime's clock in seconds.
+            lender_fleet_size: number of instances that the lender counts; its share is the limit
+                divided by this number.
         """
         self._refill(fleet_size, now)
         if until > now:
@@ -108,7 +114,7 @@
             self._max_lender_fleet_size = max(self._max_lender_fleet_size, lender_fleet_size)
 
     def set_rate(self, per_s: float, fleet_size: int, now: float) -> None:
-        """Note what the server takes from now on."""
+        """Set the rate that the server accepts from now on."""
         self._refill(fleet_size, now)
         self.per_s = per_s
         self._clamp(fleet_size)
@@ -116,14 +122,15 @@
     def take_permit(
         self, within_s: float, fleet_size: int, now: float, *, for_caller: bool = False
     ) -> PermitDecision:
-        """Hand out one request, or tell when to ask again.
+        """Grant one permit, or tell when to ask again.
 
         Args:
-            within_s: seconds within which it is to be sent.
-            fleet_size: instances that this one counts.
-            now: on the runtime's clock, in seconds.
-            for_caller: whether a caller is told when to come back; each gets a time of its own.
-                Else an instance asks again for whatever it has by then.
+            within_s: seconds within which the request is to be sent.
+            fleet_size: number of instances that this instance counts.
+            now: time of the runtime's clock in seconds.
+            for_caller: whether the time is passed on to a caller as its retry delay; each caller
+                gets a time of its own. Otherwise an instance asks again for all requests it has by
+                then.
         """
         self._refill(fleet_size, now)
         fraction = self.leased_fraction(fleet_size)
@@ -145,13 +152,13 @@
         return PermitDecision(False, retry_after_s)
 
     def return_permit(self, fleet_size: int, now: float) -> None:
-        """Take back a request that was not sent."""
+        """Take back the permit of a request that was not sent."""
         self._refill(fleet_size, now)
         self._available += 1.0
         self._clamp(fleet_size)
 
     def _refill(self, fleet: int, now: float) -> None:
-        """Add what the shares gave since the last look."""
+        """Add the permits that the shares yielded since the last refill."""
         since, self._refilled_at = self._refilled_at, max(self._refilled_at, now)
         share_per_s = max(self.per_s, MIN_RATE_PER_S) / max(
             fleet, self._max_lender_fleet_size, len(self._share_ends)
@@ -168,7 +175,7 @@
         self._waiting_instances = max(0.0, self._waiting_instances - refilled)
 
     def _remove_ended_shares(self, now: float) -> None:
-        """Forget shares whose time is up; they give no more."""
+        """Remove the shares whose lease has ended."""
         self._share_ends = {
             lender: until for lender, until in self._share_ends.items() if until > now
         }
--- a/src/crankhinge/decisions/_quota.py
+++ b/src/crankhinge/decisions/_quota.py
@@ -1,14 +1,15 @@
-"""Limits of accounts that hold over all instances together.
-
-For each account one instance, the first in an order that depends on the account's name, hands out
-the account's tokens, request by request, from a bucket that fills at the account's rate. What the
-operators allow beyond the rate and the burst is kept for when that instance does not answer: the
-second in the order hands out a part of it, and each instance has a small part for itself. So the
-sum over all instances never exceeds what is allowed, whoever can reach whom, and nothing has to be
-agreed on; and below the limit nobody is refused while the first or the second answers.
-
-A request counts where it was sent and ran within the same window. It gets its tokens between the
-two, so what is handed out in a window bounds what counts in it.
+"""Token limits of client accounts that hold over all instances together.
+
+For each account one instance, the first in an order that depends on the account's name, allocates
+the account's tokens request by request from a bucket that fills at the account's rate. What the
+operators allow beyond the rate and the burst is reserved for the time when that instance does not
+respond: the second instance in the order allocates a part of it, and each instance has a small
+local part. So the sum over all instances never exceeds what is allowed, whichever instances can
+reach each other, and no agreement between instances is needed. Below the limit no request is
+refused while the first or the second instance responds.
+
+A request counts if it was sent and ran within the same window. It gets its tokens between the two,
+so the tokens allocated in a window bound what counts in it.
 """
 
 from __future__ import annotations
@@ -21,31 +22,32 @@
 from crankhinge.decisions._membership import Membership
 from crankhinge.decisions._unresponsive import UnresponsivePeers
 
-# Parts of what the operators allow: the first hands out the account's own rate and burst, but not
-# more than this part of all, since the others need some.
+# Share of the allowed tokens that the first instance may allocate at most: it allocates the
+# account's rate and burst, but the other instances need some tokens as well.
 MAX_MAIN_SHARE = 0.8
-# Of what is left over, the second hands out this part, all instances together the next one. The
-# rest is for single requests that are larger than a bucket.
+# Shares of the remaining tokens for the second instance, and for all instances together as their
+# local parts. The rest is kept for single requests that are larger than a bucket.
 STANDBY_SHARE = 0.5
 LOCAL_SHARE = 0.25
-# Of what may be handed out in a window, so much may be at once; the rest comes with time.
+# Share of a window's tokens that may be allocated at once; the rest becomes available over time.
 BURST_SHARE = 0.5
-# Questions that an instance may leave unanswered before it is passed over.
+# Unanswered requests in a row after which an instance is skipped.
 MAX_MISSES = 1
-# Callers that were refused come back one after the other; the last of them in so many seconds.
+# Longest retry delay in seconds: refused callers get increasing delays, so that they come back one
+# after the other.
 MAX_RETRY_AFTER_S = 5.0
-# Nobody is told to come back sooner, in seconds.
+# Shortest retry delay in seconds.
 MIN_RETRY_AFTER_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaBounds:
-    """What the operators allow beyond rate and burst.
+    """What the operators allow beyond the rate and burst of an account.
 
     Attributes:
-        window_s: seconds in which use is summed.
-        overrun: part of rate and burst.
-        slack: tokens.
+        window_s: seconds over which use is summed.
+        overrun: allowed excess as a fraction of rate and burst.
+        slack: allowed excess in tokens.
     """
 
     window_s: float = 8.0
@@ -53,12 +55,12 @@
     slack: float = 0.0
 
     def allowed_in_window(self, limit: TokenLimit) -> float:
-        """Return what an account may use in a window, in tokens."""
+        """Return how many tokens an account may use in a window."""
         entitled = limit.per_s * self.window_s + limit.burst
         return entitled * (1.0 + self.overrun) + self.slack
 
     def pools(self, limit: TokenLimit, instances: int) -> QuotaPools:
-        """Return what is handed out by whom."""
+        """Return how the allowed tokens are divided among the instances."""
         allowed = self.allowed_in_window(limit)
         entitled = limit.per_s * self.window_s + limit.burst
         main_share = min(1.0, MAX_MAIN_SHARE * allowed / entitled)
@@ -70,18 +72,18 @@
         )
 
     def _rate_and_burst(self, tokens: float) -> TokenLimit:
-        """Return the rate and burst that use *tokens* in a window at most."""
+        """Return the rate and burst that use at most *tokens* in a window."""
         return TokenLimit((1.0 - BURST_SHARE) * tokens / self.window_s, BURST_SHARE * tokens)
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaPools:
-    """What is handed out of an account's tokens.
+    """The buckets among which an account's allowed tokens are divided.
 
     Attributes:
-        main: by the first instance in the account's order.
-        standby: by the second.
-        local: by each instance to itself.
+        main: bucket of the first instance in the account's order.
+        standby: bucket of the second instance.
+        local: bucket of each instance for its own requests.
     """
 
     main: TokenLimit
@@ -90,13 +92,13 @@
 
 
 class TokenBucket:
-    """Fills with time up to a burst; empty at first, since nobody knows what was used before.
+    """A token bucket that starts empty, since earlier use is unknown.
 
     Args:
-        now: when it began to fill, on the runtime's clock, in seconds.
+        now: when it begins to fill, by the runtime's clock in seconds.
 
     Attributes:
-        level: tokens in it when it was last asked; negative where a large request owes some.
+        level: tokens in it at the last request; negative after a request larger than the burst.
     """
 
     def __init__(self, now: float) -> None:
@@ -105,9 +107,10 @@
         self._queue_until = now
 
     def take(self, tokens: float, limit: TokenLimit, now: float) -> float:
-        """Take *tokens*; returns 0, or the seconds after which they may be there.
+        """Take *tokens*; returns 0, or the seconds after which they may be available.
 
-        A request larger than the burst is let in when the bucket is full, and owes the rest.
+        A request larger than the burst is admitted when the bucket is full, and leaves a negative
+        level.
         """
         self._refill(limit, now)
         needed = min(tokens, limit.burst)
@@ -116,13 +119,13 @@
             return 0.0
         if limit.per_s <= 0 or limit.burst <= 0:
             return MAX_RETRY_AFTER_S
-        # Those that were refused before this one come back before it.
+        # Requests that were refused earlier come back before this one.
         available_in_s = max(now + (needed - self.level) / limit.per_s, self._queue_until)
         self._queue_until = min(available_in_s + tokens / limit.per_s, now + MAX_RETRY_AFTER_S)
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, available_in_s - now))
 
     def put_back(self, tokens: float, limit: TokenLimit) -> None:
-        """Put back what a request took that did not run."""
+        """Put back the tokens of a request that did not run."""
         self.level = min(limit.burst, self.level + tokens)
 
     def _refill(self, limit: TokenLimit, now: float) -> None:
@@ -132,7 +135,7 @@
 
 
 class QuotaOutcome(enum.Enum):
-    """What is said to who asks for tokens."""
+    """Result of a request for tokens."""
 
     GRANTED = "granted"
     OVER_LIMIT = "over-limit"
@@ -141,12 +144,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecision:
-    """An answer to who asks for tokens.
+    """The response to a request for tokens.
 
     Attributes:
-        outcome: whether they are handed out.
-        retry_after_s: seconds after which to come back; 0 where nothing is known.
-        left_tokens: tokens that are left of the pool that was asked.
+        outcome: whether the tokens are granted.
+        retry_after_s: seconds until the caller should retry; 0 when unknown.
+        left_tokens: tokens left in the bucket.
     """
 
     outcome: QuotaOutcome
@@ -158,7 +161,7 @@
 
 
 class _Role(enum.Enum):
-    """The part of an instance for an account."""
+    """What an instance is for an account: first allocator, second allocator, or neither."""
 
     MAIN = "main"
     STANDBY = "standby"
@@ -167,20 +170,20 @@
 
 @dataclass
 class _AccountBuckets:
-    """The buckets of one account, by the part in which they were begun."""
+    """The buckets of one account, by the role under which they were created."""
 
     buckets: dict[_Role, TokenBucket] = field(default_factory=dict)
     role: _Role = _Role.LOCAL
 
 
 class QuotaAllocator:
-    """Hands out tokens: those that fall to this instance, and its own small part.
+    """Allocates tokens of the accounts assigned to this instance, and from its local buckets.
 
     Args:
-        name: of this instance.
-        membership: the instances.
+        name: name of this instance.
+        membership: the known instances.
         bounds: what the operators allow.
-        now: on the runtime's clock, in seconds.
+        now: time of the runtime's clock in seconds.
     """
 
     def __init__(
@@ -193,14 +196,14 @@
         self._accounts: dict[str, _AccountBuckets] = {}
 
     def allocate(self, account: Account, tokens: float, now: float) -> QuotaDecision:
-        """Hand out tokens for a request that reached any instance."""
+        """Allocate tokens for a request that arrived at any instance."""
         role = self._role_for(account.name, now)
         if role is _Role.LOCAL:
             return NOT_ALLOCATOR
         return self._take_from(role, account, tokens, now)
 
     def allocate_local(self, account: Account, tokens: float, now: float) -> QuotaDecision:
-        """Hand out tokens for a request that reached this instance, when nobody else answers."""
+        """Allocate tokens for a request that arrived here while no allocator responds."""
         if not self._membership.has_counted_instances(now):
             return NOT_ALLOCATOR
         return self._take_from(_Role.LOCAL, account, tokens, now)
@@ -208,7 +211,7 @@
     def return_tokens(
         self, account: Account, tokens: float, now: float, *, local: bool = False
     ) -> None:
-        """Take tokens back that were handed out for a request that did not run."""
+        """Take back the tokens of a request that did not run."""
         account_buckets = self._accounts.get(account.name)
         role = _Role.LOCAL if local else self._role_for(account.name, now)
         bucket = account_buckets.buckets.get(role) if account_buckets else None
@@ -237,7 +240,7 @@
     def _bucket(self, account: str, role: _Role, now: float) -> TokenBucket:
         account_buckets = self._accounts.setdefault(account, _AccountBuckets())
         if role is not _Role.LOCAL and role is not account_buckets.role:
-            # Another instance had this part until now: what it handed out is not known here.
+            # Another instance had this role until now, and its allocations are unknown here.
             account_buckets.buckets.pop(role, None)
             account_buckets.role = role
         if role not in account_buckets.buckets:
@@ -251,11 +254,11 @@
 
 
 class QuotaClient:
-    """Whom to ask for tokens, and what to make of silence.
+    """Chooses the instances to ask for tokens, and skips unresponsive ones.
 
     Args:
-        name: of this instance.
-        membership: the instances.
+        name: name of this instance.
+        membership: the known instances.
     """
 
     def __init__(self, *, name: str, membership: Membership) -> None:
@@ -264,7 +267,7 @@
         self._unresponsive = UnresponsivePeers(MAX_MISSES)
 
     def allocators(self, account: str, now: float) -> Sequence[str]:
-        """Return whom to ask, one after the other, until one grants or refuses."""
+        """Return the instances to ask, one after the other until one grants or refuses."""
         return [
             name
             for name in self._membership.rank_instances(account)[:2]
@@ -272,9 +275,9 @@
         ]
 
     def record_unresponsive(self, name: str, now: float) -> None:
-        """Note that an instance did not answer."""
+        """Record that an instance did not respond."""
         self._unresponsive.record_unresponsive(name, now)
 
     def record_response(self, name: str) -> None:
-        """Note that an instance answered, or that it has just come."""
+        """Record that an instance responded, or that it has just joined."""
         self._unresponsive.record_response(name)
--- a/src/crankhinge/decisions/_server_stats.py
+++ b/src/crankhinge/decisions/_server_stats.py
@@ -1,4 +1,4 @@
-"""What one instance has seen of a backend server: load, speed, failures."""
+"""Load, response time and failures of a server as one instance measured them; the choice."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 from crankhinge.decisions._breaker import Breaker
 from crankhinge.decisions._servers import EngineRole, Server
 
-# Weight of the newest sample in the averages: some ten requests shape them.
+# Weight of the newest sample in the moving averages: about ten requests determine them.
 EWMA_WEIGHT = 0.15
-# How much a failure share of one makes a server look slower.
+# How strongly the failure share raises the cost of a server: a share of 1 adds this factor to it.
 FAILURE_FACTOR = 8.0
-# Before anything was seen of any server all count as this fast, in seconds.
+# Assumed response time, in seconds, while no server of a choice has been measured.
 DEFAULT_RESPONSE_S = 0.05
-# An engine that had no room for a reservation is asked again after this long, in seconds: with
-# twelve answers of three seconds in its memory, one ends four times as rarely.
+# Seconds until an engine that had no capacity for a reservation is tried again. With twelve answers
+# of three seconds in its memory, an answer ends only once in four times this interval.
 NO_CAPACITY_PAUSE_S = 0.06
-# After a refusal a server is left alone for this long, in seconds; twice as long after each further
-# one, up to the most. An engine that changes its part refuses for six seconds or more, and all
-# instances together may repeat a fifth of their requests only; a plain server that refuses at once
-# looks least busy, and would get most of the next calls.
+# Seconds without requests after a refusal; doubled with each further refusal in a row, up to the
+# maximum. An engine that changes its role refuses requests for six seconds or more, and all
+# instances together may retry only a fifth of their requests. A plain server that refuses at once
+# looks least busy, and would get most of the next calls without this pause.
 REFUSAL_PAUSE_S = 0.7
 MAX_REFUSAL_PAUSE_S = 6.0
-# A server in another availability zone looks this much slower; a few percent is what the way costs.
+# Cost factor of a server in another availability zone: the network adds a few percent.
 OTHER_ZONE_FACTOR = 1.1
 
 
 @dataclass(frozen=True, slots=True)
 class RoleChange:
-    """An order that a server has taken.
+    """An order to change its role that a server has accepted.
 
     Attributes:
-        role: the part that it will play.
-        until: when it does at the latest, or the order is over.
+        role: its next role.
+        until: when the change is complete at the latest; after that the order is void.
     """
 
     role: EngineRole
@@ -43,19 +43,20 @@
 
 @dataclass
 class ServerStats:
-    """Beliefs about one server; ages are those of the requests that shaped them.
+    """What this instance measured of one server.
 
     Attributes:
-        open_requests: requests of this instance in progress there.
-        reserved_tokens: memory in tokens that those requests take.
-        mean_response_s: average time of an answer; 0 before the first.
-        failure_share: average share of failures.
-        full_until: when to ask again after it refused for want of room; a guess. What it asks for
-            itself is kept in :class:`ServerExclusions`.
-        limited_until: when it may be sent more than it says it takes all together.
-        consecutive_refusals: in a row.
-        is_replaced: another server has its address.
-        role_change: the last order that it is known to have taken.
+        open_requests: this instance's requests in progress on the server.
+        reserved_tokens: KV memory that those requests occupy, in tokens.
+        mean_response_s: moving average of the response time; 0 before the first response.
+        failure_share: moving average of the share of failed requests, from 0 to 1.
+        full_until: when to try again after the server had no capacity; an estimate. A backoff that
+            the server itself asks for is kept in :class:`ServerExclusions`.
+        limited_until: when a request may be sent to it under the limit that it advertises for all
+            instances together.
+        consecutive_refusals: refusals since the last success.
+        is_replaced: whether another server has its address now.
+        role_change: the last order that it is known to have accepted.
     """
 
     open_requests: int = 0
@@ -70,35 +71,41 @@
     breaker: Breaker = field(default_factory=Breaker)
 
     def effective_role(self, listed_role: EngineRole, now: float) -> EngineRole:
-        """Return the part that it takes work for, when its entry tells *listed_role*.
+        """Return the role for which the server accepts requests now.
 
-        From an order on it refuses work for its old part, and its entry tells the new one some six
-        seconds later. What is sent until then is refused, and each refusal is a repeat.
+        Once it has accepted an order, a server refuses requests for its old role, but its entry in
+        the list shows the new role only about six seconds later. Requests sent for the listed role
+        until then would be refused, and each refusal costs a retry.
+
+        Args:
+            listed_role: the role in its entry.
+            now: time of the runtime's clock in seconds.
         """
         change = self.role_change
         return listed_role if change is None or now >= change.until else change.role
 
     def record_success(self, took_s: float) -> None:
-        """Note an answer."""
+        """Record a response."""
         self.record_duration(took_s)
         self.failure_share *= 1 - EWMA_WEIGHT
         self.consecutive_refusals = 0
         self.breaker.record_success()
 
     def record_duration(self, seconds: float) -> None:
-        """Note how long a request took, or how long it was waited for in vain."""
-        # The first tells all: averages that begin elsewhere take a reader's ten answers to arrive.
+        """Record how long a request took, or how long this instance waited for it in vain."""
+        # The first sample sets the average: starting from any other value, the average would need
+        # about ten requests to become realistic on a prefill engine.
         self.mean_response_s += (EWMA_WEIGHT if self.mean_response_s else 1.0) * (
             seconds - self.mean_response_s
         )
 
     def record_failure(self, now: float) -> None:
-        """Note a failure of the server itself."""
+        """Record a failure of the server itself."""
         self.failure_share += EWMA_WEIGHT * (1 - self.failure_share)
         self.breaker.record_failure(now)
 
     def record_refusal(self, now: float) -> None:
-        """Note that the server took a request up without running it."""
+        """Record that the server refused a request without running it."""
         self.failure_share += EWMA_WEIGHT * (1 - self.failure_share)
         self.full_until = now + min(
             MAX_REFUSAL_PAUSE_S, REFUSAL_PAUSE_S * 2.0**self.consecutive_refusals
@@ -106,22 +113,22 @@
         self.consecutive_refusals = min(10, self.consecutive_refusals + 1)
 
     def record_no_capacity(self, now: float, rng: random.Random) -> None:
-        """Note that it had no room for a reservation; instances ask again at different times."""
-        # The pause after a refusal is longer, and no shorter for this.
+        """Record that it had no capacity for a reservation; the pause is random per instance."""
+        # The pause after a refusal is longer and must not be shortened here.
         self.full_until = max(self.full_until, now + NO_CAPACITY_PAUSE_S * rng.uniform(0.7, 1.3))
 
     def record_at_limit(self, now: float, after_s: float) -> None:
-        """Note that it may be sent a request in *after_s*; several may be told different times."""
+        """Record that a request may be sent in *after_s*; the earliest of several times counts."""
         until = now + after_s
         known = self.limited_until
         self.limited_until = min(known, until) if known > now else until
 
     def expected_cost(self, default_response_s: float, *, other_zone: bool) -> float:
-        """Return the expected wait there, in arbitrary units.
+        """Return the cost of sending a request to this server; only comparisons are meaningful.
 
         Args:
-            default_response_s: what an answer is held to take where nothing was seen, in seconds.
-            other_zone: whether it is in another availability zone.
+            default_response_s: response time to assume when none has been measured, in seconds.
+            other_zone: whether the server is in another availability zone.
         """
         took_s = max(self.mean_response_s or default_response_s, 0.001)
         base = (self.open_requests + 1) * took_s * (1 + FAILURE_FACTOR * self.failure_share)
@@ -129,10 +136,10 @@
 
 
 def _default_response_s(all_stats: Iterable[ServerStats]) -> float:
-    """Return what an answer is held to take at a server of which nothing was seen, in seconds.
+    """Return the response time to assume for a server without measurements, in seconds.
 
-    As the others on the mean: held for faster, a reader that came in the place of another would get
-    the requests of all instances at once.
+    This is the mean of the others. If it were lower, a prefill engine that replaces another one
+    would get the requests of all instances at once.
     """
     seen = [stats.mean_response_s for stats in all_stats if stats.mean_response_s]
     return sum(seen) / len(seen) if seen else DEFAULT_RESPONSE_S
@@ -147,10 +154,11 @@
     rng: random.Random,
     avoid: frozenset[str] = frozenset(),
 ) -> Server | None:
-    """Return the server with the least expected wait, or None when there is none.
+    """Return the server with the lowest expected cost; None when there is none.
 
-    Servers that take no more now are out of the question. Those whose breaker is open, or that
-    refused a moment ago without a word on when to come back, are taken only when there is no other.
+    Servers that are at their advertised limit are never chosen. Servers whose breaker is open, or
+    that refused a request a moment ago without naming a time to retry, are chosen only when there
+    is no other.
     """
     candidates = [
         server
--- a/src/crankhinge/decisions/_servers.py
+++ b/src/crankhinge/decisions/_servers.py
@@ -1,9 +1,10 @@
-"""Which backend servers exist, judged from a list that can be away, late or forgetful.
+"""The backend servers that exist, derived from a list that can be unreachable, late or incomplete.
 
-A server keeps its own entry alive. While the list's keeper is away for all, entries lapse although
-their servers live, and are back shortly after its return. One instance that was cut off sees
-nothing of the kind: the other entries stand as they did. So what became of the other entries tells
-whether a missing one lapsed, and is doubted for a while, or whether its server has gone.
+Each server keeps its own entry in the platform's list alive. While the list's store is unreachable
+for all servers, entries lapse although their servers still run, and the servers write them again
+shortly after the store is back. When only one server is cut off from the store, the other entries
+stay unchanged. The state of the other entries therefore tells whether a missing entry lapsed, in
+which case its server is kept as a suspect for a while, or whether its server is gone.
 """
 
 from __future__ import annotations
@@ -12,20 +13,20 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-# Seconds after the list's return within which living servers have entered themselves again (two
-# heartbeats of 1.2 s at most, as the operators of the list state it).
+# Seconds after the store is reachable again within which running servers have written their entries
+# again: at most two heartbeats of 1.2 s, as the operators of the list state.
 REENTRY_S = 2.3
-# Entries that lapse do so together; fewer than this many missing at once are servers that left,
-# unless the list's keeper is known to have been away.
+# Entries that lapse during an outage of the store do so together. When fewer than this many are
+# missing at once, their servers have left, unless the store is known to have been unreachable.
 MIN_LAPSED_TOGETHER = 2
 
-# Servers that are gone whose last entry is remembered; entries are written late by seconds, in
-# which no fleet loses as many.
+# Number of gone servers whose last entry version is remembered. An entry can be written seconds
+# late; no fleet loses this many servers in that time.
 MAX_TRACKED_GONE = 4096
 
 
 class EngineRole(enum.Enum):
-    """The part that a server plays."""
+    """What an engine does: prefill, decode, or neither (a plain server)."""
 
     PLAIN = "plain"
     PREFILL = "read"
@@ -34,24 +35,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One life of a backend server, as its entry tells.
+    """One incarnation of a backend server, as described by its entry in the list.
 
     Attributes:
-        name: how the platform calls it; a server may start again under the name that it had.
-        service: what it serves.
+        name: the platform's name of the server; a restarted server may have the same name.
+        service: name of the service it belongs to.
         host: IP address.
         port: TCP port.
         zone: availability zone.
-        role: reads prompts, writes answers, or neither.
-        slots: requests at once.
-        leaving: takes no new work.
-        heartbeat: rises with each of its entries.
-        entry_created: when the entry came into being, as the list's keeper counts; it stays as
+        role: whether it is a prefill engine, a decode engine or a plain server.
+        slots: number of requests that it runs at once.
+        leaving: whether it announced its shutdown and takes no new requests.
+        heartbeat: counter that grows with each write of its entry.
+        entry_created: revision of the store at which the entry was created; it stays the same as
             long as the entry does not lapse.
-        models: names of the models that it holds; empty where it tells of none.
-        started_ms: Unix millisecond of its start; 0 where it tells none.
-        incarnation_id: of this life. Whatever is known or held of a server goes by it, so that
-            nothing of an earlier life is believed of a later one.
+        models: names of the models it serves; empty when its entry names none.
+        started_ms: start time in milliseconds since the Unix epoch; 0 when its entry has none.
+        incarnation_id: identifies this incarnation. All state about a server is kept under this id,
+            so that nothing learned about an earlier incarnation is applied to a later one.
     """
 
     name: str
@@ -74,23 +75,23 @@
 
     @property
     def entry_version(self) -> tuple[int, int]:
-        """Orders the entries of one name: by the life, then by its count."""
+        """Orders the entries of one name: by start time, then by heartbeat counter."""
         return self.started_ms, self.heartbeat
 
     def serves_model(self, model: str) -> bool:
-        """Whether it answers requests for *model*; empty stands for no model in particular."""
+        """Whether the server serves *model*; an empty *model* stands for any model."""
         return not model or not self.models or model in self.models
 
 
 @dataclass(frozen=True)
 class ServerListChange:
-    """What entries changed in the belief about servers.
+    """Which servers changed when entries were applied.
 
     Attributes:
-        changed: servers that are new, or that leave or play another part now.
-        removed: identities of servers that have gone.
-        suspected: identities of servers that are kept without an entry from now on.
-        restarted: identities of lives that ended, as the name's next life tells.
+        changed: servers that are new, started to leave, or changed their role.
+        removed: incarnation ids of servers that are gone.
+        suspected: incarnation ids of servers that are kept without an entry from now on.
+        restarted: incarnation ids that ended because the same name has a newer incarnation.
     """
 
     changed: tuple[Server, ...]
@@ -100,40 +101,41 @@
 
 
 class ServerList:
-    """The servers that are believed in."""
+    """The backend servers that this instance considers running."""
 
     def __init__(self) -> None:
         self._known: dict[str, Server] = {}
         self._incarnation_ids: dict[str, str] = {}
         self._suspects: dict[str, float] = {}
-        # Last entry of servers that are gone, by name: one that was written late is no life.
+        # Version of the last entry of each gone server, by name. An entry that is written late has
+        # no newer version and must not bring its server back.
         self._last_versions: dict[str, tuple[int, int]] = {}
-        # Identities of servers that are gone and had said that they leave.
+        # Incarnation ids of gone servers that had announced their shutdown.
         self._gone_leaving: dict[str, None] = {}
 
     def all(self) -> Iterable[Server]:
-        """Return every server believed in, leaving ones and doubted ones too."""
+        """Return all known servers, including leaving ones and suspects."""
         return self._known.values()
 
     def get(self, incarnation_id: str) -> Server | None:
-        """Return a server by the identity of its life."""
+        """Return the server with this incarnation id; None when it is unknown."""
         return self._known.get(incarnation_id)
 
     def is_leaving(self, incarnation_id: str) -> bool:
-        """Whether a server said that it leaves; it may have gone since."""
+        """Whether a server announced its shutdown; also true after it is gone."""
         known = self._known.get(incarnation_id)
         return known.leaving if known is not None else incarnation_id in self._gone_leaving
 
     def is_suspect(self, incarnation_id: str) -> bool:
-        """Whether the server has no entry and is kept since that may have lapsed."""
+        """Whether a server has no entry and is kept because the entry may only have lapsed."""
         return incarnation_id in self._suspects
 
     def suspects(self) -> list[str]:
-        """Return the identities of servers that are kept without an entry."""
+        """Return the incarnation ids of the servers that are kept without an entry."""
         return list(self._suspects)
 
     def apply_entry(self, server: Server) -> bool:
-        """Take an entry; returns whether it changed anything."""
+        """Apply one entry; returns whether it changed anything."""
         known = self.get_by_name(server.name)
         last = known.entry_version if known else self._last_versions.get(server.name, (-1, -1))
         if server.entry_version < last or (known is None and server.entry_version == last):
@@ -146,7 +148,7 @@
         return known != server
 
     def get_by_name(self, name: str) -> Server | None:
-        """Return the server that the platform calls *name*."""
+        """Return the current incarnation of the server with the platform's name *name*."""
         return self._known.get(self._incarnation_ids.get(name, ""))
 
     def apply_list(
@@ -157,13 +159,13 @@
         was_unreachable: bool,
         unusable: Iterable[str] = (),
     ) -> ServerListChange:
-        """Take a whole list.
+        """Apply a complete list of entries.
 
         Args:
-            servers: every entry that names a server to use.
-            unusable: names whose entries name none.
-            now: on the runtime's clock, in seconds.
-            was_unreachable: whether the list's keeper could not be reached since the last word.
+            servers: all entries that describe a usable server.
+            unusable: names of servers whose entries cannot be used.
+            now: time of the runtime's clock in seconds.
+            was_unreachable: whether the store was unreachable at some time since the last update.
         """
         listed = {server.name: server for server in servers}
         unusable_ids = self._remove_unusable(unusable)
@@ -184,14 +186,14 @@
         was_unreachable: bool,
         unusable: Iterable[str] = (),
     ) -> ServerListChange:
-        """Take what changed at once.
+        """Apply the entries that changed together.
 
         Args:
             servers: entries that were written.
-            gone: names whose entries have ended.
-            unusable: names whose entries no longer name a server to use.
-            now: on the runtime's clock, in seconds.
-            was_unreachable: as for :meth:`replace`.
+            gone: names of servers whose entries have ended.
+            unusable: names of servers whose entries cannot be used any more.
+            now: time of the runtime's clock in seconds.
+            was_unreachable: as for :meth:`apply_list`.
         """
         written = {server.name: server for server in servers}
         unusable_ids = self._remove_unusable(unusable)
@@ -202,7 +204,7 @@
         )
 
     def _remove_unusable(self, unusable: Iterable[str]) -> tuple[str, ...]:
-        """Drop the servers of entries that can't be used; returns their identities."""
+        """Remove the servers whose entries cannot be used; returns their incarnation ids."""
         removed = tuple(
             self._incarnation_ids[name] for name in unusable if name in self._incarnation_ids
         )
@@ -213,10 +215,11 @@
     def _have_entries_lapsed(
         self, entries: Mapping[str, Server], missing: list[str], *, was_unreachable: bool
     ) -> bool:
-        """Whether entries are missing because the list's keeper was away for all servers.
+        """Whether entries are missing because the store was unreachable for all servers.
 
-        Then most of them lapsed, some of those are back already, and none has come in their place.
-        Where most stand as they did, or as many others have come, the missing servers left.
+        In that case most entries lapsed, some of them have been written again, and no new servers
+        have come in place of the missing ones. When most entries are unchanged, or as many new
+        servers have come, the missing servers have left.
         """
         rewritten = sum(
             known.entry_created != entries[known.name].entry_created
@@ -264,18 +267,18 @@
         return ServerListChange(changed, unusable_ids + removed, suspected, restarted)
 
     def _apply_if_changed(self, server: Server) -> bool:
-        """Take an entry; returns whether it says more than that its server lives."""
+        """Apply an entry; returns whether it changed more than the heartbeat."""
         known = self._known.get(server.incarnation_id)
         return self.apply_entry(server) and (
             known is None or known.leaving != server.leaving or known.role != server.role
         )
 
     def next_suspect_expiry(self) -> float | None:
-        """Return when the next doubted server's time is up; None without one."""
+        """Return the time at which the next suspect expires; None without suspects."""
         return min(self._suspects.values(), default=None)
 
     def expire_suspects(self, now: float) -> list[str]:
-        """Drop doubted servers whose time is up; returns their identities."""
+        """Remove the suspects whose time has expired; returns their incarnation ids."""
         expired = [
             incarnation_id for incarnation_id, until in self._suspects.items() if until <= now
         ]
--- a/src/crankhinge/decisions/_shared_limits.py
+++ b/src/crankhinge/decisions/_shared_limits.py
@@ -1,17 +1,18 @@
-"""Servers' limits that hold over all instances together, without anybody's leave.
-
-Each instance has an equal share of what a server takes. It lends it, for seconds at a time, to the
-instance that comes first for that server in an order that all know, and that one hands out requests
-one by one, as many as the shares lent to it allow. Whoever finds nobody to ask has its own share
-only, which is less than a request in a large fleet. Since no share is lent twice at a time, all
-instances together never send more than the server takes, whoever can reach whom: halves of a fleet
-that are cut off from each other hand out what their own members lent. Nothing is asked of the
-store, so it goes on while that is away.
-
-A share is lent from when the lender sent its word, and ends for the borrower at a time of the
-borrower's own clock: the lender gives back the latest moment that it has seen of that clock, and
-the time counts from there. So a word that was under way or lay unread for seconds lends nothing
-beyond its time, and no two clocks have to agree.
+"""Advertised limits of servers, kept over all instances together without a central coordinator.
+
+Each instance has an equal share of the rate that a server accepts. It leases its share, for seconds
+at a time, to the instance that is first for that server in an order that all instances compute
+alike (the allocator). The allocator grants permits for single requests, as many as the shares
+leased to it allow. An instance that reaches no allocator has only its local share, which is less
+than one request in a large fleet. No share is leased out twice at a time, so all instances together
+never send more than the server accepts, whichever instances can reach each other: when a network
+fault splits the fleet, each part grants what its own instances leased. The store is not involved,
+so this also works while the store is unreachable.
+
+A lease begins when the lender sends it, and ends at a time of the allocator's clock: the lender
+returns the latest time of that clock that it has received, and the duration counts from there. So a
+message that was delayed by seconds leases nothing beyond its time, and clocks need not be
+synchronized.
 """
 
 from __future__ import annotations
@@ -25,26 +26,29 @@
 from crankhinge.decisions._permit_pool import PermitDecision, PermitPool, burst_limit
 from crankhinge.decisions._unresponsive import UnresponsivePeers
 
-# Seconds for which a share is lent, at least and for each instance; it is lent anew thrice in that
-# time. A borrower that dies takes the shares with it for as long; the more instances, the longer,
-# so that whoever hands out gets no more such words in a large fleet.
+# Seconds for which a share is leased: the minimum, and the amount for each instance. A lease is
+# renewed three times in its duration. When the allocator dies, the shares leased to it are unused
+# for that long. The duration grows with the number of instances so that the allocator does not
+# receive more renewals per second in a large fleet.
 MIN_SHARE_LEASE_S = 2.4
 SHARE_LEASE_S_PER_INSTANCE = 0.08
 RENEWALS_PER_LEASE = 3
-# Instances that may hand out for a server, in its order, before one relies on its own share.
+# Number of instances, in the order of a server, that may act as its allocator before an instance
+# falls back to its local share.
 MAX_ALLOCATORS = 2
-# Questions in a row that an instance may leave unanswered before it is passed over: a lossy link
-# drops three datagrams in a hundred.
+# Unanswered requests in a row after which an instance is skipped: a lossy link drops three
+# datagrams in a hundred.
 MAX_MISSES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class ClockStamp:
-    """A moment of a borrower's clock.
+    """A time of the allocator's clock.
 
     Attributes:
-        incarnation: number of the borrower's life; a later one knows nothing of what was lent.
-        at: on its clock, in seconds.
+        incarnation: number of the allocator's incarnation; a later incarnation knows nothing of the
+            shares leased to this one.
+        at: time of its clock, in seconds.
     """
 
     incarnation: int
@@ -53,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareLease:
-    """A share as its lender tells.
+    """The lease of a share, as sent by the lender.
 
     Attributes:
-        stamp: the latest moment of the borrower's clock that the lender has seen.
-        duration_s: seconds for which it is lent.
-        fleet_size: instances that the lender counts.
+        stamp: the latest time of the allocator's clock that the lender has received.
+        duration_s: duration of the lease in seconds, counted from the stamp.
+        fleet_size: number of instances that the lender counts.
     """
 
     stamp: ClockStamp
@@ -67,16 +71,16 @@
 
 
 class SharedLimits:
-    """What one instance knows of servers' limits, lends and hands out.
+    """The advertised limits as one instance knows them, its leases, and the permits it grants.
 
     Args:
-        name: of this instance.
-        membership: the instances.
-        incarnation: number of this instance's life, unlike that of any other.
-        now: on the runtime's clock, in seconds.
+        name: name of this instance.
+        membership: the known instances.
+        incarnation: number of this instance's incarnation, unique among all incarnations.
+        now: time of the runtime's clock in seconds.
 
     Attributes:
-        advertised: what servers name.
+        advertised: the limits that servers advertise.
     """
 
     def __init__(self, *, name: str, membership: Membership, incarnation: int, now: float) -> None:
@@ -88,13 +92,13 @@
         self._unresponsive = UnresponsivePeers(MAX_MISSES)
         self._clock_stamps: dict[str, ClockStamp] = {}
         self._pools: dict[str, PermitPool] = {}
-        # To whom the own share of a server's limit is lent, and until when.
+        # To which instance the local share of a server's limit is leased, and until when.
         self._leased_out: dict[str, tuple[str, float]] = {}
 
-    # Who hands out.
+    # Choice of the allocator.
 
     def allocators(self, server: str, now: float) -> Sequence[str]:
-        """Return whom to ask, one after the other, until one answers."""
+        """Return the instances to ask for a permit, one after the other until one responds."""
         return [
             name
             for name in self._membership.rank_instances(server)[:MAX_ALLOCATORS]
@@ -102,38 +106,38 @@
         ]
 
     def is_allocator(self, server: str) -> bool:
-        """Whether others may ask this instance for requests to a server."""
+        """Whether other instances may ask this one for permits to a server."""
         return self._name in self._membership.rank_instances(server)[:MAX_ALLOCATORS]
 
     def record_unresponsive(self, name: str, now: float) -> None:
-        """Note that an instance did not answer."""
+        """Record that an instance did not respond."""
         self._unresponsive.record_unresponsive(name, now)
 
     def record_response(self, name: str, stamp: ClockStamp) -> None:
-        """Note that an instance answered, and the moment of its clock that it told."""
+        """Record that an instance responded, and the time of its clock in its response."""
         self._unresponsive.record_response(name)
         self._clock_stamps[name] = stamp
 
     def record_joined(self, name: str) -> None:
-        """Note that an instance has come."""
+        """Record that an instance has joined."""
         self._unresponsive.record_response(name)
 
-    # Lending.
+    # Leases of the local share.
 
     @property
     def lease_s(self) -> float:
-        """For how long shares are lent, in seconds."""
+        """Duration of a lease in seconds."""
         return max(MIN_SHARE_LEASE_S, SHARE_LEASE_S_PER_INSTANCE * self._membership.fleet_size)
 
     @property
     def renewal_interval_s(self) -> float:
-        """Seconds between words that lend the share anew."""
+        """Seconds between renewals of a lease."""
         return self.lease_s / RENEWALS_PER_LEASE
 
     def lease_out(self, server: str, allocator: str, now: float) -> ShareLease | None:
-        """Lend the own share of a server's limit; None where it can't be lent to that instance."""
+        """Lease the local share of a server's limit to an allocator; None if impossible."""
         clock_stamp = self._clock_stamps.get(allocator)
-        # Lent to one that is gone, the share would be nobody's for as long.
+        # A share leased to an instance that is gone would be unused for the duration of the lease.
         if clock_stamp is None or self._unresponsive.missed_last(allocator):
             return None
         if not self._may_lease(server, allocator, now):
@@ -143,7 +147,7 @@
         return ShareLease(clock_stamp, duration_s, self._membership.fleet_size)
 
     def _may_lease(self, server: str, allocator: str, now: float) -> bool:
-        # A life before may have lent it.
+        # The previous incarnation of this instance may have leased the share out.
         if not self._membership.may_use_equal_share(now) or now < self._started_at + self.lease_s:
             return False
         leased_to, until = self._leased_out.get(server, (allocator, 0.0))
@@ -152,14 +156,14 @@
     def _record_leased(self, server: str, allocator: str, until: float) -> None:
         keep_newest(self._leased_out, server, (allocator, until), MAX_TRACKED_SERVERS)
 
-    # Handing out.
+    # Permits.
 
     def stamp(self, now: float) -> ClockStamp:
-        """Return this moment of this instance's clock, for those that lend to it."""
+        """Return the current time of this instance's clock, for lenders of shares."""
         return ClockStamp(self._incarnation, now)
 
     def accept_lease(self, server: str, lender: str, lease: ShareLease, now: float) -> None:
-        """Take the share of another instance."""
+        """Accept a share that another instance leases to this one."""
         if lease.stamp.incarnation != self._incarnation or lease.stamp.at > now:
             return
         pool = self._permit_pool(server, now)
@@ -172,13 +176,13 @@
     def take_permit(
         self, server: str, within_s: float, now: float, *, for_caller: bool = False
     ) -> PermitDecision:
-        """Hand out a request to a server, or tell when to ask again.
+        """Grant a permit for a request to a server, or tell when to ask again.
 
         Args:
-            server: its identity.
+            server: its incarnation id.
             within_s: seconds within which the request is to be sent.
-            now: on the runtime's clock, in seconds.
-            for_caller: whether a caller is told when to come back.
+            now: time of the runtime's clock in seconds.
+            for_caller: whether the time is passed on to a caller as its retry delay.
         """
         pool = self._permit_pool(server, now)
         if pool is None:
@@ -187,7 +191,7 @@
         return pool.take_permit(within_s, self._membership.fleet_size, now, for_caller=for_caller)
 
     def use_local_share(self, server: str, now: float) -> None:
-        """Lend the own share to this instance itself, where that lets it send anything."""
+        """Lease the local share to this instance itself, if that allows any request at all."""
         pool = self._permit_pool(server, now)
         if pool is None or not self._may_lease(server, self._name, now):
             return
@@ -199,18 +203,18 @@
         pool.add_share(self._name, until, fleet_size, now, lender_fleet_size=fleet_size)
 
     def return_permit(self, server: str, now: float) -> None:
-        """Take back a request that was not sent."""
+        """Take back the permit of a request that was not sent."""
         pool = self._permit_pool(server, now)
         if pool is not None:
             pool.return_permit(self._membership.fleet_size, now)
 
     def leased_fraction(self, server: str) -> float:
-        """Return the part of a server's limit that was lent to this instance."""
+        """Return the fraction of a server's limit that is leased to this instance, from 0 to 1."""
         pool = self._pools.get(server)
         return 0.0 if pool is None else pool.leased_fraction(self._membership.fleet_size)
 
     def _permit_pool(self, server: str, now: float) -> PermitPool | None:
-        """Return what may be sent to a server; None where it names no limit."""
+        """Return the pool of permits to a server; None when the server advertises no limit."""
         limit = self.advertised.get(server)
         if limit is None:
             self._pools.pop(server, None)
--- a/src/crankhinge/decisions/_unresponsive.py
+++ b/src/crankhinge/decisions/_unresponsive.py
@@ -1,19 +1,19 @@
-"""Which instances did not answer, and for how long they are not asked."""
+"""Instances that did not respond, and how long no requests are sent to them."""
 
 from __future__ import annotations
 
-# An instance that did not answer is passed over for this long, in seconds, and twice as long each
-# time that it does not answer again; each question to one that is gone takes a tenth of a second.
+# Seconds for which an unresponsive instance is skipped, doubled each time it does not respond
+# again. A request to an instance that is gone costs a tenth of a second.
 FIRST_SKIP_S = 1.0
 MAX_SKIP_S = 16.0
 
 
 class UnresponsivePeers:
-    """Keeps count of questions that were not answered.
+    """Counts the requests to peer instances that got no response.
 
     Args:
-        max_misses: questions in a row that an instance may leave unanswered before it is passed
-            over; datagrams are lost now and then.
+        max_misses: unanswered requests in a row after which an instance is skipped; single
+            datagrams are lost now and then.
     """
 
     def __init__(self, max_misses: int) -> None:
@@ -23,15 +23,15 @@
         self._skip_s: dict[str, float] = {}
 
     def is_skipped(self, name: str, now: float) -> bool:
-        """Whether an instance is not worth a question now."""
+        """Whether no requests should be sent to an instance now."""
         return self._skip_until.get(name, now) > now
 
     def missed_last(self, name: str) -> bool:
-        """Whether the last question to an instance was left unanswered."""
+        """Whether the last request to an instance got no response."""
         return name in self._misses
 
     def record_unresponsive(self, name: str, now: float) -> None:
-        """Note that an instance did not answer."""
+        """Record that an instance did not respond."""
         self._misses[name] = self._misses.get(name, 0) + 1
         if self._misses[name] < self._max_misses:
             return
@@ -40,6 +40,6 @@
         self._skip_s[name] = min(MAX_SKIP_S, 2 * skip_s)
 
     def record_response(self, name: str) -> None:
-        """Note that an instance answered, or that it has just come."""
+        """Record that an instance responded, or that it has just joined."""
         for table in (self._misses, self._skip_until, self._skip_s):
             table.pop(name, None)
