--- a/src/crankhinge/decisions/_fence.py
+++ b/src/crankhinge/decisions/_fence.py
@@ -1,13 +1,14 @@
-"""A record of non-repeatable requests, held in the memory of two agents in different zones.
-
-Leave to run is given for a key once. While both holders live, each gives leave only when the
-other has written the key down too, so either may die and no key is forgotten, and one that was
-paused can't give leave behind the other's back. Only a change of who holds the record goes
-through the key-value service, by compare-and-swap on its epoch: a holder that has lost the other
-must win that swap before it may go on alone, and a holder that starts with an empty memory must
-see there that the copy it was sent is the present one. When both memories are lost at once, keys
-born before that moment are answered "unknown", never run: a key is a UUID of version 7 (RFC 9562)
-and carries the time of its birth.
+"""A record of non-repeatable requests, kept in memory by two agents in different zones.
+
+Permission to run is granted once for each idempotency key. While both replicas of the record are
+up, each grants permission only after the other has recorded the key as well. So either may crash
+without a key being forgotten, and a replica that was paused cannot grant permission unnoticed by
+the other. Only a change of who keeps the record goes through the key-value service, by
+compare-and-swap on its epoch: a replica that has lost the other must win that swap before it may
+continue alone, and a replica that restarts with an empty record must verify there that the copy it
+received is current. When both replicas lose their memory at once, requests with keys created before
+that moment get the response "unknown" and are never run: a key is a UUID of version 7 (RFC 9562)
+and contains the time of its creation.
 
 This module only decides: events in, actions out, no I/O.
 """
@@ -49,7 +50,7 @@
 
 @dataclass
 class _IncomingCopy:
-    """A copy of the record that arrives."""
+    """A copy of the record that is being received from the other replica."""
 
     epoch: int
     since_ms: int
@@ -60,13 +61,13 @@
 
 
 class FencePair:
-    """One holder's side of one record.
+    """One replica of one record.
 
     Args:
-        range_id: which record.
-        me: this holder.
-        other: the other holder.
-        writer: identity of this start of this process; its swaps are recognised by it.
+        range_id: identifies the record.
+        me: name of this replica.
+        other: name of the other replica.
+        writer: identifies this run of the process; its own swaps are recognised by it.
     """
 
     def __init__(self, *, range_id: str, me: str, other: str, writer: int) -> None:
@@ -90,15 +91,15 @@
     def __len__(self) -> int:
         return len(self._keys)
 
-    # -- entries ------------------------------------------------------------------------------
+    # -- requests of entries ------------------------------------------------------------------
 
     def on_permit(self, msg: FencePermitRequest, now: float, wall_ms: int) -> list[FenceAction]:
-        """Decide on leave for one attempt.
+        """Decide whether an attempt gets permission to run.
 
         Args:
-            msg: what an entry asks.
-            now: seconds, monotonic.
-            wall_ms: milliseconds since the epoch.
+            msg: the request of an entry.
+            now: monotonic time in seconds.
+            wall_ms: wall-clock time in milliseconds since the Unix epoch.
         """
         known = self._keys.get(msg.key)
         if known is not None and self.role is not FenceRole.JOINING:
@@ -124,7 +125,7 @@
         return [Reply(msg.req, FenceAlreadyTaken(msg.req, same, known.response if same else None))]
 
     def on_settle(self, msg: FenceSettle) -> list[FenceAction]:
-        """Write down how an attempt ended, and pass it on once."""
+        """Record how an attempt ended, and forward it once to the other replica."""
         known = self._keys.get(msg.key)
         if known is None or known.nonce != msg.req or known.response is not None:
             return []
@@ -132,17 +133,17 @@
         return [Send(msg)] if self._linked else []
 
     def on_release(self, msg: FenceRelease) -> list[FenceAction]:
-        """Free the key of an attempt that has not run and never will."""
+        """Release the key of an attempt that has not run and never will."""
         known = self._keys.get(msg.key)
         if known is None or known.nonce != msg.req or known.response is not None:
             return []
         del self._keys[msg.key]
         return [Send(msg)] if self._linked else []
 
-    # -- the other holder ---------------------------------------------------------------------
+    # -- the other replica --------------------------------------------------------------------
 
     def on_linked(self) -> list[FenceAction]:
-        """The connection to the other holder is up."""
+        """The connection to the other replica is up."""
         self._linked = True
         self._unlinked_at = None
         return [self._announce_state()]
@@ -165,7 +166,7 @@
         return Send(FenceState(self.range_id, self.role.value, self.epoch))
 
     def on_claim(self, msg: FenceClaim, now: float) -> list[FenceAction]:
-        """Write a key down for the other holder."""
+        """Record a key for the other replica."""
         valid = self.role is FenceRole.PAIRED and msg.epoch == self.epoch
         if not valid:
             return [self._claim_reply(msg, valid=False, fresh=False)]
@@ -174,7 +175,7 @@
         if known is not None and known.nonce != msg.nonce:
             if not known.awaiting_consent or self.me < self.other:
                 return [self._claim_reply(msg, valid=True, fresh=False)]
-            # Both were asked at once for one key: the holder with the smaller name goes first.
+            # Both replicas were asked for the same key at once: the one with the smaller name wins.
             actions.append(
                 Reply(known.nonce, FenceAlreadyTaken(known.nonce, known.digest == msg.digest))
             )
@@ -186,7 +187,7 @@
         return Send(FenceClaimReply(self.range_id, msg.key, msg.nonce, valid, fresh, self.epoch))
 
     def on_claim_reply(self, msg: FenceClaimReply) -> list[FenceAction]:
-        """Act on the other holder's consent or refusal."""
+        """Act on the other replica's consent or refusal."""
         known = self._keys.get(msg.key)
         if known is None or known.nonce != msg.nonce or not known.awaiting_consent:
             return []
@@ -202,7 +203,7 @@
         return actions
 
     def on_state(self, msg: FenceState, now: float) -> list[FenceAction]:
-        """Act on what the other holder says of itself."""
+        """Act on the state that the other replica reports."""
         self._other_state = msg.state
         if msg.epoch > self.epoch and self.role is not FenceRole.JOINING:
             return self._step_down()
@@ -212,12 +213,12 @@
             return [] if msg.epoch == self.epoch else [self._announce_state()]
         copy = self._copy
         if msg.state == FenceRole.PAIRED.value and copy is not None and copy.complete:
-            # The other, alone until now, has made us its pair.
+            # The other replica, which was alone until now, has made this one its pair.
             return self._read_record()
         return [self._announce_state()] if copy is None else []
 
     def _step_down(self) -> list[FenceAction]:
-        """The record has moved on without us: what we know of it can't be trusted."""
+        """The record has changed without this replica, so its own copy cannot be trusted."""
         actions = self._drop_unconsented()
         self.role = FenceRole.JOINING
         self._copy = None
@@ -226,7 +227,7 @@
 
     def _on_other_joining(self, now: float) -> list[FenceAction]:
         if self.role is FenceRole.JOINING:
-            # Both memories are empty: one of us begins a new record.
+            # Both replicas are empty: the one with the smaller name begins a new record.
             return self._read_record() if self.me < self.other else []
         self._sync_id += 1
         if self.role is FenceRole.SOLO:
@@ -252,7 +253,7 @@
         ]
 
     def on_sync(self, msg: FenceSync) -> list[FenceAction]:
-        """Take in a part of the other holder's record."""
+        """Receive a part of the other replica's record."""
         if self.role is not FenceRole.JOINING:
             return []
         copy = self._copy
@@ -265,7 +266,7 @@
         return self._read_record()
 
     def on_joined(self, msg: FenceJoined, now: float) -> list[FenceAction]:
-        """The other holder has the whole copy: make it our pair."""
+        """The other replica has received the whole copy: make it this replica's pair."""
         current = msg.sync == self._sync_id and msg.epoch == self.epoch
         if self.role is not FenceRole.SOLO or not current or now >= self._syncing_until:
             return []
@@ -282,7 +283,7 @@
     def on_record(
         self, record: FenceRecord | None, index: int, now: float, wall_ms: int
     ) -> list[FenceAction]:
-        """Act on the record's head; None when there is none yet."""
+        """Act on the record's head in the key-value service; None when there is none yet."""
         self._read_pending = False
         head = record or FenceRecord(0, "", 0)
         if self._swap is not None:
@@ -298,7 +299,7 @@
         return []
 
     def on_read_failed(self) -> list[FenceAction]:
-        """The key-value service gave no answer to a read; :meth:`on_tick` tries again."""
+        """The key-value service did not respond to a read; :meth:`on_tick` tries again."""
         self._read_pending = False
         return []
 
@@ -311,7 +312,8 @@
             self.epoch = head.epoch
             return self._start_swap(index, "")
         if self._is_other_lost(now, JOINING_GRACE_S) and head.holder in ("", self.me):
-            # The other can't give leave without us, nor go on alone without this same swap.
+            # The other replica cannot grant permission without this one, nor continue alone without
+            # winning this same swap.
             self.epoch = head.epoch
             return self._start_swap(index, self.me)
         return []
@@ -322,7 +324,7 @@
             return [Send(FenceJoined(self.range_id, copy.epoch, copy.sync_id))]
         paired_since = head.epoch == copy.epoch + 1 and self._other_state == "paired"
         if head.holder or not (head.epoch == copy.epoch or paired_since):
-            # The copy is of an older epoch; its sender learns of the newer one from us.
+            # The copy belongs to an older epoch; this message tells its sender the newer one.
             self._copy = None
             self.epoch = max(self.epoch, head.epoch)
             return [self._announce_state()] if self._linked else []
@@ -352,7 +354,7 @@
     def _resolve_swap(
         self, head: FenceRecord, index: int, now: float, wall_ms: int
     ) -> list[FenceAction]:
-        """Compare the record's head with the swap that was tried."""
+        """Compare the record's head with the attempted swap."""
         swap = self._swap
         if swap is None:
             return []
@@ -360,7 +362,8 @@
             self._swap = None
             return self._apply_swap(swap, now, wall_ms)
         if head.epoch < swap.epoch:
-            # It may still take effect: the same swap again, of which only one can.
+            # The swap may still take effect: it is sent again, and at most one of the two can
+            # succeed.
             return [SwapRecord(index, swap)]
         self._swap = None
         return self._step_down()
@@ -369,7 +372,7 @@
         self.epoch = swap.epoch
         if self.role is FenceRole.JOINING:
             self._keys.clear()
-            # Before the first record of all, nobody can have been given leave.
+            # Before the very first record, no permission can have been granted.
             self.since_ms = wall_ms if swap.epoch > 1 else 0
         self._copy = None
         if swap.holder:
@@ -382,13 +385,13 @@
             return self._on_other_joining(now) if self._linked else []
         return [self._announce_state()] if self._linked else []
 
-    # -- time ---------------------------------------------------------------------------------
+    # -- timers -------------------------------------------------------------------------------
 
     def _is_other_lost(self, now: float, grace_s: float = PAIRED_GRACE_S) -> bool:
         return self._unlinked_at is not None and now - self._unlinked_at >= grace_s
 
     def on_tick(self, now: float) -> list[FenceAction]:
-        """Do what time calls for: forget old keys, go on alone, try again."""
+        """Do what is due: drop expired keys, continue alone after a timeout, retry."""
         drop_expired_keys(self._keys, now)
         if not self._linked and self._unlinked_at is None:
             self._unlinked_at = now
@@ -405,6 +408,6 @@
         if copy is not None and copy.complete and not copy.acknowledged:
             return self._read_record()
         if copy is not None and copy.complete:
-            # The sender didn't take us on while the copy was fresh: begin again.
+            # The sender did not make this replica its pair while the copy was current: start again.
             self._copy = None
         return [self._announce_state()]
--- a/src/crankhinge/decisions/_fence_actions.py
+++ b/src/crankhinge/decisions/_fence_actions.py
@@ -1,4 +1,4 @@
-"""What a holder of a fence record may do, and what it decides to have done."""
+"""The roles of a replica of a fence record, and the actions that it decides on."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class FenceRole(enum.Enum):
-    """What a holder may do.
+    """What a replica may do.
 
-    JOINING has no record it can trust and gives no leave; PAIRED gives leave with the other's
-    consent; SOLO gives leave alone.
+    JOINING has no trusted record and grants no permission; PAIRED grants permission with the other
+    replica's consent; SOLO grants permission alone.
     """
 
     JOINING = "joining"
@@ -32,12 +32,12 @@
 
 
 class FenceRecord(NamedTuple):
-    """What the key-value service holds of a record: who may give leave.
+    """The head of a record in the key-value service: which replicas may grant permission.
 
     Attributes:
         epoch: grows with each change.
-        holder: the one that is alone; empty while both hold it.
-        writer: identity of the swap, to recognise it when its answer was lost.
+        holder: the replica that continues alone; empty while both keep the record.
+        writer: identifies the swap, to recognise it when its response was lost.
     """
 
     epoch: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send *msg* to the other holder."""
+    """Send *msg* to the other replica."""
 
     msg: (
         FenceJoined
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """Answer the entry that asked; ``None`` stands for "not now, and nothing was run"."""
+    """Respond to the entry; a *msg* of None stands for "not now, and nothing was run"."""
 
     req: int
     msg: FencePermitted | FenceAlreadyTaken | None
@@ -70,15 +70,15 @@
 
 @dataclass(frozen=True)
 class ReadRecord:
-    """Read the record's head in the key-value service; answer with :meth:`FencePair.on_record`."""
+    """Read the record's head; respond with :meth:`FencePair.on_record`."""
 
 
 @dataclass(frozen=True)
 class SwapRecord:
-    """Swap the head; answer with :meth:`FencePair.on_swapped`.
+    """Swap the record's head; respond with :meth:`FencePair.on_swapped`.
 
     Attributes:
-        index: what the swap compares; 0 when there is none yet.
+        index: index that the compare-and-swap compares; 0 when there is no head yet.
         new: the head to write.
     """
 
--- a/src/crankhinge/decisions/_fence_keys.py
+++ b/src/crankhinge/decisions/_fence_keys.py
@@ -1,4 +1,4 @@
-"""The keys of a fence record: their birth, and what is kept of each."""
+"""The keys of a fence record: their creation time, and the state kept for each."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass
 class KeyState:
-    """A key that is written down.
+    """The state of a recorded key.
 
     Attributes:
-        digest: of the request.
-        nonce: attempt that has leave, or asks for it.
-        recorded_at: when, seconds.
-        awaiting_consent: whether the other holder has yet to consent.
-        response: how it ended.
+        digest: digest of the request.
+        nonce: identifies the attempt that has permission, or waits for it.
+        recorded_at: when the key was recorded, in seconds.
+        awaiting_consent: whether the other replica has yet to consent.
+        response: how the attempt ended; None while unknown.
     """
 
     digest: bytes
@@ -36,7 +36,7 @@
 
 
 def key_created_ms(key: str) -> int | None:
-    """Return the birth of a key in milliseconds since the epoch; None when it is no UUIDv7."""
+    """Return the creation time of a key in Unix milliseconds; None if it is not a UUIDv7."""
     try:
         value = uuid.UUID(key.rpartition("/")[2])
     except ValueError:
@@ -45,12 +45,12 @@
 
 
 def key_time_problem(key: str, since_ms: int, wall_ms: int) -> str:
-    """Return why a key that isn't written down can't be taken for new; empty if it can.
+    """Return why an unrecorded key cannot be accepted as new; empty if it can.
 
     Args:
-        key: of the request.
-        since_ms: keys born before may be missing from the record.
-        wall_ms: milliseconds since the epoch.
+        key: the key of the request.
+        since_ms: keys created before this time may be missing from the record.
+        wall_ms: wall-clock time in milliseconds since the Unix epoch.
     """
     born = key_created_ms(key)
     if born is None or born > wall_ms + MAX_CLOCK_SKEW_MS:
@@ -60,7 +60,7 @@
 
 
 def drop_expired_keys(keys: OrderedDict[str, KeyState], now: float) -> None:
-    """Drop the keys that were written down longer ago than they are kept."""
+    """Drop the keys that were recorded longer ago than the retention time."""
     while keys:
         key, known = next(iter(keys.items()))
         if now - known.recorded_at < KEY_RETENTION_S:
@@ -69,7 +69,7 @@
 
 
 def to_recorded_response(status: int, headers: dict[str, str], body: bytes) -> RecordedResponse:
-    """Return what is recorded of an answer; a long body is left out."""
+    """Return what is recorded of a response; a long body is left out."""
     if len(body) > MAX_RECORDED_BODY_BYTES:
         return RecordedResponse(status, headers, b"", cut=True)
     return RecordedResponse(status, headers, body)
--- a/src/crankhinge/decisions/_fence_messages.py
+++ b/src/crankhinge/decisions/_fence_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the record that lets a non-repeatable request run at most once.
+"""Messages about the record that lets a non-repeatable request run at most once.
 
 They are plain values; :mod:`crankhinge.wire` sends them.
 """
@@ -9,16 +9,16 @@
 
 
 class _Base(msgspec.Struct, array_like=True, frozen=True):
-    """Common options."""
+    """Options common to all messages."""
 
 
 class RecordedResponse(msgspec.Struct, array_like=True, frozen=True):
-    """A recorded answer.
+    """A recorded response.
 
     Attributes:
         status: HTTP status.
         headers: its headers.
-        body: its body; empty with ``cut`` when it was too long to keep.
+        body: its body; empty with ``cut`` when it was too long to be recorded.
         cut: whether the body was left out.
     """
 
@@ -33,10 +33,10 @@
 
     Attributes:
         key: member and idempotency key.
-        digest: of the request.
-        nonce: identity of the attempt that was given leave.
-        age_s: seconds since.
-        answer: how it ended; None while that is not known.
+        digest: digest of the request.
+        nonce: identifies the attempt that got permission.
+        age_s: seconds since the key was recorded.
+        answer: the response of the attempt; None while unknown.
     """
 
     key: str
@@ -47,13 +47,13 @@
 
 
 class FencePermitRequest(_Base, tag=17, frozen=True):
-    """An entry asks for leave to run a non-repeatable request.
+    """An entry asks for permission to run a non-repeatable request.
 
     Attributes:
-        req: this attempt.
-        range_id: which record.
+        req: identifies this attempt.
+        range_id: identifies the record.
         key: member and idempotency key.
-        digest: of the request.
+        digest: digest of the request.
     """
 
     req: int
@@ -63,19 +63,19 @@
 
 
 class FencePermitted(_Base, tag=18, frozen=True):
-    """Leave is given, to this attempt alone."""
+    """Permission is granted to this attempt only."""
 
     req: int
 
 
 class FenceAlreadyTaken(_Base, tag=19, frozen=True):
-    """Leave was given to another attempt, or may have been.
+    """Permission was granted to another attempt, or may have been.
 
     Attributes:
-        req: this attempt.
+        req: identifies this attempt.
         same: whether the other attempt was for the same request.
-        answer: how that one ended; None while that is not known.
-        cause: class of the failure to tell the caller.
+        answer: the response of the other attempt; None while unknown.
+        cause: error code for the caller.
     """
 
     req: int
@@ -85,7 +85,7 @@
 
 
 class FenceSettle(_Base, tag=20, frozen=True):
-    """How a permitted attempt ended, for callers that repeat the request."""
+    """The response of a permitted attempt, recorded for callers that retry the request."""
 
     req: int
     range_id: str
@@ -94,7 +94,7 @@
 
 
 class FenceRelease(_Base, tag=23, frozen=True):
-    """The attempt has not run and never will; its key is free again."""
+    """The attempt has not run and never will; its key may be used again."""
 
     req: int
     range_id: str
@@ -102,7 +102,7 @@
 
 
 class FenceClaim(_Base, tag=21, frozen=True):
-    """One holder asks the other to write a key down before leave is given."""
+    """One replica asks the other to record a key before permission is granted."""
 
     range_id: str
     epoch: int
@@ -112,15 +112,15 @@
 
 
 class FenceClaimReply(_Base, tag=22, frozen=True):
-    """The other holder's answer.
+    """The other replica's response to a :class:`FenceClaim`.
 
     Attributes:
-        range_id: which record.
+        range_id: identifies the record.
         key: the key.
-        nonce: of the Take.
-        valid: whether the two are paired at the Take's epoch.
-        fresh: whether the key is now written down for this nonce.
-        epoch: of the one that answers.
+        nonce: nonce of the claim.
+        valid: whether the two replicas are paired at the epoch of the claim.
+        fresh: whether the key is now recorded for this nonce.
+        epoch: epoch of the responding replica.
     """
 
     range_id: str
@@ -132,7 +132,7 @@
 
 
 class FenceState(_Base, tag=24, frozen=True):
-    """What one holder tells the other when they meet and when its state changes."""
+    """The state that a replica sends to the other when they connect and when the state changes."""
 
     range_id: str
     state: str
@@ -140,14 +140,14 @@
 
 
 class FenceSync(_Base, tag=25, frozen=True):
-    """Part of a record, for a holder that has none.
+    """Part of a record, for a replica that has none.
 
     Attributes:
-        range_id: which record.
-        epoch: of the sender.
-        since_ms: keys born before this (wall clock) may be missing from the record.
-        sync: identity of this copy.
-        rows: keys.
+        range_id: identifies the record.
+        epoch: epoch of the sender.
+        since_ms: keys created before this time (wall clock) may be missing from the record.
+        sync: identifies this copy.
+        rows: the keys.
         final: whether this is the last part.
     """
 
@@ -160,7 +160,7 @@
 
 
 class FenceJoined(_Base, tag=26, frozen=True):
-    """The copy *sync* has arrived whole."""
+    """The copy *sync* has been received completely."""
 
     range_id: str
     epoch: int
--- a/src/crankhinge/decisions/_reservations.py
+++ b/src/crankhinge/decisions/_reservations.py
@@ -1,8 +1,9 @@
-"""Who is let into the memory of the engines that write, and who is told to come back.
+"""Which requests get KV memory on the decode engines, and when refused callers should retry.
 
-Memory to write in is the scarce good: a prompt that is read without a place to write is read for
-nothing. So a place is reserved first; the engine itself is the judge of its room, and these
-decisions only say whom to ask, how long to ask, and when to come back.
+KV memory of decode engines is the scarce resource: a prompt that is processed without memory to
+decode its answer is processed for nothing. So memory is reserved first. The engine itself decides
+whether it has capacity; the decisions here only say which engines to ask, how long to keep asking,
+and when to retry.
 """
 
 from __future__ import annotations
@@ -15,46 +16,49 @@
 from crankhinge.decisions._server_stats import ServerStats
 from crankhinge.decisions._servers import Server
 
-# What a served request is worth to its caller, and what waiting costs, in parts of the worth of an
-# answer in time: an answer that is late, an answer on a return (late, and no second refusal), and a
-# second held in vain. A caller held for three quarters of 14 s has lost all of it.
+# The value of a served request to its caller and the cost of waiting, relative to the value of an
+# answer in time: a late answer; an answer to a retry (late, but the caller is not refused again);
+# and each second for which a caller waits in vain. A caller that is kept waiting in vain for three
+# quarters of 14 s has lost the whole value.
 LATE_VALUE = 0.2
 RETRY_VALUE = 0.5
 WAIT_COST_PER_S = 0.1
-# An engine that refused is left alone for this long, in seconds, by requests that are late anyway,
-# so that others', which may yet be in time, find the memory that frees first.
+# Seconds for which requests that are already late skip an engine that refused a reservation, so
+# that requests that may still be in time find the memory that is freed first.
 LATE_REFUSAL_PAUSE_S = 0.3
-# A caller of a stream leaves when no event has come for the longest of these: seconds, the route's
-# target and its longest pause, so many times over, as the operators state it.
+# The caller of a stream gives up when it has received no event for the longest of these: a minimum
+# in seconds, a multiple of the route's target, and a multiple of the route's longest pause, as the
+# operators state it.
 MIN_EVENT_TIMEOUT_S = 2.0
 EVENT_TIMEOUT_TARGETS = 4.0
 EVENT_TIMEOUT_PAUSES = 8.0
-# Seconds before that at which its first event has to be on its way.
+# Seconds before that timeout at which the first event has to be on its way.
 EVENT_TIMEOUT_MARGIN_S = 0.2
-# Seconds from a place to the first event, until some were seen.
+# Assumed seconds from the reservation to the first event, until some were measured.
 DEFAULT_FIRST_EVENT_S = 0.25
-# A request is held to have come back when its caller waits less than this part of the longest wait
-# seen on its route.
+# A request counts as a caller retry when its caller waits less than this fraction of the longest
+# wait seen on its route.
 RETRY_OF_LONGEST_WAIT = 0.985
-# Waits that are remembered of a route: enough to hold a first try also when most are returns.
+# Number of waits kept for a route: enough to include a first attempt even when most are retries.
 MAX_KEPT_WAITS = 64
-# Certain first tries from which the shortest wait of one is taken, and the part of that below which
-# a caller has come back; callers round their waits and are a few milliseconds on the way.
+# Number of certain first attempts needed to use their shortest wait, and the fraction of that wait
+# below which a request is a retry; callers round their waits, and a request is on its way for a few
+# milliseconds.
 MIN_FIRST_ATTEMPTS = 8
 RETRY_OF_SHORTEST_FIRST_WAIT = 0.99
-# Reading and writing are held to take this long, in seconds, until answers have shown the pace.
+# Assumed seconds to process a prompt and decode its answer, until some were measured.
 DEFAULT_SERVICE_S = 3.0
-# What is left after coming back and being served, in seconds: the wait for a place, then.
+# Seconds left for the wait for memory when a refused caller comes back and is then served.
 RETRY_MARGIN_S = 0.5
-# Nobody is told to come back sooner, in seconds.
+# Shortest retry delay, in seconds.
 MIN_RETRY_DELAY_S = 0.3
-# When to come back where nothing is known of memory: writing an answer takes two to three seconds,
-# so half of the places change hands in this time.
+# Retry delay in seconds when nothing is known about the memory. Decoding an answer takes two to
+# three seconds, so half of the memory is handed to other requests in this time.
 DEFAULT_RETRY_DELAY_S = 3.0
-# Predictions are spread by these factors, which keep those that were refused together from
-# returning together.
+# Predicted delays are multiplied by a random factor between these, so that callers that were
+# refused together do not come back together.
 RETRY_DELAY_JITTER = (0.9, 1.3)
-# Memory is given out in blocks of this many tokens.
+# KV memory is allocated in blocks of this many tokens.
 BLOCK_TOKENS = 16
 
 
@@ -63,13 +67,13 @@
     """What a request needs.
 
     Attributes:
-        tokens: memory, in tokens.
+        tokens: KV memory, in tokens.
         target_s: seconds within which its first event is in time.
-        remaining_s: seconds that its caller still waits.
+        remaining_s: seconds until its caller gives up.
         event_timeout_s: seconds that its caller waits for a first event.
-        is_retry: whether it was refused before and has come back.
-        service_s: seconds that reading it and writing its likely answer take.
-        first_event_s: seconds from a place to its first event.
+        is_retry: whether it was refused before and its caller came back.
+        service_s: estimated seconds to process its prompt and decode its answer.
+        first_event_s: estimated seconds from the reservation to its first event.
     """
 
     tokens: int
@@ -82,15 +86,15 @@
 
     @property
     def max_in_time_wait_s(self) -> float:
-        """Seconds that it may wait and still be in time for its caller's first try."""
+        """Seconds that it may wait so that the caller's first attempt is still in time."""
         return 0.0 if self.is_retry else max(0.0, self.target_s - self.first_event_s)
 
     @property
     def max_wait_s(self) -> float:
-        """Seconds that it may wait for a place; negative when its answer could not end in time.
+        """Seconds that it may wait for memory; negative when its answer could not end in time.
 
-        A late answer is waited for as long as the wait, if it was in vain, costs less than the
-        answer is worth.
+        A request that can only be answered late waits as long as the cost of waiting in vain stays
+        below the value of the answer.
         """
         value = RETRY_VALUE if self.is_retry else LATE_VALUE
         return min(
@@ -100,33 +104,34 @@
         )
 
     def is_late(self, waited_s: float) -> bool:
-        """Whether it can't be in time any more."""
+        """Whether it can no longer be answered in time."""
         return waited_s >= self.max_in_time_wait_s
 
     def should_keep_waiting(self, waited_s: float, free_s: float | None) -> bool:
-        """Whether it goes on waiting when memory for it is predicted to free in *free_s*.
+        """Whether to keep waiting when memory is predicted to be free in *free_s* seconds.
 
-        A request that is late anyway is refused as soon as memory is predicted to come after its
-        patience: of returns with such a prediction 2 in 10 got a place, after two seconds, and the
-        others were held for three. Who may be in time waits: of these 6 in 10 got a place in time
-        whatever was predicted, since they go before all that is late.
+        A request that is already late is refused as soon as memory is predicted for a time after
+        its longest wait: of the retries with such a prediction 2 in 10 got memory, after two
+        seconds, and the others were kept waiting for three. A request that may still be in time
+        keeps waiting: of these 6 in 10 got memory in time whatever was predicted, since they go
+        before all requests that are late.
         """
         if free_s is None or not self.is_late(waited_s):
             return True
         return free_s <= self.max_wait_s - waited_s
 
     def refusal_pause_s(self, waited_s: float) -> float:
-        """Return how long after an engine's refusal it is left to others, in seconds."""
+        """Return the seconds for which the request skips an engine that refused it."""
         return LATE_REFUSAL_PAUSE_S if self.is_late(waited_s) else 0.0
 
 
 class CallerRetryDetector:
-    """Tells returns from first tries by how long their callers still wait.
+    """Distinguishes caller retries from first attempts by how long their callers still wait.
 
-    Callers come back on a new connection, so whoever comes on one that was used before is a first
-    try, and the shortest wait of these tells from where on a wait is that of a return. Where
-    callers wait 0.85 to 1.0 of the longest wait, a fixed part of that took three of four first
-    tries for returns.
+    Callers retry on a new connection, so a request on a connection that was used before is a first
+    attempt, and the shortest wait of these is the limit below which a wait is that of a retry.
+    Where callers wait 0.85 to 1.0 of the longest wait, a fixed fraction of the longest wait took
+    three of four first attempts for retries.
     """
 
     def __init__(self) -> None:
@@ -136,12 +141,12 @@
     def record_request(
         self, route: str, within_s: float, *, connection_reused: bool = False
     ) -> bool:
-        """Note a request of *route* whose caller waits *within_s*; returns whether it came back.
+        """Record a request; returns whether it is a caller retry.
 
         Args:
-            route: its name.
-            within_s: seconds.
-            connection_reused: whether earlier requests came on its connection.
+            route: name of its route.
+            within_s: seconds that its caller waits.
+            connection_reused: whether earlier requests arrived on its connection.
         """
         waits = self._recent_waits.setdefault(route, deque(maxlen=MAX_KEPT_WAITS))
         waits.append(within_s)
@@ -155,9 +160,10 @@
 
 
 class ReservationQueue:
-    """The order in which requests of one service that found no room ask for it.
+    """The order in which waiting requests of one service try to reserve memory.
 
-    Those that may yet be in time come before those that are late anyway; each in order of arrival.
+    Requests that may still be in time come before those that are late; within each group the order
+    is that of arrival.
     """
 
     def __init__(self) -> None:
@@ -168,7 +174,7 @@
         return len(self._waiting)
 
     def add(self, request: ReservationRequest, now: float) -> int:
-        """Add a request; returns its number, since callers may send one identity twice or none."""
+        """Add a request; returns a number, since callers may repeat a request id or send none."""
         self._last_number += 1
         self._waiting[self._last_number] = (request, now)
         return self._last_number
@@ -187,16 +193,16 @@
         ]
 
     def tokens_of_others(self, number: int) -> int:
-        """Return the memory that all others need that wait, in tokens."""
+        """Return the KV memory that all other waiting requests need, in tokens."""
         return sum(
             request.tokens for other, (request, _) in self._waiting.items() if other != number
         )
 
     def may_try(self, number: int, now: float) -> bool:
-        """Whether it may ask an engine now.
+        """Whether the request may ask an engine now.
 
-        Where there was no room for less there is none for it, so it asks only for less than all
-        that come before it.
+        Where no engine had capacity for a smaller request, none has it for this one. So it asks
+        only if it needs less memory than all requests before it.
         """
         tokens = self._waiting[number][0].tokens
         return all(other.tokens > tokens for other in self.requests_ahead(number, now))
@@ -207,11 +213,11 @@
 
 
 def stream_event_timeout_s(target_s: float, max_pause_s: float) -> float:
-    """Return how long a caller of a stream waits for the next event, in seconds.
+    """Return how long the caller of a stream waits for the next event, in seconds.
 
     Args:
-        target_s: of the route.
-        max_pause_s: longest pause of the route's streams that are in time; 0 for no bound.
+        target_s: target of the route, in seconds.
+        max_pause_s: longest pause within a stream of the route that counts as in time; 0 for none.
     """
     return max(
         MIN_EVENT_TIMEOUT_S, EVENT_TIMEOUT_TARGETS * target_s, EVENT_TIMEOUT_PAUSES * max_pause_s
@@ -221,18 +227,19 @@
 def tokens_to_reserve(
     prompt_tokens: int, likely_tokens: int, max_tokens: int, engine_tokens: int
 ) -> int:
-    """Return the memory to reserve for a request, in tokens.
+    """Return the KV memory to reserve for a request, in tokens.
 
-    All of the likely answer: an answer takes its memory only as it grows, but an engine that runs
-    out of memory stops one in its middle and reads it anew. With three quarters of it, 313 answers
-    were stopped in 15 played days of three small sites, 163 in 14 with all, and on a day of 68
-    instances 277 and 199; first tries in time 0.732 and 0.748 there.
+    The reservation includes the whole estimated answer. An answer occupies its memory only as it
+    grows, but an engine that runs out of memory aborts an answer and processes its prompt again.
+    With three quarters of the estimate, 313 answers were aborted in 15 simulated days of three
+    small sites, and 163 in 14 with all of it; on a day of 68 instances 277 and 199, with 0.732 and
+    0.748 of the first attempts in time.
 
     Args:
         prompt_tokens: tokens of its prompt.
-        likely_tokens: the caller's estimate of the answer; 0 for none.
-        max_tokens: most tokens of the answer.
-        engine_tokens: tokens of memory of an engine.
+        likely_tokens: the caller's estimate of the length of the answer; 0 for none.
+        max_tokens: longest answer, in tokens.
+        engine_tokens: KV memory of an engine, in tokens.
     """
     answer_tokens = min(likely_tokens or max_tokens, max_tokens)
     blocks = -(-(prompt_tokens + answer_tokens) // BLOCK_TOKENS)
@@ -249,16 +256,16 @@
     rng: random.Random,
     refusal_pause_s: float = 0.0,
 ) -> list[Server]:
-    """Return the engines that may have room, the emptiest first as this instance sees it.
+    """Return the engines that may have capacity, those with the most free memory first.
 
     Args:
-        servers: engines that write.
-        stats_of: what was seen of them.
-        tokens: memory that is needed.
-        kv_tokens: memory of an engine.
-        now: on the runtime's clock.
-        rng: for choices between equals.
-        refusal_pause_s: how long an engine that refused is left to others.
+        servers: the decode engines.
+        stats_of: returns what this instance measured of a server.
+        tokens: KV memory to reserve, in tokens.
+        kv_tokens: KV memory of an engine, in tokens.
+        now: time of the runtime's clock in seconds.
+        rng: breaks ties.
+        refusal_pause_s: additional seconds for which to skip an engine that refused.
     """
     candidates = [
         (
@@ -278,13 +285,13 @@
 def retry_delay_s(
     rng: random.Random, request: ReservationRequest | None = None, free_s: float | None = None
 ) -> float:
-    """Return after how many seconds a refused request should come back.
+    """Return the seconds after which the caller of a refused request should retry.
 
     Args:
-        rng: spreads those that were refused together.
-        request: what the request needs, where that is known; one with a long answer comes back
-            while there is time for it.
-        free_s: seconds until there is memory for it, where that can be predicted.
+        rng: varies the delay between callers that are refused together.
+        request: what the request needs, if known; a caller with a long answer has to retry while
+            there is time left for it.
+        free_s: predicted seconds until memory for it is free, if known.
     """
     delay_s = (DEFAULT_RETRY_DELAY_S if free_s is None else free_s) * rng.uniform(
         *RETRY_DELAY_JITTER
--- a/src/crankhinge/decisions/_split.py
+++ b/src/crankhinge/decisions/_split.py
@@ -1,7 +1,7 @@
-"""How many engines should read and how many should write, from the work that requests bring.
+"""How many engines should prefill and how many should decode, from the measured workload.
 
-Both pools serve the same requests, so the pool with the larger load per engine bounds them all;
-the best split makes the larger of the two loads as small as it can be.
+Both pools serve the same requests, so the pool with the higher load per engine limits the
+throughput of both; the best split minimizes the higher of the two loads.
 """
 
 from __future__ import annotations
@@ -10,53 +10,59 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-# Weight of the newest sample: some fifty requests shape an average, a few seconds of traffic.
+# Weight of the newest sample: about fifty requests, a few seconds of traffic, determine an average.
 EWMA_WEIGHT = 0.02
 EWMA_SAMPLES = 50
-# Requests let in and answers ended before anything is said, and answers before more engines are
-# asked to read: a calm moment right after a start must not undo a split that a burst needs.
+# Admitted requests and completed answers needed before any load is reported, and answers needed
+# before more engines are moved to prefill: a quiet moment right after a start must not undo a split
+# that a burst needs.
 MIN_ADMITTED = 10
 MIN_ANSWERS = 3
 MIN_ANSWERS_TO_GROW_PREFILL = 60
-# Readings are compared by length in classes of this many tokens, each with some readings.
+# Prefills are compared by prompt length in classes of this many tokens, each with a minimum number
+# of samples.
 LENGTH_CLASS_TOKENS = 1000
 MIN_CLASS_SAMPLES = 3
-# Newest readings of a class that are remembered, and the part of them, fastest first, that is
-# passed over: a prompt that the engine still kept is read in no time.
+# Newest prefills that are kept of a class. Their number divided by the second constant is the
+# number of the fastest ones that are skipped, because a prompt that was still cached by the engine
+# takes no time.
 MAX_CLASS_SAMPLES = 20
 FAST_QUANTILE_DIVISOR = 4
-# Newest readings that an instance tells the others, some 15 bytes each: a few of each instance show
-# together what reading takes, while each by itself, at four readings, holds waits for work.
+# Newest prefills that an instance publishes to the others, about 15 bytes each. A few of each
+# instance together show the cost of prefill; each instance by itself, with four prefills, would
+# take waiting time for work.
 MAX_PUBLISHED_PREFILLS = 12
-# Least part of a fast reading that is counted as work, whatever the slope says: a short
-# reading that had to wait makes the slope look flat.
+# Minimum share of the duration of a fast prefill that counts as work, whatever the slope says: a
+# short prefill that had to wait makes the slope look flat.
 MIN_WORK_SHARE = 0.6
-# Engines that read are loaded so many times less than those that write: what a prompt waits behind
-# others its caller waits, while a full writer only turns requests away. Far more than this takes
-# the memory to write in away again.
+# Factor by which prefill engines are loaded less than decode engines. A caller waits for all
+# prompts that are queued before its own, while a full decode engine only refuses requests. A much
+# larger factor would take too much KV memory away from decoding.
 PREFILL_HEADROOM = 1.3
-# Engines left in each pool as long as there are others: one that crashes must not be the last.
+# Minimum number of engines in each pool while there are enough engines: a crash must not hit the
+# last one.
 MIN_POOL_ENGINES = 2
-# A change costs an engine's work for seconds; it has to lower the larger load by this part.
+# Fraction by which a change must lower the higher load: a change costs an engine's work for
+# seconds.
 MIN_GAIN = 0.12
-# One change takes a pool's engines divided by this at most: what was seen may be wrong.
+# One change moves at most a pool's engines divided by this: the measurements may be wrong.
 MAX_CHANGE_DIVISOR = 3
 
 
 @dataclass(frozen=True, slots=True)
 class PoolLoads:
-    """Work of the mean request.
+    """Work of an average request.
 
     Attributes:
-        prompt_s: seconds of an engine that reads.
-        answer_s: seconds of the whole memory of an engine that writes.
+        prompt_s: seconds of a prefill engine.
+        answer_s: seconds of the whole KV memory of a decode engine.
     """
 
     prompt_s: float
     answer_s: float
 
     def max_per_engine(self, prompt_engines: int, decode_engines: int) -> float:
-        """Return the load per engine of the pool that is loaded more, readings with headroom."""
+        """Return the higher load per engine of the two pools, that of prefill with its headroom."""
         if prompt_engines < 1 or decode_engines < 1:
             return float("inf")
         return max(
@@ -65,7 +71,7 @@
 
 
 class _LengthClass:
-    """The newest readings of about one length."""
+    """The newest prefills of prompts of similar length."""
 
     def __init__(self, max_samples: int | None) -> None:
         self._prefills: deque[tuple[float, int]] = deque(maxlen=max_samples)
@@ -74,21 +80,21 @@
         return len(self._prefills)
 
     def add(self, tokens: int, took_s: float) -> None:
-        """Note a reading."""
+        """Record a prefill."""
         self._prefills.append((took_s, tokens))
 
     @property
     def fast_prefill(self) -> tuple[float, int]:
-        """Seconds and tokens of a reading that did not wait and was no kept prompt."""
+        """Duration in seconds and prompt tokens of a prefill that neither waited nor was cached."""
         ordered = sorted(self._prefills)
         return ordered[len(ordered) // FAST_QUANTILE_DIVISOR]
 
 
 class _LengthClasses:
-    """Readings by their length.
+    """Prefills by prompt length.
 
     Args:
-        max_samples: how many of each length, the newest; all by default.
+        max_samples: number of newest prefills kept of each class; None keeps all.
     """
 
     def __init__(self, max_samples: int | None = None) -> None:
@@ -99,14 +105,14 @@
         return bool(self._classes)
 
     def add(self, tokens: int, took_s: float) -> None:
-        """Note a reading."""
+        """Record a prefill."""
         length_class = self._classes.setdefault(
             tokens // LENGTH_CLASS_TOKENS, _LengthClass(self._max_samples)
         )
         length_class.add(tokens, took_s)
 
     def token_s(self) -> float:
-        """Return the seconds that a token keeps an engine busy, rather too many than too few."""
+        """Return the seconds of work per prompt token, rather too high than too low."""
         classes = list(self._classes.values())
         seen = [
             length_class for length_class in classes if len(length_class) >= MIN_CLASS_SAMPLES
@@ -127,16 +133,16 @@
     """What one instance measured of a service's requests; means over the newest ones.
 
     Attributes:
-        admitted: requests that were let in.
-        answers: answers that have ended.
-        readings: prompts that were read.
-        tokens: of a prompt.
-        read_s: seconds of a reading, with its wait.
-        token_s: seconds that a token of a prompt keeps a reading engine busy.
-        part: part of an engine's memory that a request gets.
-        part_tokens: that part times the likely tokens of the answer.
-        pace_s: seconds of a token of an answer.
-        newest: tokens and seconds of its newest readings; none from instances that don't tell.
+        admitted: number of admitted requests.
+        answers: number of completed answers.
+        readings: number of processed prompts (prefills).
+        tokens: tokens of a prompt.
+        read_s: seconds of a prefill, including its wait.
+        token_s: seconds of a prefill engine's work per prompt token.
+        part: fraction of an engine's KV memory that a request reserves.
+        part_tokens: that fraction times the estimated tokens of the answer.
+        pace_s: seconds per token of an answer.
+        newest: tokens and seconds of its newest prefills; empty from instances that publish none.
     """
 
     admitted: int
@@ -151,22 +157,23 @@
     newest: tuple[tuple[int, float], ...] = ()
 
     def loads(self) -> PoolLoads:
-        """Return the loads that these figures make."""
-        # A place is held while the prompt is read, too.
+        """Return the loads that follow from these measurements."""
+        # The memory is reserved during the prefill, too.
         write_s = self.part * self.read_s + self.part_tokens * self.pace_s
         return PoolLoads(self.token_s * self.tokens, write_s)
 
 
 class WorkloadMeter:
-    """Measures what requests take.
+    """Measures the cost of requests.
 
-    The time of a reading is the sum of a wait, a fixed part that does not keep the engine busy,
-    and a part for each token. Fast readings waited for nobody, so what a fast long one took beyond
-    a fast short one is the part for its tokens. The very fastest are passed over, since their
-    prompts were kept from before.
+    The duration of a prefill is the sum of a wait, a fixed part that does not keep the engine busy,
+    and a part for each prompt token. Fast prefills did not wait, so the time by which a fast long
+    one exceeds a fast short one is the cost of its additional tokens. The very fastest are skipped,
+    since their prompts were cached.
 
-    Writing is worked out from all requests that were let in, by the pace of the answers that have
-    ended: those that end first are the short ones, and would hold writing for cheaper than it is.
+    The cost of decoding is computed from all admitted requests and the time per token of the
+    completed answers: the answers that complete first are the short ones, and measuring only those
+    would underestimate it.
     """
 
     def __init__(self) -> None:
@@ -185,11 +192,11 @@
 
     @property
     def completed_answers(self) -> int:
-        """How many answers were seen."""
+        """Number of completed answers."""
         return self._answers
 
     def record_prompt(self, tokens: int, took_s: float) -> None:
-        """Note a reading of *tokens* that took *took_s* seconds."""
+        """Record that a prompt of *tokens* tokens was processed in *took_s* seconds."""
         self._prefills += 1
         step = max(EWMA_WEIGHT, 1.0 / self._prefills)
         self._mean_tokens += step * (tokens - self._mean_tokens)
@@ -201,8 +208,8 @@
         """Record an admitted request.
 
         Args:
-            memory_share: share of an engine's KV memory that the request reserves, from 0 to 1.
-            answer_tokens: estimated length of its answer.
+            memory_share: fraction of an engine's KV memory that the request reserves.
+            answer_tokens: estimated length of its answer, in tokens.
         """
         self._admitted += 1
         step = max(EWMA_WEIGHT, 1.0 / self._admitted)
@@ -210,30 +217,30 @@
         self._mean_share_tokens += step * (memory_share * answer_tokens - self._mean_share_tokens)
 
     def record_answer(self, tokens: int, took_s: float) -> None:
-        """Note an answer of *tokens* that was written in *took_s* seconds."""
+        """Record an answer of *tokens* tokens that was decoded in *took_s* seconds."""
         self._answers += 1
         step = max(EWMA_WEIGHT, 1.0 / self._answers)
         self._mean_token_s += step * (took_s / max(1, tokens) - self._mean_token_s)
 
     def record_first_event(self, took_s: float) -> None:
-        """Note a first event *took_s* seconds after its place was taken."""
+        """Record a first event that came *took_s* seconds after the reservation."""
         self._first_events += 1
         step = max(EWMA_WEIGHT, 1.0 / self._first_events)
         self._mean_first_event_s += step * (took_s - self._mean_first_event_s)
 
     @property
     def mean_first_event_s(self) -> float | None:
-        """Return the seconds from a place to the first event; None while too little was seen."""
+        """Mean seconds from the reservation to the first event; None with too few samples."""
         return self._mean_first_event_s if self._first_events >= MIN_ANSWERS else None
 
     def expected_service_s(self, answer_tokens: int) -> float | None:
-        """Return the seconds that reading and an answer take; None while too little was seen."""
+        """Return the seconds to process a prompt and decode an answer; None if rarely measured."""
         if self._answers < MIN_ANSWERS:
             return None
         return self._mean_prefill_s + answer_tokens * self._mean_token_s
 
     def stats(self) -> WorkloadStats | None:
-        """Return what was measured, or None while one of the three was never seen."""
+        """Return the measurements, or None while one of the three kinds is missing."""
         if not self._admitted or not self._answers or not self._length_classes:
             return None
         return WorkloadStats(
@@ -250,19 +257,19 @@
         )
 
     def loads(self) -> PoolLoads | None:
-        """Return the loads as this instance alone sees them, or None while that is too little."""
+        """Return the loads measured by this instance alone, or None with too few samples."""
         stats = self.stats()
         return combined_loads([] if stats is None else [stats])
 
 
 def combined_loads(all_stats: Sequence[WorkloadStats]) -> PoolLoads | None:
-    """Return the loads that several instances' measurements show together, each by its samples.
+    """Return the loads that follow from several instances' measurements, weighted by samples.
 
     Args:
-        all_stats: one of each instance.
+        all_stats: the measurements of each instance.
 
     Returns:
-        The loads, or None while too little was seen by all of them.
+        The loads, or None while all instances together have too few samples.
     """
     admitted = sum(stats.admitted for stats in all_stats)
     if admitted < MIN_ADMITTED or sum(stats.answers for stats in all_stats) < MIN_ANSWERS:
@@ -282,7 +289,7 @@
 
 
 def _combined_token_s(all_stats: Sequence[WorkloadStats]) -> float:
-    """Return the seconds that a token keeps a reading engine busy, from all readings together."""
+    """Return the seconds of a prefill engine's work per prompt token, from all samples together."""
     classes = _LengthClasses()
     for stats in all_stats:
         for tokens, took_s in stats.newest or _implied_prefills(stats):
@@ -291,13 +298,13 @@
 
 
 def _implied_prefills(stats: WorkloadStats) -> list[tuple[int, float]]:
-    """Return what an instance that tells no readings makes of them, as often as it saw any."""
+    """Return prefills that match the means of an instance that publishes none, one per sample."""
     reading = (round(stats.tokens), stats.token_s * stats.tokens)
     return [reading] * min(stats.readings, MAX_PUBLISHED_PREFILLS)
 
 
 def _mean(rows: Iterable[tuple[float, int]]) -> float:
-    """Return the mean of values, each with the number of its samples; a mean holds the newest."""
+    """Return the weighted mean of values with sample counts; a mean covers the newest samples."""
     weighed = [(value, min(samples, EWMA_SAMPLES)) for value, samples in rows]
     return sum(value * samples for value, samples in weighed) / sum(row[1] for row in weighed)
 
@@ -305,13 +312,13 @@
 def wanted_prompt_engines(
     loads: PoolLoads, prompt_engines: int, decode_engines: int, answers: int
 ) -> int:
-    """Return how many of the engines should read; the present number unless a change pays.
+    """Return how many engines should prefill; the present number unless a change pays off.
 
     Args:
-        loads: work of the mean request.
-        prompt_engines: engines that read now.
-        decode_engines: engines that write now.
-        answers: how many answers shaped the loads.
+        loads: work of an average request.
+        prompt_engines: number of prefill engines now.
+        decode_engines: number of decode engines now.
+        answers: number of answers on which the loads are based.
     """
     total = prompt_engines + decode_engines
     if total < 2:
