--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -33,7 +33,7 @@
     slots = settings.slots if settings.policy != "naive" else UNBOUNDED
     if engine is not None and settings.role == "decode":
         table = SlotTable(
-            capacity=slots, step_s=settings.step_s, hold_s=settings.lease_s, mech=mech
+            capacity=slots, step_s=settings.step_s, lease_margin_s=settings.lease_s, mech=mech
         )
         return DecodeRole(engine=engine, table=table, **common)
     queue = WorkQueue(width=slots, units_per_s=settings.rate, mech=mech)
--- a/src/crankhinge/decisions/_advertised_limits.py
+++ b/src/crankhinge/decisions/_advertised_limits.py
@@ -60,30 +60,33 @@
         """Return the limit of a server; None when it advertises none."""
         return self._limits.get(server)
 
-    def record_limit(self, server: str, per_s: float, at: float) -> bool:
+    def record_limit(self, server: str, per_s: float, received_at: float) -> bool:
         """Record that a server advertised a limit.
 
         Args:
             server: its incarnation id.
             per_s: requests a second.
-            at: when the response with the limit was received, by the runtime's clock in seconds.
+            received_at: when the response with the limit was received, by the runtime's clock in
+                seconds.
 
         Returns:
             Whether this changed the known limit.
         """
-        if at <= self._ended_at.get(server, float("-inf")):
+        if received_at <= self._ended_at.get(server, float("-inf")):
             return False
         known = self._limits.get(server)
-        if known is not None and at < known.received_at:
+        if known is not None and received_at < known.received_at:
             return False
-        keep_newest(self._limits, server, AdvertisedLimit(per_s, at), MAX_TRACKED_SERVERS)
+        keep_newest(self._limits, server, AdvertisedLimit(per_s, received_at), MAX_TRACKED_SERVERS)
         return known is None or known.per_s != per_s
 
-    def record_unreadable(self, server: str, at: float) -> None:
+    def record_unreadable(self, server: str, received_at: float) -> None:
         """Record that a server advertised an unreadable limit: it is still overloaded."""
         known = self._limits.get(server)
-        if known is not None and at > known.received_at:
-            keep_newest(self._limits, server, AdvertisedLimit(known.per_s, at), MAX_TRACKED_SERVERS)
+        if known is not None and received_at > known.received_at:
+            keep_newest(
+                self._limits, server, AdvertisedLimit(known.per_s, received_at), MAX_TRACKED_SERVERS
+            )
 
     def record_no_limit(self, server: str, sent_at: float) -> bool:
         """Record that a response of a server advertised no limit.
--- a/src/crankhinge/decisions/_exclusions.py
+++ b/src/crankhinge/decisions/_exclusions.py
@@ -37,18 +37,18 @@
         self._backoff_ends: dict[str, float] = {}
         self._latest_backoff_end = float("-inf")
 
-    def record_leaving(self, server: str, at: float) -> bool:
+    def record_leaving(self, server: str, received_at: float) -> bool:
         """Record that a server announced its shutdown; returns whether that is new.
 
         The announcement is never withdrawn: an incarnation that is leaving does not come back.
 
         Args:
             server: its incarnation id.
-            at: when the announcement was received, by the runtime's clock in seconds.
+            received_at: when the announcement was received, by the runtime's clock in seconds.
         """
         if server in self._leaving_since:
             return False
-        keep_newest(self._leaving_since, server, at, MAX_TRACKED_SERVERS)
+        keep_newest(self._leaving_since, server, received_at, MAX_TRACKED_SERVERS)
         return True
 
     def record_backoff(self, server: str, until: float) -> bool:
--- a/src/crankhinge/decisions/_fence_keys.py
+++ b/src/crankhinge/decisions/_fence_keys.py
@@ -52,11 +52,11 @@
         since_ms: keys created before this time may be missing from the record.
         wall_ms: wall-clock time in milliseconds since the Unix epoch.
     """
-    born = key_created_ms(key)
-    if born is None or born > wall_ms + MAX_CLOCK_SKEW_MS:
+    created_ms = key_created_ms(key)
+    if created_ms is None or created_ms > wall_ms + MAX_CLOCK_SKEW_MS:
         return BAD_KEY
     oldest = max(since_ms + 2 * MAX_CLOCK_SKEW_MS, wall_ms - int(KEY_RETENTION_S * 1000) // 2)
-    return TOO_OLD if born < oldest else ""
+    return TOO_OLD if created_ms < oldest else ""
 
 
 def drop_expired_keys(keys: OrderedDict[str, KeyState], now: float) -> None:
--- a/src/crankhinge/decisions/_rollout.py
+++ b/src/crankhinge/decisions/_rollout.py
@@ -60,8 +60,8 @@
     if len(others) >= width:
         return None
     token = record.token + 1
-    mine = RolloutLease(me, wall_ms + int(ROLLOUT_LEASE_S * 1000))
-    return AcquiredRollout(token, RolloutRecord(token, (*others, mine)))
+    own_lease = RolloutLease(me, wall_ms + int(ROLLOUT_LEASE_S * 1000))
+    return AcquiredRollout(token, RolloutRecord(token, (*others, own_lease)))
 
 
 def release_rollout(record: RolloutRecord, me: str) -> RolloutRecord:
--- a/src/crankhinge/decisions/_routing.py
+++ b/src/crankhinge/decisions/_routing.py
@@ -105,8 +105,8 @@
             b for b in pool_backends if b.is_available and (not adapter or adapter in b.adapters)
         ]
         alive = [b for b in available if b.breaker.allows_request(now)] or available
-        limit = now - STALE_REPORT_INTERVALS * self.costs.report_interval_s
-        fresh = [b for b in alive if b.reported_at >= limit]
+        oldest_fresh = now - STALE_REPORT_INTERVALS * self.costs.report_interval_s
+        fresh = [b for b in alive if b.reported_at >= oldest_fresh]
         return fresh or alive
 
     def _sample(self, items: list[Backend], count: int) -> list[Backend]:
@@ -117,9 +117,9 @@
         backends = self.usable_backends(pools, now, adapter)
         if not self._mech.load_aware:
             return self._round_robin(backends)
-        usual = _median([b.step_s for b in backends if b.step_s > 0])
+        median_step_s = _median([b.step_s for b in backends if b.step_s > 0])
         candidates = self._sample(backends, RANDOM_CANDIDATES)
-        return sorted(candidates, key=lambda b: self._expected_cost_s(b, usual, now))
+        return sorted(candidates, key=lambda b: self._expected_cost_s(b, median_step_s, now))
 
     def _round_robin(self, backends: list[Backend]) -> list[Backend]:
         """Return all servers, starting with the next one in turn."""
@@ -129,11 +129,11 @@
         start = next(self._turns) % len(ordered)
         return ordered[start:] + ordered[:start]
 
-    def _expected_cost_s(self, backend: Backend, usual_step_s: float, now: float) -> float:
+    def _expected_cost_s(self, backend: Backend, median_step_s: float, now: float) -> float:
         cost = backend.expected_wait_s(now)
         if backend.zone != self.costs.zone:
             cost += 2 * self.costs.cross_zone_s
-        if usual_step_s and backend.step_s > SLOW_STEP_FACTOR * usual_step_s:
+        if median_step_s and backend.step_s > SLOW_STEP_FACTOR * median_step_s:
             cost += SLOW_PENALTY_S
         sent_per_slot = backend.sent_since_report / max(1, backend.free_slots)
         return cost + self.costs.cross_zone_s * sent_per_slot
--- a/src/crankhinge/decisions/_slots.py
+++ b/src/crankhinge/decisions/_slots.py
@@ -48,7 +48,7 @@
     Args:
         capacity: number of requests that the engine holds in memory.
         step_s: assumed seconds between tokens, until measured.
-        hold_s: seconds that a lease lasts beyond the time at which its slot should be used.
+        lease_margin_s: seconds that a lease lasts beyond the time at which its slot should be used.
         mech: the enabled mechanisms.
     """
 
@@ -57,16 +57,16 @@
         *,
         capacity: int,
         step_s: float,
-        hold_s: float = DEFAULT_LEASE_MARGIN_S,
+        lease_margin_s: float = DEFAULT_LEASE_MARGIN_S,
         mech: Mechanisms = FULL,
     ) -> None:
         self.capacity = capacity
         self.step_s = step_s
         self.foreign_requests = 0
         self.is_closed = False
-        self._hold_s = hold_s
+        self._lease_margin_s = lease_margin_s
         self._mech = mech
-        self._mean_hold_s = 0.0
+        self._mean_run_s = 0.0
         self._leases: dict[int, _Lease] = {}
         self._running: dict[int, _Running] = {}
         self._queue: FairQueue[SlotRequest] = FairQueue()
@@ -98,9 +98,9 @@
         ends = sorted(self._slot_ends(now))
         ahead = len(self._queue) + max(0, -self.free_slots)
         if not ends:
-            return self._mean_hold_s
-        rounds, place = divmod(ahead, max(1, len(ends)))
-        return max(0.0, ends[place] - now) + rounds * self._mean_hold_s
+            return self._mean_run_s
+        rounds, position = divmod(ahead, max(1, len(ends)))
+        return max(0.0, ends[position] - now) + rounds * self._mean_run_s
 
     def _latest_end(self, run: _Running, now: float) -> float:
         """Return the latest time at which the answer ends."""
@@ -142,11 +142,11 @@
         tokens_per_s = self.capacity / max(self.step_s, 1e-6)
         share = self._queue.share(request.flow, request.flow_weights)
         own_wait_s = self._queue.waiting_cost(request.flow) / (tokens_per_s * share)
-        return own_wait_s + self._until_next_end(now, request.lead_s)
+        return own_wait_s + self._seconds_until_next_end(now, request.lead_s)
 
-    def _until_next_end(self, now: float, lead: float) -> float:
+    def _seconds_until_next_end(self, now: float, lead_s: float) -> float:
         ends = self._slot_ends(now)
-        return max(0.0, min(ends) - now - lead) if ends else 0.0
+        return max(0.0, min(ends) - now - lead_s) if ends else 0.0
 
     def _has_room_for(self, request: SlotRequest, now: float) -> bool:
         if self.free_slots > 0:
@@ -167,8 +167,8 @@
         return decisions
 
     def _grant(self, request: SlotRequest, now: float) -> SlotGrant:
-        lease = request.lead_s + self._hold_s
-        ready = 0.0 if self.free_slots > 0 else self._until_next_end(now, 0.0)
+        lease = request.lead_s + self._lease_margin_s
+        ready = 0.0 if self.free_slots > 0 else self._seconds_until_next_end(now, 0.0)
         self._leases[request.req] = _Lease(request, now + lease)
         return SlotGrant(request.req, ready, lease)
 
@@ -183,7 +183,9 @@
             if now > request.deadline:
                 self._queue.remove(request.req)
                 decisions.append(
-                    Refusal(request.req, "overloaded", max(0.1, self._until_next_end(now, 0.0)))
+                    Refusal(
+                        request.req, "overloaded", max(0.1, self._seconds_until_next_end(now, 0.0))
+                    )
                 )
         return decisions
 
@@ -219,9 +221,9 @@
         self._leases.pop(req, None)
         run = self._running.pop(req, None)
         if run is not None:
-            held = now - run.started_at
-            gain = EWMA_WEIGHT if self._mean_hold_s else 1.0
-            self._mean_hold_s += gain * (held - self._mean_hold_s)
+            ran_s = now - run.started_at
+            weight = EWMA_WEIGHT if self._mean_run_s else 1.0
+            self._mean_run_s += weight * (ran_s - self._mean_run_s)
         return self.tick(now)
 
     def next_tick_at(self) -> float | None:
--- a/src/crankhinge/decisions/_split.py
+++ b/src/crankhinge/decisions/_split.py
@@ -117,15 +117,15 @@
         seen = [
             length_class for length_class in classes if len(length_class) >= MIN_CLASS_SAMPLES
         ] or classes
-        fast = sorted(
-            (length_class.fast_prefill for length_class in seen), key=lambda reading: reading[1]
+        fast_prefills = sorted(
+            (length_class.fast_prefill for length_class in seen), key=lambda prefill: prefill[1]
         )
-        (short_s, short_tokens), (long_s, long_tokens) = fast[0], fast[-1]
-        alone = long_s / max(1, long_tokens)
+        (short_s, short_tokens), (long_s, long_tokens) = fast_prefills[0], fast_prefills[-1]
+        long_token_s = long_s / max(1, long_tokens)
         if long_tokens - short_tokens < LENGTH_CLASS_TOKENS:
-            return alone
+            return long_token_s
         slope = (long_s - short_s) / (long_tokens - short_tokens)
-        return min(alone, max(slope, alone * MIN_WORK_SHARE))
+        return min(long_token_s, max(slope, long_token_s * MIN_WORK_SHARE))
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,8 +159,8 @@
     def loads(self) -> PoolLoads:
         """Return the loads that follow from these measurements."""
         # The memory is reserved during the prefill, too.
-        write_s = self.part * self.read_s + self.part_tokens * self.pace_s
-        return PoolLoads(self.token_s * self.tokens, write_s)
+        decode_s = self.part * self.read_s + self.part_tokens * self.pace_s
+        return PoolLoads(self.token_s * self.tokens, decode_s)
 
 
 class WorkloadMeter:
@@ -299,14 +299,14 @@
 
 def _implied_prefills(stats: WorkloadStats) -> list[tuple[int, float]]:
     """Return prefills that match the means of an instance that publishes none, one per sample."""
-    reading = (round(stats.tokens), stats.token_s * stats.tokens)
-    return [reading] * min(stats.readings, MAX_PUBLISHED_PREFILLS)
+    prefill = (round(stats.tokens), stats.token_s * stats.tokens)
+    return [prefill] * min(stats.readings, MAX_PUBLISHED_PREFILLS)
 
 
 def _mean(rows: Iterable[tuple[float, int]]) -> float:
     """Return the weighted mean of values with sample counts; a mean covers the newest samples."""
-    weighed = [(value, min(samples, EWMA_SAMPLES)) for value, samples in rows]
-    return sum(value * samples for value, samples in weighed) / sum(row[1] for row in weighed)
+    weighted = [(value, min(samples, EWMA_SAMPLES)) for value, samples in rows]
+    return sum(value * samples for value, samples in weighted) / sum(row[1] for row in weighted)
 
 
 def wanted_prompt_engines(
--- a/src/crankhinge/decisions/_work_queue.py
+++ b/src/crankhinge/decisions/_work_queue.py
@@ -74,16 +74,16 @@
     def take_next(self, now: float) -> tuple[list[WorkRequest], list[Refusal]]:
         """Return the requests to start now, and refusals of those whose deadline cannot be met."""
         starts: list[WorkRequest] = []
-        late: list[Refusal] = []
+        refusals: list[Refusal] = []
         while self.free_slots and (request := self._queue.pop()) is not None:
             self._waiting_units -= request.units
             late_by = now + request.units / self.units_per_s - request.deadline
             if self._mech.refuse_early and late_by > 0:
-                late.append(Refusal(request.req, "overloaded", self.backlog_s(now)))
+                refusals.append(Refusal(request.req, "overloaded", self.backlog_s(now)))
                 continue
             self._running[request.req] = (request, now)
             starts.append(request)
-        return starts, late
+        return starts, refusals
 
     def record_end(self, req: int, now: float, *, done: int = 0) -> None:
         """Record that a request is done, has failed or is not wanted any more.
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -109,7 +109,7 @@
     """Return the role with a silent log."""
     return DecodeRole(
         engine=engine,
-        table=SlotTable(capacity=capacity, step_s=0.1, hold_s=1.0),
+        table=SlotTable(capacity=capacity, step_s=0.1, lease_margin_s=1.0),
         keeper=BundleKeeper({}),
         log=get_log(program="test", stream=io.StringIO()),
         metrics=Metrics(prefix="test"),
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -60,7 +60,7 @@
 
     def test_unused_lease_expires(self) -> None:
         """A lease that nobody uses is given to the next."""
-        table = SlotTable(capacity=1, step_s=0.1, hold_s=1.0)
+        table = SlotTable(capacity=1, step_s=0.1, lease_margin_s=1.0)
         table.submit(make_ask(1), 0.0)
         table.submit(make_ask(2), 0.0)
         assert table.tick(1.05) == []
