--- a/src/crankhinge/decisions/_mechanisms.py
+++ b/src/crankhinge/decisions/_mechanisms.py
@@ -71,5 +71,7 @@
     """
     found = POLICIES.get(policy)
     if found is None:
-        raise SettingsError(f"policy: no {policy!r}; one of {', '.join(POLICIES)}")
+        raise SettingsError(
+            f"policy: unknown name {policy!r}; expected one of {', '.join(POLICIES)}"
+        )
     return found
