--- a/src/crankhinge/decisions/_permit_pool.py
+++ b/src/crankhinge/decisions/_permit_pool.py
@@ -157,11 +157,11 @@
         self._available += 1.0
         self._clamp(fleet_size)
 
-    def _refill(self, fleet: int, now: float) -> None:
+    def _refill(self, fleet_size: int, now: float) -> None:
         """Add the permits that the shares yielded since the last refill."""
         since, self._refilled_at = self._refilled_at, max(self._refilled_at, now)
         share_per_s = max(self.per_s, MIN_RATE_PER_S) / max(
-            fleet, self._max_lender_fleet_size, len(self._share_ends)
+            fleet_size, self._max_lender_fleet_size, len(self._share_ends)
         )
         if now < self._earliest_end:
             refilled = share_per_s * len(self._share_ends) * max(0.0, now - since)
@@ -170,7 +170,7 @@
             refilled = share_per_s * sum(max(0.0, min(now, until) - since) for until in ends)
             self._remove_ended_shares(now)
         self._available += refilled
-        self._clamp(fleet)
+        self._clamp(fleet_size)
         self._waiting_callers = max(0.0, self._waiting_callers - refilled)
         self._waiting_instances = max(0.0, self._waiting_instances - refilled)
 
@@ -183,5 +183,7 @@
         if not self._share_ends:
             self._max_lender_fleet_size = 1
 
-    def _clamp(self, fleet: int) -> None:
-        self._available = min(self._available, burst_limit(self.per_s, self.leased_fraction(fleet)))
+    def _clamp(self, fleet_size: int) -> None:
+        self._available = min(
+            self._available, burst_limit(self.per_s, self.leased_fraction(fleet_size))
+        )
