--- a/src/crankhinge/decisions/_fence.py
+++ b/src/crankhinge/decisions/_fence.py
@@ -42,9 +42,13 @@
     FenceSync,
 )
 
+# Seconds without a connection after which a paired replica, and one that has no trusted record,
+# tries to continue alone.
 PAIRED_GRACE_S = 3.0
 JOINING_GRACE_S = 15.0
+# Seconds for which a replica that is alone grants no permission while it sends its record.
 SYNC_TIMEOUT_S = 5.0
+# Maximum number of keys in one message of a copy.
 MAX_SYNC_ROWS = 500
 
 
@@ -67,7 +71,7 @@
         range_id: identifies the record.
         me: name of this replica.
         other: name of the other replica.
-        writer: identifies this run of the process; its own swaps are recognised by it.
+        writer: identifies this run of the process, which recognizes its own swaps by it.
     """
 
     def __init__(self, *, range_id: str, me: str, other: str, writer: int) -> None:
@@ -143,13 +147,13 @@
     # -- the other replica --------------------------------------------------------------------
 
     def on_linked(self) -> list[FenceAction]:
-        """The connection to the other replica is up."""
+        """Handle a new connection to the other replica."""
         self._linked = True
         self._unlinked_at = None
         return [self._announce_state()]
 
     def on_unlinked(self, now: float) -> list[FenceAction]:
-        """The connection is lost: attempts that wait for consent are answered "not now"."""
+        """Handle a lost connection: attempts that wait for consent are answered "not now"."""
         self._linked = False
         self._unlinked_at = now
         self._other_state = ""
@@ -218,7 +222,7 @@
         return [self._announce_state()] if copy is None else []
 
     def _step_down(self) -> list[FenceAction]:
-        """The record has changed without this replica, so its own copy cannot be trusted."""
+        """Stop trusting this replica's copy, since the record has changed without it."""
         actions = self._drop_unconsented()
         self.role = FenceRole.JOINING
         self._copy = None
@@ -266,7 +270,7 @@
         return self._read_record()
 
     def on_joined(self, msg: FenceJoined, now: float) -> list[FenceAction]:
-        """The other replica has received the whole copy: make it this replica's pair."""
+        """Handle a read without a response from the key-value service; :meth:`on_tick` retries."""
         current = msg.sync == self._sync_id and msg.epoch == self.epoch
         if self.role is not FenceRole.SOLO or not current or now >= self._syncing_until:
             return []
@@ -362,8 +366,7 @@
             self._swap = None
             return self._apply_swap(swap, now, wall_ms)
         if head.epoch < swap.epoch:
-            # The swap may still take effect: it is sent again, and at most one of the two can
-            # succeed.
+            # The swap may still take effect. It is sent again; only one of the two can succeed.
             return [SwapRecord(index, swap)]
         self._swap = None
         return self._step_down()
--- a/src/crankhinge/decisions/_fence_actions.py
+++ b/src/crankhinge/decisions/_fence_actions.py
@@ -37,7 +37,8 @@
     Attributes:
         epoch: grows with each change.
         holder: the replica that continues alone; empty while both keep the record.
-        writer: identifies the swap, to recognise it when its response was lost.
+        writer: identifies the process that swapped it in, which recognizes its own swap by this
+            when the response was lost.
     """
 
     epoch: int
--- a/src/crankhinge/decisions/_permit_pool.py
+++ b/src/crankhinge/decisions/_permit_pool.py
@@ -23,8 +23,8 @@
 MIN_BURST = 2.0
 # Retry delay in seconds for instances while too few shares are leased to grant any permit.
 NO_SHARE_RETRY_S = 0.5
-# Bounds of the retry delay in seconds. Callers that get the maximum may meet other callers with an
-# earlier turn when they retry.
+# Bounds of the retry delay in seconds. A caller that gets the maximum may find other callers ahead
+# of it when it retries.
 MAX_RETRY_AFTER_S = 5.0
 MIN_RETRY_AFTER_S = 0.05
 
@@ -51,8 +51,8 @@
 def burst_limit(per_s: float, fraction: float) -> float:
     """Return the maximum burst for an allocator that holds a fraction of a server's limit.
 
-    The permits granted within a window, and in the time before it for which a request may be late,
-    are bounded by the rate times that duration plus this burst. For all fractions together the sum
+    The permits granted within a window, and in the time before it by which a request may arrive
+    late, are at most the rate times that duration plus this burst. Added over all fractions, that
     is what the operators allow.
     """
     rate = max(per_s, MIN_RATE_PER_S)
@@ -77,9 +77,9 @@
         # Permits available now; negative when permits were granted for requests that are sent
         # later.
         self._available = 0.0
-        # Refused requests that are expected to come back, after which those that are refused next
-        # get their turn: requests of callers, and of instances, which ask again for all that they
-        # have waiting by then.
+        # Number of refused requests that are expected to come back; requests that are refused later
+        # get their turn after them. Callers and instances are counted separately: an instance asks
+        # again for all requests that it has by then.
         self._waiting_callers = self._waiting_instances = 0.0
         # End of the lease of each share, by the name of its lender, and a lower bound of these
         # ends.
--- a/src/crankhinge/decisions/_quarantine.py
+++ b/src/crankhinge/decisions/_quarantine.py
@@ -1,10 +1,10 @@
 """Requests that are kept away from servers because servers crashed while running them.
 
 A crash ends all requests that the server runs, and it is unknown which of them caused it. A request
-that was running at the crashes of several servers is refused for a while. Then one attempt is let
+that was running when several servers crashed is refused for a while. Then one attempt is let
 through as a trial: a response ends the quarantine, another crash begins a longer one. So a request
-that was running by chance is served again soon, and one that crashes servers reaches ever fewer of
-them.
+that happened to run on those servers is served again soon, and one that crashes servers reaches
+ever fewer of them.
 
 Crashes are identified by the incarnation ids of the servers, so a crash that is reported twice, by
 two instances or by a late message, counts once.
@@ -19,10 +19,11 @@
 
 # Crashes under one request after which it is refused, as the operators bound it.
 MAX_CRASHES = 3
-# Seconds from that crash to the trial. A request that was running by chance is refused for that
-# long; callers wait 14 s for a stream. Each further crash multiplies the time by the growth factor.
-# With 10, 40 and 160 s, a request that crashes servers reaches two servers in the first 50 s and
-# three in four minutes; the operators allow three more than those that began the quarantine.
+# Seconds from that crash to the trial. A request that only happened to run on the crashed servers
+# is refused for that long; callers wait 14 s for a stream. Each further crash multiplies the time
+# by the growth factor. With 10, 40 and 160 s, a request that crashes servers reaches two servers in
+# the first 50 s and three in four minutes; the operators allow three more servers than those that
+# began the quarantine.
 FIRST_QUARANTINE_S = 10.0
 QUARANTINE_GROWTH = 4.0
 MAX_QUARANTINE_S = 3600.0
--- a/src/crankhinge/decisions/_reservations.py
+++ b/src/crankhinge/decisions/_reservations.py
@@ -86,7 +86,7 @@
 
     @property
     def max_in_time_wait_s(self) -> float:
-        """Seconds that it may wait so that the caller's first attempt is still in time."""
+        """Longest wait in seconds after which a first attempt is still in time; 0 for a retry."""
         return 0.0 if self.is_retry else max(0.0, self.target_s - self.first_event_s)
 
     @property
@@ -129,9 +129,9 @@
     """Distinguishes caller retries from first attempts by how long their callers still wait.
 
     Callers retry on a new connection, so a request on a connection that was used before is a first
-    attempt, and the shortest wait of these is the limit below which a wait is that of a retry.
-    Where callers wait 0.85 to 1.0 of the longest wait, a fixed fraction of the longest wait took
-    three of four first attempts for retries.
+    attempt. A request whose caller waits less than the shortest wait of these is a retry. Where
+    first attempts wait 0.85 to 1.0 of the longest wait, a limit at a fixed fraction of the longest
+    wait took three of four first attempts for retries.
     """
 
     def __init__(self) -> None:
