--- a/src/crankhinge/decisions/_routing.py
+++ b/src/crankhinge/decisions/_routing.py
@@ -1,9 +1,9 @@
-"""Which backend servers a request is tried on, and in which order.
+"""The choice of backend servers for a request, and the order in which they are tried.
 
-An entry sees load that is up to a heartbeat old and shares its backend servers with other
-entries that it never hears of. So it corrects each report by what it has sent since, compares a
-few random candidates rather than all (Mitzenmacher, 2001), and leaves the last word to the agent,
-which owns the queue and can refuse at no cost.
+An entry sees load reports that are up to a heartbeat old, and shares its backend servers with other
+entries that it does not communicate with. So it corrects each report by the requests it has sent
+since, compares a few random candidates instead of all servers (Mitzenmacher, 2001), and leaves the
+final decision to the agent, which owns the queue and can refuse a request at no cost.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True)
 class RouteRequest:
-    """What routing needs to know of a request.
+    """The properties of a request that matter for routing.
 
     Attributes:
         tokens: estimated prompt tokens.
-        prefix: hashes of the prompt's leading blocks, outermost first.
-        block_tokens: tokens a block stands for.
-        adapter: that must be loaded; empty for none.
+        prefix: hashes of the leading blocks of the prompt, the first block first.
+        block_tokens: number of tokens in a block.
+        adapter: name of the adapter that must be loaded; empty for none.
     """
 
     tokens: int
@@ -45,15 +45,15 @@
 
 @dataclass(frozen=True)
 class RoutingCosts:
-    """What a choice costs, in seconds.
+    """Parameters of the cost of a choice, which is measured in seconds.
 
     Attributes:
-        zone: this entry's availability zone.
+        zone: availability zone of this entry.
         kv_bytes_per_token: size of the KV cache.
-        same_zone_bytes_per_s: rate of the links within a zone; 0 when not limited.
-        cross_zone_bytes_per_s: rate of the links between zones; 0 when not limited.
-        cross_zone_s: one way between zones.
-        report_interval_s: seconds between reports.
+        same_zone_bytes_per_s: bandwidth of the links within a zone; 0 when not limited.
+        cross_zone_bytes_per_s: bandwidth of the links between zones; 0 when not limited.
+        cross_zone_s: one-way latency between zones, in seconds.
+        report_interval_s: seconds between load reports.
     """
 
     zone: str = ""
@@ -65,12 +65,12 @@
 
 
 class Router:
-    """The backend servers that this entry knows, and the choices among them.
+    """The backend servers that this entry knows, and the choice among them.
 
     Args:
-        costs: what a choice costs.
+        costs: parameters of the cost of a choice.
         rng: source of the random candidates; seeded in tests.
-        mech: which mechanisms are at work.
+        mech: the enabled mechanisms.
     """
 
     def __init__(self, *, costs: RoutingCosts, rng: random.Random, mech: Mechanisms = FULL) -> None:
@@ -80,81 +80,85 @@
         self.prefixes = PrefixIndex()
         self._rng = rng
         self._mech = mech
-        self._turn = itertools.count()
+        self._turns = itertools.count()
 
     def add_backend(self, backend: Backend) -> None:
-        """Know a backend server, or know it anew after its pool has changed."""
+        """Add a backend server, or replace it after its pool has changed."""
         self.remove_backend(backend.name)
         self.backends[backend.name] = backend
         self._pools.setdefault(backend.pool, {})[backend.name] = backend
 
     def remove_backend(self, name: str) -> None:
-        """Forget a backend server."""
+        """Remove a backend server."""
         self.backends.pop(name, None)
         for members in self._pools.values():
             members.pop(name, None)
 
     def usable_backends(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
-        """Return the members of *pools* that may be given new work, and have *adapter* loaded.
+        """Return the servers of *pools* that may get new requests and have *adapter* loaded.
 
-        A backend server whose reports have stopped is used only when no other is left, and one
-        whose breaker is open only when all are: then it can only get better.
+        A server whose reports have stopped is used only when no other is left, and a server whose
+        breaker is open only when all breakers are open: then a request cannot make things worse.
         """
-        members = [b for pool in pools for b in self._pools.get(pool, {}).values()]
-        present = [b for b in members if b.is_available and (not adapter or adapter in b.adapters)]
-        alive = [b for b in present if b.breaker.allows_request(now)] or present
-        limit = now - STALE_REPORT_INTERVALS * self.costs.report_interval_s
-        fresh = [b for b in alive if b.reported_at >= limit]
+        pool_backends = [b for pool in pools for b in self._pools.get(pool, {}).values()]
+        available = [
+            b for b in pool_backends if b.is_available and (not adapter or adapter in b.adapters)
+        ]
+        alive = [b for b in available if b.breaker.allows_request(now)] or available
+        oldest_fresh = now - STALE_REPORT_INTERVALS * self.costs.report_interval_s
+        fresh = [b for b in alive if b.reported_at >= oldest_fresh]
         return fresh or alive
 
     def _sample(self, items: list[Backend], count: int) -> list[Backend]:
         return self._rng.sample(items, min(count, len(items)))
 
     def choose_backends(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
-        """Return decode or plain backend servers to try, best first."""
-        usable = self.usable_backends(pools, now, adapter)
+        """Return the decode or plain servers to try, best first."""
+        backends = self.usable_backends(pools, now, adapter)
         if not self._mech.load_aware:
-            return self._in_turn(usable)
-        usual = _median([b.step_s for b in usable if b.step_s > 0])
-        few = self._sample(usable, RANDOM_CANDIDATES)
-        return sorted(few, key=lambda b: self._cost(b, usual, now))
-
-    def _in_turn(self, usable: list[Backend]) -> list[Backend]:
-        """Return all, beginning with the next in turn."""
-        if not usable:
+            return self._round_robin(backends)
+        median_step_s = _median([b.step_s for b in backends if b.step_s > 0])
+        candidates = self._sample(backends, RANDOM_CANDIDATES)
+        return sorted(candidates, key=lambda b: self._expected_cost_s(b, median_step_s, now))
+
+    def _round_robin(self, backends: list[Backend]) -> list[Backend]:
+        """Return all servers, starting with the next one in turn."""
+        if not backends:
             return []
-        ordered = sorted(usable, key=lambda b: b.name)
-        start = next(self._turn) % len(ordered)
+        ordered = sorted(backends, key=lambda b: b.name)
+        start = next(self._turns) % len(ordered)
         return ordered[start:] + ordered[:start]
 
-    def _cost(self, backend: Backend, usual_step_s: float, now: float) -> float:
+    def _expected_cost_s(self, backend: Backend, median_step_s: float, now: float) -> float:
         cost = backend.expected_wait_s(now)
         if backend.zone != self.costs.zone:
             cost += 2 * self.costs.cross_zone_s
-        if usual_step_s and backend.step_s > SLOW_STEP_FACTOR * usual_step_s:
+        if median_step_s and backend.step_s > SLOW_STEP_FACTOR * median_step_s:
             cost += SLOW_PENALTY_S
-        spread = backend.sent_since_report / max(1, backend.free_slots)
-        return cost + self.costs.cross_zone_s * spread
+        sent_per_slot = backend.sent_since_report / max(1, backend.free_slots)
+        return cost + self.costs.cross_zone_s * sent_per_slot
 
     def choose_prefill(
         self, pools: Iterable[str], request: RouteRequest, decode_zone: str, now: float
     ) -> list[Backend]:
-        """Return prefill servers to try for a request that is written in *decode_zone*."""
-        usable = self.usable_backends(pools, now, request.adapter)
+        """Return the prefill servers to try for a request that is decoded in *decode_zone*."""
+        backends = self.usable_backends(pools, now, request.adapter)
         if not self._mech.load_aware:
-            return self._in_turn(usable)
-        few = {b.name: b for b in self._sample(usable, RANDOM_CANDIDATES)}
+            return self._round_robin(backends)
+        candidates = {b.name: b for b in self._sample(backends, RANDOM_CANDIDATES)}
         if request.prefix and self._mech.affinity:
-            by_name = {b.name: b for b in usable}
+            by_name = {b.name: b for b in backends}
             key = request.prefix[0].to_bytes(8, "big", signed=False)
             for name in rank_by_key(key, by_name)[:AFFINITY_CANDIDATES]:
-                few[name] = by_name[name]
-        return sorted(few.values(), key=lambda b: self.prefill_cost_s(b, request, decode_zone, now))
+                candidates[name] = by_name[name]
+        return sorted(
+            candidates.values(), key=lambda b: self.prefill_cost_s(b, request, decode_zone, now)
+        )
 
     def prefill_cost_s(
         self, backend: Backend, request: RouteRequest, decode_zone: str, now: float
     ) -> float:
-        """Return the seconds until the prompt is read there and in the decode engine's memory."""
+        """Return the seconds until the prompt's KV cache is computed there and transferred."""
         return (
             backend.pending_work_s(now)
             + self.uncached_tokens(backend, request)
@@ -163,19 +167,19 @@
         )
 
     def uncached_tokens(self, backend: Backend, request: RouteRequest) -> int:
-        """Return the prompt tokens that would have to be computed there."""
+        """Return the number of prompt tokens that are not in the server's prefix cache."""
         if not self._mech.affinity:
             return max(1, request.tokens)
         found = self.prefixes.count_cached(backend.name, request.prefix) * request.block_tokens
         return max(1, request.tokens - found)
 
     def idle_prefill_s(self, pools: Iterable[str], request: RouteRequest, now: float) -> float:
-        """Return the seconds that the reading takes on the fastest engine, were it idle."""
+        """Return the seconds that prefill takes on the fastest engine if it is idle."""
         rates = [b.tokens_per_s for b in self.usable_backends(pools, now) if b.tokens_per_s > 0]
         return request.tokens / max(rates, default=DEFAULT_TOKENS_PER_S)
 
     def transfer_s(self, tokens: int, from_zone: str, to_zone: str) -> float:
-        """Return the seconds a transfer of the KV cache takes on an idle link."""
+        """Return the seconds that a transfer of the KV cache takes on an idle link."""
         weights = self.costs
         same = from_zone == to_zone
         rate = weights.same_zone_bytes_per_s if same else weights.cross_zone_bytes_per_s
@@ -194,7 +198,7 @@
         rate: float,
         draining: bool,
     ) -> None:
-        """Take in a backend server's report of its load."""
+        """Apply a load report of a backend server."""
         backend = self.backends.get(name)
         if backend is None:
             return
