--- a/src/crankhinge/adapters/__init__.py
+++ b/src/crankhinge/adapters/__init__.py
@@ -1,13 +1,12 @@
 """The outside systems: an abstract base class for each, and one adapter."""
 
-from crankhinge.adapters._board import Note, NoteLease, WorkBoard
 from crankhinge.adapters._dialect import (
+    AttemptParams,
     Dialect,
     EngineState,
-    Leg,
-    OrderEnd,
-    RelayAsk,
-    ServerWord,
+    OrderOutcome,
+    RelayRequest,
+    ResponseSignals,
     SideCall,
 )
 from crankhinge.adapters._engine import (
@@ -19,45 +18,46 @@
     PrefillResult,
 )
 from crankhinge.adapters._instances import Instance, InstanceList
-from crankhinge.adapters._keyvalue import KeyValue, Value
-from crankhinge.adapters._service import PlainService, ServiceAnswer
+from crankhinge.adapters._keyvalue import KeyValueStore, StoredValue
+from crankhinge.adapters._order_lease import OrderLease, OrderLeaseStore
+from crankhinge.adapters._registry import InstanceRecord, InstanceRegistry, RecordLease
+from crankhinge.adapters._service import PlainService, ServiceResponse
 from crankhinge.adapters._source import (
-    ConfigSeen,
-    FleetSource,
+    ConfigUpdate,
+    DiscoverySource,
     HistoryLost,
-    ServersSeen,
+    ServersUpdate,
     TooMuchChanged,
 )
-from crankhinge.adapters._tenure import Tenure, TenureOffice
 
 __all__ = [
-    "ConfigSeen",
+    "AttemptParams",
+    "ConfigUpdate",
     "DecodeStream",
     "Dialect",
+    "DiscoverySource",
     "Engine",
     "EngineFailed",
     "EngineLoad",
     "EngineState",
-    "FleetSource",
     "HistoryLost",
     "Instance",
     "InstanceList",
-    "KeyValue",
+    "InstanceRecord",
+    "InstanceRegistry",
+    "KeyValueStore",
     "KvExpired",
-    "Leg",
-    "Note",
-    "NoteLease",
-    "OrderEnd",
+    "OrderLease",
+    "OrderLeaseStore",
+    "OrderOutcome",
     "PlainService",
     "PrefillResult",
-    "RelayAsk",
-    "ServerWord",
-    "ServersSeen",
-    "ServiceAnswer",
+    "RecordLease",
+    "RelayRequest",
+    "ResponseSignals",
+    "ServersUpdate",
+    "ServiceResponse",
     "SideCall",
-    "Tenure",
-    "TenureOffice",
+    "StoredValue",
     "TooMuchChanged",
-    "Value",
-    "WorkBoard",
 ]
--- a/src/crankhinge/adapters/_engine.py
+++ b/src/crankhinge/adapters/_engine.py
@@ -29,14 +29,14 @@
     """A prompt was read.
 
     Attributes:
-        kv: JSON of the handle under which a decode engine fetches the result.
-        prompt: prompt tokens.
-        cached: of these, found in the prefix cache.
+        kv_handle: JSON of the handle under which a decode engine fetches the result.
+        prompt_tokens: prompt tokens.
+        cached_tokens: of these, found in the prefix cache.
     """
 
-    kv: bytes
-    prompt: int
-    cached: int
+    kv_handle: bytes
+    prompt_tokens: int
+    cached_tokens: int
 
 
 @dataclass(frozen=True)
@@ -55,10 +55,10 @@
 class DecodeStream(abc.ABC):
     """An answer that is being written."""
 
-    finish: str = ""
+    finish_reason: str = ""
 
     @abc.abstractmethod
-    async def next(self) -> list[str]:
+    async def next_pieces(self) -> list[str]:
         """Return the next pieces, one per token; empty at the end, with ``finish`` set.
 
         Raises:
@@ -74,24 +74,26 @@
     """A model engine. All methods raise EngineFailed."""
 
     @abc.abstractmethod
-    async def prefill(self, path: str, body: bytes, *, req: int) -> PrefillResult:
+    async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
         """Read the prompt of the completion request *body*."""
 
     @abc.abstractmethod
-    async def decode(self, path: str, body: bytes, kv: bytes, *, req: int) -> DecodeStream:
-        """Fetch the result *kv* and write the answer to *body*."""
+    async def decode(
+        self, path: str, body: bytes, kv_handle: bytes, *, request_id: int
+    ) -> DecodeStream:
+        """Fetch the result *kv_handle* and write the answer to *body*."""
 
     @abc.abstractmethod
-    async def load_adapter(self, name: str, path: str, version: int, *, token: int) -> None:
+    async def load_adapter(self, name: str, path: str, version: int, *, fencing_token: int) -> None:
         """Load an adapter's weights, in the place of an older version.
 
         Args:
             name: of the adapter.
             path: of its weights.
             version: of its weights.
-            token: fencing token; an engine that checks refuses a smaller one than it has seen.
+            fencing_token: an engine that checks it refuses a smaller one than it has seen.
         """
 
     @abc.abstractmethod
-    async def load(self) -> EngineLoad:
+    async def get_load(self) -> EngineLoad:
         """Return the engine's load."""
--- a/src/crankhinge/adapters/_instances.py
+++ b/src/crankhinge/adapters/_instances.py
@@ -31,5 +31,5 @@
     """Who is there, as far as the platform has noticed."""
 
     @abc.abstractmethod
-    async def agents(self) -> list[Instance]:
+    async def list_agents(self) -> list[Instance]:
         """Return the agents. Raises KeyValueUnavailable."""
--- a/src/crankhinge/adapters/_keyvalue.py
+++ b/src/crankhinge/adapters/_keyvalue.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True)
-class Value:
+class StoredValue:
     """A stored value.
 
     Attributes:
@@ -19,7 +19,7 @@
     index: int
 
 
-class KeyValue(abc.ABC):
+class KeyValueStore(abc.ABC):
     """A key-value service with compare-and-swap and watches.
 
     Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when no answer comes; a
@@ -27,13 +27,13 @@
     """
 
     @abc.abstractmethod
-    async def get(self, key: str) -> Value | None:
+    async def get(self, key: str) -> StoredValue | None:
         """Return the value, or None when there is none."""
 
     @abc.abstractmethod
-    async def watch(self, key: str, index: int, wait_s: float) -> Value | None:
+    async def watch(self, key: str, index: int, wait_s: float) -> StoredValue | None:
         """Return the value once its index differs from *index*, or after *wait_s* seconds."""
 
     @abc.abstractmethod
-    async def swap(self, key: str, data: bytes, index: int) -> bool:
+    async def compare_and_swap(self, key: str, data: bytes, index: int) -> bool:
         """Write *data* if the value's index is *index* (0: if there is none)."""
--- a/src/crankhinge/adapters/_tenure.py
+++ b/src/crankhinge/adapters/_order_lease.py
@@ -7,23 +7,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tenure:
+class OrderLease:
     """The right to give orders.
 
     Attributes:
         holder: the instance.
-        fence: greater than that of every earlier holder.
-        lease: what it is renewed by.
-        until: end on the runtime's clock, in seconds, as the holder must believe.
+        token: greater than that of every earlier holder.
+        lease_id: what it is renewed by.
+        expires_at: end on the runtime's clock, in seconds, as the holder must believe.
     """
 
     holder: str
-    fence: int
-    lease: str
-    until: float
+    token: int
+    lease_id: str
+    expires_at: float
 
 
-class TenureOffice(abc.ABC):
+class OrderLeaseStore(abc.ABC):
     """Gives the right to one instance at a time.
 
     Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when no answer comes; a
@@ -31,9 +31,9 @@
     """
 
     @abc.abstractmethod
-    async def acquire(self, holder: str) -> Tenure | None:
+    async def acquire(self, holder: str) -> OrderLease | None:
         """Return the right, or None while another instance has it."""
 
     @abc.abstractmethod
-    async def renew(self, tenure: Tenure) -> Tenure | None:
+    async def renew(self, lease: OrderLease) -> OrderLease | None:
         """Return the right with its new end, or None when it is over."""
--- a/src/crankhinge/adapters/_board.py
+++ b/src/crankhinge/adapters/_registry.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class InstanceRecord:
     """What one instance tells.
 
     Attributes:
@@ -30,40 +30,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoteLease:
+class RecordLease:
     """How long a note lasts.
 
     Attributes:
-        until: its end on the runtime's clock, in seconds, as its writer must believe.
-        anew: whether there may have been no note for a while before.
+        expires_at: its end on the runtime's clock, in seconds, as its writer must believe.
+        may_have_lapsed: whether there may have been no note for a while before.
     """
 
-    until: float
-    anew: bool
+    expires_at: float
+    may_have_lapsed: bool
 
 
-class WorkBoard(abc.ABC):
+class InstanceRegistry(abc.ABC):
     """Holds one note of each instance for a while.
 
     Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when no answer comes.
     """
 
     @abc.abstractmethod
-    async def resume(self, name: str) -> tuple[Note, NoteLease] | None:
+    async def take_over(self, name: str) -> tuple[InstanceRecord, RecordLease] | None:
         """Take over the note of an earlier life of the instance *name*; None where it has gone."""
 
     @abc.abstractmethod
-    async def publish(self, name: str, note: Note) -> NoteLease:
+    async def publish(self, name: str, record: InstanceRecord) -> RecordLease:
         """Put the note of the instance *name* in the place of its last one."""
 
     @abc.abstractmethod
-    async def renew(self) -> NoteLease | None:
+    async def renew(self) -> RecordLease | None:
         """Have the note last longer; None where it has gone."""
 
     @abc.abstractmethod
-    async def read(self, *, stale: bool = True) -> dict[str, Note]:
+    async def read_all(self, *, allow_stale: bool = True) -> dict[str, InstanceRecord]:
         """Return the notes of all instances, by their names.
 
         Args:
-            stale: take notes that may be seconds old, which costs less.
+            allow_stale: take notes that may be seconds old, which costs less.
         """
--- a/src/crankhinge/adapters/_service.py
+++ b/src/crankhinge/adapters/_service.py
@@ -8,33 +8,33 @@
 
 
 @dataclass(frozen=True)
-class ServiceAnswer:
+class ServiceResponse:
     """A whole answer.
 
     Attributes:
         status: of HTTP.
         headers: that are passed on.
         body: the whole body.
-        rest_s: seconds for which the service wants no further call; None where it does not say.
+        backoff_s: seconds for which the service wants no further call; None where it does not say.
     """
 
     status: int
     headers: Mapping[str, str]
     body: bytes
-    rest_s: float | None = None
+    backoff_s: float | None = None
 
 
 class PlainService(abc.ABC):
     """A service that answers calls."""
 
     @abc.abstractmethod
-    async def alive(self) -> bool:
+    async def is_reachable(self) -> bool:
         """Whether the service can be reached."""
 
     @abc.abstractmethod
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Pass the call on, once.
 
         Raises:
--- a/src/crankhinge/adapters/_source.py
+++ b/src/crankhinge/adapters/_source.py
@@ -23,38 +23,38 @@
 
 
 @dataclass(frozen=True)
-class ConfigSeen:
+class ConfigUpdate:
     """What was seen of the configuration.
 
     Attributes:
         table: the newest; None where none was written.
-        mark: to watch from.
-        size: bytes that carried the newest; 0 without one.
+        revision: to watch from.
+        size_bytes: bytes that carried the newest; 0 without one.
     """
 
     table: RouteTable | None
-    mark: int
-    size: int = 0
+    revision: int
+    size_bytes: int = 0
 
 
 @dataclass(frozen=True)
-class ServersSeen:
+class ServersUpdate:
     """What was seen of the list of servers.
 
     Attributes:
         servers: as their entries tell.
-        gone: names that have no entry any more.
-        mark: to watch from.
+        removed: names that have no entry any more.
+        revision: to watch from.
         unusable: names whose entries name no server to use.
     """
 
     servers: tuple[Server, ...]
-    gone: tuple[str, ...]
-    mark: int
+    removed: tuple[str, ...]
+    revision: int
     unusable: tuple[str, ...] = ()
 
 
-class FleetSource(abc.ABC):
+class DiscoverySource(abc.ABC):
     """Reads and watches what the platform knows.
 
     Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when no answer comes.
@@ -62,23 +62,23 @@
 
     @property
     @abc.abstractmethod
-    def received(self) -> int:
+    def received_bytes(self) -> int:
         """Bytes that came from the source so far, those of answers that were given up too."""
 
     @property
     @abc.abstractmethod
-    def calls(self) -> Mapping[str, int]:
+    def call_counts(self) -> Mapping[str, int]:
         """Calls so far of this instance to what keeps the source, whatever for, by kind."""
 
     @abc.abstractmethod
-    async def read_config(self) -> ConfigSeen:
+    async def read_config(self) -> ConfigUpdate:
         """Return the newest configuration."""
 
     @abc.abstractmethod
-    async def watch_config(self, mark: int, wait_s: float, most_bytes: int) -> ConfigSeen:
-        """Return the newest configuration after *mark*, or None after *wait_s*.
+    async def watch_config(self, revision: int, wait_s: float, max_bytes: int) -> ConfigUpdate:
+        """Return the newest configuration after *revision*, or None after *wait_s*.
 
-        Every version since *mark* is carried, in *most_bytes* at most.
+        Every version since *revision* is carried, in *max_bytes* at most.
 
         Raises:
             HistoryLost: read anew.
@@ -86,12 +86,12 @@
         """
 
     @abc.abstractmethod
-    async def read_servers(self) -> ServersSeen:
+    async def read_servers(self) -> ServersUpdate:
         """Return every entry."""
 
     @abc.abstractmethod
-    async def watch_servers(self, mark: int, wait_s: float) -> ServersSeen:
-        """Return what changed after *mark*, within *wait_s*.
+    async def watch_servers(self, revision: int, wait_s: float) -> ServersUpdate:
+        """Return what changed after *revision*, within *wait_s*.
 
         Raises:
             HistoryLost: read anew.
--- a/src/crankhinge/adapters/http_service.py
+++ b/src/crankhinge/adapters/http_service.py
@@ -5,20 +5,20 @@
 from collections.abc import Mapping
 
 from crankhinge.adapters._engine import EngineFailed
-from crankhinge.adapters._service import PlainService, ServiceAnswer
+from crankhinge.adapters._service import PlainService, ServiceResponse
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.http import ConnectFailed, HttpClient, parse_retry_after
 
-UNAVAILABLE = 503
-HOP_BY_HOP = frozenset(
+SERVICE_UNAVAILABLE = 503
+HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "host"}
     | {"proxy-authenticate", "proxy-authorization", "content-length"}
 )
 
 
-def end_to_end(headers: Mapping[str, str]) -> dict[str, str]:
+def end_to_end_headers(headers: Mapping[str, str]) -> dict[str, str]:
     """Return the headers that are passed on (RFC 9110, section 7.6.1)."""
-    return {name: value for name, value in headers.items() if name not in HOP_BY_HOP}
+    return {name: value for name, value in headers.items() if name not in HOP_BY_HOP_HEADERS}
 
 
 class HttpService(PlainService):
@@ -27,13 +27,13 @@
     def __init__(self, host: str, port: int) -> None:
         self._client = HttpClient(host, port)
 
-    async def alive(self) -> bool:
+    async def is_reachable(self) -> bool:
         """Whether the service takes connections."""
         return await self._client.is_reachable()
 
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Pass the call on, once, on a connection of its own.
 
         A kept connection that the service has just closed would leave it unknown whether a
@@ -41,11 +41,11 @@
         """
         try:
             resp = await self._client.call(
-                method, target, headers=end_to_end(headers), body=body, new_connection=True
+                method, target, headers=end_to_end_headers(headers), body=body, new_connection=True
             )
         except ConnectFailed as exc:
             raise EngineFailed(exc.detail, ran=False) from exc
         except (HttpClosed, BadHttp) as exc:
             raise EngineFailed(exc.detail) from exc
-        rest_s = parse_retry_after(resp.headers) if resp.status == UNAVAILABLE else None
-        return ServiceAnswer(resp.status, end_to_end(resp.headers), resp.body, rest_s)
+        rest_s = parse_retry_after(resp.headers) if resp.status == SERVICE_UNAVAILABLE else None
+        return ServiceResponse(resp.status, end_to_end_headers(resp.headers), resp.body, rest_s)
--- a/src/crankhinge/adapters/openai_engine.py
+++ b/src/crankhinge/adapters/openai_engine.py
@@ -24,7 +24,7 @@
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.http import ClientStream, ConnectFailed, HttpClient, SseParser
 
-GONE_STATUS = 410
+HTTP_GONE = 410
 FENCING_HEADER = "x-fencing-token"
 _JSON = {"content-type": "application/json"}
 _WANT_KV = {"do_remote_decode": True, "do_remote_prefill": False}
@@ -68,10 +68,10 @@
     def __init__(self, host: str, port: int) -> None:
         self._client = HttpClient(host, port, pool_size=32)
 
-    async def prefill(self, path: str, body: bytes, *, req: int) -> PrefillResult:
+    async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
         """Read a prompt: a completion of one token whose KV cache is kept for another engine."""
         asked = _with(body, kv_transfer_params=_WANT_KV, max_tokens=1, stream=False)
-        stream = await self._open(path, asked, req)
+        stream = await self._open(path, asked, request_id)
         try:
             data = await stream.read_all()
             answer = _answers.decode(data)
@@ -83,11 +83,17 @@
         kv = msgspec.json.encode(answer.kv_transfer_params)
         return PrefillResult(kv, answer.usage.prompt_tokens, details.cached_tokens)
 
-    async def decode(self, path: str, body: bytes, kv: bytes, *, req: int) -> DecodeStream:
+    async def decode(
+        self, path: str, body: bytes, kv_handle: bytes, *, request_id: int
+    ) -> DecodeStream:
         """Write an answer, streamed."""
-        params = {**msgspec.json.decode(kv), "do_remote_prefill": True, "do_remote_decode": False}
+        params = {
+            **msgspec.json.decode(kv_handle),
+            "do_remote_prefill": True,
+            "do_remote_decode": False,
+        }
         asked = _with(body, kv_transfer_params=params, stream=True)
-        return _Stream(await self._open(path, asked, req))
+        return _Stream(await self._open(path, asked, request_id))
 
     async def _open(self, path: str, body: bytes, req: int) -> ClientStream:
         headers = {**_JSON, "x-request-id": f"{req:016x}"}
@@ -103,10 +109,10 @@
             await _raise_for_status(stream)
         return stream
 
-    async def load_adapter(self, name: str, path: str, version: int, *, token: int) -> None:
+    async def load_adapter(self, name: str, path: str, version: int, *, fencing_token: int) -> None:
         """Load an adapter by vLLM's ``/v1/load_lora_adapter``, in place."""
         order = {"lora_name": name, "lora_path": path, "load_inplace": True}
-        headers = {**_JSON, FENCING_HEADER: str(token), "x-adapter-version": str(version)}
+        headers = {**_JSON, FENCING_HEADER: str(fencing_token), "x-adapter-version": str(version)}
         try:
             resp = await self._client.call(
                 "POST",
@@ -120,7 +126,7 @@
         if resp.status != 200:
             raise EngineFailed(f"status {resp.status}")
 
-    async def load(self) -> EngineLoad:
+    async def get_load(self) -> EngineLoad:
         """Read the engine's gauges."""
         try:
             resp = await self._client.call("GET", "/metrics")
@@ -140,7 +146,7 @@
         self._parser = SseParser()
         self._done = False
 
-    async def next(self) -> list[str]:
+    async def next_pieces(self) -> list[str]:
         while not self._done:
             try:
                 chunk = await self._stream.next_chunk()
@@ -173,7 +179,7 @@
             if text:
                 texts.append(text)
             if choice.finish_reason:
-                self.finish = choice.finish_reason
+                self.finish_reason = choice.finish_reason
         return texts
 
     async def close(self) -> None:
@@ -195,7 +201,7 @@
         text = ""
     finally:
         await stream.close()
-    if status == GONE_STATUS:
+    if status == HTTP_GONE:
         raise KvExpired(text)
     raise EngineFailed(f"status {status}: {text}", ran=status >= 500)
 
--- a/src/crankhinge/agent/_adapters.py
+++ b/src/crankhinge/agent/_adapters.py
@@ -9,7 +9,7 @@
 import curio
 import msgspec
 
-from crankhinge.adapters import Engine, EngineFailed, KeyValue
+from crankhinge.adapters import Engine, EngineFailed, KeyValueStore
 from crankhinge.config import Adapter, Bundle
 from crankhinge.decisions import (
     AcquiredRollout,
@@ -45,7 +45,7 @@
         me: str,
         pool: str,
         engine: Engine,
-        kv: KeyValue,
+        kv: KeyValueStore,
         changed: Callable[[tuple[str, ...]], Awaitable[None]],
         log: Any,
     ) -> None:
@@ -115,7 +115,9 @@
         if adapter is None:
             return
         try:
-            await self._engine.load_adapter(name, adapter.path, adapter.version, token=token)
+            await self._engine.load_adapter(
+                name, adapter.path, adapter.version, fencing_token=token
+            )
         except EngineFailed as exc:
             self._log.warning("adapter_failed", adapter=name, code=exc.code, why=exc.detail)
             await curio.sleep(BUSY_PAUSE_S)
@@ -140,7 +142,7 @@
             return None
         data = msgspec.json.encode(lease.record)
         try:
-            won = await self._kv.swap(KEY_PREFIX + self._pool, data, index)
+            won = await self._kv.compare_and_swap(KEY_PREFIX + self._pool, data, index)
         except KeyValueUnavailable:
             # The answer is lost: the record itself says whether the place is ours.
             won = (await self._read())[0] == lease.record
@@ -153,7 +155,9 @@
                 record, index = await self._read()
                 rest = release_rollout(record, self._me)
                 data = msgspec.json.encode(rest)
-                if rest == record or await self._kv.swap(KEY_PREFIX + self._pool, data, index):
+                if rest == record or await self._kv.compare_and_swap(
+                    KEY_PREFIX + self._pool, data, index
+                ):
                     return
             except KeyValueUnavailable:
                 await curio.sleep(BUSY_PAUSE_S)
--- a/src/crankhinge/agent/_agent.py
+++ b/src/crankhinge/agent/_agent.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from crankhinge.adapters import Engine, Instance, KeyValue
+from crankhinge.adapters import Engine, Instance, KeyValueStore
 from crankhinge.agent._adapters import AdapterKeeper
 from crankhinge.agent._fence_desk import FenceDesk
 from crankhinge.agent._role import Role
@@ -53,7 +53,7 @@
         *,
         settings: AgentSettings,
         role: Role,
-        kv: KeyValue,
+        kv: KeyValueStore,
         roster: InstanceListCache,
         spread: BundlePropagator,
         keeper: BundleKeeper,
--- a/src/crankhinge/agent/_decode.py
+++ b/src/crankhinge/agent/_decode.py
@@ -198,7 +198,8 @@
         """
         try:
             stream: DecodeStream = await curio.timeout_after(
-                msg.patience, partial(self._engine.decode, msg.path, msg.body, msg.kv, req=msg.req)
+                msg.patience,
+                partial(self._engine.decode, msg.path, msg.body, msg.kv, request_id=msg.req),
             )
         except curio.TaskTimeout as exc:
             raise TransferStalled(f"nothing in {msg.patience:.2f} s") from exc
@@ -207,7 +208,7 @@
     async def _relay(self, req: int, stream: DecodeStream) -> None:
         seq = 0
         last = 0.0
-        while pieces := await stream.next():
+        while pieces := await stream.next_pieces():
             await self.tell(req, Tokens(req, seq, tuple(pieces)))
             seq += len(pieces)
             self._table.record_progress(req, seq)
@@ -216,7 +217,7 @@
                 self._note_step((now - last) / len(pieces))
             last = now
         self.metrics.count("tokens", seq)
-        await self.tell(req, DecodeDone(req, seq, stream.finish))
+        await self.tell(req, DecodeDone(req, seq, stream.finish_reason))
 
     def _note_step(self, step_s: float) -> None:
         gain = STEP_GAIN if self._step_s else 1.0
--- a/src/crankhinge/agent/_fence_desk.py
+++ b/src/crankhinge/agent/_fence_desk.py
@@ -12,7 +12,7 @@
 import curio
 import msgspec
 
-from crankhinge.adapters import KeyValue, Value
+from crankhinge.adapters import KeyValueStore, StoredValue
 from crankhinge.config import Bundle, fence_range_id
 from crankhinge.decisions import (
     FenceAction,
@@ -69,7 +69,7 @@
         *,
         me: str,
         writer: int,
-        kv: KeyValue,
+        kv: KeyValueStore,
         roster: InstanceListCache,
         make_hello: Callable[[], Any],
         run_link: OnLink,
@@ -220,7 +220,7 @@
                 out = pair.on_record(record, index, now, wall_ms())
             else:
                 data = msgspec.json.encode(list(action.new))
-                won = await self._kv.swap(_key_of(pair.range_id), data, action.index)
+                won = await self._kv.compare_and_swap(_key_of(pair.range_id), data, action.index)
                 out = pair.on_swapped(won, await curio.clock(), wall_ms())
         except KeyValueUnavailable:
             if isinstance(action, ReadRecord):
@@ -265,7 +265,7 @@
     return KEY_PREFIX + range_id.rpartition("/")[0]
 
 
-def _record_of(value: Value | None) -> tuple[FenceRecord | None, int]:
+def _record_of(value: StoredValue | None) -> tuple[FenceRecord | None, int]:
     if value is None:
         return None, 0
     try:
--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from crankhinge.adapters import EngineFailed, PlainService, ServiceAnswer
+from crankhinge.adapters import EngineFailed, PlainService, ServiceResponse
 from crankhinge.agent._queued import QueuedRole
 from crankhinge.wire import Call, CallDone, Failed, Link, Message
 
@@ -59,7 +59,7 @@
 
     async def probe(self) -> bool:
         """Whether the service takes connections."""
-        return await self._service.alive()
+        return await self._service.is_reachable()
 
     async def work(self, msg: Any) -> int:
         """Pass one call on."""
@@ -68,7 +68,7 @@
         if link is not None and await self._refused_in_rest(link, req):
             return 0
         try:
-            answer: ServiceAnswer = await curio.timeout_after(
+            answer: ServiceResponse = await curio.timeout_after(
                 msg.within, self._service.call, msg.method, msg.target, msg.headers, msg.body
             )
         except EngineFailed as exc:
@@ -79,8 +79,8 @@
         except curio.TaskTimeout:
             await self._failed(req, "deadline-passed", ran=True)
             return 0
-        if answer.rest_s is not None:
-            await self._note_rest(answer.rest_s)
+        if answer.backoff_s is not None:
+            await self._note_rest(answer.backoff_s)
         self.metrics.count("calls")
         await self.tell(req, CallDone(req, answer.status, dict(answer.headers), answer.body))
         return CALL_UNITS
--- a/src/crankhinge/agent/_prefill.py
+++ b/src/crankhinge/agent/_prefill.py
@@ -40,7 +40,7 @@
         req = msg.req
         began = await curio.clock()
         try:
-            result = await self._engine.prefill(msg.path, msg.body, req=req)
+            result = await self._engine.prefill(msg.path, msg.body, request_id=req)
         except EngineFailed as exc:
             self.log.warning("prefill_failed", req=f"{req:016x}", code=exc.code, why=exc.detail)
             self.metrics.count(f"prefill_failed.{exc.code}")
@@ -50,8 +50,13 @@
             return 0
         now = await curio.clock()
         took = now - began
-        self.metrics.count("prompt_tokens", result.prompt)
-        self.metrics.count("prompt_tokens_cached", result.cached)
+        self.metrics.count("prompt_tokens", result.prompt_tokens)
+        self.metrics.count("prompt_tokens_cached", result.cached_tokens)
         load = self.load(now)
-        await self.tell(req, PrefillDone(req, result.kv, result.cached, result.prompt, took, load))
-        return result.prompt - result.cached
+        await self.tell(
+            req,
+            PrefillDone(
+                req, result.kv_handle, result.cached_tokens, result.prompt_tokens, took, load
+            ),
+        )
+        return result.prompt_tokens - result.cached_tokens
--- a/src/crankhinge/agent/_probe.py
+++ b/src/crankhinge/agent/_probe.py
@@ -12,7 +12,7 @@
 async def engine_load(engine: Engine) -> EngineLoad | None:
     """Return the engine's load; None when it can't be reached or doesn't answer in time."""
     try:
-        load: EngineLoad = await curio.timeout_after(PROBE_TIMEOUT_S, engine.load)
+        load: EngineLoad = await curio.timeout_after(PROBE_TIMEOUT_S, engine.get_load)
     except (EngineFailed, curio.TaskTimeout):
         return None
     return load
--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -10,7 +10,7 @@
 import curio
 
 from crankhinge.adapters import Engine
-from crankhinge.adapters.consul import ConsulInstanceList, ConsulKeyValue
+from crankhinge.adapters.consul import ConsulInstanceList, ConsulKeyValueStore
 from crankhinge.adapters.http_service import HttpService
 from crankhinge.adapters.openai_engine import OpenAiEngine
 from crankhinge.agent._agent import Agent
@@ -55,7 +55,7 @@
     log = log.bind(name=settings.name)
     keeper = BundleKeeper(settings.keys)
     metrics = Metrics(prefix=f"crankhinge.agent.{settings.name}", address=settings.statsd)
-    kv = ConsulKeyValue(*parse_endpoint(settings.key_value))
+    kv = ConsulKeyValueStore(*parse_endpoint(settings.key_value))
     rng = random.Random(settings.name)
     engine = None
     if settings.role != "plain":
--- a/src/crankhinge/config/_publish.py
+++ b/src/crankhinge/config/_publish.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from crankhinge.adapters import KeyValue, Value
+from crankhinge.adapters import KeyValueStore, StoredValue
 from crankhinge.config._envelope import verify_envelope
 from crankhinge.config._keeper import TrustedKeys
 from crankhinge.errors import BundleError, KeyValueUnavailable, PublishConflict
@@ -40,7 +40,7 @@
     confirmed_by_read: bool
 
 
-async def read_current_envelope(kv: KeyValue) -> Value | None:
+async def read_current_envelope(kv: KeyValueStore) -> StoredValue | None:
     """Return the envelope that is published now, or None before the first publication.
 
     Raises:
@@ -49,7 +49,7 @@
     return await kv.get(BUNDLE_KEY)
 
 
-async def publish(kv: KeyValue, envelope: bytes, keys: TrustedKeys) -> PublishResult:
+async def publish(kv: KeyValueStore, envelope: bytes, keys: TrustedKeys) -> PublishResult:
     """Publish *envelope* if its version directly follows that of the current bundle.
 
     Raises:
@@ -77,10 +77,10 @@
 
 
 async def _compare_and_swap(
-    kv: KeyValue, envelope: bytes, version: int, index: int
+    kv: KeyValueStore, envelope: bytes, version: int, index: int
 ) -> PublishResult:
     try:
-        written = await kv.swap(BUNDLE_KEY, envelope, index)
+        written = await kv.compare_and_swap(BUNDLE_KEY, envelope, index)
     except KeyValueUnavailable:
         return await _confirm_by_read(kv, envelope, version)
     if written:
@@ -88,7 +88,7 @@
     return await _confirm_by_read(kv, envelope, version)
 
 
-async def _confirm_by_read(kv: KeyValue, envelope: bytes, version: int) -> PublishResult:
+async def _confirm_by_read(kv: KeyValueStore, envelope: bytes, version: int) -> PublishResult:
     """Determine whether the write took effect by reading the key."""
     current = await read_current_envelope(kv)
     if current is not None and current.data == envelope:
@@ -96,7 +96,7 @@
     raise PublishConflict("another bundle was accepted first; compare it with `bundle diff`")
 
 
-async def read_history(kv: KeyValue) -> list[HistoryRow]:
+async def read_history(kv: KeyValueStore) -> list[HistoryRow]:
     """Return the history of published bundles, oldest first, at most ``MAX_HISTORY_ROWS``.
 
     Raises:
@@ -106,7 +106,7 @@
     return _decode_history(value)
 
 
-def _decode_history(value: Value | None) -> list[HistoryRow]:
+def _decode_history(value: StoredValue | None) -> list[HistoryRow]:
     if value is None:
         return []
     try:
@@ -115,7 +115,7 @@
         return []
 
 
-async def _append_to_history(kv: KeyValue, row: HistoryRow) -> None:
+async def _append_to_history(kv: KeyValueStore, row: HistoryRow) -> None:
     """Append a row to the history.
 
     The history is for information only, so a failure to write it does not undo the publication.
@@ -127,7 +127,7 @@
             if row in rows:
                 return
             data = msgspec.json.encode([*rows, row][-MAX_HISTORY_ROWS:])
-            if await kv.swap(HISTORY_KEY, data, value.index if value else 0):
+            if await kv.compare_and_swap(HISTORY_KEY, data, value.index if value else 0):
                 return
         except KeyValueUnavailable:
             continue
--- a/src/crankhinge/ctl/_bundle.py
+++ b/src/crankhinge/ctl/_bundle.py
@@ -9,8 +9,8 @@
 import curio
 import msgspec
 
-from crankhinge.adapters import KeyValue, Value
-from crankhinge.adapters.consul import ConsulKeyValue
+from crankhinge.adapters import KeyValueStore, StoredValue
+from crankhinge.adapters.consul import ConsulKeyValueStore
 from crankhinge.config import (
     Envelope,
     decode_envelope,
@@ -49,9 +49,9 @@
     return load_settings(args.settings, CtlSettings)
 
 
-def open_key_value(settings: CtlSettings) -> KeyValue:
+def open_key_value(settings: CtlSettings) -> KeyValueStore:
     """Return a client of the key-value service."""
-    return ConsulKeyValue(*parse_endpoint(settings.key_value))
+    return ConsulKeyValueStore(*parse_endpoint(settings.key_value))
 
 
 def read_envelope_file(path: str) -> Envelope:
@@ -109,7 +109,7 @@
     return "\n".join(lines)
 
 
-async def _read_current(kv: KeyValue) -> Value | None:
+async def _read_current(kv: KeyValueStore) -> StoredValue | None:
     return await read_current_envelope(kv)
 
 
--- a/src/crankhinge/entry/_plain.py
+++ b/src/crankhinge/entry/_plain.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from crankhinge.adapters.http_service import end_to_end
+from crankhinge.adapters.http_service import end_to_end_headers
 from crankhinge.config import BundleView, Member, Service
 from crankhinge.decisions import Backend, RecordedResponse, RetryBudget, to_recorded_response
 from crankhinge.entry._ask import Terms
@@ -230,5 +230,5 @@
 
 
 def _forwarded(req: HttpRequest) -> dict[str, str]:
-    headers = end_to_end(req.headers)
+    headers = end_to_end_headers(req.headers)
     return {name: value for name, value in headers.items() if name not in PRIVATE_HEADERS}
--- a/src/crankhinge/entry/_program.py
+++ b/src/crankhinge/entry/_program.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from crankhinge.adapters.consul import ConsulInstanceList, ConsulKeyValue
+from crankhinge.adapters.consul import ConsulInstanceList, ConsulKeyValueStore
 from crankhinge.config import BundleKeeper
 from crankhinge.decisions import RetryBudget, Router, RoutingCosts, mechanisms_for
 from crankhinge.entry._calls import Calls
@@ -34,7 +34,7 @@
     mech = mechanisms_for(settings.policy)
     keeper = BundleKeeper(settings.keys)
     metrics = Metrics(prefix=f"crankhinge.entry.{settings.name}", address=settings.statsd)
-    kv = ConsulKeyValue(*parse_endpoint(settings.key_value))
+    kv = ConsulKeyValueStore(*parse_endpoint(settings.key_value))
     spread = BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
     ids = RequestIds(secrets.randbits(64))
     calls = Calls(settings.buffer_tokens)
--- a/src/crankhinge/gateway/_admission.py
+++ b/src/crankhinge/gateway/_admission.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from crankhinge.adapters import RelayAsk
+from crankhinge.adapters import RelayRequest
 from crankhinge.decisions import CallerRetryDetector, Route, RouteTable, Service, fingerprint
 from crankhinge.errors import NotReady, UnknownRoute
 from crankhinge.gateway._authenticator import Authenticator
@@ -37,7 +37,7 @@
         self._rng = rng
         self._first_tries = CallerRetryDetector()
 
-    async def admit(self, exchange: Exchange, ask: RelayAsk) -> Relay:
+    async def admit(self, exchange: Exchange, ask: RelayRequest) -> Relay:
         """Return the relay of a request.
 
         Raises:
@@ -51,7 +51,7 @@
         route, service = self._match(table, exchange.req)
         began = await curio.clock()
         account = self._authenticator.identify(table, route, ask, began)
-        caller_s = LONGEST_S if ask.within_s is None else ask.within_s
+        caller_s = LONGEST_S if ask.timeout_s is None else ask.timeout_s
         until = began + min(route.timeout_s, caller_s)
         relay = Relay(exchange, ask, route, service, table.version, began, until)
         relay.keyed, relay.account = table.accounts is not None, account
--- a/src/crankhinge/gateway/_authenticator.py
+++ b/src/crankhinge/gateway/_authenticator.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from crankhinge.adapters import RelayAsk
+from crankhinge.adapters import RelayRequest
 from crankhinge.decisions import Account, Route, RouteTable
 from crankhinge.errors import BadCredentials, ConfigTooOld
 from crankhinge.gateway._directory import Directory
@@ -28,7 +28,7 @@
         self._directory = directory
 
     def identify(
-        self, table: RouteTable, route: Route, ask: RelayAsk, now: float
+        self, table: RouteTable, route: Route, ask: RelayRequest, now: float
     ) -> Account | None:
         """Return who asks; None where that needs no key.
 
@@ -38,7 +38,7 @@
         """
         if table.accounts is None:
             return None
-        account = table.accounts.by_key.get(ask.key) if ask.key else None
+        account = table.accounts.by_key.get(ask.api_key) if ask.api_key else None
         if account is None and route.anonymous:
             return None
         if not self._directory.knows_keys(now):
--- a/src/crankhinge/gateway/_backends.py
+++ b/src/crankhinge/gateway/_backends.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from crankhinge.adapters import Dialect, ServerWord, SideCall
+from crankhinge.adapters import Dialect, ResponseSignals, SideCall
 from crankhinge.decisions import (
     MAX_IDLE_CONNECTIONS,
     EngineRole,
@@ -266,7 +266,9 @@
         ends = [self.bars.backoff_until(server.incarnation_id, now) for server in servers]
         return None if None in ends else min((end for end in ends if end is not None), default=None)
 
-    async def heard(self, server: Server, word: ServerWord, *, sent_at: float, ran: bool) -> None:
+    async def heard(
+        self, server: Server, word: ResponseSignals, *, sent_at: float, ran: bool
+    ) -> None:
         """Tell all listeners what the head of a server's answer says."""
         for listener in self.listeners:
             await listener.heard(server, word, sent_at=sent_at, ran=ran)
@@ -274,7 +276,7 @@
     async def side_call(self, server: Server, call: SideCall) -> Response | None:
         """Make a call of the router's own; None when it isn't answered."""
         client = self.client(server)
-        headers = self.dialect.side_fields(server.name)
+        headers = self.dialect.side_call_fields(server.name)
         sent_at = await curio.clock()
         try:
             resp: Response = await curio.timeout_after(SIDE_CALL_S, _call, client, call, headers)
@@ -284,8 +286,8 @@
                 "side_call_failed", server=server.incarnation_id, call=call.target, why=repr(exc)
             )
             return None
-        word = self.dialect.word(resp.status, resp.headers)
-        if not word.other_server:
+        word = self.dialect.parse_signals(resp.status, resp.headers)
+        if not word.wrong_server:
             await self.heard(server, word, sent_at=sent_at, ran=False)
         return resp
 
--- a/src/crankhinge/gateway/_call_log.py
+++ b/src/crankhinge/gateway/_call_log.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from crankhinge.adapters import FleetSource
+from crankhinge.adapters import DiscoverySource
 
 # Seconds between lines: a few hundred bytes a minute.
 TELL_S = 10.0
@@ -21,7 +21,7 @@
         log: for events.
     """
 
-    def __init__(self, source: FleetSource, log: Any) -> None:
+    def __init__(self, source: DiscoverySource, log: Any) -> None:
         self._source = source
         self._log = log
 
@@ -30,7 +30,7 @@
         told: Counter[str] = Counter()
         while True:
             await curio.sleep(TELL_S)
-            calls = Counter(self._source.calls)
+            calls = Counter(self._source.call_counts)
             since = calls - told
             told = calls
             self._log.info("source_called", within_s=TELL_S, total=since.total(), **since)
--- a/src/crankhinge/gateway/_directory.py
+++ b/src/crankhinge/gateway/_directory.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from crankhinge.adapters import ConfigSeen, FleetSource, ServersSeen, TooMuchChanged
+from crankhinge.adapters import ConfigUpdate, DiscoverySource, ServersUpdate, TooMuchChanged
 from crankhinge.decisions import FreshnessBounds, RouteTable, ServerList, ServerListChange
 from crankhinge.gateway._follower import Follower, Step
 
@@ -33,7 +33,7 @@
     """
 
     def __init__(
-        self, source: FleetSource, freshness: FreshnessBounds, log: Any, rng: random.Random
+        self, source: DiscoverySource, freshness: FreshnessBounds, log: Any, rng: random.Random
     ) -> None:
         self.table: RouteTable | None = None
         self.servers = ServerList()
@@ -93,7 +93,7 @@
         self._take(seen)
         if seen.table is None:
             await curio.sleep(NO_CONFIG_PAUSE_S)
-        return Step(seen.mark, gather=seen.table is not None)
+        return Step(seen.revision, gather=seen.table is not None)
 
     async def _next_config(self, mark: int, wait_s: float) -> Step:
         most_bytes = max(SHORT_BYTES, round(SEVERAL * self._config_bytes))
@@ -103,9 +103,9 @@
             self._log.info("config_passed_over", why=exc.detail)
             return await self._read_config()
         self._take(seen)
-        return Step(seen.mark, gather=seen.table is not None, quiet=seen.table is None)
+        return Step(seen.revision, gather=seen.table is not None, quiet=seen.table is None)
 
-    def _take(self, seen: ConfigSeen) -> None:
+    def _take(self, seen: ConfigUpdate) -> None:
         """Put a configuration in force if it is newer; an older one never comes back."""
         if seen.table is None:
             return
@@ -113,13 +113,13 @@
         if before is not None and seen.table.version <= before:
             return
         self.table = seen.table
-        self._config_bytes = seen.size
+        self._config_bytes = seen.size_bytes
         self._log.info(
             "config_in_force",
             version=seen.table.version,
             before=before,
             routes=len(seen.table.routes),
-            size=seen.size,
+            size=seen.size_bytes,
         )
 
     async def _read_servers(self) -> Step:
@@ -138,24 +138,24 @@
             doubted=len(change.suspected),
         )
         await self._tell(change, "not_listed", now)
-        return Step(seen.mark, gather=self._gathers(seen))
+        return Step(seen.revision, gather=self._gathers(seen))
 
     async def _next_servers(self, mark: int, wait_s: float) -> Step:
         seen = await self._source.watch_servers(mark, wait_s)
         now = await curio.clock()
         was_away = self.list.was_away
         change = self.servers.apply_changes(
-            seen.servers, seen.gone, now, was_unreachable=was_away, unusable=seen.unusable
+            seen.servers, seen.removed, now, was_unreachable=was_away, unusable=seen.unusable
         )
         await self._tell(change, "gone", now)
-        return Step(seen.mark, gather=self._gathers(seen))
+        return Step(seen.revision, gather=self._gathers(seen))
 
-    def _gathers(self, seen: ServersSeen) -> bool:
+    def _gathers(self, seen: ServersUpdate) -> bool:
         """Whether more changes may wait after these.
 
         Not while servers are doubted: each entry that is back gives callers a server.
         """
-        return bool(seen.servers or seen.gone) and not self.servers.suspects()
+        return bool(seen.servers or seen.removed) and not self.servers.suspects()
 
     def _heard_s(self, now: float) -> float | None:
         """Return how long ago the list was last heard of, in seconds."""
--- a/src/crankhinge/gateway/_follower.py
+++ b/src/crankhinge/gateway/_follower.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from crankhinge.adapters import FleetSource, HistoryLost
+from crankhinge.adapters import DiscoverySource, HistoryLost
 from crankhinge.decisions import ChangeBatcher
 from crankhinge.errors import KeyValueUnavailable
 
@@ -88,7 +88,7 @@
         watch: Watch,
         watch_s: WatchS,
         pause_s: float,
-        source: FleetSource,
+        source: DiscoverySource,
         log: Any,
         rng: random.Random,
     ) -> None:
@@ -159,7 +159,7 @@
     async def _failed(self, exc: KeyValueUnavailable) -> None:
         now = await curio.clock()
         if self._absence is None:
-            self._absence = _Absence(now, now, self._source.received)
+            self._absence = _Absence(now, now, self._source.received_bytes)
             self._log.warning("source_lost", what=self._what, why=exc.detail)
         absence = self._absence
         absence.failures += 1
@@ -171,7 +171,7 @@
                 why=exc.detail,
                 away_s=round(now - absence.since, 3),
                 failures=absence.failures,
-                received=self._source.received - absence.received,
+                received=self._source.received_bytes - absence.received,
             )
 
     async def _answered(self) -> None:
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -8,7 +8,7 @@
 import curio
 import msgspec
 
-from crankhinge.adapters import Dialect, RelayAsk
+from crankhinge.adapters import Dialect, RelayRequest
 from crankhinge.decisions import RouteKind
 from crankhinge.errors import (
     BadHttp,
@@ -161,19 +161,19 @@
         """Answer one request; a caller that goes ends its work."""
         self._open += 1
         try:
-            ask = self._dialect.read_ask(exchange.req)
+            ask = self._dialect.parse_request(exchange.req)
             if not await self._answer_or_gone(exchange, ask):
                 raise HttpClosed("broken off")
         finally:
             self._open -= 1
 
-    async def _answer_or_gone(self, exchange: Exchange, ask: RelayAsk) -> bool:
+    async def _answer_or_gone(self, exchange: Exchange, ask: RelayRequest) -> bool:
         """Answer one request while its caller is there; returns whether it has a whole answer."""
         # An instance that stood still finds requests and their callers' closes together. Handed on
         # first, each would run for nobody, and the caller has sent it elsewhere.
         if exchange.is_disconnected:
             self._metrics.count("callers_gone")
-            self._log.info("caller_gone", request=ask.ident, why="left_before")
+            self._log.info("caller_gone", request=ask.request_id, why="left_before")
             raise HttpClosed("the caller has gone")
         try:
             relay = await self._admit(exchange, ask)
@@ -185,7 +185,7 @@
             await self._limits.settle(relay)
             await self._permits.settle(relay)
 
-    async def _run_or_gone(self, exchange: Exchange, ask: RelayAsk, relay: Relay) -> bool:
+    async def _run_or_gone(self, exchange: Exchange, ask: RelayRequest, relay: Relay) -> bool:
         """Run one request while its caller is there; returns whether it has a whole answer."""
         async with curio.TaskGroup(wait=any) as group:
             work = await group.spawn(self._answer, relay)
@@ -194,7 +194,7 @@
             return bool(work.result)
         self._metrics.count("callers_gone")
         await _clock_out(relay)
-        self._log.info("caller_gone", request=ask.ident, route=relay.route.name, **relay.facts)
+        self._log.info("caller_gone", request=ask.request_id, route=relay.route.name, **relay.facts)
         raise HttpClosed("the caller has gone")
 
     async def _answer(self, relay: Relay) -> bool:
@@ -238,7 +238,7 @@
             return exc
         return None
 
-    async def _admit(self, exchange: Exchange, ask: RelayAsk) -> Relay:
+    async def _admit(self, exchange: Exchange, ask: RelayRequest) -> Relay:
         if self._closed.is_set():
             raise NotReady("stopping", retry_after_s=STOPPING_RETRY_S)
         return await self._admission.admit(exchange, ask)
@@ -250,14 +250,14 @@
             self._metrics.timing("first_event", relay.facts["first_ms"] / 1000)
         self._log.info(
             "answered",
-            request=relay.ask.ident,
+            request=relay.ask.request_id,
             route=relay.route.name,
             sent=len(relay.sent),
             **relay.facts,
         )
 
     async def _refuse(
-        self, exchange: Exchange, ask: RelayAsk, relay: Relay | None, exc: CrankhingeError
+        self, exchange: Exchange, ask: RelayRequest, relay: Relay | None, exc: CrankhingeError
     ) -> bool:
         """Give the final answer of a request that failed, with what is known of its run.
 
@@ -282,10 +282,10 @@
         self._metrics.count(f"failed.{exc.code}")
         if exchange.response_started or isinstance(exc, HttpClosed):
             facts.pop("status")
-            self._log.warning("broken_off", request=ask.ident, **facts)
+            self._log.warning("broken_off", request=ask.request_id, **facts)
             return False
-        self._log.warning("request_failed", request=ask.ident, **facts)
-        fields = [*self._dialect.own_fields(ask), ("content-type", "application/json")]
+        self._log.warning("request_failed", request=ask.request_id, **facts)
+        fields = [*self._dialect.own_response_fields(ask), ("content-type", "application/json")]
         if status in (429, 503):
             after = exc.retry_after_s or RETRY_AFTER_S
             # Rounded up: whoever comes a moment early is refused once more.
@@ -294,7 +294,7 @@
         try:
             await exchange.respond_with_fields(status, fields, _body(exc, outcome))
         except HttpClosed as closed:
-            self._log.info("caller_gone", request=ask.ident, why=closed.detail)
+            self._log.info("caller_gone", request=ask.request_id, why=closed.detail)
             return False
         return True
 
--- a/src/crankhinge/gateway/_legs.py
+++ b/src/crankhinge/gateway/_legs.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from crankhinge.adapters import Leg
+from crankhinge.adapters import AttemptParams
 from crankhinge.decisions import Server
 from crankhinge.errors import BadHttp, CallerGone, HttpClosed, ServerBarred
 from crankhinge.gateway._authenticator import Authenticator
@@ -50,7 +50,9 @@
         self._permits = permits
 
     @asynccontextmanager
-    async def open(self, relay: Relay, server: Server, leg: Leg) -> AsyncIterator[ClientStream]:
+    async def open(
+        self, relay: Relay, server: Server, leg: AttemptParams
+    ) -> AsyncIterator[ClientStream]:
         """Send the request and give its answer, head read; the connection is closed or kept.
 
         Raises:
@@ -68,7 +70,7 @@
         req = relay.exchange.req
         began = await curio.clock()
         self._authenticator.check(relay, began)
-        work = relay.work(read_only=leg.read_only)
+        work = relay.work(read_only=leg.prompt_only)
         await self._quarantine.admit(relay, work, began)
         # Its place may have been taken seconds ago, while its prompt was read elsewhere.
         bar = self._backends.bar(server, began)
@@ -85,12 +87,12 @@
             stream = await self._backends.client(server).open_with_fields(
                 req.method,
                 req.target,
-                fields=dialect.leg_fields(req, leg, relay.account_name),
+                fields=dialect.attempt_fields(req, leg, relay.account_name),
                 body=req.body,
-                is_own_response=_owner_is(dialect, relay.ask.ident),
+                is_own_response=_owner_is(dialect, relay.ask.request_id),
             )
-            word = dialect.word(stream.status, stream.headers)
-            if word.other_server:
+            word = dialect.parse_signals(stream.status, stream.headers)
+            if word.wrong_server:
                 self._backends.replaced(server)
                 raise ConnectFailed(f"another server answers for {server.incarnation_id}")
             ran = not word.not_run and stream.status < RAN_BELOW
@@ -116,4 +118,4 @@
 
 def _owner_is(dialect: Any, ident: str) -> Any:
     """Return the check whether an answer belongs to the request *ident*."""
-    return lambda headers: dialect.owner(headers) in ("", ident)
+    return lambda headers: dialect.response_request_id(headers) in ("", ident)
--- a/src/crankhinge/gateway/_limit_news.py
+++ b/src/crankhinge/gateway/_limit_news.py
@@ -11,7 +11,7 @@
 
 import curio
 
-from crankhinge.adapters import Note, ServerWord
+from crankhinge.adapters import InstanceRecord, ResponseSignals
 from crankhinge.decisions import Server, SharedLimits
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._listener import WordListener
@@ -50,18 +50,20 @@
     def __len__(self) -> int:
         return len(self._limits)
 
-    async def heard(self, server: Server, word: ServerWord, *, sent_at: float, ran: bool) -> None:
+    async def heard(
+        self, server: Server, word: ResponseSignals, *, sent_at: float, ran: bool
+    ) -> None:
         """Note what the head of a server's answer says of how much it takes.
 
         Only the answer of a request that it ran well tells that it names nothing any more.
         """
         now = await curio.clock()
-        if word.takes_per_s is not None:
+        if word.limit_per_s is not None:
             self._unreadable.discard(server.incarnation_id)
             begun = self._limits.get(server.incarnation_id) is None
-            if self._take(server.incarnation_id, word.takes_per_s, now, "own"):
-                await self._tell_named(server.incarnation_id, word.takes_per_s, now, begun=begun)
-        elif word.names_limit:
+            if self._take(server.incarnation_id, word.limit_per_s, now, "own"):
+                await self._tell_named(server.incarnation_id, word.limit_per_s, now, begun=begun)
+        elif word.advertises_limit:
             self._take_unreadable(server.incarnation_id, now)
         elif ran and self._take_end(server.incarnation_id, sent_at, "own"):
             notice = LimitEnded(server.incarnation_id, now - sent_at)
@@ -129,7 +131,7 @@
         servers = [ident for ident in self._limits.servers if self._shared.is_allocator(ident)]
         return self._limits.to_instance_record(servers, now)
 
-    async def recall(self, notes: Mapping[str, Note]) -> None:
+    async def recall(self, notes: Mapping[str, InstanceRecord]) -> None:
         """Take what stands in the notes of instances."""
         now = await curio.clock()
         for name, note in notes.items():
--- a/src/crankhinge/gateway/_listener.py
+++ b/src/crankhinge/gateway/_listener.py
@@ -4,7 +4,7 @@
 
 import abc
 
-from crankhinge.adapters import ServerWord
+from crankhinge.adapters import ResponseSignals
 from crankhinge.decisions import Server
 
 
@@ -12,7 +12,9 @@
     """Keeps some of what servers say of themselves."""
 
     @abc.abstractmethod
-    async def heard(self, server: Server, word: ServerWord, *, sent_at: float, ran: bool) -> None:
+    async def heard(
+        self, server: Server, word: ResponseSignals, *, sent_at: float, ran: bool
+    ) -> None:
         """Note what the head of a server's answer says.
 
         Args:
--- a/src/crankhinge/gateway/_orderer.py
+++ b/src/crankhinge/gateway/_orderer.py
@@ -12,7 +12,7 @@
 
 import curio
 
-from crankhinge.adapters import EngineState, OrderEnd, Tenure, TenureOffice
+from crankhinge.adapters import EngineState, OrderLease, OrderLeaseStore, OrderOutcome
 from crankhinge.decisions import (
     MIN_ANSWERS_TO_GROW_PREFILL,
     EngineRole,
@@ -108,7 +108,7 @@
         name: str,
         directory: Directory,
         backends: Backends,
-        office: TenureOffice,
+        office: OrderLeaseStore,
         work: SharedWork,
         notices: Notices,
         log: Any,
@@ -120,7 +120,7 @@
         self._work = work
         self._notices = notices
         self._log = log
-        self._tenure: Tenure | None = None
+        self._tenure: OrderLease | None = None
         self._quiet_until = 0.0
         self._wishes: defaultdict[str, _Wish] = defaultdict(_Wish)
 
@@ -201,13 +201,13 @@
         if self._tenure is None:
             self._log.info("tenure_held_elsewhere")
             return
-        self._log.info("tenure_gained", fence=self._tenure.fence)
+        self._log.info("tenure_gained", fence=self._tenure.token)
         under_way = []
         for target in servers:
             end = await self._order(target, phase)
-            if end in (OrderEnd.TAKEN, None):
+            if end in (OrderOutcome.ACCEPTED, None):
                 under_way.append(target)
-            if len(under_way) == count or end not in (OrderEnd.TAKEN, OrderEnd.IN_THE_WAY):
+            if len(under_way) == count or end not in (OrderOutcome.ACCEPTED, OrderOutcome.CONFLICT):
                 # Unanswered or fenced: what holds for this engine may hold for the next. One that
                 # is dark or follows another order says nothing of the next.
                 break
@@ -215,38 +215,38 @@
         self._tenure = None
 
     async def _state(self, server: Server) -> EngineState | None:
-        resp = await self._backends.side_call(server, self._backends.dialect.ask_state())
+        resp = await self._backends.side_call(server, self._backends.dialect.engine_state_call())
         if resp is None or resp.status != 200:
             return None
         try:
-            return self._backends.dialect.state_of(resp.body)
+            return self._backends.dialect.parse_engine_state(resp.body)
         except BadHttp as exc:
             self._log.warning("state_unreadable", server=server.incarnation_id, why=exc.detail)
             return None
 
-    async def _order(self, target: Server, phase: EngineRole) -> OrderEnd | None:
+    async def _order(self, target: Server, phase: EngineRole) -> OrderOutcome | None:
         """Give an order; returns None when it was left unanswered and may yet be carried out."""
         tenure = self._tenure
         assert tenure is not None
         state = await self._state(target)
-        if state is None or state.busy or state.phase is phase:
+        if state is None or state.busy or state.role is phase:
             self._log.info("order_left_out", server=target.incarnation_id, state=str(state))
-            return OrderEnd.IN_THE_WAY
-        if await curio.clock() > tenure.until - MARGIN_S:
-            self._log.info("tenure_over", fence=tenure.fence)
-            return OrderEnd.FENCED
-        call = self._backends.dialect.order_phase(phase, tenure, state.orders)
+            return OrderOutcome.CONFLICT
+        if await curio.clock() > tenure.expires_at - MARGIN_S:
+            self._log.info("tenure_over", fence=tenure.token)
+            return OrderOutcome.FENCED
+        call = self._backends.dialect.role_order_call(phase, tenure, state.orders_taken)
         resp = await self._backends.side_call(target, call)
-        end = None if resp is None else self._backends.dialect.order_end(resp.status)
+        end = None if resp is None else self._backends.dialect.order_outcome(resp.status)
         self._log.info(
             "order_given",
             server=target.incarnation_id,
             phase=phase.value,
-            fence=tenure.fence,
-            orders=state.orders,
+            fence=tenure.token,
+            orders=state.orders_taken,
             end=end.value if end else "unanswered",
         )
-        if end is OrderEnd.TAKEN:
+        if end is OrderOutcome.ACCEPTED:
             await self._tell(target, phase)
         return end
 
@@ -280,9 +280,9 @@
             self._log.info("tenure_unknown", why=exc.detail)
             # It lasts until its end; the next renewal tells.
             now: float = await curio.clock()
-            return now < self._tenure.until
+            return now < self._tenure.expires_at
         if tenure is None:
-            self._log.info("tenure_lost", fence=self._tenure.fence)
+            self._log.info("tenure_lost", fence=self._tenure.token)
             return False
         self._tenure = tenure
         return True
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -161,7 +161,7 @@
         self._metrics.count("permits_refused")
         self._log.info(
             "permit_refused",
-            request=relay.ask.ident,
+            request=relay.ask.request_id,
             server=server.incarnation_id,
             by=allocator or "own",
             after_ms=round(word.after_s * 1000),
--- a/src/crankhinge/gateway/_places.py
+++ b/src/crankhinge/gateway/_places.py
@@ -128,7 +128,7 @@
             standing.reserved_tokens -= place.tokens
             self._forecasts[relay.service.name].record_released(place.number)
             if place.hold:
-                call = self._backends.dialect.drop_hold(place.hold)
+                call = self._backends.dialect.release_reservation_call(place.hold)
                 await self._backends.later(place.server, call)
 
     async def _find(self, relay: Relay, extra: int, avoid: frozenset[str]) -> Place:
@@ -155,9 +155,12 @@
     ) -> ReservationRequest:
         ask = relay.ask
         meter = self._meters[relay.service.name]
-        likely = min(ask.likely_tokens or ask.answer_tokens, ask.answer_tokens)
+        likely = min(ask.expected_answer_tokens or ask.max_answer_tokens, ask.max_answer_tokens)
         tokens = tokens_to_reserve(
-            ask.prompt_tokens + extra, ask.likely_tokens, ask.answer_tokens, engine.kv_tokens
+            ask.prompt_tokens + extra,
+            ask.expected_answer_tokens,
+            ask.max_answer_tokens,
+            engine.kv_tokens,
         )
         return ReservationRequest(
             tokens=tokens,
@@ -300,7 +303,7 @@
         forecast.record_promised_retry(need.tokens, now + back_s)
         self._log.info(
             "told_to_return",
-            request=search.relay.ask.ident,
+            request=search.relay.ask.request_id,
             back_ms=round(back_s * 1000),
             free_ms=None if free_s is None else round(free_s * 1000),
             ahead_tokens=ahead,
@@ -313,19 +316,19 @@
         standing = self._backends.standing(server.incarnation_id)
         if hold_s <= 0:
             return ""
-        resp = await self._backends.side_call(server, dialect.take_hold(tokens, hold_s))
+        resp = await self._backends.side_call(server, dialect.reserve_call(tokens, hold_s))
         now = await curio.clock()
         if resp is None:
             standing.record_failure(now)
             return None
-        if dialect.word(resp.status, resp.headers).other_server:
+        if dialect.parse_signals(resp.status, resp.headers).wrong_server:
             self._backends.replaced(server)
             return None
         if resp.status != 200:
             standing.record_no_capacity(now, self._backends.rng)
             return None
         try:
-            return dialect.hold_of(resp.body)
+            return dialect.parse_reservation_id(resp.body)
         except BadHttp as exc:
             self._log.warning(
                 "reservation_unreadable", server=server.incarnation_id, why=exc.detail
@@ -341,7 +344,7 @@
         }
         self._log.info(
             "place_taken",
-            request=relay.ask.ident,
+            request=relay.ask.request_id,
             tokens=need.tokens,
             **about,
         )
@@ -351,7 +354,7 @@
         order = self._orders[relay.service.name]
         self._log.info(
             "place_refused",
-            request=relay.ask.ident,
+            request=relay.ask.request_id,
             why=why,
             tokens=need.tokens,
             serve_s=round(need.service_s, 1),
--- a/src/crankhinge/gateway/_plain.py
+++ b/src/crankhinge/gateway/_plain.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from crankhinge.adapters import Leg
+from crankhinge.adapters import AttemptParams
 from crankhinge.decisions import (
     CongestionWindow,
     EngineRole,
@@ -80,7 +80,7 @@
         """Get an answer and hand it to the caller. Raises a failure with its outcome."""
         answer = await self._answer(relay)
         relay.facts["status"] = answer.status
-        fields = self._backends.dialect.answer_fields(answer.fields)
+        fields = self._backends.dialect.response_fields(answer.fields)
         await relay.exchange.respond_with_fields(answer.status, fields, answer.body)
 
     async def _answer(self, relay: Relay) -> Answer:
@@ -177,7 +177,7 @@
     def _not_sent(self, relay: Relay, waited_s: float) -> None:
         self._log.info(
             "not_sent",
-            request=relay.ask.ident,
+            request=relay.ask.request_id,
             service=relay.service.name,
             waited_ms=round(waited_s * 1000),
             returned=relay.returned,
@@ -264,7 +264,7 @@
     def _note(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
         self._log.info(
             "leg_failed",
-            request=relay.ask.ident,
+            request=relay.ask.request_id,
             server=server.incarnation_id,
             outcome=outcome,
             why=why,
@@ -272,14 +272,14 @@
         )
 
     async def _leg(self, relay: Relay, server: Server, within_s: float) -> Answer | CrankhingeError:
-        leg = Leg(server.name, within_s)
+        leg = AttemptParams(server.name, within_s)
         async with self._legs.open(relay, server, leg) as stream:
             body = await stream.read_all()
-            word = self._backends.dialect.word(stream.status, stream.headers)
+            word = self._backends.dialect.parse_signals(stream.status, stream.headers)
             if not word.not_run:
                 return Answer(stream.status, stream.fields, body)
             now = await curio.clock()
-            if word.rest_s is None:
+            if word.backoff_s is None:
                 # Otherwise it speaks for itself, and the others need not be sent less.
                 self._congestion[relay.service.name].record_refusal(now)
             # Whoever refuses at once looks least busy, and would get most of the next requests.
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -12,7 +12,7 @@
 
 import curio
 
-from crankhinge.adapters import Dialect, FleetSource, TenureOffice, WorkBoard
+from crankhinge.adapters import Dialect, DiscoverySource, InstanceRegistry, OrderLeaseStore
 from crankhinge.decisions import (
     MAX_IDLE_CONNECTIONS,
     ExclusionReason,
@@ -85,9 +85,9 @@
     """
 
     dialect: Dialect
-    source: FleetSource
-    office: TenureOffice
-    board: WorkBoard
+    source: DiscoverySource
+    office: OrderLeaseStore
+    board: InstanceRegistry
 
 
 MakePlatform = Callable[[GatewaySettings, Any], Platform]
@@ -225,8 +225,8 @@
     )
     metrics.set_gauge_function("servers_known", lambda: len(list(directory.servers.all())))
     metrics.set_gauge_function("servers_doubted", lambda: len(directory.servers.suspects()))
-    metrics.set_gauge_function("source_bytes", lambda: platform.source.received)
-    metrics.set_gauge_function("source_calls", lambda: sum(platform.source.calls.values()))
+    metrics.set_gauge_function("source_bytes", lambda: platform.source.received_bytes)
+    metrics.set_gauge_function("source_calls", lambda: sum(platform.source.call_counts.values()))
     supervisor = Supervisor(log)
     supervisor.add("listener", gateway.listen)
     supervisor.add("ready", status.listen_ready)
--- a/src/crankhinge/gateway/_quarantine.py
+++ b/src/crankhinge/gateway/_quarantine.py
@@ -15,7 +15,7 @@
 
 import curio
 
-from crankhinge.adapters import Note
+from crankhinge.adapters import InstanceRecord
 from crankhinge.decisions import Membership, Quarantine, QuarantineUpdate, Server
 from crankhinge.errors import Quarantined
 from crankhinge.gateway._notices import Notices
@@ -86,7 +86,7 @@
             return
         relay.trial = work
         trial = self._quarantine.begin_trial(work, now)
-        self._log.info("quarantine_trial", request=relay.ask.ident, fingerprint=work)
+        self._log.info("quarantine_trial", request=relay.ask.request_id, fingerprint=work)
         await self._tell(trial)
 
     async def crashed(self, server: Server, fingerprints: Collection[str]) -> None:
@@ -123,7 +123,7 @@
         if not crashes:
             return
         self._log.info(
-            "request_cleared", request=relay.ask.ident, fingerprint=work, crashes=crashes
+            "request_cleared", request=relay.ask.request_id, fingerprint=work, crashes=crashes
         )
         if isolated:
             await self._notices.tell(QuarantineEnded(work), fingerprint=work)
@@ -136,7 +136,7 @@
         """Return what belongs into this instance's note."""
         return self._quarantine.to_instance_record()
 
-    async def recall(self, notes: Mapping[str, Note]) -> None:
+    async def recall(self, notes: Mapping[str, InstanceRecord]) -> None:
         """Take what stands in the notes of instances; this one's own is of an earlier life."""
         now = await curio.clock()
         for name, note in notes.items():
--- a/src/crankhinge/gateway/_quota.py
+++ b/src/crankhinge/gateway/_quota.py
@@ -81,7 +81,7 @@
         account = relay.account
         if account is None or account.limit is None:
             return
-        tokens = account.cost(relay.ask.tokens)
+        tokens = account.cost(relay.ask.max_total_tokens)
         for allocator in self._asker.allocators(account.name, await curio.clock()):
             word = await self._ask(allocator, account, tokens)
             if word is not None and word.outcome is not QuotaOutcome.NOT_ALLOCATOR:
@@ -99,7 +99,7 @@
         self._metrics.count("over_limit")
         self._log.info(
             "over_limit",
-            request=relay.ask.ident,
+            request=relay.ask.request_id,
             account=grant.account.name,
             tokens=grant.tokens,
             by=by,
--- a/src/crankhinge/gateway/_reading.py
+++ b/src/crankhinge/gateway/_reading.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from crankhinge.adapters import Leg
+from crankhinge.adapters import AttemptParams
 from crankhinge.decisions import EngineRole, RetryBudget, Server
 from crankhinge.errors import BackendFailed, BadHttp, HttpClosed, Quarantined, ServerBarred
 from crankhinge.gateway._backends import Backends
@@ -95,7 +95,7 @@
             memory = await self._try(relay, server, until, budget)
             if memory is not None:
                 return memory
-        self._log.info("not_read_apart", request=relay.ask.ident, tried=len(tried), why=why)
+        self._log.info("not_read_apart", request=relay.ask.request_id, tried=len(tried), why=why)
         return None
 
     def _affordable(self, server: Server, budget: RetryBudget, *, again: bool) -> bool:
@@ -118,7 +118,7 @@
     ) -> Memory | None:
         began = await curio.clock()
         within = until - began
-        leg = Leg(server.name, within, read_only=True)
+        leg = AttemptParams(server.name, within, prompt_only=True)
         standing = self._backends.standing(server.incarnation_id)
         try:
             handle: str = await curio.timeout_after(within, self._leg, relay, server, leg)
@@ -145,18 +145,18 @@
         relay.facts.update(reader=server.incarnation_id, read_ms=round(took * 1000))
         return Memory(server, handle, took)
 
-    async def _leg(self, relay: Relay, server: Server, leg: Leg) -> str:
+    async def _leg(self, relay: Relay, server: Server, leg: AttemptParams) -> str:
         async with self._legs.open(relay, server, leg) as stream:
             body = await stream.read_all()
             if stream.status != 200:
                 self._backends.standing(server.incarnation_id).record_refusal(await curio.clock())
                 raise BackendFailed(f"status {stream.status}")
-            return self._backends.dialect.memory_of(body)
+            return self._backends.dialect.parse_kv_cache_handle(body)
 
     def _failed(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
         self._log.info(
             "reading_failed",
-            request=relay.ask.ident,
+            request=relay.ask.request_id,
             server=server.incarnation_id,
             outcome=outcome,
             why=why,
@@ -164,5 +164,5 @@
 
     async def free(self, memory: Memory) -> None:
         """Free a memory that nobody will fetch."""
-        call = self._backends.dialect.free_memory(memory.handle)
+        call = self._backends.dialect.free_kv_cache_call(memory.handle)
         await self._backends.later(memory.server, call)
--- a/src/crankhinge/gateway/_request.py
+++ b/src/crankhinge/gateway/_request.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from crankhinge.adapters import RelayAsk
+from crankhinge.adapters import RelayRequest
 from crankhinge.decisions import Account, Route, Service
 from crankhinge.http import Exchange
 
@@ -75,7 +75,7 @@
     """
 
     exchange: Exchange
-    ask: RelayAsk
+    ask: RelayRequest
     route: Route
     service: Service
     version: int
--- a/src/crankhinge/gateway/_server_words.py
+++ b/src/crankhinge/gateway/_server_words.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from crankhinge.adapters import ServerWord
+from crankhinge.adapters import ResponseSignals
 from crankhinge.decisions import Server, ServerExclusions
 from crankhinge.gateway._listener import WordListener
 from crankhinge.gateway._notices import Notices
@@ -32,20 +32,22 @@
         self._log = log
         notices.on(ServerLeaves, self._take_leaves)
 
-    async def heard(self, server: Server, word: ServerWord, *, sent_at: float, ran: bool) -> None:
+    async def heard(
+        self, server: Server, word: ResponseSignals, *, sent_at: float, ran: bool
+    ) -> None:
         """Note what the head of a server's answer says of leaving and rest."""
         now = await curio.clock()
         if word.leaving and self._note_leaves(server.incarnation_id, now, "own"):
             await self._notices.tell(
                 ServerLeaves(server.incarnation_id), server=server.incarnation_id
             )
-        if word.rest_s is not None:
+        if word.backoff_s is not None:
             was = self._bars.backoff_until(server.incarnation_id, now)
-            longer = self._bars.record_backoff(server.incarnation_id, now + word.rest_s)
+            longer = self._bars.record_backoff(server.incarnation_id, now + word.backoff_s)
             self._log.info(
                 "server_rests",
                 server=server.incarnation_id,
-                for_s=round(word.rest_s, 2),
+                for_s=round(word.backoff_s, 2),
                 left_s=None if was is None else round(was - now, 2),
                 taken=longer,
             )
--- a/src/crankhinge/gateway/_shared_work.py
+++ b/src/crankhinge/gateway/_shared_work.py
@@ -12,7 +12,7 @@
 
 import curio
 
-from crankhinge.adapters import Note, NoteLease, WorkBoard
+from crankhinge.adapters import InstanceRecord, InstanceRegistry, RecordLease
 from crankhinge.decisions import (
     LEASE_RENEWAL_INTERVAL_S,
     Membership,
@@ -58,7 +58,7 @@
         name: str,
         peer: str,
         members: Membership,
-        board: WorkBoard,
+        board: InstanceRegistry,
         meters: Mapping[str, WorkloadMeter],
         quarantine: QuarantineDesk,
         limits: LimitNews,
@@ -100,7 +100,7 @@
         """Take over the note of a life before, if there is one."""
         while True:
             try:
-                found = await self._board.resume(self._name)
+                found = await self._board.take_over(self._name)
                 if found is not None:
                     note, lease = found
                     await self._quarantine.recall({self._name: note})
@@ -125,7 +125,7 @@
             or limited != self._told_limited
         )
         if news or self._due(sheets, now):
-            note = Note(self._peer, sheets, settled, quarantined, limited)
+            note = InstanceRecord(self._peer, sheets, settled, quarantined, limited)
             lease = await self._board.publish(self._name, note)
             self._told, self._told_at = sheets, now
             self._told_settled, self._told_quarantined = settled, quarantined
@@ -136,25 +136,25 @@
         if not self._joined:
             await self._join(None, resumed=False)
 
-    async def _hold(self, lease: NoteLease | None) -> None:
+    async def _hold(self, lease: RecordLease | None) -> None:
         """Note how long the note lasts; one that had gone makes this instance a new one."""
         if lease is None:
             self._joined, self._told_at = False, float("-inf")
             self._log.info("note_gone")
             return
         self._held_at = await curio.clock()
-        self._members.set_lease_end(lease.until)
-        if lease.anew:
+        self._members.set_lease_end(lease.expires_at)
+        if lease.may_have_lapsed:
             self._joined = False
 
-    async def _join(self, lease: NoteLease | None, *, resumed: bool) -> None:
+    async def _join(self, lease: RecordLease | None, *, resumed: bool) -> None:
         """Read who else is there, once the note is written."""
         if lease is not None:
             await self._hold(lease)
         elif self._told_at == float("-inf"):
             return
         asked = await curio.clock()
-        notes = await self._board.read(stale=False)
+        notes = await self._board.read_all(allow_stale=False)
         await self._recall(notes)
         if self._name in notes:
             self._members.join(_peers(notes), asked, resumed=resumed)
@@ -169,16 +169,16 @@
             except KeyValueUnavailable as exc:
                 self._log.info("notes_unknown", why=exc.detail)
 
-    async def _read(self) -> dict[str, Note]:
+    async def _read(self) -> dict[str, InstanceRecord]:
         asked = await curio.clock()
-        notes = await self._board.read()
+        notes = await self._board.read_all()
         if self._joined:
             # What a call brings is at least as old as the call.
             self._members.apply_records(_peers(notes), asked)
         await self._recall(notes)
         return notes
 
-    async def _recall(self, notes: Mapping[str, Note]) -> None:
+    async def _recall(self, notes: Mapping[str, InstanceRecord]) -> None:
         """Take what the others tell besides; what this instance told itself it need not read."""
         others = {name: note for name, note in notes.items() if name != self._name}
         await self._quarantine.recall(others)
@@ -217,7 +217,7 @@
             KeyValueUnavailable: the others' notes can't be read.
         """
         notes = await self._read()
-        notes[self._name] = Note(self._peer, self._sheets())
+        notes[self._name] = InstanceRecord(self._peer, self._sheets())
         sheets = [note.sheets[service] for note in notes.values() if service in note.sheets]
         loads = combined_loads(sheets)
         answers = sum(sheet.answers for sheet in sheets)
@@ -233,6 +233,6 @@
         return loads, answers
 
 
-def _peers(notes: Mapping[str, Note]) -> dict[str, str]:
+def _peers(notes: Mapping[str, InstanceRecord]) -> dict[str, str]:
     """Return where instances take datagrams."""
     return {name: note.peer for name, note in notes.items()}
--- a/src/crankhinge/gateway/_stream.py
+++ b/src/crankhinge/gateway/_stream.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from crankhinge.adapters import Leg
+from crankhinge.adapters import AttemptParams
 from crankhinge.decisions import EngineLimits, RetryBudget, Server, WorkloadMeter, retry_delay_s
 from crankhinge.errors import (
     BackendFailed,
@@ -85,8 +85,8 @@
         budget.record_first_attempt()
         relay.facts.update(
             prompt=relay.ask.prompt_tokens,
-            most=relay.ask.answer_tokens,
-            likely=relay.ask.likely_tokens,
+            most=relay.ask.max_answer_tokens,
+            likely=relay.ask.expected_answer_tokens,
         )
         try:
             await curio.timeout_after(max(0.001, await relay.left()), self._run, relay, budget)
@@ -96,7 +96,7 @@
             raise DeadlinePassed("not answered in time") from exc
 
     async def _run(self, relay: Relay, budget: RetryBudget) -> None:
-        events = EventSplitter(relay.ask.after_event)
+        events = EventSplitter(relay.ask.last_event_id)
         while True:
             if relay.service.engine is None:
                 end, why = await self._at_plain_server(relay, events)
@@ -119,7 +119,7 @@
             events.drop_rest()
             self._log.info(
                 "stream_again",
-                request=relay.ask.ident,
+                request=relay.ask.request_id,
                 after=events.last,
                 events=events.events,
                 cause=end.value,
@@ -143,7 +143,9 @@
             server = await self._choice.soon(relay, avoid=relay.tried, spare_s=spare_s)
         if server is None:
             raise self._failure(relay, _End.UNREACHED, "no server")
-        return await self._write(relay, server, Leg(server.name, await relay.left()), events)
+        return await self._write(
+            relay, server, AttemptParams(server.name, await relay.left()), events
+        )
 
     async def _at_engines(
         self, relay: Relay, events: EventSplitter, budget: RetryBudget
@@ -171,7 +173,7 @@
     ) -> Memory | None:
         ask = relay.ask
         meter = self._meters[relay.service.name]
-        likely = min(ask.likely_tokens or ask.answer_tokens, ask.answer_tokens)
+        likely = min(ask.expected_answer_tokens or ask.max_answer_tokens, ask.max_answer_tokens)
         meter.record_admission(place.tokens / engine.kv_tokens, likely)
         memory = await self._reading.read(relay, place.server.zone, budget)
         if memory is not None:
@@ -191,7 +193,7 @@
         end, why = await self._write(relay, server, leg, events)
         if end is _End.BARRED:
             # Nothing arrived: the reservation is still to be given back, and the memory freed.
-            place.hold = leg.hold
+            place.hold = leg.reservation_id
             if memory is not None:
                 await self._reading.free(memory)
         if memory is None or end is not _End.REFUSED:
@@ -206,36 +208,36 @@
             return end, why
         relay.sent.pop()
         self._log.info(
-            "writer_reads", request=relay.ask.ident, server=server.incarnation_id, why=why
+            "writer_reads", request=relay.ask.request_id, server=server.incarnation_id, why=why
         )
         leg = await self._leg(relay, place, None, events)
         return await self._write(relay, server, leg, events)
 
     async def _leg(
         self, relay: Relay, place: Place, memory: Memory | None, events: EventSplitter
-    ) -> Leg:
+    ) -> AttemptParams:
         at = ""
         if memory is not None:
-            at = self._backends.dialect.memory_at(
+            at = self._backends.dialect.kv_cache_location(
                 memory.server.host, memory.server.port, memory.handle
             )
         hold, place.hold = place.hold, ""
-        return Leg(
+        return AttemptParams(
             place.server.name,
             await relay.left(),
-            memory_from=at,
-            hold=hold,
-            after_event=events.last,
+            kv_cache_location=at,
+            reservation_id=hold,
+            last_event_id=events.last,
         )
 
     async def _write(
-        self, relay: Relay, server: Server, leg: Leg, events: EventSplitter
+        self, relay: Relay, server: Server, leg: AttemptParams, events: EventSplitter
     ) -> tuple[_End, str]:
         relay.sent.append(server.incarnation_id)
         relay.facts["server"] = server.incarnation_id
         try:
             async with self._legs.open(relay, server, leg) as stream:
-                word = self._backends.dialect.word(stream.status, stream.headers)
+                word = self._backends.dialect.parse_signals(stream.status, stream.headers)
                 if word.not_run:
                     body = await stream.read_all()
                     return _End.REFUSED, f"status {stream.status} {body[:80]!r}"
@@ -271,14 +273,14 @@
         if stream.status != 200:
             # A failure that the server reports has no events.
             body = await stream.read_all()
-            fields = self._backends.dialect.answer_fields(stream.fields)
+            fields = self._backends.dialect.response_fields(stream.fields)
             if exchange.response_started:
                 raise HttpClosed(f"status {stream.status} to a resumed stream")
             await exchange.respond_with_fields(stream.status, fields, body)
             relay.facts["status"] = stream.status
             return
         if not exchange.response_started:
-            fields = self._backends.dialect.answer_fields(stream.fields)
+            fields = self._backends.dialect.response_fields(stream.fields)
             await exchange.start_with_fields(stream.status, fields)
         while chunk := await stream.next_chunk():
             whole = events.feed(chunk)
--- a/src/crankhinge/peers/_instance_list.py
+++ b/src/crankhinge/peers/_instance_list.py
@@ -49,7 +49,7 @@
     async def refresh(self) -> bool:
         """Read the list once and return whether the platform provided it."""
         try:
-            self.instances = await self._source.agents()
+            self.instances = await self._source.list_agents()
         except KeyValueUnavailable as exc:
             self._log.warning("list_unavailable", why=exc.detail)
             return False
--- a/src/crankhinge/peers/_propagation.py
+++ b/src/crankhinge/peers/_propagation.py
@@ -15,7 +15,7 @@
 
 import curio
 
-from crankhinge.adapters import KeyValue
+from crankhinge.adapters import KeyValueStore
 from crankhinge.config import BUNDLE_KEY, BundleKeeper
 from crankhinge.errors import BundleError, KeyValueUnavailable
 from crankhinge.wire import Beat, BundleIs, GetBundle, Link, Message, send_if_open
@@ -42,7 +42,13 @@
     """
 
     def __init__(
-        self, keeper: BundleKeeper, kv: KeyValue, log: Any, *, watch_s: float, rng: random.Random
+        self,
+        keeper: BundleKeeper,
+        kv: KeyValueStore,
+        log: Any,
+        *,
+        watch_s: float,
+        rng: random.Random,
     ) -> None:
         self.keeper = keeper
         self.links: set[Link] = set()
--- a/src/crankhinge_bench/_perf.py
+++ b/src/crankhinge_bench/_perf.py
@@ -73,12 +73,12 @@
     write = next(p for p in cluster.places if p.kind == "decode")
     body = json.dumps({"model": "m1", "prompt": f"direct {number}", "max_tokens": 3}).encode()
     began = await curio.clock()
-    result = await OpenAiEngine(HOST, read.backend_port).prefill(PATH, body, req=number)
+    result = await OpenAiEngine(HOST, read.backend_port).prefill(PATH, body, request_id=number)
     engine = OpenAiEngine(HOST, write.backend_port)
-    stream = await engine.decode(PATH, body, result.kv, req=number)
-    await stream.next()
+    stream = await engine.decode(PATH, body, result.kv_handle, request_id=number)
+    await stream.next_pieces()
     first = await curio.clock() - began
-    while await stream.next():
+    while await stream.next_pieces():
         pass
     await stream.close()
     return float(first)
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -27,11 +27,11 @@
 from crankhinge.http import ClientStream, Exchange, HttpClient, serve_http
 from crankhinge.runtime import Metrics, get_log, run_until_first_ends, split_host_port
 from crankhinge_bench._procs import free_ports
-from crankhinge_platform.board import PlatformWorkBoard
 from crankhinge_platform.dialect import PlatformDialect
-from crankhinge_platform.source import PlatformSource
+from crankhinge_platform.order_lease import PlatformOrderLeaseStore
+from crankhinge_platform.registry import PlatformInstanceRegistry
+from crankhinge_platform.source import PlatformDiscoverySource
 from crankhinge_platform.store import StoreClient
-from crankhinge_platform.tenure import PlatformTenureOffice
 from crankhinge_standins import operator
 from crankhinge_standins.store import StandinStore
 
@@ -477,9 +477,9 @@
 
         def make(settings: GatewaySettings, log: Any) -> Platform:
             store = StoreClient(*split_host_port(settings.source))
-            office = PlatformTenureOffice(store, settings.order_lease_s)
-            board = PlatformWorkBoard(store, 45.0, log)
-            return Platform(PlatformDialect(), PlatformSource(store, log), office, board)
+            office = PlatformOrderLeaseStore(store, settings.order_lease_s)
+            board = PlatformInstanceRegistry(store, 45.0, log)
+            return Platform(PlatformDialect(), PlatformDiscoverySource(store, log), office, board)
 
         await serve(settings, log, self.stopping, make_platform=make)
         self.ended = True
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from crankhinge.adapters import KeyValue, Value
+from crankhinge.adapters import KeyValueStore, StoredValue
 from crankhinge.config import (
     BUNDLE_KEY,
     BundleKeeper,
@@ -68,26 +68,26 @@
     return Signers(tmp_path)
 
 
-class MemoryKeyValue(KeyValue):
+class MemoryKeyValue(KeyValueStore):
     """A key-value service in memory that can lose responses and be unavailable."""
 
     def __init__(self) -> None:
-        self.values: dict[str, Value] = {}
+        self.values: dict[str, StoredValue] = {}
         self.lose_responses = False
         self.unavailable = False
         self.competing_writes: list[bytes] = []
 
-    async def get(self, key: str) -> Value | None:
+    async def get(self, key: str) -> StoredValue | None:
         """Return the value of a key."""
         if self.unavailable:
             raise KeyValueUnavailable("unavailable")
         return self.values.get(key)
 
-    async def watch(self, key: str, index: int, wait_s: float) -> Value | None:
+    async def watch(self, key: str, index: int, wait_s: float) -> StoredValue | None:
         """Return the value of a key without waiting for a change."""
         return await self.get(key)
 
-    async def swap(self, key: str, data: bytes, index: int) -> bool:
+    async def compare_and_swap(self, key: str, data: bytes, index: int) -> bool:
         """Compare and swap, after the next competing write if one is planned."""
         if self.unavailable:
             raise KeyValueUnavailable("unavailable")
@@ -104,7 +104,7 @@
     def write(self, key: str, data: bytes) -> None:
         """Write a value and increase its index."""
         index = self.values[key].index if key in self.values else 0
-        self.values[key] = Value(data, index + 1)
+        self.values[key] = StoredValue(data, index + 1)
 
 
 class TestBundleValidation:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from crankhinge.adapters.consul import ConsulKeyValue
+from crankhinge.adapters.consul import ConsulKeyValueStore
 from crankhinge.runtime import get_log, run_until_first_ends, serve_tcp
 from crankhinge_bench._procs import free_ports
 from platform_fakes import HOST
@@ -39,7 +39,7 @@
         async def story() -> None:
             await curio.sleep(0.01)
             began = await curio.clock()
-            value = await ConsulKeyValue(HOST, port).get("bundle")
+            value = await ConsulKeyValueStore(HOST, port).get("bundle")
             assert value is not None
             assert value.data == BUNDLE
             assert await curio.clock() - began > 5.0
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -25,9 +25,9 @@
     names = {
         value
         for name, value in vars(dialect).items()
-        if name.isupper() and isinstance(value, str) and name not in ("LEAVES", "BEARER")
+        if name.isupper() and isinstance(value, str) and name not in ("LEAVING_VALUE", "BEARER")
     }
-    return names | dialect.SYSTEM_ONLY
+    return names | dialect.ROUTER_ONLY_FIELDS
 
 
 def structs(module: Any) -> list[type[msgspec.Struct]]:
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -91,11 +91,11 @@
     ) -> None:
         """Whatever is decoded can be counted with."""
         try:
-            ask = PlatformDialect().read_ask(HttpRequest("POST", "/a", fields, b""))
+            ask = PlatformDialect().parse_request(HttpRequest("POST", "/a", fields, b""))
         except BadHttp:
             return
-        assert ask.within_s is None or math.isfinite(ask.within_s)
-        for tokens in (ask.prompt_tokens, ask.answer_tokens, ask.likely_tokens):
+        assert ask.timeout_s is None or math.isfinite(ask.timeout_s)
+        for tokens in (ask.prompt_tokens, ask.max_answer_tokens, ask.expected_answer_tokens):
             assert tokens >= 0
             assert math.isfinite(float(tokens))
 
@@ -107,11 +107,11 @@
     @given(st.integers(100, 599), st.dictionaries(st.sampled_from(WORDS), texts))
     def test_any_head_says_what_can_be_kept(self, status: int, fields: dict[str, str]) -> None:
         """No rest without a time, no limit that is none, no leave but the word for it."""
-        word = PlatformDialect().word(status, fields)
-        for figure in (word.rest_s, word.retry_after_s, word.takes_per_s):
+        word = PlatformDialect().parse_signals(status, fields)
+        for figure in (word.backoff_s, word.retry_after_s, word.limit_per_s):
             assert figure is None or (math.isfinite(figure) and figure >= 0)
-        assert word.rest_s is None or "retry-after" in fields
-        assert word.takes_per_s is None or word.names_limit
+        assert word.backoff_s is None or "retry-after" in fields
+        assert word.limit_per_s is None or word.advertises_limit
         assert word.leaving == (fields.get("server-leaving", "").strip() == "1")
 
     @pytest.mark.parametrize("port", ["0", "-1", "65536", "nan", "1e3", "", "9" * 5000])
--- a/tests/test_http_service.py
+++ b/tests/test_http_service.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from crankhinge.adapters import ServiceAnswer
+from crankhinge.adapters import ServiceResponse
 from crankhinge.adapters.http_service import HttpService
 from crankhinge.errors import BadHttp
 from crankhinge.http import Exchange, serve_http
@@ -13,10 +13,10 @@
 from crankhinge_bench._procs import HOST, free_ports
 
 
-def answer_of(status: int, fields: list[tuple[str, str]]) -> ServiceAnswer:
+def answer_of(status: int, fields: list[tuple[str, str]]) -> ServiceResponse:
     """Return what the adapter makes of a service's answer."""
     [port] = free_ports(1)
-    answers: list[ServiceAnswer] = []
+    answers: list[ServiceResponse] = []
 
     async def handle(exchange: Exchange) -> None:
         await exchange.respond_with_fields(status, fields, b"")
@@ -29,7 +29,7 @@
 
     async def call() -> None:
         service = HttpService(HOST, port)
-        while not await service.alive():
+        while not await service.is_reachable():
             await curio.sleep(0.01)
         answers.append(await service.call("POST", "/x", {}, b""))
 
@@ -55,5 +55,5 @@
     def test_is_decoded(self, status: int, named: str, rest_s: float | None) -> None:
         """Only where it says so, in seconds; the field itself is passed on."""
         answer = answer_of(status, [("retry-after", named)])
-        assert (answer.status, answer.rest_s) == (status, rest_s)
+        assert (answer.status, answer.backoff_s) == (status, rest_s)
         assert answer.headers["retry-after"] == named
--- a/tests/test_legs.py
+++ b/tests/test_legs.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from crankhinge.adapters import Leg
+from crankhinge.adapters import AttemptParams
 from crankhinge.decisions import Server
 from crankhinge.errors import CallerGone, HttpClosed, ServerBarred
 from crankhinge.gateway._backends import Backends
@@ -59,7 +59,7 @@
     )
     relay = SimpleNamespace(
         exchange=SimpleNamespace(req=req),
-        ask=SimpleNamespace(ident="q"),
+        ask=SimpleNamespace(request_id="q"),
         facts={},
         account_name=None,
         trial="",
@@ -81,7 +81,7 @@
     async def story() -> None:
         way = way_to(replica, get_log(program="t", stream=world.lines))
         with pytest.raises(type(failure)):
-            async with way.legs.open(way.relay, way.server, Leg("i-1", 1.0)):
+            async with way.legs.open(way.relay, way.server, AttemptParams("i-1", 1.0)):
                 raise failure
         seen.append(way.backends.standing("i-1").failure_share)
 
@@ -111,7 +111,7 @@
             way = way_to(replica, get_log(program="t", stream=world.lines))
             bar(way)
             with pytest.raises(ServerBarred):
-                async with way.legs.open(way.relay, way.server, Leg("i-1", 1.0)):
+                async with way.legs.open(way.relay, way.server, AttemptParams("i-1", 1.0)):
                     raise AssertionError("sent")
 
         run_virtual(world.play, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
--- a/tests/test_orderer.py
+++ b/tests/test_orderer.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from crankhinge.adapters import Note
+from crankhinge.adapters import InstanceRecord
 from crankhinge.decisions import EngineRole, WorkloadMeter, WorkloadStats
 from crankhinge.gateway._peer_messages import EngineOrdered, PeerMessage
 from platform_fakes import HOST, World, free_port, route, stream
@@ -55,7 +55,7 @@
         part_tokens=288.0,
         pace_s=pace_s,
     )
-    note = msgspec.to_builtins(Note("", {"llm": sheet}))
+    note = msgspec.to_builtins(InstanceRecord("", {"llm": sheet}))
     await world.store.put(f"crankhinge/work/{name}", note)
 
 
@@ -211,7 +211,7 @@
 
         async def story() -> None:
             task = await curio.spawn(listen, daemon=True)
-            note = msgspec.to_builtins(Note(f"{HOST}:{port}", {}))
+            note = msgspec.to_builtins(InstanceRecord(f"{HOST}:{port}", {}))
             await world.store.put("crankhinge/work/other", note)
             await traffic(world)
             await curio.sleep(4.0)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from crankhinge.adapters import Leg, ServerWord
+from crankhinge.adapters import AttemptParams, ResponseSignals
 from crankhinge.decisions import (
     PERMIT_TRANSIT_S,
     EngineRole,
@@ -102,7 +102,7 @@
         limits = lone_limits("here", self.backends, log, self.members)
         self.news, self.permits = limits.news, limits.permits
         self.relay = cast(
-            Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(ident="q"), facts={})
+            Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="q"), facts={})
         )
 
     def play(self, story: Callable[[], Awaitable[None]]) -> None:
@@ -112,7 +112,7 @@
             self.members.set_lease_end(math.inf)
             self.members.join({"here": ""}, await curio.clock(), resumed=True)
             await curio.sleep(SETTLED_S)
-            word = ServerWord(False, False, None, names_limit=True, takes_per_s=2.0)
+            word = ResponseSignals(False, False, None, advertises_limit=True, limit_per_s=2.0)
             await self.news.heard(SERVER, word, sent_at=0.0, ran=True)
             await story()
 
@@ -126,7 +126,9 @@
         return number
 
     def _other(self) -> Relay:
-        return cast(Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(ident="o"), facts={}))
+        return cast(
+            Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="o"), facts={})
+        )
 
 
 class TestPermits:
@@ -215,7 +217,7 @@
             await curio.sleep(FILLED_S)
             assert await alone.permits.permit(alone.relay, server)
             with pytest.raises(ConnectFailed):
-                async with legs.open(alone.relay, server, Leg("i-1", 1.0)):
+                async with legs.open(alone.relay, server, AttemptParams("i-1", 1.0)):
                     raise AssertionError("nobody is there")
             assert list(alone.relay.permits) == ["i-1"]
 
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -73,7 +73,7 @@
 
     def test_figures_are_decoded(self) -> None:
         """Milliseconds become seconds."""
-        ask = PlatformDialect().read_ask(
+        ask = PlatformDialect().parse_request(
             request(
                 ("x-request-id", "q"),
                 ("x-deadline-ms", "1500"),
@@ -81,14 +81,18 @@
                 ("length-hint", "33"),
             )
         )
-        assert (ask.ident, ask.within_s) == ("q", 1.5)
-        assert (ask.prompt_tokens, ask.answer_tokens, ask.likely_tokens) == (1460, 80, 33)
+        assert (ask.request_id, ask.timeout_s) == ("q", 1.5)
+        assert (ask.prompt_tokens, ask.max_answer_tokens, ask.expected_answer_tokens) == (
+            1460,
+            80,
+            33,
+        )
 
     def test_what_is_no_number_is_a_bad_request(self) -> None:
         """A typed failure, not a crash."""
         for name, value in (("x-deadline-ms", "soon"), ("x-token-count", "many")):
             try:
-                PlatformDialect().read_ask(request((name, value)))
+                PlatformDialect().parse_request(request((name, value)))
             except BadHttp as exc:
                 assert name in exc.detail
             else:
@@ -104,44 +108,44 @@
     )
     def test_a_servers_limit_is_decoded(self, named: str, per_s: float) -> None:
         """Requests a second, fractions included."""
-        word = PlatformDialect().word(200, {"server-limit": named})
-        assert (word.names_limit, word.takes_per_s) == (True, per_s)
+        word = PlatformDialect().parse_signals(200, {"server-limit": named})
+        assert (word.advertises_limit, word.limit_per_s) == (True, per_s)
 
     @pytest.mark.parametrize("named", ["many", "", "-1", "nan", "inf", "-inf", "4,2", "4 5"])
     def test_what_is_no_rate_is_told_from_no_limit(self, named: str) -> None:
         """It says that there is a limit, but not which."""
-        word = PlatformDialect().word(200, {"server-limit": named})
-        assert (word.names_limit, word.takes_per_s) == (True, None)
+        word = PlatformDialect().parse_signals(200, {"server-limit": named})
+        assert (word.advertises_limit, word.limit_per_s) == (True, None)
 
     def test_no_limit_is_none(self) -> None:
         """As most answers."""
-        word = PlatformDialect().word(200, {})
-        assert (word.names_limit, word.takes_per_s) == (False, None)
+        word = PlatformDialect().parse_signals(200, {})
+        assert (word.advertises_limit, word.limit_per_s) == (False, None)
 
     @pytest.mark.parametrize(("named", "leaving"), [("1", True), (" 1 ", True), ("0", False)])
     def test_a_server_that_leaves_is_decoded(self, named: str, leaving: bool) -> None:
         """Whatever else its answer says."""
-        assert PlatformDialect().word(500, {"server-leaving": named}).leaving is leaving
+        assert PlatformDialect().parse_signals(500, {"server-leaving": named}).leaving is leaving
 
     @pytest.mark.parametrize(("named", "rest_s"), [("3", 3.0), ("0.4", 0.4), (" 90 ", 90.0)])
     def test_a_server_that_asks_for_rest_is_decoded(self, named: str, rest_s: float) -> None:
         """Where it turns a request away, also where it does not say that it ran nothing."""
         for more in ({}, {"x-not-executed": "1"}):
-            word = PlatformDialect().word(503, {"retry-after": named, **more})
-            assert word.rest_s == rest_s
+            word = PlatformDialect().parse_signals(503, {"retry-after": named, **more})
+            assert word.backoff_s == rest_s
 
     @pytest.mark.parametrize(
         "named", ["", "soon", "-1", "0", "nan", "inf", "1e309", "Wed, 21 Oct 2026 07:28:00 GMT"]
     )
     def test_what_is_no_time_is_no_rest(self, named: str) -> None:
         """A server is not shut out past what it asked."""
-        word = PlatformDialect().word(503, {"retry-after": named, "x-not-executed": "1"})
-        assert (word.rest_s, word.retry_after_s) == (None, None)
+        word = PlatformDialect().parse_signals(503, {"retry-after": named, "x-not-executed": "1"})
+        assert (word.backoff_s, word.retry_after_s) == (None, None)
 
     @pytest.mark.parametrize("status", [200, 421, 500])
     def test_other_answers_ask_for_no_rest(self, status: int) -> None:
         """Nothing was turned away, or by another server."""
-        assert PlatformDialect().word(status, {"retry-after": "3"}).rest_s is None
+        assert PlatformDialect().parse_signals(status, {"retry-after": "3"}).backoff_s is None
 
 
 class TestFields:
@@ -149,9 +153,9 @@
 
     def test_fields_of_one_connection_stay_there(self) -> None:
         """Also those that the connection field names."""
-        fields = PlatformDialect().leg_fields(
+        fields = PlatformDialect().attempt_fields(
             request(("connection", "close, x-hop"), ("x-hop", "1"), ("x-kept", "1")),
-            dialect.Leg("i-1", 1.0),
+            dialect.AttemptParams("i-1", 1.0),
             None,
         )
         names = {name for name, _ in fields}
@@ -160,7 +164,7 @@
 
     def test_an_answers_framing_is_not_copied(self) -> None:
         """The gateway frames anew; the signature goes through."""
-        fields = PlatformDialect().answer_fields(
+        fields = PlatformDialect().response_fields(
             [("transfer-encoding", "chunked"), ("keep-alive", "timeout=5"), ("x-server-seal", "s")]
         )
         assert fields == [("x-server-seal", "s")]
--- a/tests/test_board.py
+++ b/tests/test_registry.py
@@ -7,22 +7,22 @@
 import curio
 import pytest
 
-from crankhinge.adapters import Note
+from crankhinge.adapters import InstanceRecord
 from crankhinge.errors import KeyValueUnavailable
 from crankhinge.runtime import get_log, run_until_first_ends
-from crankhinge_platform.board import PlatformWorkBoard
+from crankhinge_platform.registry import PlatformInstanceRegistry
 from crankhinge_platform.store import StoreClient
 from platform_fakes import HOST, FakeStore
 from virtual_time import run_virtual
 
 TTL_S = 45.0
-NOTE = Note("10.0.0.1:7380", {})
+NOTE = InstanceRecord("10.0.0.1:7380", {})
 
 
-def play(story: Callable[[FakeStore, PlatformWorkBoard], Awaitable[None]]) -> None:
+def play(story: Callable[[FakeStore, PlatformInstanceRegistry], Awaitable[None]]) -> None:
     """Run *story* with a store and the board of one instance."""
     store = FakeStore()
-    board = PlatformWorkBoard(StoreClient(HOST, store.port), TTL_S, get_log(program="t"))
+    board = PlatformInstanceRegistry(StoreClient(HOST, store.port), TTL_S, get_log(program="t"))
 
     async def told() -> None:
         await curio.sleep(0.01)
@@ -40,25 +40,25 @@
     def test_one_lease_carries_all_notes(self) -> None:
         """It is renewed with each."""
 
-        async def story(store: FakeStore, board: PlatformWorkBoard) -> None:
+        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
             for _ in range(5):
                 await board.publish("here", NOTE)
                 await curio.sleep(30.0)
             assert store.calls.count("/v1/kv-lease") == 1
             assert sum(call.startswith("/v1/kv-keep/") for call in store.calls) == 4
-            assert await board.read() == {"here": NOTE}
+            assert await board.read_all() == {"here": NOTE}
 
         play(story)
 
     def test_a_lease_that_is_over_is_made_anew(self) -> None:
         """The store ended it, or forgot it."""
 
-        async def story(store: FakeStore, board: PlatformWorkBoard) -> None:
+        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
             await board.publish("here", NOTE)
             await store.end_leases()
-            assert await board.read() == {}
+            assert await board.read_all() == {}
             await board.publish("here", NOTE)
-            assert await board.read() == {"here": NOTE}
+            assert await board.read_all() == {"here": NOTE}
             assert store.calls.count("/v1/kv-lease") == 2
 
         play(story)
@@ -66,7 +66,7 @@
     def test_after_a_failure_nothing_is_taken_for_granted(self) -> None:
         """A lease that may have ended between renewal and note is not used again."""
 
-        async def story(store: FakeStore, board: PlatformWorkBoard) -> None:
+        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
             await board.publish("here", NOTE)
             store.refused = "/v1/kv-txn"
             with pytest.raises(KeyValueUnavailable):
@@ -74,7 +74,7 @@
             store.refused = ""
             await board.publish("here", NOTE)
             assert store.calls.count("/v1/kv-lease") == 2
-            assert await board.read() == {"here": NOTE}
+            assert await board.read_all() == {"here": NOTE}
 
         play(story)
 
@@ -85,35 +85,35 @@
     def test_is_taken_over_while_it_lasts(self) -> None:
         """It never ceased, so whoever reads sees the instance all the time."""
 
-        async def story(store: FakeStore, board: PlatformWorkBoard) -> None:
-            note = Note("10.0.0.1:7380", {}, settled=True)
+        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
+            note = InstanceRecord("10.0.0.1:7380", {}, settled=True)
             await board.publish("here", note)
             after = another(store)
-            found = await after.resume("here")
+            found = await after.take_over("here")
             assert found is not None
-            assert (found[0], found[1].anew) == (note, False)
-            assert found[1].until <= await curio.clock() + TTL_S
-            assert await board.read() == {"here": note}
+            assert (found[0], found[1].may_have_lapsed) == (note, False)
+            assert found[1].expires_at <= await curio.clock() + TTL_S
+            assert await board.read_all() == {"here": note}
 
         play(story)
 
     def test_is_not_taken_over_once_it_has_gone(self) -> None:
         """Others may act in its place by then."""
 
-        async def story(store: FakeStore, board: PlatformWorkBoard) -> None:
+        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
             await board.publish("here", NOTE)
             await store.end_leases()
-            assert await another(store).resume("here") is None
+            assert await another(store).take_over("here") is None
 
         play(story)
 
     def test_is_not_taken_over_when_it_changed_meanwhile(self) -> None:
         """Between reading and writing it may have gone and come again."""
 
-        async def story(store: FakeStore, board: PlatformWorkBoard) -> None:
+        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
             await board.publish("here", NOTE)
             store.faults.delay_s = 0.1
-            task = await curio.spawn(another(store).resume, "here")
+            task = await curio.spawn(another(store).take_over, "here")
             await curio.sleep(0.15)
             store.faults.delay_s = 0.0
             await board.publish("here", NOTE)
@@ -124,18 +124,18 @@
     def test_a_renewal_tells_whether_it_was_there(self) -> None:
         """One that had gone is not renewed."""
 
-        async def story(store: FakeStore, board: PlatformWorkBoard) -> None:
+        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
             await board.publish("here", NOTE)
             began = await curio.clock()
             lease = await board.renew()
-            assert lease is not None and began + TTL_S <= lease.until
+            assert lease is not None and began + TTL_S <= lease.expires_at
             await store.end_leases()
             assert await board.renew() is None
-            assert (await board.publish("here", NOTE)).anew
+            assert (await board.publish("here", NOTE)).may_have_lapsed
 
         play(story)
 
 
-def another(store: FakeStore) -> PlatformWorkBoard:
+def another(store: FakeStore) -> PlatformInstanceRegistry:
     """Return the board of a later life of the instance."""
-    return PlatformWorkBoard(StoreClient(HOST, store.port), TTL_S, get_log(program="t"))
+    return PlatformInstanceRegistry(StoreClient(HOST, store.port), TTL_S, get_log(program="t"))
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -13,7 +13,7 @@
     EngineLoad,
     PlainService,
     PrefillResult,
-    ServiceAnswer,
+    ServiceResponse,
 )
 from crankhinge.agent._decode import DecodeRole
 from crankhinge.agent._plain import PlainRole
@@ -42,10 +42,10 @@
         self._engine = engine
         self._left = tokens
 
-    async def next(self) -> list[str]:
+    async def next_pieces(self) -> list[str]:
         """Return one token."""
         if not self._left:
-            self.finish = "length"
+            self.finish_reason = "length"
             return []
         await curio.sleep(0.1)
         self._left -= 1
@@ -66,11 +66,13 @@
         self.stalled = False
         self.dead = False
 
-    async def prefill(self, path: str, body: bytes, *, req: int) -> PrefillResult:
+    async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
         """Not used here."""
         raise NotImplementedError
 
-    async def decode(self, path: str, body: bytes, kv: bytes, *, req: int) -> DecodeStream:
+    async def decode(
+        self, path: str, body: bytes, kv_handle: bytes, *, request_id: int
+    ) -> DecodeStream:
         """Write five tokens."""
         while self.stalled:
             await curio.sleep(0.1)
@@ -78,11 +80,11 @@
         self.most = max(self.most, self.running)
         return FakeStream(self, 5)
 
-    async def load_adapter(self, name: str, path: str, version: int, *, token: int) -> None:
+    async def load_adapter(self, name: str, path: str, version: int, *, fencing_token: int) -> None:
         """Not used here."""
         raise NotImplementedError
 
-    async def load(self) -> EngineLoad:
+    async def get_load(self) -> EngineLoad:
         """Return what is in memory."""
         if self.dead:
             raise EngineFailed("dead", ran=False)
@@ -265,17 +267,17 @@
     def __init__(self) -> None:
         self.runs = 0
 
-    async def alive(self) -> bool:
+    async def is_reachable(self) -> bool:
         """Say yes."""
         return True
 
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Run once."""
         self.runs += 1
         await curio.sleep(1.0)
-        return ServiceAnswer(200, {}, b"")
+        return ServiceResponse(200, {}, b"")
 
 
 class RestingService(SlowService):
@@ -283,12 +285,12 @@
 
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Refuse, then run."""
         answer = await super().call(method, target, headers, body)
         if self.runs > 1:
             return answer
-        return ServiceAnswer(503, {"retry-after": "3"}, b"", rest_s=3.0)
+        return ServiceResponse(503, {"retry-after": "3"}, b"", backoff_s=3.0)
 
 
 def plain_role(service: PlainService) -> PlainRole:
--- a/tests/test_shared_work.py
+++ b/tests/test_shared_work.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from crankhinge.adapters import Note, NoteLease, WorkBoard
+from crankhinge.adapters import InstanceRecord, InstanceRegistry, RecordLease
 from crankhinge.decisions import RECORD_LEASE_S, Membership, WorkloadMeter, WorkloadStats
 from crankhinge.errors import KeyValueUnavailable
 from crankhinge.gateway._shared_work import AGAIN_S, LATEST_S, SharedWork
@@ -16,11 +16,11 @@
 from virtual_time import run_virtual
 
 
-class Board(WorkBoard):
+class Board(InstanceRegistry):
     """Remembers what was published; away when told so."""
 
     def __init__(self) -> None:
-        self.notes: list[Note] = []
+        self.notes: list[InstanceRecord] = []
         self.renewals = 0
         self.away = False
 
@@ -29,29 +29,37 @@
         """What notes that told of any work said."""
         return [note.sheets for note in self.notes if note.sheets]
 
-    async def resume(self, name: str) -> tuple[Note, NoteLease] | None:
+    async def take_over(self, name: str) -> tuple[InstanceRecord, RecordLease] | None:
         """Return the note of a life before."""
         if not self.notes:
             return None
-        return self.notes[-1], NoteLease(await curio.clock() + RECORD_LEASE_S, anew=False)
+        return self.notes[-1], RecordLease(
+            await curio.clock() + RECORD_LEASE_S, may_have_lapsed=False
+        )
 
-    async def publish(self, name: str, note: Note) -> NoteLease:
+    async def publish(self, name: str, record: InstanceRecord) -> RecordLease:
         """Take a note."""
         if self.away:
             raise KeyValueUnavailable("away")
-        self.notes.append(note)
-        return NoteLease(await curio.clock() + RECORD_LEASE_S, anew=len(self.notes) == 1)
+        self.notes.append(record)
+        return RecordLease(
+            await curio.clock() + RECORD_LEASE_S, may_have_lapsed=len(self.notes) == 1
+        )
 
-    async def renew(self) -> NoteLease | None:
+    async def renew(self) -> RecordLease | None:
         """Have the note last longer."""
         self.renewals += 1
-        return NoteLease(await curio.clock() + RECORD_LEASE_S, anew=False)
+        return RecordLease(await curio.clock() + RECORD_LEASE_S, may_have_lapsed=False)
 
-    async def read(self, *, stale: bool = True) -> dict[str, Note]:
+    async def read_all(self, *, allow_stale: bool = True) -> dict[str, InstanceRecord]:
         """Return the last note, also under another instance's name, and one of a third one."""
         if not self.notes:
             return {}
-        return {"here": self.notes[-1], "other": self.notes[-1], "third": Note("127.0.0.1:9", {})}
+        return {
+            "here": self.notes[-1],
+            "other": self.notes[-1],
+            "third": InstanceRecord("127.0.0.1:9", {}),
+        }
 
 
 class Instance:
@@ -64,7 +72,7 @@
     def __init__(self, *, resumed: bool = False) -> None:
         self.board = Board()
         if resumed:
-            self.board.notes.append(Note("127.0.0.1:7", {}, settled=True))
+            self.board.notes.append(InstanceRecord("127.0.0.1:7", {}, settled=True))
         self.meter = WorkloadMeter()
         self.lines = Lines()
         log = get_log(program="t", stream=self.lines)
