--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,10 +6,10 @@
 from crankhinge.decisions._server_stats import MAX_REFUSAL_PAUSE_S, REFUSAL_PAUSE_S
 
 
-class TestSpend:
+class TestChargedRetries:
     """Repeats that servers cause."""
 
-    def test_they_are_taken_from_those_that_are_asked_for(self) -> None:
+    def test_charged_retries_reduce_allowed_retries(self) -> None:
         """After two refusals only one of three saved repeats is left."""
         budget = RetryBudget(ratio=0.1, burst=3.0)
         budget.charge_retry()
@@ -17,7 +17,7 @@
         assert budget.try_retry()
         assert not budget.try_retry()
 
-    def test_a_debt_is_bounded(self) -> None:
+    def test_debt_is_bounded(self) -> None:
         """A hundred refusals must not forbid repeats for ever."""
         budget = RetryBudget(ratio=1.0, burst=3.0)
         for _ in range(100):
@@ -28,15 +28,15 @@
         assert budget.allows_retry()
 
 
-def test_refusals_in_a_row_are_waited_out_ever_longer() -> None:
+def test_pause_grows_with_consecutive_refusals() -> None:
     """Twice as long each time, up to a bound; a success ends it."""
-    standing = ServerStats()
-    waits = []
+    stats = ServerStats()
+    pauses = []
     for _ in range(6):
-        standing.record_refusal(0.0)
-        waits.append(standing.full_until)
-    assert waits == sorted(waits)
-    assert (waits[0], waits[-1]) == (REFUSAL_PAUSE_S, MAX_REFUSAL_PAUSE_S)
-    standing.record_success(0.1)
-    standing.record_refusal(0.0)
-    assert standing.full_until == REFUSAL_PAUSE_S
+        stats.record_refusal(0.0)
+        pauses.append(stats.full_until)
+    assert pauses == sorted(pauses)
+    assert (pauses[0], pauses[-1]) == (REFUSAL_PAUSE_S, MAX_REFUSAL_PAUSE_S)
+    stats.record_success(0.1)
+    stats.record_refusal(0.0)
+    assert stats.full_until == REFUSAL_PAUSE_S
--- a/tests/test_congestion.py
+++ b/tests/test_congestion.py
@@ -11,32 +11,34 @@
 TARGET_S = 0.3
 
 
-def seen(*took: float, congestion: CongestionWindow | None = None) -> CongestionWindow:
+def record_responses(
+    *durations: float, congestion: CongestionWindow | None = None
+) -> CongestionWindow:
     """Return what answers that took so long leave, one each tenth of a second."""
     congestion = congestion or CongestionWindow()
-    for number, took_s in enumerate(took):
-        congestion.record_response(took_s, TARGET_S, number / 10)
+    for number, response_s in enumerate(durations):
+        congestion.record_response(response_s, TARGET_S, number / 10)
     return congestion
 
 
-def congested(there: int = 4) -> CongestionWindow:
+def make_congested(open_requests: int = 4) -> CongestionWindow:
     """Return a service that answered in 0.06 s and then takes 0.5 s, with calls at it."""
-    congestion = seen(*[0.06] * 30)
-    for _ in range(there):
+    congestion = record_responses(*[0.06] * 30)
+    for _ in range(open_requests):
         congestion.record_sent(3.0)
-    return seen(*[0.5] * 6, congestion=congestion)
+    return record_responses(*[0.5] * 6, congestion=congestion)
 
 
-class TestCongestion:
+class TestCongestionWindow:
     """When less is sent."""
 
-    def test_nothing_bounds_a_service_that_answers_in_time(self) -> None:
+    def test_timely_responses_leave_requests_unbounded(self) -> None:
         """One answer that took long is none that waited."""
-        assert seen(*[0.06] * 20, 0.45, 0.06, 0.06).window is None
+        assert record_responses(*[0.06] * 20, 0.45, 0.06, 0.06).window is None
 
-    def test_late_answers_bound_what_is_there(self) -> None:
+    def test_late_responses_limit_concurrent_requests(self) -> None:
         """Further calls wait; those that are late anyway take no place at all."""
-        congestion = congested(there=4)
+        congestion = make_congested(open_requests=4)
         assert congestion.window is not None
         assert congestion.window < 4
         assert not congestion.may_send(3.0, late=False)
@@ -45,9 +47,9 @@
         assert congestion.may_send(3.0, late=False)
         assert not congestion.may_send(3.0, late=True)
 
-    def test_a_refusal_bounds_at_once_and_each_round_once(self) -> None:
+    def test_concurrent_refusals_reduce_window_once(self) -> None:
         """Refusals of calls that were sent together are one sign, not many."""
-        congestion = seen(*[0.06] * 5)
+        congestion = record_responses(*[0.06] * 5)
         for _ in range(10):
             congestion.record_sent(3.0)
         for _ in range(5):
@@ -59,34 +61,34 @@
         assert congestion.window is not None
         assert congestion.window < first
 
-    def test_early_answers_free_it_again(self) -> None:
+    def test_timely_responses_remove_the_bound(self) -> None:
         """The bound rises with each answer in time, and is given up when it binds nothing."""
-        congestion = congested(there=2)
+        congestion = make_congested(open_requests=2)
         for number in range(200):
             congestion.record_response(0.06, TARGET_S, 10 + number / 10)
         assert congestion.window is None
         assert congestion.may_send(3.0, late=True)
 
-    def test_a_service_slow_by_nature_is_not_held_for_congested(self) -> None:
+    def test_slow_service_is_not_congested(self) -> None:
         """Its answers are late whatever is sent; a late answer is worth more than none."""
-        assert seen(*[0.5] * 40).window is None
+        assert record_responses(*[0.5] * 40).window is None
 
     @given(st.lists(st.tuples(st.floats(0.001, 5), st.booleans()), max_size=80))
-    def test_one_call_may_always_be_there(self, steps: list[tuple[float, bool]]) -> None:
+    def test_one_request_may_always_be_sent(self, steps: list[tuple[float, bool]]) -> None:
         """An instance that sent nothing would never learn that all is well again."""
         congestion = CongestionWindow()
         now = 0.0
-        for took_s, refused in steps:
+        for response_s, refused in steps:
             now += 0.2
             if refused:
                 congestion.record_refusal(now)
             else:
-                congestion.record_response(took_s, TARGET_S, now)
+                congestion.record_response(response_s, TARGET_S, now)
             assert congestion.may_send(now, late=False)
 
-    def test_a_service_that_gets_late_calls_only_recovers(self) -> None:
+    def test_late_requests_alone_remove_the_bound(self) -> None:
         """A late call now and then shows that answers come early again, and frees the rest."""
-        congestion = congested(there=1)
+        congestion = make_congested(open_requests=1)
         congestion.record_end()
         now, sent = 3.0, 0
         while congestion.window is not None and now < 60.0:
@@ -99,8 +101,8 @@
         assert congestion.window is None
         assert sent < 30
 
-    def test_the_way_back_is_as_long_as_it_has_lasted(self) -> None:
+    def test_retry_delay_grows_with_duration_of_congestion(self) -> None:
         """A service that has been congested for two seconds may well be for two more."""
-        congestion = congested()
+        congestion = make_congested()
         assert congestion.retry_after_s(0.3) == MIN_RETRY_AFTER_S
         assert congestion.retry_after_s(4.0) > 3.0
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -8,7 +8,7 @@
 from crankhinge.decisions import FairQueue
 
 
-def push(queue: FairQueue[int], key: int, member: str, weight: float = 1.0) -> None:
+def push_item(queue: FairQueue[int], key: int, member: str, weight: float = 1.0) -> None:
     """Add one item of a member."""
     queue.push(key, key, path=("1", member), weights=(1.0, weight), deadline=key, cost=1.0)
 
@@ -16,39 +16,39 @@
 class TestShares:
     """Who is served how often."""
 
-    def test_a_rival_with_ten_times_the_work_gets_half(self) -> None:
+    def test_equal_weights_get_equal_shares(self) -> None:
         """Two members of equal weight are served alike, whatever they ask."""
         queue: FairQueue[int] = FairQueue()
         for key in range(100):
-            push(queue, key, "greedy")
+            push_item(queue, key, "greedy")
         for key in range(100, 110):
-            push(queue, key, "modest")
+            push_item(queue, key, "modest")
         served = [queue.pop() for _ in range(20)]
         modest = sum(1 for key in served if key is not None and key >= 100)
         assert modest == 10
 
-    def test_weights_are_kept(self) -> None:
+    def test_members_are_served_by_weight(self) -> None:
         """A member of weight 3 is served three times as often."""
         queue: FairQueue[int] = FairQueue()
         for key in range(80):
-            push(queue, key, "heavy", 3.0)
-            push(queue, key + 1000, "light", 1.0)
+            push_item(queue, key, "heavy", 3.0)
+            push_item(queue, key + 1000, "light", 1.0)
         served = Counter("light" if (queue.pop() or 0) >= 1000 else "heavy" for _ in range(40))
         assert 28 <= served["heavy"] <= 32
 
-    def test_idle_time_is_not_saved_up(self) -> None:
+    def test_idle_member_gains_no_credit(self) -> None:
         """A member that was idle gets no more than its share when it comes back."""
         queue: FairQueue[int] = FairQueue()
         for key in range(100):
-            push(queue, key, "busy")
+            push_item(queue, key, "busy")
         for _ in range(50):
             queue.pop()
         for key in range(200, 250):
-            push(queue, key, "back")
+            push_item(queue, key, "back")
         served = [queue.pop() or 0 for _ in range(20)]
         assert 9 <= sum(key >= 200 for key in served) <= 11
 
-    def test_the_lowest_class_is_never_starved(self) -> None:
+    def test_lowest_priority_class_is_not_starved(self) -> None:
         """Some of the lowest priority class is served however much the highest asks."""
         queue: FairQueue[str] = FairQueue()
         for key in range(200):
@@ -59,19 +59,19 @@
         assert served["low"] >= 5
 
 
-class TestRandom:
+class TestRandomOperations:
     """Any order of events."""
 
     @given(st.lists(st.tuples(st.sampled_from(["push", "pop", "remove"]), st.integers(0, 30))))
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
-    def test_nothing_is_lost_or_served_twice(self, events: list[tuple[str, int]]) -> None:
+    def test_each_item_leaves_the_queue_once(self, events: list[tuple[str, int]]) -> None:
         """Every item comes out once, by pop or remove, and the count is right."""
         queue: FairQueue[int] = FairQueue()
         waiting: set[int] = set()
         used: set[int] = set()
         for kind, key in events:
             if kind == "push" and key not in used:
-                push(queue, key, f"m{key % 3}", 1.0 + key % 2)
+                push_item(queue, key, f"m{key % 3}", 1.0 + key % 2)
                 waiting.add(key)
                 used.add(key)
             elif kind == "pop":
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -12,33 +12,33 @@
 from crankhinge.decisions._forecast import MIN_RETRY_SHARE, OVERDUE_SHARE
 
 
-def holding(*rows: tuple[int, float]) -> MemoryForecast:
+def forecast_with(*answers: tuple[int, float]) -> MemoryForecast:
     """Return a forecast with answers of so many tokens that end in so many seconds."""
     forecast = MemoryForecast()
-    for tokens, ends in rows:
-        forecast.record_reserved(tokens, ends, 0.0)
+    for tokens, ends_in_s in answers:
+        forecast.record_reserved(tokens, ends_in_s, 0.0)
     return forecast
 
 
-class TestFreesIn:
+class TestFreeTime:
     """From the answers in progress."""
 
-    def test_the_answers_that_end_first_give_their_memory_first(self) -> None:
+    def test_answers_release_memory_in_order_of_their_end(self) -> None:
         """Enough is there when the second one has ended."""
-        forecast = holding((4000, 3.0), (1000, 0.5), (3000, 1.0))
+        forecast = forecast_with((4000, 3.0), (1000, 0.5), (3000, 1.0))
         assert forecast.free_in_s(900, 0.0) == 0.5
         assert forecast.free_in_s(3500, 0.0) == 1.0
         assert forecast.free_in_s(3500, 0.4) == pytest.approx(0.6)
         forecast.record_released(3)
         assert forecast.free_in_s(3500, 0.0) == 3.0
 
-    def test_more_than_all_of_it_frees_at_the_same_pace(self) -> None:
+    def test_more_than_the_reserved_memory_is_extrapolated(self) -> None:
         """Sixteen thousand tokens after eight thousand have freed in two seconds: four."""
-        assert holding((4000, 1.0), (4000, 2.0)).free_in_s(16000, 0.0) == pytest.approx(4.0)
+        assert forecast_with((4000, 1.0), (4000, 2.0)).free_in_s(16000, 0.0) == pytest.approx(4.0)
 
-    def test_an_overdue_answer_is_not_held_to_end_at_once(self) -> None:
+    def test_overdue_answer_is_not_expected_to_end_at_once(self) -> None:
         """Its length was underestimated."""
-        assert holding((1000, 2.0)).free_in_s(500, 5.0) == pytest.approx(2.0 * OVERDUE_SHARE)
+        assert forecast_with((1000, 2.0)).free_in_s(500, 5.0) == pytest.approx(2.0 * OVERDUE_SHARE)
 
     def test_nothing_is_predicted_without_answers(self) -> None:
         """An instance that has just started knows nothing."""
@@ -50,11 +50,11 @@
         st.integers(1, 9999),
         st.integers(1, 9999),
     )
-    def test_less_never_waits_longer(
-        self, rows: list[tuple[int, float]], one: int, other: int
+    def test_smaller_request_never_waits_longer(
+        self, answers: list[tuple[int, float]], one: int, other: int
     ) -> None:
         """Whatever is in progress."""
-        forecast = holding(*rows)
+        forecast = forecast_with(*answers)
         less = forecast.free_in_s(min(one, other), 0.0)
         more = forecast.free_in_s(max(one, other), 0.0)
         assert less is not None
@@ -62,55 +62,57 @@
         assert less <= more
 
 
-class TestBackIn:
+class TestRetryTime:
     """When to come back."""
 
-    def test_those_refused_together_are_told_different_times(self) -> None:
+    def test_requests_refused_together_get_different_times(self) -> None:
         """Each promise takes memory of those after it, until its time has come."""
-        forecast = holding(*[(1000, 0.5 * number) for number in range(1, 20)])
-        told = []
+        forecast = forecast_with(*[(1000, 0.5 * number) for number in range(1, 20)])
+        retry_times = []
         for _ in range(4):
-            back = forecast.retry_in_s(1000, 0, 0.0)
-            assert back is not None
-            forecast.record_promised_retry(1000, back)
-            told.append(back)
-        assert told == sorted(set(told))
-        assert forecast.retry_in_s(1000, 0, told[-1] + 1) < told[-1]
-
-    def test_first_tries_go_before_it(self) -> None:
+            retry_s = forecast.retry_in_s(1000, 0, 0.0)
+            assert retry_s is not None
+            forecast.record_promised_retry(1000, retry_s)
+            retry_times.append(retry_s)
+        assert retry_times == sorted(set(retry_times))
+        assert forecast.retry_in_s(1000, 0, retry_times[-1] + 1) < retry_times[-1]
+
+    def test_first_attempts_take_precedence_over_retries(self) -> None:
         """Where they got most places, a return gets few; it is never told that it gets none."""
-        calm, busy = holding((1000, 1.0)), holding((1000, 1.0))
+        late_only, first_attempts_only = forecast_with((1000, 1.0)), forecast_with((1000, 1.0))
         for _ in range(40):
-            calm.record_reserved(1, 9.0, 0.0, late=True)
-            busy.record_reserved(1, 9.0, 0.0)
-        assert calm.retry_in_s(900, 0, 0.0) == pytest.approx(1.0, rel=0.05)
-        assert busy.retry_in_s(900, 0, 0.0) == pytest.approx(1.0 / MIN_RETRY_SHARE, rel=0.05)
-
-    def test_what_waits_has_its_memory_first(self) -> None:
+            late_only.record_reserved(1, 9.0, 0.0, late=True)
+            first_attempts_only.record_reserved(1, 9.0, 0.0)
+        assert late_only.retry_in_s(900, 0, 0.0) == pytest.approx(1.0, rel=0.05)
+        assert first_attempts_only.retry_in_s(900, 0, 0.0) == pytest.approx(
+            1.0 / MIN_RETRY_SHARE, rel=0.05
+        )
+
+    def test_waiting_requests_get_memory_first(self) -> None:
         """Two thousand tokens ahead: the third answer has to end."""
-        forecast = holding(*[(1000, float(number)) for number in range(1, 9)])
-        back = forecast.retry_in_s(1000, 2000, 0.0)
-        alone = forecast.retry_in_s(1000, 0, 0.0)
-        assert back == pytest.approx(3 * alone)
+        forecast = forecast_with(*[(1000, float(number)) for number in range(1, 9)])
+        retry_s = forecast.retry_in_s(1000, 2000, 0.0)
+        unqueued_s = forecast.retry_in_s(1000, 0, 0.0)
+        assert retry_s == pytest.approx(3 * unqueued_s)
 
 
-def test_predictions_are_near_what_happens() -> None:
+def test_median_prediction_error_is_small() -> None:
     """Eight places, answers of one to five seconds, estimates off by half: the median is right."""
     rng = random.Random(3)
     forecast = MemoryForecast()
-    ends: dict[int, float] = {}
+    end_times: dict[int, float] = {}
     errors = []
     now = 0.0
     for _ in range(600):
-        if len(ends) == 8:
-            first = min(ends, key=ends.__getitem__)
+        if len(end_times) == 8:
+            first = min(end_times, key=end_times.__getitem__)
             predicted = forecast.free_in_s(1000, now)
             assert predicted is not None
-            errors.append(predicted - (ends[first] - now))
-            now = max(now, ends.pop(first))
+            errors.append(predicted - (end_times[first] - now))
+            now = max(now, end_times.pop(first))
             forecast.record_released(first)
-        took = rng.uniform(1.0, 5.0)
-        number = forecast.record_reserved(1000, took * rng.lognormvariate(0.0, 0.5), now)
-        ends[number] = now + took
+        duration_s = rng.uniform(1.0, 5.0)
+        number = forecast.record_reserved(1000, duration_s * rng.lognormvariate(0.0, 0.5), now)
+        end_times[number] = now + duration_s
     errors.sort()
     assert abs(errors[len(errors) // 2]) < 0.3
