--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what one instance believes of servers' limits."""
+"""Tests of the limits that servers advertise, as one instance records them."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def limits_with(per_s: float, at: float) -> AdvertisedLimits:
-    """Return what is believed after one word."""
+    """Return limits with one recorded limit of SERVER."""
     limits = AdvertisedLimits()
     limits.record_limit(SERVER, per_s, at)
     return limits
 
 
 class TestUpdateOrder:
-    """Words of a server that overtake each other."""
+    """Updates about one server that arrive out of order."""
 
     def test_latest_limit_is_kept(self) -> None:
-        """One that was heard before it and comes later changes nothing."""
+        """A limit that was received before the recorded one changes nothing."""
         limits = limits_with(4.0, 10.0)
         assert limits.record_limit(SERVER, 3.0, 11.0)
         assert not limits.record_limit(SERVER, 5.0, 10.5)
@@ -36,7 +36,7 @@
         assert (limit.per_s, limit.received_at) == (3.0, 12.0)
 
     def test_response_without_limit_ends_it_if_requested_later(self) -> None:
-        """A request that was sent before may have been answered before, too."""
+        """A request that was sent earlier may have been answered before the limit began."""
         limits = limits_with(4.0, 10.0)
         assert not limits.record_no_limit(SERVER, 9.9)
         assert not limits.record_no_limit(SERVER, 10.0)
@@ -44,7 +44,7 @@
         assert limits.get(SERVER) is None
 
     def test_older_limit_does_not_restore_an_ended_one(self) -> None:
-        """Another instance's, that was under way for long."""
+        """A message of another instance may arrive after the limit has ended."""
         limits = limits_with(4.0, 10.0)
         limits.record_no_limit(SERVER, 12.0)
         assert not limits.record_limit(SERVER, 4.0, 11.0)
@@ -52,7 +52,7 @@
         assert limits.record_limit(SERVER, 4.0, 12.5)
 
     def test_unreadable_limit_keeps_the_last_one(self) -> None:
-        """The server is still in need; without a rate nothing is known."""
+        """The server still limits requests, but what it sent is no rate."""
         limits = limits_with(4.0, 10.0)
         limits.record_unreadable(SERVER, 20.0)
         assert not limits.record_no_limit(SERVER, 15.0)
@@ -67,7 +67,7 @@
     def test_order_of_arrival_does_not_matter(
         self, updates: list[tuple[str, float, float]]
     ) -> None:
-        """As long as no two words are of one moment."""
+        """The latest limit holds, as long as no two updates have the same time."""
         updates = list({at: (kind, at, per_s) for kind, at, per_s in updates}.values())
         results = []
         for order in (updates, sorted(updates, key=lambda update: update[1])):
@@ -84,10 +84,10 @@
 
 
 class TestInstanceRecord:
-    """What an instance tells in its note."""
+    """Limits that an instance publishes in its record, or reads from another's."""
 
     def test_small_change_of_limit_is_not_published(self) -> None:
-        """Each change of a note is a priced write."""
+        """Each change of the record is a write that the store charges for."""
         limits = limits_with(4.0, 10.0)
         assert limits.to_instance_record([SERVER], 10.0) == {SERVER: 4.0}
         limits.record_limit(SERVER, 4.4, 11.0)
@@ -96,30 +96,30 @@
         assert limits.to_instance_record([SERVER], 12.0) == {SERVER: 1.9}
 
     def test_only_recently_received_limits_are_published(self) -> None:
-        """One that nobody asks may have ceased to name it."""
+        """A server that gets no requests may have stopped advertising its limit."""
         limits = limits_with(4.0, 10.0)
         assert limits.to_instance_record([SERVER], 10.0 + MAX_RECORD_AGE_S)
         assert not limits.to_instance_record([SERVER], 10.1 + MAX_RECORD_AGE_S)
         assert not limits_with(4.0, 10.0).to_instance_record(["i-2"], 10.0)
 
     def test_record_does_not_restore_an_ended_limit(self) -> None:
-        """A note is read seconds late."""
+        """A record is read seconds after it was written."""
         limits = limits_with(4.0, 10.0)
         limits.record_no_limit(SERVER, 20.0)
         assert limits.apply_instance_record({SERVER: 4.0, "i-2": 3.0}, 30.0) == ["i-2"]
         assert limits.servers == ["i-2"]
 
     def test_record_does_not_replace_a_received_limit(self) -> None:
-        """The server's own word is newer."""
+        """A limit received from the server itself is newer."""
         limits = limits_with(4.0, 10.0)
         assert limits.apply_instance_record({SERVER: 9.0}, 11.0) == []
 
 
 class TestBounds:
-    """What is remembered."""
+    """Bounds on what is stored."""
 
     def test_number_of_tracked_servers_is_bounded(self) -> None:
-        """The newest stand."""
+        """The newest limits are kept."""
         limits = AdvertisedLimits()
         for number in range(2 * MAX_TRACKED_SERVERS):
             limits.record_limit(f"i-{number}", 1.0, float(number))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget's share that nobody asked for."""
+"""Tests of retries charged to the retry budget, and of the pause after a server's refusal."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class TestChargedRetries:
-    """Repeats that servers cause."""
+    """Retries that a server's refusal causes are charged without asking the budget."""
 
     def test_charged_retries_reduce_allowed_retries(self) -> None:
-        """After two refusals only one of three saved repeats is left."""
+        """After two charged retries, one of three saved retries is left."""
         budget = RetryBudget(ratio=0.1, burst=3.0)
         budget.charge_retry()
         budget.charge_retry()
@@ -18,7 +18,7 @@
         assert not budget.try_retry()
 
     def test_debt_is_bounded(self) -> None:
-        """A hundred refusals must not forbid repeats for ever."""
+        """A hundred refusals do not forbid retries for ever."""
         budget = RetryBudget(ratio=1.0, burst=3.0)
         for _ in range(100):
             budget.charge_retry()
@@ -29,7 +29,7 @@
 
 
 def test_pause_grows_with_consecutive_refusals() -> None:
-    """Twice as long each time, up to a bound; a success ends it."""
+    """The pause grows with each refusal up to a maximum, and a success resets it."""
     stats = ServerStats()
     pauses = []
     for _ in range(6):
--- a/tests/test_congestion.py
+++ b/tests/test_congestion.py
@@ -1,4 +1,4 @@
-"""Tests of how many calls a plain service may have at once."""
+"""Tests of the congestion window, which bounds the concurrent requests to a plain service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def record_responses(
     *durations: float, congestion: CongestionWindow | None = None
 ) -> CongestionWindow:
-    """Return what answers that took so long leave, one each tenth of a second."""
+    """Record responses with these durations, one every tenth of a second."""
     congestion = congestion or CongestionWindow()
     for number, response_s in enumerate(durations):
         congestion.record_response(response_s, TARGET_S, number / 10)
@@ -22,7 +22,7 @@
 
 
 def make_congested(open_requests: int = 4) -> CongestionWindow:
-    """Return a service that answered in 0.06 s and then takes 0.5 s, with calls at it."""
+    """Return the window of a service that slowed down from 0.06 s to 0.5 s under open requests."""
     congestion = record_responses(*[0.06] * 30)
     for _ in range(open_requests):
         congestion.record_sent(3.0)
@@ -30,14 +30,14 @@
 
 
 class TestCongestionWindow:
-    """When less is sent."""
+    """When the window limits the requests that are sent."""
 
     def test_timely_responses_leave_requests_unbounded(self) -> None:
-        """One answer that took long is none that waited."""
+        """A single slow response is no sign of a queue at the servers."""
         assert record_responses(*[0.06] * 20, 0.45, 0.06, 0.06).window is None
 
     def test_late_responses_limit_concurrent_requests(self) -> None:
-        """Further calls wait; those that are late anyway take no place at all."""
+        """Further requests wait, and requests that are already late get no place in the window."""
         congestion = make_congested(open_requests=4)
         assert congestion.window is not None
         assert congestion.window < 4
@@ -48,7 +48,7 @@
         assert not congestion.may_send(3.0, late=True)
 
     def test_concurrent_refusals_reduce_window_once(self) -> None:
-        """Refusals of calls that were sent together are one sign, not many."""
+        """Refusals of requests that were sent together are one sign of congestion, not many."""
         congestion = record_responses(*[0.06] * 5)
         for _ in range(10):
             congestion.record_sent(3.0)
@@ -62,7 +62,7 @@
         assert congestion.window < first
 
     def test_timely_responses_remove_the_bound(self) -> None:
-        """The bound rises with each answer in time, and is given up when it binds nothing."""
+        """The window grows with each timely response and is removed once it limits nothing."""
         congestion = make_congested(open_requests=2)
         for number in range(200):
             congestion.record_response(0.06, TARGET_S, 10 + number / 10)
@@ -70,12 +70,12 @@
         assert congestion.may_send(3.0, late=True)
 
     def test_slow_service_is_not_congested(self) -> None:
-        """Its answers are late whatever is sent; a late answer is worth more than none."""
+        """Its responses are late at any load, and a late response is worth more than none."""
         assert record_responses(*[0.5] * 40).window is None
 
     @given(st.lists(st.tuples(st.floats(0.001, 5), st.booleans()), max_size=80))
     def test_one_request_may_always_be_sent(self, steps: list[tuple[float, bool]]) -> None:
-        """An instance that sent nothing would never learn that all is well again."""
+        """An instance that sent no requests would never see the service recover."""
         congestion = CongestionWindow()
         now = 0.0
         for response_s, refused in steps:
@@ -87,7 +87,7 @@
             assert congestion.may_send(now, late=False)
 
     def test_late_requests_alone_remove_the_bound(self) -> None:
-        """A late call now and then shows that answers come early again, and frees the rest."""
+        """An occasional late request shows that responses are fast again."""
         congestion = make_congested(open_requests=1)
         congestion.record_end()
         now, sent = 3.0, 0
@@ -102,7 +102,7 @@
         assert sent < 30
 
     def test_retry_delay_grows_with_duration_of_congestion(self) -> None:
-        """A service that has been congested for two seconds may well be for two more."""
+        """Congestion is expected to last as long again as it has lasted."""
         congestion = make_congested()
         assert congestion.retry_after_s(0.3) == MIN_RETRY_AFTER_S
         assert congestion.retry_after_s(4.0) > 3.0
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -14,10 +14,10 @@
 
 
 class TestShares:
-    """Who is served how often."""
+    """How often each member is served."""
 
     def test_equal_weights_get_equal_shares(self) -> None:
-        """Two members of equal weight are served alike, whatever they ask."""
+        """A member that queues ten times as many items as another gets half of the service."""
         queue: FairQueue[int] = FairQueue()
         for key in range(100):
             push_item(queue, key, "greedy")
@@ -28,7 +28,7 @@
         assert modest == 10
 
     def test_members_are_served_by_weight(self) -> None:
-        """A member of weight 3 is served three times as often."""
+        """A member of weight 3 is served three times as often as a member of weight 1."""
         queue: FairQueue[int] = FairQueue()
         for key in range(80):
             push_item(queue, key, "heavy", 3.0)
@@ -37,7 +37,7 @@
         assert 28 <= served["heavy"] <= 32
 
     def test_idle_member_gains_no_credit(self) -> None:
-        """A member that was idle gets no more than its share when it comes back."""
+        """A member that was idle gets no more than its share when it has work again."""
         queue: FairQueue[int] = FairQueue()
         for key in range(100):
             push_item(queue, key, "busy")
@@ -49,7 +49,7 @@
         assert 9 <= sum(key >= 200 for key in served) <= 11
 
     def test_lowest_priority_class_is_not_starved(self) -> None:
-        """Some of the lowest priority class is served however much the highest asks."""
+        """The lowest class gets some service, however many requests the highest class has."""
         queue: FairQueue[str] = FairQueue()
         for key in range(200):
             queue.push(key, "high", path=("0",), weights=(16.0,), deadline=0, cost=1.0)
@@ -60,12 +60,12 @@
 
 
 class TestRandomOperations:
-    """Any order of events."""
+    """Random sequences of pushes, pops and removals."""
 
     @given(st.lists(st.tuples(st.sampled_from(["push", "pop", "remove"]), st.integers(0, 30))))
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
     def test_each_item_leaves_the_queue_once(self, events: list[tuple[str, int]]) -> None:
-        """Every item comes out once, by pop or remove, and the count is right."""
+        """Each item leaves the queue once, by pop or remove, and the length is right."""
         queue: FairQueue[int] = FairQueue()
         waiting: set[int] = set()
         used: set[int] = set()
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""Tests of when memory to write in is predicted to free."""
+"""Tests of the forecast of when KV memory of decode engines becomes free."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def forecast_with(*answers: tuple[int, float]) -> MemoryForecast:
-    """Return a forecast with answers of so many tokens that end in so many seconds."""
+    """Return a forecast with answers in progress, given as tokens and seconds to their end."""
     forecast = MemoryForecast()
     for tokens, ends_in_s in answers:
         forecast.record_reserved(tokens, ends_in_s, 0.0)
@@ -21,10 +21,10 @@
 
 
 class TestFreeTime:
-    """From the answers in progress."""
+    """When enough memory is free, predicted from the answers in progress."""
 
     def test_answers_release_memory_in_order_of_their_end(self) -> None:
-        """Enough is there when the second one has ended."""
+        """Enough memory is free once the second answer has ended."""
         forecast = forecast_with((4000, 3.0), (1000, 0.5), (3000, 1.0))
         assert forecast.free_in_s(900, 0.0) == 0.5
         assert forecast.free_in_s(3500, 0.0) == 1.0
@@ -33,15 +33,15 @@
         assert forecast.free_in_s(3500, 0.0) == 3.0
 
     def test_more_than_the_reserved_memory_is_extrapolated(self) -> None:
-        """Sixteen thousand tokens after eight thousand have freed in two seconds: four."""
+        """If 8,000 tokens become free in two seconds, 16,000 are expected in four."""
         assert forecast_with((4000, 1.0), (4000, 2.0)).free_in_s(16000, 0.0) == pytest.approx(4.0)
 
     def test_overdue_answer_is_not_expected_to_end_at_once(self) -> None:
-        """Its length was underestimated."""
+        """Its length was underestimated, by an unknown amount."""
         assert forecast_with((1000, 2.0)).free_in_s(500, 5.0) == pytest.approx(2.0 * OVERDUE_SHARE)
 
     def test_nothing_is_predicted_without_answers(self) -> None:
-        """An instance that has just started knows nothing."""
+        """An instance that has just started has no answers to predict from."""
         assert MemoryForecast().free_in_s(1, 0.0) is None
         assert MemoryForecast().retry_in_s(1, 0, 0.0) is None
 
@@ -53,7 +53,7 @@
     def test_smaller_request_never_waits_longer(
         self, answers: list[tuple[int, float]], one: int, other: int
     ) -> None:
-        """Whatever is in progress."""
+        """A request for fewer tokens never gets a later time, whatever is in progress."""
         forecast = forecast_with(*answers)
         less = forecast.free_in_s(min(one, other), 0.0)
         more = forecast.free_in_s(max(one, other), 0.0)
@@ -63,10 +63,10 @@
 
 
 class TestRetryTime:
-    """When to come back."""
+    """When a refused request should be retried."""
 
     def test_requests_refused_together_get_different_times(self) -> None:
-        """Each promise takes memory of those after it, until its time has come."""
+        """Memory promised to one retry is not offered to others until its time has come."""
         forecast = forecast_with(*[(1000, 0.5 * number) for number in range(1, 20)])
         retry_times = []
         for _ in range(4):
@@ -78,7 +78,7 @@
         assert forecast.retry_in_s(1000, 0, retry_times[-1] + 1) < retry_times[-1]
 
     def test_first_attempts_take_precedence_over_retries(self) -> None:
-        """Where they got most places, a return gets few; it is never told that it gets none."""
+        """Where first attempts got most reservations, a retry waits longer, up to a bound."""
         late_only, first_attempts_only = forecast_with((1000, 1.0)), forecast_with((1000, 1.0))
         for _ in range(40):
             late_only.record_reserved(1, 9.0, 0.0, late=True)
@@ -89,7 +89,7 @@
         )
 
     def test_waiting_requests_get_memory_first(self) -> None:
-        """Two thousand tokens ahead: the third answer has to end."""
+        """With 2,000 tokens requested ahead, the third answer has to end."""
         forecast = forecast_with(*[(1000, float(number)) for number in range(1, 9)])
         retry_s = forecast.retry_in_s(1000, 2000, 0.0)
         unqueued_s = forecast.retry_in_s(1000, 0, 0.0)
@@ -97,7 +97,7 @@
 
 
 def test_median_prediction_error_is_small() -> None:
-    """Eight places, answers of one to five seconds, estimates off by half: the median is right."""
+    """Eight answers run at once, for 1 to 5 s each, with estimates that are off by half."""
     rng = random.Random(3)
     forecast = MemoryForecast()
     end_times: dict[int, float] = {}
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Tests of how often the platform is asked."""
+"""Tests of how often the platform is asked for changes."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 
 from crankhinge.decisions import ChangeBatcher, FreshnessBounds
 
-# What follows a watch that does not end: its slack, a new connection and the answer, in seconds.
+# Seconds after the wait of a watch that got no response: its slack, a new connection and the
+# response.
 RECONNECT_S = 0.9
 
 
 class TestFreshnessBounds:
-    """Waits and pauses that follow from bounds."""
+    """Watch waits and pauses that follow from the bounds."""
 
     @pytest.mark.parametrize("contact_s", [2.0, 3.0, 5.0, 8.0])
     def test_stalled_connection_is_noticed_before_bounds_apply_again(
         self, contact_s: float
     ) -> None:
-        """A watch and what follows it end within the time."""
+        """A watch and the reconnection after it end within the contact bound."""
         assert FreshnessBounds(2.0, 2.0, contact_s).max_watch_wait_s + RECONNECT_S < contact_s
 
     @pytest.mark.parametrize("bound_s", [0.5, 1.0, 2.0, 4.0])
     def test_batching_pause_leaves_half_of_each_bound(self, bound_s: float) -> None:
-        """What was gathered is known with half of the time to spare."""
+        """Batched changes are received with half of the bound to spare."""
         bounds = FreshnessBounds(bound_s, bound_s, 3.0)
         assert 0 < bounds.config_pause_s < bounds.list_pause_s < bound_s / 2
 
@@ -31,29 +32,29 @@
     def test_pause_and_next_watch_fit_into_longest_watch(
         self, bound_s: float, contact_s: float
     ) -> None:
-        """A connection that falls silent in the pause is noticed as soon as any other."""
+        """A connection that stalls during the pause is noticed as soon as any other."""
         bounds = FreshnessBounds(bound_s, bound_s, contact_s)
         assert 0 <= bounds.list_pause_s <= bounds.max_watch_wait_s - 0.5
 
     def test_watch_wait_is_shorter_than_change_history(self) -> None:
-        """However long the bounds are."""
+        """The store forgets changes after some time, however long the bounds are."""
         assert FreshnessBounds(2.0, 2.0, 600.0).max_watch_wait_s <= 10.0
 
     def test_watch_wait_has_a_minimum(self) -> None:
-        """However short the bounds are."""
+        """Short bounds must not turn the watch into polling."""
         assert FreshnessBounds(2.0, 2.0, 0.2).max_watch_wait_s >= 0.5
 
 
 class TestChangeBatcher:
-    """When the next call is made after a change."""
+    """How long to wait after a change before the next call."""
 
     def test_few_changes_cause_no_pause(self) -> None:
-        """Two, and two more after a while."""
+        """Two changes, and two more some seconds later, are each fetched at once."""
         batcher = ChangeBatcher(0.8)
         assert [batcher.record_change(now) for now in (0.0, 0.1, 5.0, 5.1)] == [0.0] * 4
 
     def test_continuing_changes_are_batched(self) -> None:
-        """From the third on, as long as they come."""
+        """From the third change on, calls pause as long as changes keep coming."""
         batcher = ChangeBatcher(0.8)
         pauses = [batcher.record_change(now) for now in (0.0, 0.1, 0.2, 1.1, 2.0)]
         assert pauses == [0.0, 0.0, 0.8, 0.8, 0.8]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of which instance may act for all."""
+"""Tests of which instance may coordinate on behalf of all."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def make_joined(*, resumed: bool = False) -> Membership:
-    """Return an instance that has just found another one."""
+    """Return the membership of an instance that has just joined and found another instance."""
     membership = Membership("here", 0.0)
     membership.set_lease_end(1000.0)
     membership.join(ADDRESSES, 10.0, resumed=resumed)
@@ -16,10 +16,10 @@
 
 
 class TestMayCoordinate:
-    """When an instance may act as the first."""
+    """When an instance may coordinate."""
 
     def test_waits_for_acknowledgement_of_other_instances(self) -> None:
-        """They may hold themselves for the first until then."""
+        """Until they count the joined instance, another may take itself for the first."""
         membership = make_joined()
         assert not membership.may_coordinate(10.1)
         assert membership.unacknowledged_addresses == ["t:1"]
@@ -27,7 +27,7 @@
         assert membership.may_coordinate(10.1)
 
     def test_may_coordinate_once_other_instance_is_gone(self) -> None:
-        """Its note ended; a stale read that lacks it for lack of age does not tell."""
+        """A read without the other's record counts only once it cannot be a stale one."""
         membership = make_joined()
         membership.apply_records({"here": "h:1"}, 15.0)
         assert not membership.may_coordinate(15.0)
@@ -35,7 +35,7 @@
         assert membership.may_coordinate(17.0)
 
     def test_may_coordinate_once_unreachable_instance_has_read_its_record(self) -> None:
-        """It is cut off from this instance alone."""
+        """By then the unreachable instance has read the record or no longer coordinates."""
         membership = make_joined()
         for now in (13.0, 16.0, 19.0, 22.0):
             membership.apply_records(ADDRESSES, now)
@@ -44,28 +44,28 @@
         assert membership.may_coordinate(24.0)
 
     def test_may_coordinate_at_once_after_resuming_its_record(self) -> None:
-        """The others never ceased to count it."""
+        """The other instances never stopped counting it."""
         assert make_joined(resumed=True).may_coordinate(10.0)
 
     def test_stops_when_its_lease_may_have_ended(self) -> None:
-        """Another one acts as soon as it reads that the note has gone."""
+        """Another instance coordinates as soon as it reads that the record is gone."""
         membership = make_joined(resumed=True)
         membership.set_lease_end(12.0)
         assert membership.may_coordinate(11.9)
         assert not membership.may_coordinate(12.0)
 
     def test_stops_when_its_last_read_is_too_old(self) -> None:
-        """Another one may have come."""
+        """Another instance may have joined since that read."""
         membership = make_joined(resumed=True)
         assert membership.may_coordinate(17.5)
         assert not membership.may_coordinate(17.6)
 
 
 class TestRankInstances:
-    """The order of names for a key."""
+    """The order of instances for a key."""
 
     def test_stale_read_keeps_joined_instance(self) -> None:
-        """It acts as soon as all have answered its greeting."""
+        """An instance coordinates once all acknowledged its join, so no stale read may drop it."""
         membership = make_joined(resumed=True)
         membership.record_joined("third", "x:1", 11.0)
         membership.apply_records(ADDRESSES, 13.0)
@@ -74,7 +74,7 @@
         assert "third" not in membership.rank_instances("red")
 
     def test_all_instances_compute_the_same_order(self) -> None:
-        """Whatever order they learned the names in."""
+        """The order in which they received the names does not matter."""
         other = Membership("there", 0.0)
         other.join(dict(reversed(ADDRESSES.items())), 10.0, resumed=False)
         assert all(
@@ -82,5 +82,5 @@
         )
 
     def test_instance_counts_itself(self) -> None:
-        """Whatever it has read."""
+        """An instance is in the order before it has read any record."""
         assert Membership("here", 0.0).rank_instances("red") == ["here"]
