--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Tests of who is let in to write."""
+"""Tests of reservations of KV memory on decode engines, and of retry delays."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 def decode_engine(incarnation_id: str) -> Server:
-    """Return an engine that writes."""
+    """Return a decode engine."""
     return Server(incarnation_id, "s", "10.0.0.1", 80, "z", EngineRole.DECODE, 64, False, 1)
 
 
 def make_request(
     remaining_s: float = 14.0, *, is_retry: bool = False, tokens: int = 3000
 ) -> ReservationRequest:
-    """Return a request for a place whose first event is due within 0.9 s."""
+    """Return a reservation request whose first event is due within 0.9 s."""
     return ReservationRequest(
         tokens,
         0.9,
@@ -46,10 +46,10 @@
 
 
 class TestMaxWait:
-    """How long a request waits for a place."""
+    """How long a request waits for a reservation."""
 
     def test_first_attempt_waits_while_it_may_be_in_time(self) -> None:
-        """The time from a place to the first event is taken off, no other part of its target."""
+        """Only the time from a reservation to the first event is subtracted from its target."""
         first_attempt = make_request()
         assert first_attempt.max_in_time_wait_s == pytest.approx(0.9 - first_attempt.first_event_s)
         assert not first_attempt.is_late(first_attempt.max_in_time_wait_s - 0.01)
@@ -58,7 +58,7 @@
         assert slow_engine.max_in_time_wait_s == 0.0
 
     def test_late_request_waits_no_longer_than_its_value(self) -> None:
-        """Then the seconds held cost as much as it earns; no share of the target comes into it."""
+        """It waits until waiting costs as much as a late answer is worth, whatever its target."""
         first_attempt = make_request()
         assert first_attempt.max_wait_s - first_attempt.max_in_time_wait_s == pytest.approx(
             LATE_VALUE / WAIT_COST_PER_S
@@ -69,7 +69,7 @@
         )
 
     def test_retry_waits_longer_than_a_late_first_attempt(self) -> None:
-        """A second refusal costs more than a first; it is late, however long it has waited."""
+        """A second refusal costs more than a first; a retry is late however short it has waited."""
         retry = ReservationRequest(3000, 0.9, 60.0, is_retry=True)
         assert retry.is_late(0.0)
         assert retry.max_wait_s == pytest.approx(RETRY_VALUE / WAIT_COST_PER_S)
@@ -79,7 +79,7 @@
     def test_wait_ends_before_the_caller_times_out(
         self, target_s: float, max_pause_s: float, is_retry: bool, first_event_s: float
     ) -> None:
-        """The first event is on its way before the caller goes."""
+        """The first event is on its way before the caller's event timeout."""
         timeout_s = stream_event_timeout_s(target_s, max_pause_s)
         request = ReservationRequest(
             3000,
@@ -92,7 +92,7 @@
         assert request.max_wait_s + request.first_event_s < timeout_s
 
     def test_answer_that_cannot_end_in_time_is_not_started(self) -> None:
-        """Neither a short answer with two seconds left nor a long one with nine."""
+        """Neither a short answer with two seconds left nor a long one with nine is started."""
         assert make_request(2.0).max_wait_s < 0
         long_request = ReservationRequest(3000, 0.9, 9.0, service_s=11.0)
         assert long_request.max_wait_s < 0
@@ -100,28 +100,28 @@
 
 
 class TestPredictions:
-    """What a prediction of memory changes."""
+    """How a prediction of free memory changes the wait."""
 
     def test_late_request_is_refused_when_memory_frees_too_late(self) -> None:
-        """At once, not when its patience is over; on the way there, when the prediction worsens."""
+        """It is refused at once, not after its longest wait, also when the prediction worsens."""
         retry = make_request(is_retry=True)
         assert retry.should_keep_waiting(0.0, retry.max_wait_s - 0.1)
         assert not retry.should_keep_waiting(0.0, retry.max_wait_s + 0.1)
         assert not retry.should_keep_waiting(1.0, retry.max_wait_s - 0.5)
 
     def test_request_that_may_be_in_time_ignores_the_prediction(self) -> None:
-        """It goes before those that hold the prediction up; when it is late that ends."""
+        """It goes before the late requests that delay the prediction, until it is late itself."""
         first_attempt = make_request()
         assert first_attempt.should_keep_waiting(0.0, 60.0)
         assert not first_attempt.should_keep_waiting(first_attempt.max_in_time_wait_s, 60.0)
 
     def test_request_waits_without_a_prediction(self) -> None:
-        """An instance that has just started refuses nobody for what it does not know."""
+        """An instance that has just started refuses no request for lack of a prediction."""
         assert make_request(is_retry=True).should_keep_waiting(1.0, None)
 
 
 class TestCallerRetryDetector:
-    """Who has come back."""
+    """Which requests are caller retries."""
 
     def test_shorter_wait_marks_a_retry(self) -> None:
         """Each route has its own longest wait."""
@@ -135,7 +135,7 @@
         assert not detector.record_request("b", 4.0)
 
     def test_one_long_wait_is_forgotten(self) -> None:
-        """A caller with a time of its own does not make returns of all others for ever."""
+        """One caller with a longer wait does not mark all other requests as retries for ever."""
         detector = CallerRetryDetector()
         detector.record_request("a", 60.0)
         assert detector.record_request("a", 14.0)
@@ -143,21 +143,21 @@
         assert not last
 
     def test_reused_connections_show_the_waits_of_first_attempts(self) -> None:
-        """Callers' waits differ by 15 in 100; they come back on new connections."""
+        """Waits of callers differ by 15 in 100, and retries come on new connections."""
         detector = CallerRetryDetector()
         for number in range(8):
             assert not detector.record_request("a", 12.2 + 0.25 * number, connection_reused=True)
         assert not detector.record_request("a", 12.3)
         assert detector.record_request("a", 9.0)
-        # Nothing that comes on a kept connection came back, however short its wait.
+        # A request on a reused connection is never a retry, however short its wait.
         assert not detector.record_request("a", 6.0, connection_reused=True)
 
 
 class TestReservationQueue:
-    """Who asks before whom."""
+    """The order in which waiting requests try to reserve memory."""
 
     def test_late_requests_are_behind_those_that_may_be_in_time(self) -> None:
-        """A return is behind a newcomer that came after it; so is who has waited too long."""
+        """A retry is behind a newer first attempt, and so is a request that has waited too long."""
         queue = ReservationQueue()
         old = queue.add(make_request(), 0.0)
         retry = queue.add(make_request(is_retry=True), 0.1)
@@ -175,7 +175,7 @@
     def test_first_may_always_try_and_others_only_for_less(
         self, rows: list[tuple[int, bool]]
     ) -> None:
-        """Where there was no room for less there is none for more."""
+        """An engine without capacity for a small reservation has none for a larger one."""
         queue = ReservationQueue()
         requests = {
             queue.add(request, at / 100): request
@@ -192,25 +192,25 @@
 
 
 class TestTokensToReserve:
-    """How much is reserved."""
+    """How much memory is reserved for a request."""
 
     @given(st.integers(0, 9000), st.integers(0, 4000), st.integers(0, 2000))
     def test_reserves_whole_blocks_up_to_the_engine_memory(
         self, prompt: int, likely: int, max_tokens: int
     ) -> None:
-        """At least the prompt, never more than an engine has."""
+        """The reservation covers at least the prompt and never exceeds the engine's memory."""
         tokens = tokens_to_reserve(prompt, likely, max_tokens, 10000)
         assert prompt <= tokens <= min(10000, prompt + max_tokens + 16)
         assert tokens % 16 == 0 or tokens == 10000
 
 
 class TestStoppedAnswers:
-    """What the memory that is reserved means for callers, played on one engine."""
+    """How many answers a simulated engine stops, by the reserved part of their estimates."""
 
     def test_reserving_the_full_estimate_stops_fewer_answers(self) -> None:
-        """A full engine stops 213 of 1,967 answers, with three quarters reserved 266 of 2,027.
+        """A full engine stops 213 of 1,967 answers; with three quarters reserved, 266 of 2,027.
 
-        As many end whole: what is let in earlier is stopped later.
+        As many answers end whole, because an answer that is admitted earlier is stopped later.
         """
         stopped, ended = simulate_full_engine(reserve_estimate)
         stopped_reduced, ended_reduced = simulate_full_engine(
@@ -226,16 +226,16 @@
 
 
 def reserve_estimate(prompt: int, likely: int) -> int:
-    """Return what is reserved of the engine."""
+    """Return the tokens to reserve on the simulated engine."""
     return tokens_to_reserve(prompt, likely, 4 * 1920, KV_TOKENS)
 
 
 def simulate_full_engine(reserve: Callable[[int, int], int]) -> tuple[int, int]:
-    """Play an engine before which requests always wait.
+    """Simulate an engine with requests always waiting for it.
 
-    It lets in what fits beside the memory that is taken by then. Callers' estimates are right in
-    the middle and off by half. Returns how many answers were stopped for want of memory, and how
-    many ended whole.
+    It admits a request when its reservation fits beside the memory that is in use by then. Callers'
+    estimates are right in the median and off by half. Returns how many answers were stopped because
+    memory ran out, and how many ended whole.
     """
     rng = random.Random(4)
     running: list[list[int]] = []  # prompt tokens, produced tokens, answer tokens
@@ -264,10 +264,10 @@
 
 
 class TestEnginesToTry:
-    """Whom to ask."""
+    """Which engines are tried, and in which order."""
 
     def test_emptiest_engine_is_tried_first(self) -> None:
-        """Engines are asked by what this instance keeps there."""
+        """Engines are ordered by the tokens that this instance has reserved there."""
         stats = {
             "a": ServerStats(reserved_tokens=9000),
             "b": ServerStats(reserved_tokens=100),
@@ -284,7 +284,7 @@
         assert [server.incarnation_id for server in engines] == ["c", "b", "a"]
 
     def test_full_engine_is_skipped_for_a_while(self) -> None:
-        """Those that are late anyway leave it alone longer than those that may be in time."""
+        """Late requests skip it for longer than requests that may be in time."""
         stats = {"a": ServerStats(full_until=1.0)}
 
         def count_tried(now: float, refusal_pause_s: float) -> int:
@@ -305,13 +305,13 @@
         assert count_tried(1.05, first_attempt.refusal_pause_s(0.0)) == 1
         assert count_tried(1.05, retry.refusal_pause_s(0.0)) == 0
         assert count_tried(1.35, retry.refusal_pause_s(0.0)) == 1
-        # A newcomer that has waited too long to be in time asks after the others, too.
+        # A first attempt that has waited too long to be in time tries after the others, too.
         assert count_tried(1.05, first_attempt.refusal_pause_s(0.8)) == 0
         assert count_tried(1.35, first_attempt.refusal_pause_s(0.8)) == 1
 
     @pytest.mark.parametrize("limited_until", [1.0, 9.0])
     def test_engine_at_its_limit_is_not_tried(self, limited_until: float) -> None:
-        """Nor picked, though there is no other: it has said so for all instances."""
+        """Nor is it picked as the only engine, because its limit holds for all instances."""
         stats = {
             "a": ServerStats(limited_until=limited_until),
             "b": ServerStats(reserved_tokens=500),
@@ -326,7 +326,7 @@
         assert picked is None
 
     def test_engine_that_refused_is_the_last_choice(self) -> None:
-        """An engine that changes its part refuses for seconds."""
+        """An engine that changes its role refuses requests for seconds."""
         stats = {"a": ServerStats(full_until=5.0), "b": ServerStats(open_requests=50)}
         choice = {"zone": "z", "now": 1.0, "rng": RNG}
         both = pick_server(map(decode_engine, "ab"), stats.__getitem__, **choice)  # type: ignore[arg-type]
@@ -337,7 +337,7 @@
 
 
 def test_refused_requests_get_different_retry_delays() -> None:
-    """A burst that was refused must not come back as one, with a prediction or without."""
+    """A refused burst must not be retried as one, with a prediction or without."""
     for free_s in (None, 4.0):
         times = [retry_delay_s(RNG, None, free_s) for _ in range(50)]
         assert max(times) - min(times) > 1.0
@@ -345,14 +345,14 @@
 
 
 def test_retry_delay_follows_the_prediction() -> None:
-    """Within the spread; but never after the time at which it could still be served."""
+    """It stays within the jitter, and within the time in which the request can be served."""
     request = ReservationRequest(3000, 0.9, 14.0, service_s=3.0)
     assert all(1.8 <= retry_delay_s(RNG, request, 2.0) <= 2.6 for _ in range(50))
     assert all(retry_delay_s(RNG, request, 30.0) == pytest.approx(10.5) for _ in range(5))
 
 
 def test_long_answer_is_retried_while_there_is_time() -> None:
-    """Eleven of fourteen seconds are needed: it returns within the three that are left."""
+    """It needs eleven of fourteen seconds, so it is retried within the three that are left."""
     long_request = ReservationRequest(3000, 0.9, 14.0, service_s=11.0)
     assert all(0.3 <= retry_delay_s(RNG, long_request) <= 2.5 for _ in range(50))
     short_request = ReservationRequest(3000, 0.9, 14.0, service_s=2.0)
