--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -1,4 +1,4 @@
-"""Tests of the record that lets a non-repeatable request run at most once."""
+"""Tests of the fence record that lets a non-repeatable request run at most once."""
 
 import random
 import uuid
@@ -27,405 +27,416 @@
 )
 
 START_MS = 1_000_000_000_000
-NAMES = ("a", "b")
+REPLICA_NAMES = ("a", "b")
 MAX_DELIVERIES = 60
 
 
-def key_born(ms: int, salt: int = 0) -> str:
-    """Return a UUIDv7 born at *ms*."""
-    value = (ms << 80) | (7 << 76) | (2 << 62) | salt
+def make_key(created_ms: int, salt: int = 0) -> str:
+    """Return a key with a UUIDv7 that was created at *created_ms*."""
+    value = (created_ms << 80) | (7 << 76) | (2 << 62) | salt
     return f"member/{uuid.UUID(int=value)}"
 
 
 @dataclass
-class World:
-    """Two holders, a link between them, a key-value service and a clock, all in memory.
+class FenceSimulation:
+    """Two replicas, the link between them, the key-value service and a clock, all in memory.
 
-    It records to whom leave was given, which is all that the checker looks at.
+    It records which requests were permitted for each key; the random tests check nothing else.
     """
 
     now: float = 0.0
-    nodes: dict[str, FencePair] = field(default_factory=dict)
-    wires: dict[str, deque[Any]] = field(default_factory=lambda: defaultdict(deque))
+    replicas: dict[str, FencePair] = field(default_factory=dict)
+    in_flight: dict[str, deque[Any]] = field(default_factory=lambda: defaultdict(deque))
     linked: bool = False
-    head: tuple[FenceRecord | None, int] = (None, 0)
-    kv_up: bool = True
-    lose_answers: bool = False
-    starts: int = 0
-    given: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
+    stored_record: tuple[FenceRecord | None, int] = (None, 0)
+    kv_available: bool = True
+    lose_kv_responses: bool = False
+    start_count: int = 0
+    permitted: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     replies: dict[int, Any] = field(default_factory=dict)
-    late_writes: list[SwapRecord] = field(default_factory=list)
-    calls: list[tuple[str, FencePair, Any]] = field(default_factory=list)
-    nonces: dict[int, str] = field(default_factory=dict)
+    delayed_writes: list[SwapRecord] = field(default_factory=list)
+    pending_calls: list[tuple[str, FencePair, Any]] = field(default_factory=list)
+    key_of_request: dict[int, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        for name in NAMES:
+        for name in REPLICA_NAMES:
             self.start(name)
 
     @property
-    def wall(self) -> int:
+    def wall_ms(self) -> int:
         """Milliseconds since the epoch."""
         return START_MS + int(self.now * 1000)
 
     def start(self, name: str) -> None:
-        """Start a holder with an empty memory."""
-        self.cut()
-        self.starts += 1
+        """Start a replica with an empty record."""
+        self.cut_link()
+        self.start_count += 1
         other = "b" if name == "a" else "a"
-        self.nodes[name] = FencePair(range_id="r", me=name, other=other, writer=self.starts)
+        self.replicas[name] = FencePair(range_id="r", me=name, other=other, writer=self.start_count)
 
-    def cut(self) -> None:
-        """Break the link; what is on its way is lost."""
+    def cut_link(self) -> None:
+        """Break the link and drop the messages in flight."""
         if self.linked:
             self.linked = False
-            self.wires.clear()
-            for name, node in self.nodes.items():
-                self.act(name, node.on_unlinked(self.now))
+            self.in_flight.clear()
+            for name, replica in self.replicas.items():
+                self.perform(name, replica.on_unlinked(self.now))
 
-    def join(self) -> None:
-        """Bring the link up."""
+    def restore_link(self) -> None:
+        """Restore the link."""
         if not self.linked:
             self.linked = True
-            for name, node in self.nodes.items():
-                self.act(name, node.on_linked())
+            for name, replica in self.replicas.items():
+                self.perform(name, replica.on_linked())
 
-    def act(self, name: str, actions: list[Any]) -> None:
-        """Carry out what a holder decided."""
+    def perform(self, name: str, actions: list[Any]) -> None:
+        """Perform the actions that a replica decided on."""
         for action in actions:
             if isinstance(action, Send):
                 if self.linked:
-                    self.wires[name].append(action.msg)
+                    self.in_flight[name].append(action.msg)
             elif isinstance(action, Reply):
                 self.replies[action.req] = action.msg
                 if isinstance(action.msg, FencePermitted):
-                    self.given[self.nonces[action.req]].append(action.req)
+                    self.permitted[self.key_of_request[action.req]].append(action.req)
             else:
-                self.call_kv(name, action)
+                self.send_kv_call(name, action)
 
-    def call_kv(self, name: str, action: ReadRecord | SwapRecord) -> None:
-        """Send a call to the key-value service; it is served later, in any order."""
-        self.calls.append((name, self.nodes[name], action))
+    def send_kv_call(self, name: str, action: ReadRecord | SwapRecord) -> None:
+        """Send a call to the key-value service, which completes calls later and in any order."""
+        self.pending_calls.append((name, self.replicas[name], action))
 
-    def serve_kv(self, place: int) -> None:
-        """Serve one of the calls that wait."""
-        name, node, action = self.calls.pop(place)
-        known = self.nodes[name] is node
+    def complete_kv_call(self, position: int) -> None:
+        """Complete one of the pending calls."""
+        name, replica, action = self.pending_calls.pop(position)
+        is_current = self.replicas[name] is replica
         if isinstance(action, ReadRecord):
-            record, index = self.head
-            out = (
-                node.on_record(record, index, self.now, self.wall)
-                if self.kv_up
-                else node.on_read_failed()
+            record, index = self.stored_record
+            actions = (
+                replica.on_record(record, index, self.now, self.wall_ms)
+                if self.kv_available
+                else replica.on_read_failed()
             )
         else:
-            answer = self.write(action) if self.kv_up else None
-            if not self.kv_up:
-                self.late_writes.append(action)
-            out = node.on_swapped(None if self.lose_answers else answer, self.now, self.wall)
-        if known:
-            self.act(name, out)
-
-    def write(self, swap: SwapRecord) -> bool:
-        """Do a compare-and-swap."""
-        if self.head[1] != swap.index:
+            swapped = self.compare_and_swap(action) if self.kv_available else None
+            if not self.kv_available:
+                self.delayed_writes.append(action)
+            actions = replica.on_swapped(
+                None if self.lose_kv_responses else swapped, self.now, self.wall_ms
+            )
+        if is_current:
+            self.perform(name, actions)
+
+    def compare_and_swap(self, swap: SwapRecord) -> bool:
+        """Replace the stored record if its index is unchanged, and return whether it was."""
+        if self.stored_record[1] != swap.index:
             return False
-        self.head = (swap.new, swap.index + 1)
+        self.stored_record = (swap.new, swap.index + 1)
         return True
 
     def deliver(self, name: str) -> None:
         """Deliver the oldest message that *name* sent."""
-        if not self.wires[name]:
+        if not self.in_flight[name]:
             return
-        msg = self.wires[name].popleft()
+        msg = self.in_flight[name].popleft()
         other = "b" if name == "a" else "a"
-        node = self.nodes[other]
+        replica = self.replicas[other]
         handlers: dict[type, Any] = {
-            FenceClaim: lambda m: node.on_claim(m, self.now),
-            FenceClaimReply: node.on_claim_reply,
-            FenceState: lambda m: node.on_state(m, self.now),
-            FenceSync: node.on_sync,
-            FenceJoined: lambda m: node.on_joined(m, self.now),
-            FenceRelease: node.on_release,
-            FenceSettle: node.on_settle,
+            FenceClaim: lambda m: replica.on_claim(m, self.now),
+            FenceClaimReply: replica.on_claim_reply,
+            FenceState: lambda m: replica.on_state(m, self.now),
+            FenceSync: replica.on_sync,
+            FenceJoined: lambda m: replica.on_joined(m, self.now),
+            FenceRelease: replica.on_release,
+            FenceSettle: replica.on_settle,
         }
-        self.act(other, handlers[type(msg)](msg))
+        self.perform(other, handlers[type(msg)](msg))
 
-    def settle(self, seconds: float = 30.0) -> None:
-        """Let everything take its course."""
+    def run_for(self, seconds: float = 30.0) -> None:
+        """Advance the clock in steps of half a second, delivering all messages."""
         until = self.now + seconds
         while self.now < until:
-            self.pass_time(0.5)
+            self.advance(0.5)
 
-    def pass_time(self, seconds: float) -> None:
-        """Advance the clock, tick, and deliver all messages."""
+    def advance(self, seconds: float) -> None:
+        """Advance the clock once, call each replica's timer and deliver all messages."""
         self.now += seconds
-        for name, node in self.nodes.items():
-            self.act(name, node.on_tick(self.now))
+        for name, replica in self.replicas.items():
+            self.perform(name, replica.on_tick(self.now))
         for _ in range(MAX_DELIVERIES):
-            if not (self.wires["a"] or self.wires["b"] or self.calls):
+            if not (self.in_flight["a"] or self.in_flight["b"] or self.pending_calls):
                 return
             self.deliver("a")
             self.deliver("b")
-            if self.calls:
-                self.serve_kv(0)
-
-    def ask(self, name: str, key: str, nonce: int) -> None:
-        """Ask a holder for leave."""
-        self.nonces[nonce] = key
-        node = self.nodes[name]
-        self.act(
-            name, node.on_permit(FencePermitRequest(nonce, "r", key, b"d"), self.now, self.wall)
+            if self.pending_calls:
+                self.complete_kv_call(0)
+
+    def request_permit(self, name: str, key: str, request_id: int) -> None:
+        """Request a permit for a key from a replica."""
+        self.key_of_request[request_id] = key
+        replica = self.replicas[name]
+        self.perform(
+            name,
+            replica.on_permit(
+                FencePermitRequest(request_id, "r", key, b"d"), self.now, self.wall_ms
+            ),
         )
 
 
-def paired() -> World:
-    """Return a world whose holders are paired, some time later."""
-    world = World()
-    world.join()
-    world.settle()
-    assert {node.role for node in world.nodes.values()} == {FenceRole.PAIRED}
-    return world
+def paired_simulation() -> FenceSimulation:
+    """Return a simulation in which both replicas are paired."""
+    simulation = FenceSimulation()
+    simulation.restore_link()
+    simulation.run_for()
+    assert {replica.role for replica in simulation.replicas.values()} == {FenceRole.PAIRED}
+    return simulation
 
 
 class TestPaired:
-    """Both holders are alive."""
-
-    def test_leave_needs_both(self) -> None:
-        """Leave is given only when the other has written the key down."""
-        world = paired()
-        key = key_born(world.wall)
-        world.ask("a", key, 1)
-        assert 1 not in world.replies
-        world.pass_time(0.1)
-        assert isinstance(world.replies[1], FencePermitted)
-        assert len(world.nodes["b"]) == 1
-
-    def test_a_repeat_is_refused_by_either(self) -> None:
-        """A key that was given leave at one holder is refused by the other, with its answer."""
-        world = paired()
-        key = key_born(world.wall)
-        world.ask("a", key, 1)
-        world.pass_time(0.1)
-        settle = FenceSettle(1, "r", key, to_recorded_response(200, {}, b"done"))
-        world.act("a", world.nodes["a"].on_settle(settle))
-        world.pass_time(0.1)
-        world.ask("b", key, 2)
-        reply = world.replies[2]
+    """Both replicas are alive."""
+
+    def test_permit_needs_both_replicas(self) -> None:
+        """A permit is granted only after the other replica has recorded the key."""
+        simulation = paired_simulation()
+        key = make_key(simulation.wall_ms)
+        simulation.request_permit("a", key, 1)
+        assert 1 not in simulation.replies
+        simulation.advance(0.1)
+        assert isinstance(simulation.replies[1], FencePermitted)
+        assert len(simulation.replicas["b"]) == 1
+
+    def test_other_replica_refuses_a_used_key(self) -> None:
+        """A key permitted by one replica is refused by the other, with the recorded response."""
+        simulation = paired_simulation()
+        key = make_key(simulation.wall_ms)
+        simulation.request_permit("a", key, 1)
+        simulation.advance(0.1)
+        message = FenceSettle(1, "r", key, to_recorded_response(200, {}, b"done"))
+        simulation.perform("a", simulation.replicas["a"].on_settle(message))
+        simulation.advance(0.1)
+        simulation.request_permit("b", key, 2)
+        reply = simulation.replies[2]
         assert isinstance(reply, FenceAlreadyTaken)
         assert reply.answer is not None and reply.answer.body == b"done"
 
-    def test_asked_of_both_at_once(self) -> None:
-        """Of two attempts for one key at the same moment, one has leave."""
-        world = paired()
-        key = key_born(world.wall)
-        world.ask("a", key, 1)
-        world.ask("b", key, 2)
-        world.pass_time(0.1)
-        assert world.given[key] == [1]
-        assert isinstance(world.replies[2], FenceAlreadyTaken)
-
-    def test_a_released_key_is_free(self) -> None:
-        """An attempt that never ran gives its key back at both holders."""
-        world = paired()
-        key = key_born(world.wall)
-        world.ask("a", key, 1)
-        world.pass_time(0.1)
-        world.act("a", world.nodes["a"].on_release(FenceRelease(1, "r", key)))
-        world.pass_time(0.1)
-        world.ask("b", key, 2)
-        world.pass_time(0.1)
-        assert isinstance(world.replies[2], FencePermitted)
+    def test_concurrent_requests_get_one_permit(self) -> None:
+        """Of two requests for one key at the same moment, one is permitted."""
+        simulation = paired_simulation()
+        key = make_key(simulation.wall_ms)
+        simulation.request_permit("a", key, 1)
+        simulation.request_permit("b", key, 2)
+        simulation.advance(0.1)
+        assert simulation.permitted[key] == [1]
+        assert isinstance(simulation.replies[2], FenceAlreadyTaken)
+
+    def test_released_key_can_be_permitted_again(self) -> None:
+        """An attempt that never ran releases its key on both replicas."""
+        simulation = paired_simulation()
+        key = make_key(simulation.wall_ms)
+        simulation.request_permit("a", key, 1)
+        simulation.advance(0.1)
+        simulation.perform("a", simulation.replicas["a"].on_release(FenceRelease(1, "r", key)))
+        simulation.advance(0.1)
+        simulation.request_permit("b", key, 2)
+        simulation.advance(0.1)
+        assert isinstance(simulation.replies[2], FencePermitted)
 
     @pytest.mark.parametrize(
-        ("born_s", "cause"), [(-3600.0, TOO_OLD), (60.0, BAD_KEY), (None, BAD_KEY)]
+        ("created_s", "cause"), [(-3600.0, TOO_OLD), (60.0, BAD_KEY), (None, BAD_KEY)]
     )
-    def test_a_key_of_unknown_age_is_not_run(self, born_s: float | None, cause: str) -> None:
-        """A key too old to be remembered, from the future, or without a birth is refused."""
-        world = paired()
-        key = "m/x" if born_s is None else key_born(world.wall + int(born_s * 1000))
-        world.ask("a", key, 1)
-        assert world.replies[1] == FenceAlreadyTaken(1, cause=cause)
+    def test_key_without_valid_time_is_refused(self, created_s: float | None, cause: str) -> None:
+        """A key that is too old, from the future or without a creation time is refused."""
+        simulation = paired_simulation()
+        key = "m/x" if created_s is None else make_key(simulation.wall_ms + int(created_s * 1000))
+        simulation.request_permit("a", key, 1)
+        assert simulation.replies[1] == FenceAlreadyTaken(1, cause=cause)
 
 
 class TestFailures:
-    """A holder, the link or the key-value service fails."""
-
-    def test_a_lone_holder_goes_on_after_a_swap(self) -> None:
-        """When one holder dies, the other gives leave alone, and still knows the old keys."""
-        world = paired()
-        old = key_born(world.wall)
-        world.ask("a", old, 1)
-        world.pass_time(0.1)
-        world.start("a")
-        world.settle(5.0)
-        assert world.nodes["b"].role is FenceRole.SOLO
-        world.ask("b", old, 2)
-        world.ask("b", key_born(world.wall, salt=1), 3)
-        assert isinstance(world.replies[2], FenceAlreadyTaken)
-        assert isinstance(world.replies[3], FencePermitted)
-
-    def test_nobody_goes_on_alone_without_the_service(self) -> None:
-        """With the key-value service out as well, nothing is given leave."""
-        world = paired()
-        world.kv_up = False
-        world.cut()
-        world.settle(10.0)
-        world.ask("a", key_born(world.wall), 1)
-        world.ask("b", key_born(world.wall, salt=1), 2)
-        assert world.replies == {1: None, 2: None}
-
-    def test_pair_works_through_an_outage_of_the_service(self) -> None:
-        """While both holders live, the key-value service isn't needed."""
-        world = paired()
-        world.kv_up = False
-        world.settle(3600.0)
-        world.ask("a", key_born(world.wall), 1)
-        world.pass_time(0.1)
-        assert isinstance(world.replies[1], FencePermitted)
-
-    def test_a_paused_holder_wakes_up_powerless(self) -> None:
-        """A holder that slept while the other went on alone gives no leave on its own."""
-        world = paired()
-        key = key_born(world.wall)
-        world.linked = False
-        world.wires.clear()
-        world.act("b", world.nodes["b"].on_unlinked(world.now))
+    """A replica, the link or the key-value service fails."""
+
+    def test_surviving_replica_continues_alone_after_a_swap(self) -> None:
+        """After one replica died, the other grants permits alone and still knows the old keys."""
+        simulation = paired_simulation()
+        old = make_key(simulation.wall_ms)
+        simulation.request_permit("a", old, 1)
+        simulation.advance(0.1)
+        simulation.start("a")
+        simulation.run_for(5.0)
+        assert simulation.replicas["b"].role is FenceRole.SOLO
+        simulation.request_permit("b", old, 2)
+        simulation.request_permit("b", make_key(simulation.wall_ms, salt=1), 3)
+        assert isinstance(simulation.replies[2], FenceAlreadyTaken)
+        assert isinstance(simulation.replies[3], FencePermitted)
+
+    def test_no_replica_continues_alone_without_the_key_value_service(self) -> None:
+        """With the link and the key-value service down, no permit is granted."""
+        simulation = paired_simulation()
+        simulation.kv_available = False
+        simulation.cut_link()
+        simulation.run_for(10.0)
+        simulation.request_permit("a", make_key(simulation.wall_ms), 1)
+        simulation.request_permit("b", make_key(simulation.wall_ms, salt=1), 2)
+        assert simulation.replies == {1: None, 2: None}
+
+    def test_pair_works_during_key_value_service_outage(self) -> None:
+        """While both replicas live, they don't need the key-value service."""
+        simulation = paired_simulation()
+        simulation.kv_available = False
+        simulation.run_for(3600.0)
+        simulation.request_permit("a", make_key(simulation.wall_ms), 1)
+        simulation.advance(0.1)
+        assert isinstance(simulation.replies[1], FencePermitted)
+
+    def test_paused_replica_grants_no_permit_after_resuming(self) -> None:
+        """A replica that was paused while the other continued alone grants no permit on its own."""
+        simulation = paired_simulation()
+        key = make_key(simulation.wall_ms)
+        simulation.linked = False
+        simulation.in_flight.clear()
+        simulation.perform("b", simulation.replicas["b"].on_unlinked(simulation.now))
         for _ in range(10):
-            world.now += 0.5
-            world.act("b", world.nodes["b"].on_tick(world.now))
-            while world.calls:
-                world.serve_kv(0)
-        assert world.nodes["b"].role is FenceRole.SOLO
-        world.ask("b", key, 1)
-        world.ask("a", key, 2)
-        world.settle(5.0)
-        assert world.given[key] == [1]
-
-    def test_both_memories_lost(self) -> None:
-        """After both restart, keys from before are unknown and new ones are served."""
-        world = paired()
-        key = key_born(world.wall)
-        world.ask("a", key, 1)
-        world.pass_time(0.1)
-        world.start("a")
-        world.start("b")
-        world.join()
-        world.settle(20.0)
-        world.ask("b", key, 2)
-        world.ask("b", key_born(world.wall), 3)
-        world.pass_time(0.1)
-        assert world.replies[2] == FenceAlreadyTaken(2, cause=TOO_OLD)
-        assert isinstance(world.replies[3], FencePermitted)
-
-    def test_a_returning_holder_is_paired_again(self) -> None:
-        """A holder that comes back empty is given the record, and knows the keys."""
-        world = paired()
-        world.start("a")
-        world.settle(5.0)
-        key = key_born(world.wall)
-        world.ask("b", key, 1)
-        world.join()
-        world.settle(5.0)
-        assert {node.role for node in world.nodes.values()} == {FenceRole.PAIRED}
-        world.ask("a", key, 2)
-        assert isinstance(world.replies[2], FenceAlreadyTaken)
-
-
-def ask_both(world: World, rng: random.Random, keys: list[str]) -> None:
-    """Ask each holder for leave for one recent key, in a random order."""
+            simulation.now += 0.5
+            simulation.perform("b", simulation.replicas["b"].on_tick(simulation.now))
+            while simulation.pending_calls:
+                simulation.complete_kv_call(0)
+        assert simulation.replicas["b"].role is FenceRole.SOLO
+        simulation.request_permit("b", key, 1)
+        simulation.request_permit("a", key, 2)
+        simulation.run_for(5.0)
+        assert simulation.permitted[key] == [1]
+
+    def test_restart_of_both_replicas(self) -> None:
+        """After both restart, keys created before are refused and new keys are permitted."""
+        simulation = paired_simulation()
+        key = make_key(simulation.wall_ms)
+        simulation.request_permit("a", key, 1)
+        simulation.advance(0.1)
+        simulation.start("a")
+        simulation.start("b")
+        simulation.restore_link()
+        simulation.run_for(20.0)
+        simulation.request_permit("b", key, 2)
+        simulation.request_permit("b", make_key(simulation.wall_ms), 3)
+        simulation.advance(0.1)
+        assert simulation.replies[2] == FenceAlreadyTaken(2, cause=TOO_OLD)
+        assert isinstance(simulation.replies[3], FencePermitted)
+
+    def test_restarted_replica_is_paired_again(self) -> None:
+        """A replica that restarts with an empty record receives a copy and knows the keys."""
+        simulation = paired_simulation()
+        simulation.start("a")
+        simulation.run_for(5.0)
+        key = make_key(simulation.wall_ms)
+        simulation.request_permit("b", key, 1)
+        simulation.restore_link()
+        simulation.run_for(5.0)
+        assert {replica.role for replica in simulation.replicas.values()} == {FenceRole.PAIRED}
+        simulation.request_permit("a", key, 2)
+        assert isinstance(simulation.replies[2], FenceAlreadyTaken)
+
+
+def request_from_both(simulation: FenceSimulation, rng: random.Random, keys: list[str]) -> None:
+    """Request a permit for one recent key from each replica, in a random order."""
     if rng.random() < 0.5 or not keys:
-        keys.append(key_born(world.wall, salt=len(keys)))
+        keys.append(make_key(simulation.wall_ms, salt=len(keys)))
     key = rng.choice(keys[-3:])
-    for name in rng.sample(NAMES, 2):
-        world.ask(name, key, len(world.nonces) + 1)
-
-
-def part_company(world: World, rng: random.Random, keys: list[str]) -> None:
-    """Cut the link for long enough that a holder may go on alone, and ask both meanwhile."""
-    world.cut()
-    world.now += rng.choice((3.5, 20.0))
-    for name in rng.sample(NAMES, 2):
-        world.act(name, world.nodes[name].on_tick(world.now))
-    progress(world, rng, 8)
-    ask_both(world, rng, keys)
+    for name in rng.sample(REPLICA_NAMES, 2):
+        simulation.request_permit(name, key, len(simulation.key_of_request) + 1)
+
+
+def cut_link_and_request_both(
+    simulation: FenceSimulation, rng: random.Random, keys: list[str]
+) -> None:
+    """Cut the link until a replica may continue alone, and request permits from both meanwhile."""
+    simulation.cut_link()
+    simulation.now += rng.choice((3.5, 20.0))
+    for name in rng.sample(REPLICA_NAMES, 2):
+        simulation.perform(name, simulation.replicas[name].on_tick(simulation.now))
+    deliver_some(simulation, rng, 8)
+    request_from_both(simulation, rng, keys)
     if rng.random() < 0.5:
-        world.join()
-        progress(world, rng, 10)
-        ask_both(world, rng, keys)
+        simulation.restore_link()
+        deliver_some(simulation, rng, 10)
+        request_from_both(simulation, rng, keys)
 
 
-def progress(world: World, rng: random.Random, most: int) -> None:
-    """Deliver some messages and serve some calls."""
-    for _ in range(rng.randrange(most)):
-        if world.calls and rng.random() < 0.5:
-            world.serve_kv(rng.randrange(len(world.calls)))
+def deliver_some(simulation: FenceSimulation, rng: random.Random, max_steps: int) -> None:
+    """Deliver some messages and complete some calls."""
+    for _ in range(rng.randrange(max_steps)):
+        if simulation.pending_calls and rng.random() < 0.5:
+            simulation.complete_kv_call(rng.randrange(len(simulation.pending_calls)))
         else:
-            world.deliver(rng.choice(NAMES))
+            simulation.deliver(rng.choice(REPLICA_NAMES))
 
 
-def random_step(world: World, rng: random.Random, keys: list[str]) -> None:
-    """Do one thing at random."""
-    roll = rng.random()
-    if roll < 0.08:
-        part_company(world, rng, keys)
+def random_step(simulation: FenceSimulation, rng: random.Random, keys: list[str]) -> None:
+    """Apply one random event."""
+    draw = rng.random()
+    if draw < 0.08:
+        cut_link_and_request_both(simulation, rng, keys)
         return
-    if roll < 0.14:
-        ask_both(world, rng, keys)
+    if draw < 0.14:
+        request_from_both(simulation, rng, keys)
         return
-    roll = rng.random()
-    if roll < 0.30:
+    draw = rng.random()
+    if draw < 0.30:
         if rng.random() < 0.5 or not keys:
-            keys.append(key_born(world.wall, salt=len(keys)))
-        world.ask(rng.choice(NAMES), rng.choice(keys[-4:]), len(world.nonces) + 1)
-    elif roll < 0.60:
-        progress(world, rng, 4)
-    elif roll < 0.72:
-        world.now += rng.choice((0.1, 1.0, 4.0))
-        name = rng.choice(NAMES)
-        world.act(name, world.nodes[name].on_tick(world.now))
-    elif roll < 0.78:
-        world.cut()
-    elif roll < 0.88:
-        world.join()
-    elif roll < 0.92:
-        world.start(rng.choice(NAMES))
-    elif roll < 0.95:
-        world.kv_up = not world.kv_up
-    elif roll < 0.97:
-        world.lose_answers = not world.lose_answers
-    elif world.late_writes:
-        world.write(world.late_writes.pop(rng.randrange(len(world.late_writes))))
+            keys.append(make_key(simulation.wall_ms, salt=len(keys)))
+        simulation.request_permit(
+            rng.choice(REPLICA_NAMES), rng.choice(keys[-4:]), len(simulation.key_of_request) + 1
+        )
+    elif draw < 0.60:
+        deliver_some(simulation, rng, 4)
+    elif draw < 0.72:
+        simulation.now += rng.choice((0.1, 1.0, 4.0))
+        name = rng.choice(REPLICA_NAMES)
+        simulation.perform(name, simulation.replicas[name].on_tick(simulation.now))
+    elif draw < 0.78:
+        simulation.cut_link()
+    elif draw < 0.88:
+        simulation.restore_link()
+    elif draw < 0.92:
+        simulation.start(rng.choice(REPLICA_NAMES))
+    elif draw < 0.95:
+        simulation.kv_available = not simulation.kv_available
+    elif draw < 0.97:
+        simulation.lose_kv_responses = not simulation.lose_kv_responses
+    elif simulation.delayed_writes:
+        simulation.compare_and_swap(
+            simulation.delayed_writes.pop(rng.randrange(len(simulation.delayed_writes)))
+        )
     else:
-        world.settle(rng.choice((1.0, 20.0)))
+        simulation.run_for(rng.choice((1.0, 20.0)))
 
 
 class TestRandom:
-    """Any order of failures."""
+    """Random sequences of failures and requests."""
 
     @given(st.integers(0, 2**32))
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
-    def test_leave_is_given_once(self, seed: int) -> None:
-        """Whatever fails in whatever order, no key is given leave twice."""
+    def test_each_key_is_permitted_at_most_once(self, seed: int) -> None:
+        """No key is permitted twice, whatever fails in whatever order."""
         rng = random.Random(seed)
-        world = paired()
+        simulation = paired_simulation()
         keys: list[str] = []
         for _ in range(150):
-            random_step(world, rng, keys)
-            assert all(len(set(nonces)) <= 1 for nonces in world.given.values())
+            random_step(simulation, rng, keys)
+            assert all(len(set(requests)) <= 1 for requests in simulation.permitted.values())
 
     @given(st.integers(0, 2**32))
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
-    def test_it_recovers(self, seed: int) -> None:
-        """Once the failures end, new requests are given leave again."""
+    def test_permits_keys_again_after_failures(self, seed: int) -> None:
+        """Once the failures end, new keys are permitted again."""
         rng = random.Random(seed)
-        world = paired()
+        simulation = paired_simulation()
         for _ in range(80):
-            random_step(world, rng, [])
-        world.kv_up = True
-        world.lose_answers = False
-        world.join()
-        world.settle(60.0)
-        nonce = len(world.nonces) + 1
-        world.ask("a", key_born(world.wall, salt=999), nonce)
-        world.pass_time(0.1)
-        assert isinstance(world.replies[nonce], FencePermitted)
+            random_step(simulation, rng, [])
+        simulation.kv_available = True
+        simulation.lose_kv_responses = False
+        simulation.restore_link()
+        simulation.run_for(60.0)
+        request_id = len(simulation.key_of_request) + 1
+        simulation.request_permit("a", make_key(simulation.wall_ms, salt=999), request_id)
+        simulation.advance(0.1)
+        assert isinstance(simulation.replies[request_id], FencePermitted)
