--- a/tests/test_quarantine_decisions.py
+++ b/tests/test_quarantine_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of when a request is kept from servers: the decision and what it costs a fleet."""
+"""Tests of the quarantine of requests that crash servers, and of the messages it costs a fleet."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def quarantined_request(now: float = 0.0) -> Quarantine:
-    """Return what one instance believes after three crashes."""
+    """Return the quarantine of an instance that counted three crashes under one request."""
     quarantine = Quarantine()
     for number in range(MAX_CRASHES):
         quarantine.record_crash(REQUEST, f"i-{number}", now)
@@ -41,7 +41,7 @@
     """Crashes of servers under one request."""
 
     def test_crashes_of_three_servers_begin_a_quarantine(self) -> None:
-        """Two do not."""
+        """Two crashes do not."""
         quarantine = Quarantine()
         assert quarantine.record_crash(REQUEST, "i-0", 0.0) is None
         assert quarantine.record_crash(REQUEST, "i-1", 0.0) is None
@@ -51,21 +51,21 @@
         assert quarantine.refusal_left_s(REQUEST, 1.0) == FIRST_QUARANTINE_S - 1.0
 
     def test_repeated_report_of_a_crash_counts_once(self) -> None:
-        """Two instances saw it, or a message came late."""
+        """Two instances may report one crash, or a message may arrive late."""
         quarantine = Quarantine()
         for _ in range(5):
             assert quarantine.record_crash(REQUEST, "i-0", 0.0) is None
         assert quarantine.crash_count(REQUEST) == 1
 
     def test_each_incarnation_of_a_server_counts(self) -> None:
-        """Its identity tells the lives apart."""
+        """Incarnation ids tell the runs of one server name apart."""
         quarantine = Quarantine()
         for started_ms in range(MAX_CRASHES):
             quarantine.record_crash(REQUEST, f"i-0@{started_ms}", 0.0)
         assert quarantine.is_quarantined(REQUEST)
 
     def test_old_crashes_do_not_count(self) -> None:
-        """Three in a day are chance."""
+        """Three crashes in a day may be chance."""
         quarantine = Quarantine()
         for number in range(5):
             assert (
@@ -74,7 +74,7 @@
             )
 
     def test_each_further_crash_lengthens_the_quarantine(self) -> None:
-        """So few servers are lost to trials."""
+        """The longer quarantine limits how many servers are lost to trials."""
         quarantine = quarantined_request()
         for number in range(MAX_CRASHES, 6):
             update = quarantine.record_crash(REQUEST, f"i-{number}", 0.0)
@@ -84,7 +84,7 @@
             )
 
     def test_crash_beyond_the_tracked_ones_renews_the_quarantine(self) -> None:
-        """Else a trial would follow every few seconds."""
+        """Otherwise a trial would follow every few seconds."""
         quarantine = quarantined_request()
         for number in range(MAX_CRASHES, 3 * MAX_CRASHED_SERVERS):
             quarantine.begin_trial(REQUEST, 0.0)
@@ -93,23 +93,23 @@
 
 
 class TestTrial:
-    """One attempt is let through to see."""
+    """One attempt is let through to see whether it crashes a server."""
 
     def test_trial_is_due_after_the_quarantine(self) -> None:
-        """The others are refused while it runs."""
+        """Other attempts are refused while the trial runs."""
         quarantine = quarantined_request()
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S) == 0.0
         quarantine.begin_trial(REQUEST, FIRST_QUARANTINE_S)
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S) == TRIAL_S
 
     def test_another_trial_is_due_without_a_result(self) -> None:
-        """Its caller left, or there was no room."""
+        """The caller of the trial left, or no server had capacity for it."""
         quarantine = quarantined_request()
         quarantine.begin_trial(REQUEST, FIRST_QUARANTINE_S)
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S + TRIAL_S) == 0.0
 
     def test_completed_request_ends_the_quarantine(self) -> None:
-        """The crashes are forgotten; the count begins anew."""
+        """Its crashes are forgotten, and the count starts from zero."""
         quarantine = quarantined_request()
         assert quarantine.record_completed(REQUEST, FIRST_QUARANTINE_S) == MAX_CRASHES
         assert not quarantine.is_quarantined(REQUEST)
@@ -117,10 +117,10 @@
 
 
 class TestUpdatesFromPeers:
-    """What other instances tell, by datagrams and in notes."""
+    """Quarantines that other instances send in datagrams or publish in their records."""
 
     def test_update_is_applied_once(self) -> None:
-        """Twice is no news."""
+        """A repeated update changes nothing."""
         quarantine = Quarantine()
         update = QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), 7.0)
         assert quarantine.apply_update(update, 0.0)
@@ -128,13 +128,13 @@
         assert quarantine.refusal_left_s(REQUEST, 0.0) == 7.0
 
     def test_update_cannot_prolong_beyond_the_time_for_its_crashes(self) -> None:
-        """A false message does little harm."""
+        """This bounds the effect of a false message."""
         quarantine = Quarantine()
         quarantine.apply_update(QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), 1e9), 0.0)
         assert quarantine.refusal_left_s(REQUEST, 0.0) == FIRST_QUARANTINE_S
 
     def test_repeated_reads_of_a_record_prolong_nothing(self) -> None:
-        """Notes are read every few seconds and say what they said."""
+        """Records are read every few seconds and may be unchanged."""
         quarantine = Quarantine()
         published = quarantined_request().to_instance_record()
         assert list(quarantine.apply_instance_record(published, 0.0, own=False))
@@ -143,7 +143,7 @@
         assert quarantine.refusal_left_s(REQUEST, 30.0) == 0.0
 
     def test_record_from_before_a_completed_request_is_ignored(self) -> None:
-        """Until it has surely been written anew."""
+        """It is ignored until the record has surely been written again."""
         quarantine = quarantined_request()
         published = quarantine.to_instance_record()
         quarantine.record_completed(REQUEST, 20.0)
@@ -154,7 +154,7 @@
         )
 
     def test_only_the_counting_instance_publishes_a_quarantine(self) -> None:
-        """Else no note would ever lose it, each instance taking it from another's."""
+        """Otherwise instances would copy it from each other's records, and it would never end."""
         quarantine = Quarantine()
         list(
             quarantine.apply_instance_record(
@@ -172,7 +172,7 @@
 
 
 class TestBounds:
-    """Memory is bounded whatever crashes."""
+    """Bounds on what is stored, whatever crashes."""
 
     def test_suspects_and_quarantines_are_bounded(self) -> None:
         """The oldest are forgotten first."""
@@ -188,7 +188,7 @@
         assert len(quarantine.to_instance_record()) == MAX_PUBLISHED
 
     def test_flood_of_suspects_frees_no_request_from_quarantine(self) -> None:
-        """They are kept apart."""
+        """Suspects and quarantined requests are stored apart."""
         quarantine = quarantined_request()
         for request in range(2 * MAX_SUSPECTS):
             quarantine.record_crash(f"s{request}", "i-0", 0.0)
@@ -196,31 +196,31 @@
 
 
 class CountingMessenger(Notices):
-    """Counts datagrams; nobody gets them."""
+    """Counts datagrams instead of sending them."""
 
     def __init__(self, peers: list[str], log: Any) -> None:
         super().__init__(address="", peers=lambda: peers, log=log)
         self.sent = 0
 
     async def send(self, peer: str, message: Any) -> None:
-        """Count one."""
+        """Count one datagram."""
         self.sent += 1
 
 
 class TestFleet:
-    """What a crash costs a fleet of 300 instances.
+    """The messages that a crash costs a fleet of 300 instances.
 
-    A server runs 64 requests at once; told to every instance, a crash would take 19,136 datagrams.
+    A server runs 64 requests at once; sent to every instance, a crash would take 19,136 datagrams.
     """
 
     @pytest.mark.parametrize("instances", [30, 300])
     def test_datagrams_of_a_crash_do_not_grow_with_instances(self, instances: int) -> None:
-        """Two a request at most, with all requests for one instance in one."""
+        """At most two datagrams per request are sent; all requests for one instance share one."""
         sent = self._count_datagrams(instances, requests=64, crashes=1)
         assert sent <= 64 * KEEPERS
 
     def test_quarantine_is_sent_to_each_instance_once(self) -> None:
-        """By this instance, which saw all three crashes."""
+        """This instance sends it, because it counted all three crashes."""
         sent = self._count_datagrams(300, requests=1, crashes=MAX_CRASHES)
         assert sent <= MAX_CRASHES * KEEPERS + 299
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Tests of rolls: adapters reach the engines a few at a time."""
+"""Tests of rollouts, which load adapters into the engines a few at a time."""
 
 import time
 
@@ -16,10 +16,10 @@
 
 
 class TestLease:
-    """Places in a roll."""
+    """Leases that bound how many engines load adapters at the same time."""
 
     def test_leases_are_limited_to_the_width(self) -> None:
-        """The third of three waits until a place is given back."""
+        """The third of three agents waits until a lease is released."""
         record = RolloutRecord()
         for name in ("a", "b"):
             lease = try_acquire_rollout(record, name, 2, 1000)
@@ -29,7 +29,7 @@
         assert try_acquire_rollout(release_rollout(record, "a"), "c", 2, 1000) is not None
 
     def test_lease_of_a_dead_agent_expires(self) -> None:
-        """After the lease's end another goes on, with a larger token."""
+        """Once the lease has ended, another agent acquires one with a larger token."""
         lease = try_acquire_rollout(RolloutRecord(), "a", 1, 0)
         assert lease is not None
         late = int(ROLLOUT_LEASE_S * 1000)
@@ -38,22 +38,22 @@
         assert after is not None and after.token > lease.token
 
     def test_restarted_agent_takes_over_its_own_lease(self) -> None:
-        """An agent that died while loading needn't wait for itself."""
+        """An agent that died while loading need not wait for its own lease to end."""
         record = RolloutRecord(4, (RolloutLease("a", 10**15),))
         lease = try_acquire_rollout(record, "a", 1, 0)
         assert lease is not None
         assert [rollout_lease.name for rollout_lease in lease.record.places] == ["a"]
 
     def test_adapters_to_load(self) -> None:
-        """New adapters and new versions, nothing else."""
+        """New adapters and new versions are loaded, nothing else."""
         assert adapters_to_load({"a": 1, "b": 2, "c": 1}, {"a": 1, "b": 1}) == ["b", "c"]
 
 
 class TestRollout:
-    """A roll through running engines."""
+    """A rollout through running engines."""
 
     def test_new_adapter_is_loaded_and_served(self) -> None:
-        """A bundle with a new adapter brings it to every engine, one of a pool at a time."""
+        """A bundle with a new adapter brings it to every engine, one engine of a pool at a time."""
         with Cluster(patient_spec()) as cluster:
             cluster.publish(cluster.bundle_text(2, {"m1-fr": 1}))
             client = make_client(cluster)
@@ -72,7 +72,7 @@
 
 
 def max_concurrent_loads(rows: list[dict[str, object]], prefix: str) -> int:
-    """Return how many engines of a pool were loading at one time."""
+    """Return the largest number of engines of a pool that were loading at the same time."""
     loading = highest = 0
     pool_rows = [row for row in rows if str(row["place"]).startswith(prefix)]
     for row in sorted(pool_rows, key=lambda row: float(str(row["at"]))):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routing."""
+"""Tests of the choice of backend servers, the prefix index and the agents an entry links to."""
 
 import random
 from collections import Counter
@@ -27,10 +27,10 @@
 
 
 class TestChooseBackends:
-    """Which backend servers are tried."""
+    """Which backend servers are tried, and in which order."""
 
     def test_entries_with_the_same_stale_reports_spread_requests(self) -> None:
-        """Twenty entries that all see one server as the least loaded spread all the same."""
+        """Twenty entries that all see one server as the least loaded use the others, too."""
         first_choices: Counter[str] = Counter()
         for entry in range(20):
             router = make_router(entry)
@@ -44,7 +44,7 @@
         assert first_choices["b0"] <= 0.35 * sum(first_choices.values())
 
     def test_unusable_servers_are_skipped(self) -> None:
-        """A server that is unlinked, leaving, draining or broken off gets nothing."""
+        """A server that is unlinked, leaving, draining or has an open breaker gets no request."""
         router = make_router()
         router.backends["b0"].linked = False
         router.backends["b1"].leaving = True
@@ -55,7 +55,7 @@
         assert names == {"b4", "b5"}
 
     def test_all_servers_are_tried_when_all_breakers_are_open(self) -> None:
-        """When every server has failed, they are tried all the same."""
+        """Requests are sent all the same when every server has failed."""
         router = make_router()
         for backend in router.backends.values():
             for _ in range(3):
@@ -70,7 +70,7 @@
         assert "b0" not in first_choices
 
     def test_server_with_stale_report_is_used_only_without_another(self) -> None:
-        """Reports that have stopped rule a server out while others are heard."""
+        """A server that stopped reporting is skipped while others report."""
         router = make_router(reported_at=100.0)
         router.backends["b0"].reported_at = 10.0
         names = {b.name for _ in range(50) for b in router.choose_backends(["write"], 100.0)}
@@ -79,10 +79,10 @@
 
 
 class TestChoosePrefill:
-    """Where a prompt is read."""
+    """Which server processes a prompt."""
 
     def test_cached_prefix_is_preferred_until_its_server_is_busy(self) -> None:
-        """Affinity is worth the tokens it saves, no more."""
+        """A cached prefix counts for the tokens it saves, and no more."""
         router = make_router(tokens_per_s=10_000.0)
         request = RouteRequest(5000, tuple(range(64)), 64)
         router.prefixes.record_cached("b3", request.prefix)
@@ -93,7 +93,7 @@
         assert "b3" not in names
 
     def test_slow_link_between_zones_is_avoided(self) -> None:
-        """A prompt is read in the zone where it is written when links between zones are slow."""
+        """The prompt is processed in the zone of its decode engine when links are slow."""
         router = make_router(tokens_per_s=10_000.0)
         router.costs = RoutingCosts(
             kv_bytes_per_token=100_000, same_zone_bytes_per_s=1e10, cross_zone_bytes_per_s=1e8
@@ -106,17 +106,17 @@
         assert sum(b.zone == "z1" for b in first_choices) > 40
 
     def test_reported_backlog_shrinks_over_time(self) -> None:
-        """A reported backlog shrinks as time goes by."""
+        """Reported work is taken to be done as time passes."""
         backend = Backend("b", "prefill", "read", "z", backlog_s=0.3, reported_at=10.0)
         assert backend.pending_work_s(10.1) < 0.3
         assert backend.pending_work_s(11.0) == 0.0
 
 
 class TestPrefixIndex:
-    """What is believed cached."""
+    """Which prompt blocks are taken to be cached on a server."""
 
     def test_index_is_bounded(self) -> None:
-        """The oldest blocks go first."""
+        """The oldest blocks are forgotten first."""
         index = PrefixIndex(limit=10)
         index.record_cached("a", range(20))
         assert len(index) == 10
@@ -128,7 +128,7 @@
     """Which agents an entry links to."""
 
     def test_links_are_distributed_evenly(self) -> None:
-        """Over many entries each agent has about the same number of links."""
+        """Over many entries, each agent has about the same number of links."""
         agents = [Instance(f"w{n}", "h", 1, "z", "write") for n in range(36)]
         links: Counter[str] = Counter()
         for entry in range(360):
@@ -144,7 +144,7 @@
         assert len(before - after) <= 1
 
     def test_order_depends_on_the_key(self) -> None:
-        """Rendezvous order is stable for a key and differs between keys."""
+        """The rendezvous order is stable for one key and differs between keys."""
         names = [f"n{n}" for n in range(20)]
         assert rank_by_key(b"a", names) == rank_by_key(b"a", reversed(names))
         assert rank_by_key(b"a", names) != rank_by_key(b"b", names)
--- a/tests/test_server_stats.py
+++ b/tests/test_server_stats.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server by what was seen of it."""
+"""Tests of the choice of a server by its statistics."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 
 
 def prefill_engine(number: int) -> Server:
-    """Return an engine that reads."""
+    """Return a prefill engine."""
     return Server(f"i-r{number}", "llm", "10.0.0.1", 80, "z", EngineRole.PREFILL, 64, False, 1)
 
 
 class TestNewServer:
-    """A server that was seen a moment ago.
+    """A server without measurements is expected to be as fast as the others.
 
-    Callers of a release's seconds got their first event late: readers that had come in the place of
-    others did not answer within a second. 45 of 47 such readings were at two readers in their
-    first seconds, while others took 0.25 s. Every instance held a reader of which it had seen
-    nothing for five times faster than it is, and sent what it had there.
+    The tests guard against a fault in the first seconds of a release, when callers got their first
+    event late: prefill engines that replaced others did not respond within a second. 45 of 47 such
+    prefills were on two engines in their first seconds, while others took 0.25 s. Every instance
+    took a prefill engine without measurements for five times faster than it was, and sent all its
+    requests there.
     """
 
     def test_new_server_gets_no_more_than_its_share(self) -> None:
-        """Each of many instances has seen a few answers of the others."""
+        """Each of many instances has measured a few responses of the other servers."""
         rng = random.Random(4)
         old, new = [prefill_engine(number) for number in range(8)], prefill_engine(8)
         picked: Counter[str] = Counter()
@@ -41,7 +42,7 @@
         assert picked[new.incarnation_id] <= 3 * INSTANCES / 9
 
     def test_new_server_counts_as_average_until_its_first_response(self) -> None:
-        """Its first answer then tells, not a part of it."""
+        """Its first response then sets its average, not a part of it."""
         slow, fast, new = prefill_engine(0), prefill_engine(1), prefill_engine(2)
         stats = {server.incarnation_id: ServerStats() for server in (slow, fast, new)}
         stats[slow.incarnation_id].record_success(1.0)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Tests of the list of servers that is believed in."""
+"""Tests of the server list, and of whether a missing entry has lapsed or its server is gone."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def make_server(
     name: str = "a", *, heartbeat: int = 1, leaving: bool = False, entry_created: int = 1
 ) -> Server:
-    """Return an entry."""
+    """Return a server as its entry describes it."""
     return Server(
         name,
         "s",
@@ -29,7 +29,7 @@
 
 
 def incarnation_ids(servers: ServerList) -> set[str]:
-    """Return who is believed in."""
+    """Return the incarnation ids of the servers in a list."""
     return {server.incarnation_id for server in servers.all()}
 
 
@@ -41,22 +41,22 @@
 
 
 class TestMissingEntries:
-    """When a missing entry means that the server is gone."""
+    """When a missing entry means that its server is gone."""
 
     def test_missing_entry_removes_its_server_at_once(self) -> None:
-        """While the list is there, a server without an entry gets no request."""
+        """While the list is available, a server without an entry gets no request."""
         servers = make_list("ab")
         assert servers.apply_list([make_server("a")], 1.0, was_unreachable=False).removed == ("b",)
         assert incarnation_ids(servers) == {"a"}
 
     def test_last_server_without_an_entry_is_gone(self) -> None:
-        """One entry that ends while the list is there lapsed for no outage."""
+        """A single entry that ends while the list is available did not lapse in an outage."""
         servers = make_list("a")
         assert servers.apply_changes([], ["a"], 1.0, was_unreachable=False).removed == ("a",)
         assert incarnation_ids(servers) == set()
 
     def test_empty_list_after_an_outage_makes_servers_suspect(self) -> None:
-        """Entries that lapsed are doubted until the servers had time to write them again."""
+        """Their entries lapsed; they are kept until they had time to write them again."""
         servers = make_list("ab")
         change = servers.apply_list([], 10.0, was_unreachable=True)
         assert (change.removed, change.suspected) == ((), ("a", "b"))
@@ -71,13 +71,13 @@
         assert servers.next_suspect_expiry() is None
 
     def test_leaving_server_is_not_suspect(self) -> None:
-        """Whoever said that it leaves and has no entry is gone."""
+        """A server that announced its shutdown and has no entry is gone."""
         servers = ServerList()
         servers.apply_list([make_server("a", leaving=True)], 0.0, was_unreachable=False)
         assert servers.apply_list([], 10.0, was_unreachable=True).removed == ("a",)
 
     def test_missing_server_is_gone_while_other_entries_remain(self) -> None:
-        """After an outage of one instance alone, the other entries are as they were."""
+        """When only this instance was cut off, the other entries are unchanged."""
         servers = make_list("abcd")
         change = servers.apply_list(
             [make_server(name) for name in "abc"], 10.0, was_unreachable=True
@@ -85,7 +85,7 @@
         assert (change.removed, change.suspected) == (("d",), ())
 
     def test_replaced_servers_are_gone(self) -> None:
-        """A release replaced all of them while this instance was cut off."""
+        """A release replaced all servers while this instance was cut off."""
         servers = make_list("abc")
         replacements = [make_server(name) for name in "xyz"]
         change = servers.apply_list(replacements, 10.0, was_unreachable=True)
@@ -93,21 +93,21 @@
         assert incarnation_ids(servers) == {"x", "y", "z"}
 
     def test_rewritten_entries_show_an_outage(self) -> None:
-        """Some servers are back already; the others are waited for."""
+        """Some servers have written new entries already; the missing one is waited for."""
         servers = make_list("abcd")
         reentered = [make_server(name, heartbeat=2, entry_created=9) for name in "ab"]
         change = servers.apply_list([*reentered, make_server("c")], 10.0, was_unreachable=True)
         assert (change.removed, change.suspected) == ((), ("d",))
 
     def test_servers_whose_entries_end_together_are_suspect(self) -> None:
-        """A watch that outlives the outage tells of all that lapsed in one answer."""
+        """A watch that outlives an outage reports all lapsed entries in one response."""
         servers = make_list("abcde")
         change = servers.apply_changes([], ["a", "b", "c", "d"], 10.0, was_unreachable=False)
         assert (change.removed, change.suspected) == ((), ("a", "b", "c", "d"))
         assert servers.apply_changes([], ["e"], 10.1, was_unreachable=False).removed == ("e",)
 
     def test_second_empty_list_does_not_prolong_suspicion(self) -> None:
-        """Two lists in a row, the second a second later."""
+        """The second of two empty lists follows a second after the first."""
         servers = make_list("ab")
         servers.apply_list([], 10.0, was_unreachable=True)
         assert servers.apply_list([], 11.0, was_unreachable=True).suspected == ()
@@ -122,7 +122,7 @@
     def test_every_server_is_listed_or_suspect(
         self, before: set[str], unchanged: set[str], rewritten: set[str], was_unreachable: bool
     ) -> None:
-        """After any list, who is believed in is listed or doubted, and doubts end."""
+        """After any list, each known server is listed, suspect or removed, and suspects expire."""
         servers = make_list("".join(sorted(before)))
         current = {name: make_server(name) for name in unchanged}
         current |= {name: make_server(name, heartbeat=2, entry_created=9) for name in rewritten}
@@ -134,17 +134,17 @@
 
 
 class TestHeartbeats:
-    """Entries that were written late."""
+    """Entries that arrive after newer ones."""
 
     def test_older_entry_changes_nothing(self) -> None:
-        """A server that leaves does not come back by an entry written before."""
+        """A leaving server is not restored by an entry that was written before."""
         servers = ServerList()
         servers.apply_entry(make_server(heartbeat=5, leaving=True))
         assert not servers.apply_entry(make_server(heartbeat=4))
         assert next(iter(servers.all())).leaving
 
     def test_old_entry_does_not_restore_a_gone_server(self) -> None:
-        """Only a newer heartbeat shows life."""
+        """Only a newer heartbeat shows that the server runs."""
         servers = ServerList()
         servers.apply_entry(make_server(heartbeat=5))
         assert servers.apply_changes([], ["a"], 1.0, was_unreachable=False).removed == ("a",)
@@ -155,7 +155,7 @@
 
     @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=12))
     def test_newest_heartbeat_is_kept(self, entries: list[tuple[int, bool]]) -> None:
-        """Whatever the order of entries, the one with the newest heartbeat stands."""
+        """In any order of entries, the one with the newest heartbeat is kept."""
         servers = ServerList()
         best: Server | None = None
         for heartbeat, leaving in entries:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Tests of the slot table."""
+"""Tests of the slot table of a decode engine."""
 
 import random
 
@@ -23,10 +23,10 @@
 
 
 class TestGrant:
-    """Who is given a slot."""
+    """Which request gets a slot, and when."""
 
     def test_grants_free_slots_at_once(self) -> None:
-        """A free slot is leased when it is asked for."""
+        """A free slot is leased as soon as it is requested."""
         table = SlotTable(capacity=1, step_s=0.1)
         assert table.submit(make_request(1), 0.0) == [SlotGrant(1, 0.0, 2.1)]
 
@@ -38,7 +38,7 @@
         assert table.release(1, 0.5) == [SlotGrant(2, 0.0, 2.1)]
 
     def test_leases_slot_ahead_of_its_end(self) -> None:
-        """A slot whose answer ends within the lead is leased before it is free."""
+        """A slot whose answer ends within the lead time is leased before it is free."""
         table = SlotTable(capacity=1, step_s=0.1)
         table.submit(make_request(1), 0.0)
         assert table.start(1, 0.0)
@@ -50,7 +50,7 @@
         assert table.start(2, 1.0)
 
     def test_refuses_request_that_cannot_be_in_time(self) -> None:
-        """A request whose deadline passes before a slot ends is refused unstarted."""
+        """A request whose deadline passes before a slot is free is refused without starting."""
         table = SlotTable(capacity=1, step_s=1.0)
         table.submit(make_request(1), 0.0)
         table.start(1, 0.0)
@@ -59,7 +59,7 @@
         assert refusal.retry_after_s > 2.0
 
     def test_unused_lease_expires(self) -> None:
-        """A lease that nobody uses is given to the next."""
+        """The slot of a lease that is not used goes to the next request."""
         table = SlotTable(capacity=1, step_s=0.1, hold_s=1.0)
         table.submit(make_request(1), 0.0)
         table.submit(make_request(2), 0.0)
@@ -69,7 +69,7 @@
 
 
 class TestRandom:
-    """Any order of events, against a naive count of who holds what."""
+    """Random sequences of events, checked against a naive record of leased and running requests."""
 
     @given(st.integers(0, 2**32))
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -119,10 +119,10 @@
 
 
 class TestFairness:
-    """A rival can't slow another."""
+    """The load of one member does not slow another."""
 
     def test_member_within_its_share_is_not_refused(self) -> None:
-        """The wait that is expected of a member counts its own queue, not its rival's."""
+        """The expected wait of a member counts its own queue, not that of another member."""
         table = SlotTable(capacity=2, step_s=0.01)
         for req in range(1, 40):
             table.submit(make_request(req, member="greedy", max_tokens=100), 0.0)
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -1,4 +1,4 @@
-"""Tests of the split between reading and writing engines."""
+"""Tests of the split between prefill and decode engines."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 
 
 class TestWantedPromptEngines:
-    """How many engines should read."""
+    """How many engines should prefill."""
 
     def test_moves_engines_to_the_loaded_pool(self) -> None:
-        """Four reading engines out of nine are too many for long answers."""
+        """Four prefill engines out of nine are too many for long answers."""
         assert wanted_prompt_engines(PoolLoads(0.1, 0.4), 4, 5, MANY_ANSWERS) == 2
 
     def test_small_gain_changes_nothing(self) -> None:
-        """The present split stays unless a change pays."""
+        """The split stays unless a change lowers the load enough."""
         assert wanted_prompt_engines(PoolLoads(0.1, 0.2), 2, 4, MANY_ANSWERS) == 2
 
     def test_each_pool_keeps_two_engines(self) -> None:
-        """One that crashes must not be the last (found on a day with one reader left)."""
+        """A crash must not empty a pool, as it could in a run with one prefill engine left."""
         assert wanted_prompt_engines(PoolLoads(0.001, 1.0), 3, 3, MANY_ANSWERS) == 2
         assert wanted_prompt_engines(PoolLoads(1.0, 0.001), 3, 3, MANY_ANSWERS) == 4
 
     def test_few_answers_add_no_prefill_engine(self) -> None:
-        """The first answers to end are short ones, which makes writing look cheap."""
+        """The first answers to end are short ones, which makes decoding look cheap."""
         assert wanted_prompt_engines(PoolLoads(0.4, 0.1), 2, 7, 20) == 2
         assert wanted_prompt_engines(PoolLoads(0.4, 0.1), 2, 7, MANY_ANSWERS) == 5
 
     def test_one_change_moves_at_most_a_third_of_a_pool(self) -> None:
-        """What was measured may be wrong, and a pool that is left too small costs seconds."""
+        """The measurement may be wrong, and a pool that is left too small costs seconds."""
         assert wanted_prompt_engines(PoolLoads(0.037, 0.435), 6, 22, MANY_ANSWERS) == 6
         assert wanted_prompt_engines(PoolLoads(0.037, 0.435), 12, 16, MANY_ANSWERS) == 8
         assert wanted_prompt_engines(PoolLoads(1.0, 0.1), 3, 25, MANY_ANSWERS) == 12
 
     def test_empty_pool_is_filled(self) -> None:
-        """Without a reader, one is made."""
+        """Without a prefill engine, some engines get that role."""
         assert wanted_prompt_engines(PoolLoads(0.1, 0.4), 0, 6, MANY_ANSWERS) == 2
 
     @given(st.floats(0.01, 1.0), st.floats(0.01, 1.0), st.integers(0, 12), st.integers(0, 12))
     def test_choice_is_never_worse_than_the_present_split(
         self, prompt_s: float, answer_s: float, prompt_engines: int, decode_engines: int
     ) -> None:
-        """Compared with every other split, and with the present one."""
+        """The choice is compared with every other allowed split and with the present one."""
         loads = PoolLoads(prompt_s, answer_s)
         wanted = wanted_prompt_engines(loads, prompt_engines, decode_engines, MANY_ANSWERS)
         total = prompt_engines + decode_engines
@@ -67,10 +67,10 @@
 
 
 class TestWorkloadMeter:
-    """What requests take."""
+    """Measured work of requests."""
 
     def test_waiting_time_does_not_count_as_prefill_work(self) -> None:
-        """0.06 s fixed and 33 us a token, with waits before many: the work is near 33 us."""
+        """Prompts take 0.06 s, 33 us a token and often a wait: the work is near 33 us a token."""
         rng = random.Random(5)
         meter = WorkloadMeter()
         for _ in range(200):
@@ -82,11 +82,11 @@
         loads = meter.loads()
         assert loads is not None
         assert 0.09 < loads.prompt_s < 0.17
-        # A tenth of the memory, for 3 s of writing and some 0.3 s of reading before.
+        # A tenth of the memory, for 3 s of decoding and some 0.3 s of prefill before it.
         assert 0.31 < loads.answer_s < 0.35
 
     def test_cached_prompts_do_not_hide_the_work(self) -> None:
-        """A repeated prompt is found read; one in ten must not make reading look cheap."""
+        """A repeated prompt is cached; one in ten must not make prefill look cheap."""
         rng = random.Random(7)
         meter = WorkloadMeter()
         for number in range(200):
@@ -100,7 +100,7 @@
         assert loads.prompt_s > 0.09
 
     def test_short_prompt_that_waited_does_not_hide_the_work(self) -> None:
-        """The slope from it is flat; a part of the fastest reading counts all the same."""
+        """It flattens the slope over length; a part of the fastest prefill still counts as work."""
         meter = WorkloadMeter()
         for _ in range(20):
             meter.record_prompt(1500, 0.19)
@@ -114,7 +114,8 @@
     def test_stats_are_weighted_by_their_samples(self) -> None:
         """Forty requests of one instance weigh four times as much as ten of another.
 
-        What a token takes is that of the faster quarter: the other's readings waited.
+        The time of a token is that of the faster quarter, because the prefills of the other
+        instance waited.
         """
         many, few = WorkloadMeter(), WorkloadMeter()
         for meter, count, prompt_s, memory_share in ((many, 40, 0.1, 0.1), (few, 10, 0.6, 0.2)):
@@ -126,11 +127,11 @@
         loads = combined_loads([stats for stats in all_stats if stats is not None])
         assert loads is not None
         assert abs(loads.prompt_s - 0.1) < 1e-6
-        # Parts of 0.1 and 0.2 are 0.12 together, readings with their waits 0.2 s.
+        # Shares of 0.1 and 0.2 average 0.12, prefills of 0.1 and 0.6 s with their waits 0.2 s.
         assert abs(loads.answer_s - 0.12 * (0.2 + 3.0)) < 1e-6
 
     def test_stats_of_several_instances_suffice_together(self) -> None:
-        """None of five has seen enough by itself."""
+        """None of five instances has measured enough by itself."""
         all_stats = []
         for _ in range(5):
             meter = WorkloadMeter()
@@ -145,10 +146,11 @@
         assert combined_loads(all_stats) is not None
 
     def test_prefill_time_is_estimated_from_all_instances(self) -> None:
-        """Thirty instances with four readings each, of which two in three waited.
+        """Thirty instances have four prefills each, and two in three prefills waited.
 
-        Half of them hold a token for a fifth dearer than it is or worse, a quarter for half as dear
-        again. On a day of 68 instances the split that it needed was ordered after 11 s so.
+        By themselves, half of the instances estimate a token at 1.2 times its real time or more,
+        and a quarter at 1.5 times. Because of this, a run with 68 instances ordered the split that
+        it needed only after 11 s.
         """
         rng = random.Random(11)
         all_stats = []
@@ -172,7 +174,7 @@
         assert abs(loads.prompt_s / tokens - 33e-6) < 4e-6
 
     def test_instance_without_published_prefills_counts(self) -> None:
-        """One of an older version, in the middle of a roll, tells only its own sum."""
+        """An instance of an older version, during a rollout, publishes only its averages."""
         old, new = WorkloadMeter(), WorkloadMeter()
         for meter in (old, new):
             for _ in range(20):
@@ -189,7 +191,7 @@
         assert loads.prompt_s > 0.25
 
     def test_few_samples_give_no_loads(self) -> None:
-        """A few samples say nothing."""
+        """One sample of each kind is too little."""
         meter = WorkloadMeter()
         meter.record_prompt(3000, 0.2)
         meter.record_admission(0.1, 800)
@@ -206,11 +208,11 @@
             meter.record_answer(100, 0.4)
         loads = meter.loads()
         assert loads is not None
-        # 730 tokens on the average at 4 ms, and 0.2 s of reading.
+        # 730 tokens on average at 4 ms, and 0.2 s of prefill.
         assert abs(loads.answer_s - 0.1 * (730 * 0.004 + 0.2)) < 1e-6
 
     def test_expected_service_time_needs_some_answers(self) -> None:
-        """The reading and its tokens at the pace of the others; nothing before some have ended."""
+        """It is the prefill time plus the answer's tokens at the measured pace."""
         meter = WorkloadMeter()
         assert meter.expected_service_s(1000) is None
         for _ in range(5):
@@ -222,7 +224,7 @@
 
 
 def test_mean_first_event_time_needs_several_samples() -> None:
-    """A single one may have been lucky; then the mean of the newest counts."""
+    """A single sample may be an exception; with more, the mean of the newest ones counts."""
     meter = WorkloadMeter()
     meter.record_first_event(0.1)
     assert meter.mean_first_event_s is None
@@ -232,7 +234,7 @@
 
 
 def test_prefill_engines_keep_headroom() -> None:
-    """Of nineteen engines four would be loaded like those that write; a fifth reads."""
+    """Four prefill engines of nineteen would be loaded like the decode engines; five are kept."""
     loads = PoolLoads(prompt_s=0.118, answer_s=0.43)
     assert loads.prompt_s / 4 < loads.answer_s / 14 < loads.prompt_s / 3
     assert wanted_prompt_engines(loads, 7, 12, 1000) == 5
--- a/tests/test_unresponsive.py
+++ b/tests/test_unresponsive.py
@@ -1,4 +1,4 @@
-"""Tests of which instances are not worth a question."""
+"""Tests of which peer instances get no requests because they did not respond."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class TestUnresponsivePeers:
-    """Instances that left questions unanswered."""
+    """Peers that left requests without a response."""
 
     def test_peer_is_skipped_after_consecutive_misses(self) -> None:
-        """One datagram is lost now and then."""
+        """A single datagram may be lost, so one miss is not enough."""
         peers = UnresponsivePeers(2)
         peers.record_unresponsive("n", 10.0)
         assert not peers.is_skipped("n", 10.0)
@@ -20,7 +20,7 @@
         assert not peers.is_skipped("other", 10.1)
 
     def test_skip_time_doubles_up_to_a_maximum(self) -> None:
-        """Each question to one that is gone takes a tenth of a second."""
+        """Each request to a peer that is gone costs a tenth of a second."""
         peers = UnresponsivePeers(1)
         now, skip_times = 0.0, []
         for _ in range(7):
@@ -31,7 +31,7 @@
         assert skip_times == [1.0, 2.0, 4.0, 8.0, 16.0, MAX_SKIP_S, MAX_SKIP_S]
 
     def test_response_ends_the_skip(self) -> None:
-        """And count as if they had never been silent."""
+        """The peer counts as if it had never missed a request."""
         peers = UnresponsivePeers(2)
         for _ in range(3):
             peers.record_unresponsive("n", 1.0)
