--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -199,7 +199,7 @@
         assert meter.loads() is None
 
     def test_short_answers_do_not_make_decoding_look_cheap(self) -> None:
-        """Ten are let in, the three short ones have ended: the long ones count as well."""
+        """Of ten admitted requests, the three short ones have ended; the long ones count, too."""
         meter = WorkloadMeter()
         for tokens in (100, 100, 100, 1000, 1000, 1000, 1000, 1000, 1000, 1000):
             meter.record_admission(0.1, tokens)
