--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -1,4 +1,4 @@
-"""Instances that hand out requests to one server that names a limit, played."""
+"""Simulation of instances that send requests to one server with an advertised limit."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 from member_fleet import RESPONSE_TIMEOUT_S, MemberFleet, MemberNode
 
 SERVER = "s"
-# Seconds that the server takes for an answer.
+# Response time of the server, in seconds.
 RESPONSE_S = (0.02, 0.2)
-# Most seconds from a request's permit until it reaches the server: its prompt is read elsewhere.
-# One in five is that late; the others take milliseconds, and any may meet a slow connection.
+# Delay of a late request between its permit and its connection to the server, in seconds: another
+# engine processes its prompt first. One request in five is late; the others are sent at once, and
+# any may have a slow connection.
 LATE_SEND_S = PERMIT_TRANSIT_S
 LATE_SHARE = 0.2
 CONNECT_S = (0.001, 0.35)
@@ -27,7 +28,7 @@
 
 @dataclass(kw_only=True)
 class LimitNode(MemberNode):
-    """One life of an instance."""
+    """One incarnation of a simulated instance."""
 
     shared: SharedLimits
     stats: ServerStats = field(default_factory=ServerStats)
@@ -35,12 +36,12 @@
 
 @dataclass
 class Tally:
-    """What became of requests.
+    """Outcomes of requests.
 
     Attributes:
-        arrived: when each reached the server.
-        refused: how many were refused.
-        waits: seconds that those waited that were granted.
+        arrived: when each request reached the server.
+        refused: number of refused requests.
+        waits: seconds that the granted requests had to wait.
     """
 
     arrived: list[float] = field(default_factory=list)
@@ -49,12 +50,12 @@
 
 
 class LimitFleet(MemberFleet[LimitNode]):
-    """Plays instances before a server that names a limit, on a clock of its own.
+    """Simulates instances that send requests to one server, on a clock of its own.
 
     Args:
-        count: instances.
-        per_s: requests a second that the server takes; None for no limit.
-        seed: of delays and losses.
+        count: number of instances.
+        per_s: requests a second that the server advertises as its limit; None for no limit.
+        seed: seed of delays and losses.
         loss: share of datagrams that are lost.
         late: whether some requests reach the server long after their permit.
     """
@@ -80,7 +81,7 @@
             name=name, membership=membership, incarnation=self._incarnations, now=self.now
         )
         if self.per_s is not None:
-            # As the note of a life before, or of others, tells.
+            # As published in the record of an earlier incarnation, or of other instances.
             shared.advertised.record_limit(SERVER, self.per_s, self.now)
         node = LimitNode(name=name, membership=membership, shared=shared)
         self.at(self.now, lambda: self._schedule_lease_renewal(node))
@@ -89,7 +90,7 @@
     def _record_joined(self, node: LimitNode, name: str) -> None:
         node.shared.record_joined(name)
 
-    # Lending.
+    # Share leases.
 
     def _schedule_lease_renewal(self, node: LimitNode) -> None:
         wait_s = node.shared.renewal_interval_s * self._rng.uniform(0.8, 1.0)
@@ -204,7 +205,7 @@
         )
 
     def _use_permit(self, node: LimitNode, requested_at: float, until: float) -> None:
-        """Send a request, if its permit holds."""
+        """Send a request if its permit is still valid."""
         if self.now > until:
             return
         sent = self.now
@@ -232,5 +233,5 @@
         return most_in_window(moment for moment in self.tally.arrived if moment >= since)
 
     def arrived(self, since: float, until: float) -> int:
-        """Return how many requests reached the server in a time."""
+        """Return how many requests reached the server in a period."""
         return sum(since <= moment < until for moment in self.tally.arrived)
--- a/tests/member_fleet.py
+++ b/tests/member_fleet.py
@@ -1,4 +1,4 @@
-"""Instances that know each other by notes and datagrams, and what lies between them, played."""
+"""Simulation of instances that know each other by records in a store and by datagrams."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 from crankhinge.decisions import JOIN_ANNOUNCEMENT_INTERVAL_S, RECORD_LEASE_S, Membership
 
-# For tests that draw what befalls such a fleet. A case that fails is told as it was drawn; making
-# it smaller takes minutes.
+# For tests that draw random faults. A failing case is reported as it was drawn, because shrinking
+# it takes minutes.
 SIMULATION_SETTINGS = settings(
     max_examples=60,
     deadline=None,
@@ -31,7 +31,7 @@
 
 @dataclass
 class MemberNode:
-    """One life of an instance."""
+    """One incarnation of a simulated instance."""
 
     name: str
     membership: Membership
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class _Record:
-    """A note in the store."""
+    """An instance record in the simulated store."""
 
     lease_end: float
     is_ready: bool
@@ -54,11 +54,11 @@
 
 
 class MemberFleet(abc.ABC, Generic[NodeT]):
-    """Plays instances on a clock of its own.
+    """Simulates instances, their store and the datagrams between them on a clock of its own.
 
     Args:
-        count: instances.
-        seed: of delays and losses.
+        count: number of instances.
+        seed: seed of delays and losses.
         loss: share of datagrams that are lost.
     """
 
@@ -81,20 +81,20 @@
 
     @abc.abstractmethod
     def _make_node(self, name: str, membership: Membership) -> NodeT:
-        """Return a new life of an instance."""
+        """Return a new incarnation of an instance."""
 
     @abc.abstractmethod
     def _record_joined(self, node: NodeT, name: str) -> None:
-        """Have an instance note that another one has come."""
+        """Tell an instance's client of allocators that another instance has joined."""
 
-    # The clock.
+    # Clock.
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Have something done at a time."""
+        """Schedule an action."""
         heapq.heappush(self._events, (when, next(self._event_numbers), action))
 
     def run(self, until: float) -> None:
-        """Let the time pass."""
+        """Run all actions that are due until a time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
@@ -103,7 +103,7 @@
     # Instances.
 
     def start(self, names: Iterable[str] | None = None) -> None:
-        """Start instances; a life before is forgotten."""
+        """Start instances; a restarted instance remembers nothing."""
         for name in names or self.names:
             node = self._make_node(name, Membership(name, self.now))
             self.nodes[name] = node
@@ -117,17 +117,17 @@
         self.nodes.pop(name, None)
 
     def freeze(self, name: str) -> None:
-        """Have an instance stand still; what comes meanwhile waits."""
+        """Freeze an instance; its actions and messages wait until it continues."""
         self.frozen.add(name)
 
     def thaw(self, name: str) -> None:
-        """Let an instance go on."""
+        """Let a frozen instance continue."""
         self.frozen.discard(name)
         for action in self._held_actions.pop(name, []):
             action()
 
     def cut(self, one: str, other: str) -> None:
-        """Cut two instances off from each other, or one from the store."""
+        """Cut the connection between two instances, or between an instance and the store."""
         self.cuts.add(frozenset((one, other)))
 
     def heal(self, one: str, other: str) -> None:
@@ -135,7 +135,7 @@
         self.cuts.discard(frozenset((one, other)))
 
     def _schedule(self, node: NodeT, delay: float, action: Callable[[], None]) -> None:
-        """Have something done by an instance, if it lives then and once it goes on."""
+        """Schedule an action of one incarnation: delayed while frozen, dropped once it ended."""
 
         def run() -> None:
             if self.nodes.get(node.name) is not node:
@@ -147,12 +147,12 @@
 
         self.at(self.now + delay, run)
 
-    # The store.
+    # Store.
 
     def _call_store(
         self, node: NodeT, done: Callable[[Any, float], None], operation: Callable[[], Any]
     ) -> None:
-        """Have the store do something, and an instance take its answer with when it asked."""
+        """Run an operation at the store, and pass its result and the call time to *done*."""
         sent_at = self.now
         if frozenset((node.name, "store")) in self.cuts:
             self._schedule(node, 1.0, lambda: self._renew_lease(node))
@@ -239,7 +239,7 @@
         self._schedule(node, wait_s, lambda: self._read_records(node))
 
     def _save_records(self) -> None:
-        """Remember which notes there are, for stale reads."""
+        """Save which records there are, for stale reads."""
         self._record_history.append((self.now, self._live_addresses()))
         self.at(self.now + 0.1, self._save_records)
 
@@ -278,7 +278,7 @@
 def schedule_fault(
     fleet: MemberFleet[Any], kind: str, at: float, duration_s: float, one: str, other: str
 ) -> None:
-    """Have a trouble begin and end."""
+    """Schedule the start and the end of a fault."""
     others = [name for name in fleet.names if name != one]
     peers = {"cut": [other], "alone": [*others, "store"], "store": ["store"]}.get(kind, [])
     for peer in peers:
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -1,4 +1,4 @@
-"""Instances that hand out an account's tokens, played."""
+"""Simulation of instances that allocate the tokens of an account."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class CompletedRequest:
-    """A request that ran: when its caller sent it, when it got its tokens, how many."""
+    """A request that got its tokens: when it was sent, when they were granted, and how many."""
 
     sent_at: float
     granted_at: float
@@ -29,7 +29,7 @@
 
 @dataclass(kw_only=True)
 class QuotaNode(MemberNode):
-    """One life of an instance."""
+    """One incarnation of a simulated instance."""
 
     allocator: QuotaAllocator
     client: QuotaClient
@@ -37,13 +37,13 @@
 
 
 class QuotaFleet(MemberFleet[QuotaNode]):
-    """Plays instances on a clock of its own.
+    """Simulates instances that allocate the tokens of an account, on a clock of its own.
 
     Args:
-        count: instances.
-        account: whose tokens are asked for.
-        bounds: what the operators allow.
-        seed: of delays and losses.
+        count: number of instances.
+        account: account of all requests.
+        bounds: what the operators allow beyond the account's limit.
+        seed: seed of delays and losses.
         loss: share of datagrams that are lost.
     """
 
@@ -132,7 +132,7 @@
             self.refused += 1
 
     def max_tokens_in_window(self) -> float:
-        """Return the most tokens that were sent and ran in one window."""
+        """Return the most tokens of requests that were sent and granted within one window."""
         window_s = self.bounds.window_s
         return max(
             (
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Tests of limits that hold over all instances together."""
+"""Tests of account limits that hold over all instances together."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 LIMIT = TokenLimit(1000.0, 1000.0)
 ACCOUNT = Account("red", limit=LIMIT)
 BOUNDS = QuotaBounds(window_s=8.0, overrun=0.1, slack=3000.0)
-# Nothing beyond rate and burst: whatever is handed out twice shows.
+# Allows nothing beyond rate and burst, so that tokens allocated twice exceed the limit.
 STRICT_BOUNDS = QuotaBounds(window_s=8.0)
 INSTANCES = 5
 RUN_S = 40.0
@@ -28,40 +28,40 @@
 
 
 class TestPools:
-    """What is handed out by whom."""
+    """How the allowed tokens are divided between the instances."""
 
     @given(limits, bounds, st.integers(1, 1000))
     def test_pools_stay_within_the_allowed_total(
         self, limit: TokenLimit, bounds: QuotaBounds, instances: int
     ) -> None:
-        """By the first, the second and every instance to itself."""
+        """The main, the standby and all local pools together stay within the allowed use."""
         pools = bounds.pools(limit, instances)
         each = [pools.main, pools.standby, *([pools.local] * instances)]
         total = sum(pool.per_s * bounds.window_s + pool.burst for pool in each)
         assert total <= bounds.allowed_in_window(limit) * 1.000001
 
     def test_main_pool_has_the_full_rate_where_there_is_slack(self) -> None:
-        """Below its limit nobody is refused."""
+        """No request within the account's limit is refused."""
         assert BOUNDS.pools(LIMIT, 31).main == LIMIT
 
 
 class TestTokenBucket:
-    """One account's tokens at the instance that hands them out."""
+    """An account's tokens at the instance that allocates them."""
 
     def test_bucket_starts_empty(self) -> None:
-        """Nobody knows what an instance handed out in a life before."""
+        """What an earlier incarnation of the instance allocated is not known."""
         bucket = TokenBucket(10.0)
         assert bucket.take(100.0, LIMIT, 10.0) > 0.0
         assert bucket.take(100.0, LIMIT, 10.2) == 0.0
 
     def test_refused_requests_get_consecutive_retry_times(self) -> None:
-        """One caller after the other: each comes back to its own."""
+        """Each refused request is told to retry when its own tokens are there."""
         bucket = TokenBucket(0.0)
         assert bucket.take(1000.0, LIMIT, 5.0) == 0.0
         assert [round(bucket.take(500.0, LIMIT, 5.0), 3) for _ in range(3)] == [0.5, 1.0, 1.5]
 
     def test_full_bucket_admits_request_larger_than_its_burst(self) -> None:
-        """It owes the rest; else no such request would ever run."""
+        """The bucket goes into debt; otherwise such a request would never run."""
         bucket = TokenBucket(0.0)
         assert bucket.take(1500.0, LIMIT, 5.0) == 0.0
         assert bucket.take(100.0, LIMIT, 5.4) > 0.0
@@ -71,7 +71,7 @@
 def send_evenly(
     fleet: QuotaFleet, *, per_s: float, tokens: int, until: float, begin: float = 4.0
 ) -> None:
-    """Have callers send requests to all instances in turn, evenly."""
+    """Have callers send requests evenly to all instances in turn."""
     number, when = 0, begin
     while when < until:
         name = fleet.names[number % len(fleet.names)]
@@ -80,10 +80,10 @@
 
 
 class TestBelowTheLimit:
-    """Callers of an account that asks for less than it may."""
+    """Callers request less than the account's limit."""
 
     def test_requests_are_not_refused(self) -> None:
-        """An equal share for each of 31 instances is less than one request in ten seconds."""
+        """An equal share for each of 31 instances would be less than one request in ten seconds."""
         account = Account("red", limit=TokenLimit(10_000.0, 10_000.0))
         fleet = QuotaFleet(31, account, dataclasses.replace(BOUNDS, slack=14e4))
         fleet.start()
@@ -93,7 +93,7 @@
         assert len(fleet.completed) == 62
 
     def test_few_requests_are_refused_when_the_allocator_dies(self) -> None:
-        """The second hands out a part of what is allowed beyond the rate, a ninth of it here."""
+        """The standby allocates a part of what is allowed beyond the rate, here a ninth of it."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         send_evenly(fleet, per_s=100.0, tokens=100, until=RUN_S)
@@ -101,12 +101,12 @@
         first = next(iter(fleet.nodes.values())).membership.rank_instances("red")[0]
         fleet.kill(first)
         fleet.run(RUN_S + 1)
-        # The dead instance's own callers find another one.
+        # Callers of the dead instance connect to another one.
         total = sum(1 for request in fleet.completed) + fleet.refused + fleet.unallocated
         assert fleet.refused + fleet.unallocated <= 0.03 * total
 
     def test_requests_are_granted_soon_after_the_allocator_is_gone(self) -> None:
-        """Its note outlives it by seconds; the second acts in its place then."""
+        """Its record outlives it by seconds; then the standby becomes the allocator."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(8.0)
@@ -118,7 +118,7 @@
         assert (fleet.refused, fleet.unallocated) == (0, 0)
 
     def test_restarted_instance_may_coordinate_at_once(self) -> None:
-        """All others have answered its greeting."""
+        """All other instances have acknowledged its join."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(10.0)
@@ -131,10 +131,10 @@
 
 
 class TestTotalLoss:
-    """All instances are killed at once, and one of them never comes back."""
+    """All instances are killed at once, and one of them never starts again."""
 
     def test_other_instances_may_coordinate_at_once(self) -> None:
-        """Nobody waits for the answer of the one that is gone, whose note outlives it."""
+        """They need no acknowledgement of the lost instance, whose record outlives it."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(10.0)
@@ -147,10 +147,10 @@
 
 
 class TestAboveTheLimit:
-    """Callers of an account that asks for many times what it may."""
+    """Callers request many times the account's limit."""
 
     def test_account_gets_its_full_limit(self) -> None:
-        """No less than nine tenths of its rate, and no more than the window allows."""
+        """It gets at least nine tenths of its rate, and no more than the window allows."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         send_evenly(fleet, per_s=6_000.0, tokens=100, until=RUN_S)
@@ -160,7 +160,7 @@
         assert fleet.max_tokens_in_window() <= LIMIT.per_s * BOUNDS.window_s + LIMIT.burst
 
     def test_separate_bucket_per_instance_exceeds_the_limit(self) -> None:
-        """The check sees a limit that every instance keeps for itself alone."""
+        """The check detects a fleet in which each instance enforces the limit for itself only."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         for node in fleet.nodes.values():
@@ -182,7 +182,7 @@
 
 
 class TestLimitIsNeverExceeded:
-    """The sum over all instances, in any window, whatever happens between them."""
+    """The use over all instances, in any window, under any faults between them."""
 
     @SIMULATION_SETTINGS
     @given(
@@ -198,7 +198,7 @@
         loss: float,
         bounds_and_tokens: tuple[QuotaBounds, int],
     ) -> None:
-        """Callers ask for six times the limit all the time."""
+        """Callers request six times the limit all the time."""
         bounds, tokens = bounds_and_tokens
         fleet = QuotaFleet(INSTANCES, ACCOUNT, bounds, seed=seed, loss=loss)
         fleet.start()
@@ -209,7 +209,7 @@
         assert fleet.max_tokens_in_window() <= bounds.allowed_in_window(LIMIT)
 
     def test_limit_holds_under_repeated_restarts(self) -> None:
-        """What was handed out in a life before is not known: its bucket begins empty."""
+        """What an earlier incarnation allocated is not known, so its bucket starts empty."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, STRICT_BOUNDS)
         fleet.start()
         for second in range(10, int(RUN_S), 3):
@@ -222,14 +222,14 @@
 
 
 class TestComparedWithEqualShares:
-    """Handing out by one instance beside an equal share for each, callers below the limit.
+    """Allocation by one instance compared with an equal share for each, below the limit.
 
-    Each way is played with the same requests; `pytest -rP -k Compared` prints the figures.
+    Both get the same requests; `pytest -rP -k Compared` prints the figures.
     """
 
     @pytest.mark.parametrize("instances", [31, 68, 300])
     def test_equal_shares_refuse_below_the_limit(self, instances: int) -> None:
-        """One request is more than a share saves up; handing out refuses none."""
+        """A share saves up less than one request; allocation by one instance refuses none."""
         account = Account("red", limit=TokenLimit(90_000.0, 90_000.0))
         bounds = QuotaBounds(window_s=8.0, overrun=0.1, slack=140_000.0)
         fleet = QuotaFleet(instances, account, bounds)
@@ -262,7 +262,7 @@
     until: float,
     tokens: int,
 ) -> int:
-    """Return how many requests are refused where each instance has the same part of all."""
+    """Return how many requests are refused where each instance has an equal share of the limit."""
     assert account.limit is not None
     allowed = bounds.allowed_in_window(account.limit) / instances
     per_s = account.limit.per_s / instances
@@ -271,7 +271,7 @@
     rng = random.Random(1)
     when, refused = begin, 0
     while when < until:
-        # A caller's connection is to one instance, so what comes to each is not even.
+        # Each caller keeps its connection to one instance, so the instances get uneven loads.
         bucket = buckets[min(rng.randrange(instances), rng.randrange(instances))]
         refused += bucket.take(tokens, share, when) > 0.0
         when += tokens / 60_000.0
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""Tests of servers' limits that hold over all instances together."""
+"""Tests of the advertised limits of servers, which hold over all instances together."""
 
 from __future__ import annotations
 
@@ -30,22 +30,22 @@
 from member_fleet import SIMULATION_SETTINGS, schedule_fault
 
 RUN_S = 40.0
-# Seconds after which all instances know and have lent to each other: each has read the notes, and
-# waited until what a life before it lent has ended.
+# Seconds after which all instances know each other and have leased out their shares: each has read
+# the records, and waited until the leases of an earlier incarnation have ended.
 READY_S = 12.0
 PER_S = 4.2
 NAMES = ("here", "there", "n1", "n2", "n3")
 
 
 def ready_s(instances: int) -> float:
-    """Return when a fleet of so many has begun, in seconds."""
+    """Return the seconds after which a fleet of this size is ready."""
     return READY_S + 0.12 * instances
 
 
 def send_evenly(
     fleet: LimitFleet, *, per_s: float, begin: float, until: float, within_s: float = 0.0
 ) -> None:
-    """Have callers send requests to all instances in turn, evenly."""
+    """Have callers send requests evenly to all instances in turn."""
     number, when = 0, begin
     while when < until:
         name = fleet.names[number % len(fleet.names)]
@@ -61,7 +61,7 @@
     duration_s: float = 20.0,
     **options: float,
 ) -> tuple[LimitFleet, float]:
-    """Return a fleet whose callers asked for some time, and when they began."""
+    """Return a fleet that callers sent requests to for some time, and when they began."""
     fleet = LimitFleet(instances, per_s)
     fleet.start()
     begin = ready_s(instances)
@@ -71,16 +71,16 @@
 
 
 class LoneMembership(Membership):
-    """Instances that count themselves alone."""
+    """Membership of an instance that counts only itself."""
 
     @property
     def fleet_size(self) -> int:
-        """One."""
+        """Number of instances: one."""
         return 1
 
 
 class TestAboveTheLimit:
-    """Callers ask for many times what the server takes."""
+    """Callers request many times the server's limit."""
 
     @pytest.mark.parametrize(
         ("instances", "per_s"),
@@ -90,7 +90,7 @@
         ],
     )
     def test_server_gets_its_full_limit(self, instances: int, per_s: float) -> None:
-        """Nine tenths of it at least, and never more than is allowed."""
+        """It gets at least nine tenths of its limit, and never more than is allowed."""
         duration_s = max(20.0, 8 / per_s)
         fleet, begin = run_fleet(instances, per_s, requests_per_s=5 * per_s, duration_s=duration_s)
         assert fleet.arrived(begin, begin + duration_s) >= 0.9 * per_s * duration_s - 1
@@ -98,13 +98,13 @@
 
     @pytest.mark.parametrize("per_s", [0.0, 0.1])
     def test_server_with_tiny_limit_gets_an_occasional_request(self, per_s: float) -> None:
-        """Nothing else would tell that its need has ended."""
+        """Only a response of the server can show that its limit has ended."""
         fleet, begin = run_fleet(5, per_s, requests_per_s=5.0, duration_s=40.0)
         assert 8 <= fleet.arrived(begin, begin + 40.0) <= 11
         assert fleet.max_requests_in_window() <= allowed(per_s)
 
     def test_permits_are_granted_for_a_later_time_within_the_allowed_wait(self) -> None:
-        """A request that may be sent soon is told when; one that may not is refused at once."""
+        """A request that may wait so long is told when to be sent; any other is refused at once."""
         fleet, begin = run_fleet(5, 10.0, requests_per_s=20.0, within_s=0.5)
         assert max(fleet.tally.waits) <= 0.5
         assert fleet.tally.refused >= 100
@@ -113,21 +113,21 @@
 
 
 class TestBelowTheLimit:
-    """Callers ask for less than the server takes."""
+    """Callers request less than the server's limit."""
 
     @pytest.mark.parametrize("instances", [3, 31, 68])
     def test_few_requests_are_refused(self, instances: int) -> None:
-        """Each with an equal share would be less than one request in seven seconds."""
+        """An equal share for each instance would be less than one request in seven seconds."""
         fleet, _ = run_fleet(instances, PER_S, requests_per_s=0.8 * PER_S)
         total = len(fleet.tally.arrived) + fleet.tally.refused
         assert fleet.tally.refused <= 0.05 * total
 
 
 class TestPartitions:
-    """Instances that can't reach each other, or the store."""
+    """Instances that cannot reach each other, or the store."""
 
     def test_each_half_allocates_the_shares_of_its_own_instances(self) -> None:
-        """Together no more than the server takes, and most of that."""
+        """Together the halves send most of what the server accepts, and no more."""
         fleet = LimitFleet(6, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -140,7 +140,7 @@
         assert fleet.arrived(READY_S + 5.0, READY_S + 30.0) >= 0.75 * PER_S * 25.0
 
     def test_isolated_instance_uses_its_local_share(self) -> None:
-        """A fifth of what the server takes."""
+        """It sends a fifth of what the server accepts."""
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -152,7 +152,7 @@
         assert 0.7 * PER_S / 5 * 35.0 <= arrived <= 1.1 * PER_S / 5 * 35.0 + 2
 
     def test_isolated_instances_of_a_large_fleet_stay_within_the_limit(self) -> None:
-        """Thirty-one requests at once, one of each, would be too many."""
+        """One request of each of 31 instances at once would exceed the limit."""
         fleet = LimitFleet(31, PER_S)
         fleet.start()
         fleet.run(ready_s(31))
@@ -166,7 +166,7 @@
         assert fleet.arrived(begin, begin + 1.0) <= allowed(PER_S)
 
     def test_permits_are_granted_while_the_store_is_unreachable(self) -> None:
-        """Nothing is asked of it."""
+        """Permits and share leases need no call to the store."""
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -178,7 +178,7 @@
         assert fleet.max_requests_in_window() <= allowed(PER_S)
 
     def test_standby_allocates_after_the_allocator_died(self) -> None:
-        """The second hands out as soon as nobody answers for the first."""
+        """The second allocator grants permits as soon as the first is unresponsive."""
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -187,14 +187,14 @@
         fleet.names.remove(first)
         send_evenly(fleet, per_s=20.0, begin=READY_S, until=READY_S + 20.0)
         fleet.run(READY_S + 20.0)
-        # The share of the one that died is nobody's for two minutes.
+        # The share of the dead instance stays unused for two minutes.
         assert fleet.arrived(READY_S + 4.0, READY_S + 20.0) >= 0.9 * 0.8 * PER_S * 16.0
 
 
 def make_shared_limits(
     name: str = "here", *, now: float = 0.0, incarnation: int = 1
 ) -> SharedLimits:
-    """Return an instance that knows five, all of which it has read of at *now*."""
+    """Return the limits of an instance that has read the records of five instances at *now*."""
     membership = Membership(name, now)
     membership.set_lease_end(math.inf)
     membership.join({each: f"{each}:1" for each in NAMES}, now, resumed=True)
@@ -204,27 +204,31 @@
 
 
 class TestShareLeases:
-    """Shares that were lent are used by nobody else meanwhile."""
+    """A share that is leased out is used by no other instance during the lease."""
 
     def test_lease_is_timed_by_the_borrowers_clock(self) -> None:
-        """The lender echoes the latest moment of it that it has seen."""
+        """The lender returns the latest time of that clock that it has received."""
         borrower = make_shared_limits()
         lease = ShareLease(borrower.stamp(10.0), duration_s=2.4, fleet_size=5)
         borrower.accept_lease(SERVER, "there", lease, 11.0)
         assert borrower.leased_fraction(SERVER) == 1 / 5
         borrower.take_permit(SERVER, 0.0, 12.5)
-        assert borrower.leased_fraction(SERVER) == 1 / 5  # Its own; the other's is over.
+        assert borrower.leased_fraction(SERVER) == 1 / 5  # Its local share; the lease has ended.
 
     @pytest.mark.parametrize("moment", [(2, 10.0), (1, 30.0), (1, 12.0)])
     def test_lease_with_invalid_or_old_stamp_is_ignored(self, moment: tuple[int, float]) -> None:
-        """A word that lay unread for seconds comes when its lender has lent elsewhere."""
+        """The stamp is of another incarnation or from the future, or its lease has ended.
+
+        A lease message that was delayed by seconds arrives when its lender may have leased the
+        share to another instance.
+        """
         borrower = make_shared_limits()
         lease = ShareLease(ClockStamp(*moment), duration_s=2.4, fleet_size=5)
         borrower.accept_lease(SERVER, "there", lease, 20.0)
         assert borrower.leased_fraction(SERVER) == 0.0
 
     def test_share_is_leased_to_one_instance_at_a_time(self) -> None:
-        """Neither another instance nor the lender itself has the share before it is over."""
+        """Neither another instance nor the lender itself may use the share during the lease."""
         lender = make_shared_limits()
         for borrower in ("n1", "n2"):
             lender.record_response(borrower, ClockStamp(7, 1.0))
@@ -236,7 +240,7 @@
         assert lender.lease_out(SERVER, "n2", 13.5) is not None
 
     def test_leases_start_after_those_of_the_earlier_incarnation(self) -> None:
-        """Nobody knows to whom it lent."""
+        """It is not known to which instance the earlier incarnation leased its share."""
         lender = make_shared_limits(now=100.0)
         lender.record_response("n1", ClockStamp(7, 1.0))
         assert lender.lease_out(SERVER, "n1", 102.3) is None
@@ -245,18 +249,18 @@
         assert lender.lease_out(SERVER, "n1", 102.5) is not None
 
     def test_lease_needs_a_stamp(self) -> None:
-        """Whoever has not answered yet has told no moment of its clock."""
+        """An instance that has not responded yet has sent no time of its clock."""
         assert make_shared_limits().lease_out(SERVER, "n1", 10.0) is None
 
     def test_no_lease_after_the_records_are_too_old(self) -> None:
-        """Others that see it gone have larger shares by then."""
+        """Other instances that read of its end use larger shares by then."""
         lender = make_shared_limits()
         lender.record_response("n1", ClockStamp(7, 1.0))
         assert lender.lease_out(SERVER, "n1", FLEET_RETENTION_S - MAX_STALE_READ_S) is not None
         assert lender.lease_out(SERVER, "n1", FLEET_RETENTION_S) is None
 
     def test_lost_instance_is_counted_while_it_may_use_its_share(self) -> None:
-        """An instance that the store lost sight of is counted for two minutes."""
+        """An instance whose record has ended is counted for two minutes; shares stay small."""
         membership = Membership("here", 0.0)
         membership.apply_records({each: f"{each}:1" for each in NAMES}, 0.0)
         membership.apply_records({"here": "here:1"}, 100.0)
@@ -266,17 +270,17 @@
 
 
 class TestPermitPool:
-    """What one instance hands out for one server."""
+    """The permits that one instance grants for one server."""
 
     def test_pool_starts_empty(self) -> None:
-        """Nobody knows what was sent before."""
+        """What was sent before is not known."""
         pool = PermitPool(PER_S, 0.0)
         pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
         assert not pool.take_permit(0.0, 1, 0.0).granted
         assert pool.take_permit(0.0, 1, 1 / PER_S).granted
 
     def test_returned_permit_can_be_granted_again(self) -> None:
-        """Up to what may be sent at once."""
+        """Returned permits are available again, up to the burst limit."""
         pool = PermitPool(PER_S, 0.0)
         pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
         assert pool.take_permit(0.0, 1, 1 / PER_S).granted
@@ -288,7 +292,7 @@
     def test_pools_together_stay_within_the_allowed_total(
         self, per_s: float, weights: list[float]
     ) -> None:
-        """In a window's time, and as long before it as a request may be late."""
+        """Counted in a window, and in the time before it by which a request may be late."""
         total = sum(weights) or 1.0
         fractions = [weight / total for weight in weights]
         rate = max(per_s, MIN_RATE_PER_S)
@@ -300,10 +304,10 @@
 
 
 class TestFleet:
-    """Shares of a played fleet."""
+    """Share leases in a simulated fleet."""
 
     def test_delayed_lease_message_is_ignored(self) -> None:
-        """Whoever stood still reads it when its lender has lent elsewhere."""
+        """A frozen instance reads the message when its lender has leased the share elsewhere."""
         fleet = LimitFleet(5, 40.0)
         fleet.start()
         fleet.run(READY_S)
@@ -314,7 +318,7 @@
         assert fleet.max_requests_in_window() <= allowed(40.0)
 
     def test_separate_bucket_per_instance_exceeds_the_limit(self) -> None:
-        """The check sees a limit that every instance keeps for itself alone."""
+        """The check detects a fleet in which each instance enforces the limit for itself only."""
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         for node in fleet.nodes.values():
@@ -336,7 +340,7 @@
 
 
 class TestLimitIsNeverExceeded:
-    """The sum over all instances, in any window, whatever happens between them."""
+    """The requests of all instances, in any window, under any faults between them."""
 
     @SIMULATION_SETTINGS
     @given(
@@ -356,7 +360,7 @@
         per_s: float,
         within_s: float,
     ) -> None:
-        """Callers ask for many times the limit all the time."""
+        """Callers request many times the limit all the time."""
         fleet = LimitFleet(instances, per_s, seed=seed, loss=loss, late=True)
         fleet.start()
         for kind, at, duration_s, one, other in faults:
@@ -369,7 +373,7 @@
 
     @pytest.mark.parametrize("instances", [68, 300])
     def test_limit_holds_in_large_fleets(self, instances: int) -> None:
-        """A third are cut off from the rest, a tenth stand still, a tenth start again."""
+        """A third of the instances are cut off from the rest, a tenth freeze, a tenth restart."""
         fleet = LimitFleet(instances, PER_S, loss=0.03, late=True)
         fleet.start()
         begin = ready_s(instances)
@@ -389,14 +393,14 @@
 
 
 class TestComparedWithEqualShares:
-    """Shares that are lent to one instance beside shares that each uses alone.
+    """Shares leased to one instance compared with shares that each instance uses alone.
 
-    Each way is played with the same requests; `pytest -rP -k Compared` prints the figures.
+    Both get the same requests; `pytest -rP -k Compared` prints the figures.
     """
 
     @pytest.mark.parametrize("instances", [5, 31, 68])
     def test_equal_shares_exceed_the_limit_in_large_fleets(self, instances: int) -> None:
-        """Callers of all instances ask at once every ten seconds, and evenly between."""
+        """Callers of all instances send at once every ten seconds, and evenly between."""
         fleet = LimitFleet(instances, PER_S)
         fleet.start()
         begin, duration_s = ready_s(instances), 40.0
@@ -426,7 +430,7 @@
 
 
 def times_sent_by_equal_shares(instances: int, moments: list[tuple[float, int]]) -> list[float]:
-    """Return when requests are sent where each instance sends its own part alone, one at once."""
+    """Return when requests are sent if each instance uses its share alone, with a burst of one."""
     buckets = [TokenBucket(0.0) for _ in range(instances)]
     share = TokenLimit(PER_S / instances, 1.0)
     return [at for at, number in moments if not buckets[number].take(1.0, share, at)]
