--- a/tests/test_advertised_limits.py
+++ b/tests/test_advertised_limits.py
@@ -36,7 +36,7 @@
         assert (limit.per_s, limit.received_at) == (3.0, 12.0)
 
     def test_response_without_limit_ends_it_if_requested_later(self) -> None:
-        """A request that was sent earlier may have been answered before the limit began."""
+        """A request sent before the limit was received may have been answered before it began."""
         limits = limits_with(4.0, 10.0)
         assert not limits.record_no_limit(SERVER, 9.9)
         assert not limits.record_no_limit(SERVER, 10.0)
--- a/tests/test_congestion.py
+++ b/tests/test_congestion.py
@@ -70,7 +70,7 @@
         assert congestion.may_send(3.0, late=True)
 
     def test_slow_service_is_not_congested(self) -> None:
-        """Its responses are late at any load, and a late response is worth more than none."""
+        """The service is late at any load, and a late response is worth more than none."""
         assert record_responses(*[0.5] * 40).window is None
 
     @given(st.lists(st.tuples(st.floats(0.001, 5), st.booleans()), max_size=80))
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -307,7 +307,7 @@
         assert simulation.permitted[key] == [1]
 
     def test_restart_of_both_replicas(self) -> None:
-        """After both restart, keys created before are refused and new keys are permitted."""
+        """Keys created before the restarts are refused, and new keys are permitted."""
         simulation = paired_simulation()
         key = make_key(simulation.wall_ms)
         simulation.request_permit("a", key, 1)
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -37,7 +37,7 @@
         assert forecast_with((4000, 1.0), (4000, 2.0)).free_in_s(16000, 0.0) == pytest.approx(4.0)
 
     def test_overdue_answer_is_not_expected_to_end_at_once(self) -> None:
-        """Its length was underestimated, by an unknown amount."""
+        """The length of an overdue answer was underestimated, by an unknown amount."""
         assert forecast_with((1000, 2.0)).free_in_s(500, 5.0) == pytest.approx(2.0 * OVERDUE_SHARE)
 
     def test_nothing_is_predicted_without_answers(self) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -35,7 +35,7 @@
         assert membership.may_coordinate(17.0)
 
     def test_may_coordinate_once_unreachable_instance_has_read_its_record(self) -> None:
-        """By then the unreachable instance has read the record or no longer coordinates."""
+        """The unreachable instance has read the record by then, or no longer coordinates."""
         membership = make_joined()
         for now in (13.0, 16.0, 19.0, 22.0):
             membership.apply_records(ADDRESSES, now)
--- a/tests/test_quarantine_decisions.py
+++ b/tests/test_quarantine_decisions.py
@@ -84,7 +84,7 @@
             )
 
     def test_crash_beyond_the_tracked_ones_renews_the_quarantine(self) -> None:
-        """Otherwise a trial would follow every few seconds."""
+        """Without a longer quarantine, a trial would follow every few seconds."""
         quarantine = quarantined_request()
         for number in range(MAX_CRASHES, 3 * MAX_CRASHED_SERVERS):
             quarantine.begin_trial(REQUEST, 0.0)
@@ -109,7 +109,7 @@
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S + TRIAL_S) == 0.0
 
     def test_completed_request_ends_the_quarantine(self) -> None:
-        """Its crashes are forgotten, and the count starts from zero."""
+        """The crashes are forgotten, and the count starts from zero."""
         quarantine = quarantined_request()
         assert quarantine.record_completed(REQUEST, FIRST_QUARANTINE_S) == MAX_CRASHES
         assert not quarantine.is_quarantined(REQUEST)
@@ -128,7 +128,7 @@
         assert quarantine.refusal_left_s(REQUEST, 0.0) == 7.0
 
     def test_update_cannot_prolong_beyond_the_time_for_its_crashes(self) -> None:
-        """This bounds the effect of a false message."""
+        """The bound limits the effect of a false message."""
         quarantine = Quarantine()
         quarantine.apply_update(QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), 1e9), 0.0)
         assert quarantine.refusal_left_s(REQUEST, 0.0) == FIRST_QUARANTINE_S
@@ -143,7 +143,7 @@
         assert quarantine.refusal_left_s(REQUEST, 30.0) == 0.0
 
     def test_record_from_before_a_completed_request_is_ignored(self) -> None:
-        """It is ignored until the record has surely been written again."""
+        """The record is ignored until it has surely been written again."""
         quarantine = quarantined_request()
         published = quarantine.to_instance_record()
         quarantine.record_completed(REQUEST, 20.0)
@@ -154,7 +154,7 @@
         )
 
     def test_only_the_counting_instance_publishes_a_quarantine(self) -> None:
-        """Otherwise instances would copy it from each other's records, and it would never end."""
+        """Copies of each other's records would never let the quarantine end."""
         quarantine = Quarantine()
         list(
             quarantine.apply_instance_record(
@@ -220,7 +220,7 @@
         assert sent <= 64 * KEEPERS
 
     def test_quarantine_is_sent_to_each_instance_once(self) -> None:
-        """This instance sends it, because it counted all three crashes."""
+        """The instance that counted all three crashes sends the quarantine."""
         sent = self._count_datagrams(300, requests=1, crashes=MAX_CRASHES)
         assert sent <= MAX_CRASHES * KEEPERS + 299
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -49,7 +49,7 @@
     """An account's tokens at the instance that allocates them."""
 
     def test_bucket_starts_empty(self) -> None:
-        """What an earlier incarnation of the instance allocated is not known."""
+        """The tokens that an earlier incarnation of the instance allocated are not known."""
         bucket = TokenBucket(10.0)
         assert bucket.take(100.0, LIMIT, 10.0) > 0.0
         assert bucket.take(100.0, LIMIT, 10.2) == 0.0
@@ -106,7 +106,7 @@
         assert fleet.refused + fleet.unallocated <= 0.03 * total
 
     def test_requests_are_granted_soon_after_the_allocator_is_gone(self) -> None:
-        """Its record outlives it by seconds; then the standby becomes the allocator."""
+        """The allocator's record outlives it by seconds; then the standby becomes the allocator."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(8.0)
@@ -134,7 +134,7 @@
     """All instances are killed at once, and one of them never starts again."""
 
     def test_other_instances_may_coordinate_at_once(self) -> None:
-        """They need no acknowledgement of the lost instance, whose record outlives it."""
+        """The others need no acknowledgement of the lost instance, whose record outlives it."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(10.0)
@@ -150,7 +150,7 @@
     """Callers request many times the account's limit."""
 
     def test_account_gets_its_full_limit(self) -> None:
-        """It gets at least nine tenths of its rate, and no more than the window allows."""
+        """The account gets at least nine tenths of its rate, and no more than the window allows."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         send_evenly(fleet, per_s=6_000.0, tokens=100, until=RUN_S)
@@ -209,7 +209,7 @@
         assert fleet.max_tokens_in_window() <= bounds.allowed_in_window(LIMIT)
 
     def test_limit_holds_under_repeated_restarts(self) -> None:
-        """What an earlier incarnation allocated is not known, so its bucket starts empty."""
+        """Tokens that an earlier incarnation allocated are not known, so buckets start empty."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, STRICT_BOUNDS)
         fleet.start()
         for second in range(10, int(RUN_S), 3):
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -49,7 +49,7 @@
     """How long a request waits for a reservation."""
 
     def test_first_attempt_waits_while_it_may_be_in_time(self) -> None:
-        """Only the time from a reservation to the first event is subtracted from its target."""
+        """The longest wait is the target less the time from a reservation to the first event."""
         first_attempt = make_request()
         assert first_attempt.max_in_time_wait_s == pytest.approx(0.9 - first_attempt.first_event_s)
         assert not first_attempt.is_late(first_attempt.max_in_time_wait_s - 0.01)
@@ -58,7 +58,7 @@
         assert slow_engine.max_in_time_wait_s == 0.0
 
     def test_late_request_waits_no_longer_than_its_value(self) -> None:
-        """It waits until waiting costs as much as a late answer is worth, whatever its target."""
+        """Waiting ends when it has cost as much as a late answer is worth, whatever the target."""
         first_attempt = make_request()
         assert first_attempt.max_wait_s - first_attempt.max_in_time_wait_s == pytest.approx(
             LATE_VALUE / WAIT_COST_PER_S
@@ -103,14 +103,14 @@
     """How a prediction of free memory changes the wait."""
 
     def test_late_request_is_refused_when_memory_frees_too_late(self) -> None:
-        """It is refused at once, not after its longest wait, also when the prediction worsens."""
+        """The refusal comes at once, not after the longest wait, also if the prediction worsens."""
         retry = make_request(is_retry=True)
         assert retry.should_keep_waiting(0.0, retry.max_wait_s - 0.1)
         assert not retry.should_keep_waiting(0.0, retry.max_wait_s + 0.1)
         assert not retry.should_keep_waiting(1.0, retry.max_wait_s - 0.5)
 
     def test_request_that_may_be_in_time_ignores_the_prediction(self) -> None:
-        """It goes before the late requests that delay the prediction, until it is late itself."""
+        """Such a request goes before the late ones that delay the prediction, until it is late."""
         first_attempt = make_request()
         assert first_attempt.should_keep_waiting(0.0, 60.0)
         assert not first_attempt.should_keep_waiting(first_attempt.max_in_time_wait_s, 60.0)
@@ -311,7 +311,7 @@
 
     @pytest.mark.parametrize("limited_until", [1.0, 9.0])
     def test_engine_at_its_limit_is_not_tried(self, limited_until: float) -> None:
-        """Nor is it picked as the only engine, because its limit holds for all instances."""
+        """The limit holds for all instances, so the engine is not even picked as the only one."""
         stats = {
             "a": ServerStats(limited_until=limited_until),
             "b": ServerStats(reserved_tokens=500),
@@ -345,14 +345,14 @@
 
 
 def test_retry_delay_follows_the_prediction() -> None:
-    """It stays within the jitter, and within the time in which the request can be served."""
+    """The delay stays within the jitter, and within the time in which the request can be served."""
     request = ReservationRequest(3000, 0.9, 14.0, service_s=3.0)
     assert all(1.8 <= retry_delay_s(RNG, request, 2.0) <= 2.6 for _ in range(50))
     assert all(retry_delay_s(RNG, request, 30.0) == pytest.approx(10.5) for _ in range(5))
 
 
 def test_long_answer_is_retried_while_there_is_time() -> None:
-    """It needs eleven of fourteen seconds, so it is retried within the three that are left."""
+    """Eleven of fourteen seconds are needed, so the retry comes within the three that are left."""
     long_request = ReservationRequest(3000, 0.9, 14.0, service_s=11.0)
     assert all(0.3 <= retry_delay_s(RNG, long_request) <= 2.5 for _ in range(50))
     short_request = ReservationRequest(3000, 0.9, 14.0, service_s=2.0)
--- a/tests/test_server_stats.py
+++ b/tests/test_server_stats.py
@@ -42,7 +42,7 @@
         assert picked[new.incarnation_id] <= 3 * INSTANCES / 9
 
     def test_new_server_counts_as_average_until_its_first_response(self) -> None:
-        """Its first response then sets its average, not a part of it."""
+        """The first response then sets the server's average, with full weight."""
         slow, fast, new = prefill_engine(0), prefill_engine(1), prefill_engine(2)
         stats = {server.incarnation_id: ServerStats() for server in (slow, fast, new)}
         stats[slow.incarnation_id].record_success(1.0)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -56,7 +56,7 @@
         assert incarnation_ids(servers) == set()
 
     def test_empty_list_after_an_outage_makes_servers_suspect(self) -> None:
-        """Their entries lapsed; they are kept until they had time to write them again."""
+        """Servers with lapsed entries are kept until they had time to write them again."""
         servers = make_list("ab")
         change = servers.apply_list([], 10.0, was_unreachable=True)
         assert (change.removed, change.suspected) == ((), ("a", "b"))
@@ -137,14 +137,14 @@
     """Entries that arrive after newer ones."""
 
     def test_older_entry_changes_nothing(self) -> None:
-        """A leaving server is not restored by an entry that was written before."""
+        """A leaving server is not restored by an entry with an older heartbeat."""
         servers = ServerList()
         servers.apply_entry(make_server(heartbeat=5, leaving=True))
         assert not servers.apply_entry(make_server(heartbeat=4))
         assert next(iter(servers.all())).leaving
 
     def test_old_entry_does_not_restore_a_gone_server(self) -> None:
-        """Only a newer heartbeat shows that the server runs."""
+        """Restoring the server takes a newer heartbeat."""
         servers = ServerList()
         servers.apply_entry(make_server(heartbeat=5))
         assert servers.apply_changes([], ["a"], 1.0, was_unreachable=False).removed == ("a",)
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -90,7 +90,7 @@
         ],
     )
     def test_server_gets_its_full_limit(self, instances: int, per_s: float) -> None:
-        """It gets at least nine tenths of its limit, and never more than is allowed."""
+        """The server gets at least nine tenths of its limit, and never more than is allowed."""
         duration_s = max(20.0, 8 / per_s)
         fleet, begin = run_fleet(instances, per_s, requests_per_s=5 * per_s, duration_s=duration_s)
         assert fleet.arrived(begin, begin + duration_s) >= 0.9 * per_s * duration_s - 1
@@ -104,7 +104,7 @@
         assert fleet.max_requests_in_window() <= allowed(per_s)
 
     def test_permits_are_granted_for_a_later_time_within_the_allowed_wait(self) -> None:
-        """A request that may wait so long is told when to be sent; any other is refused at once."""
+        """A request that may wait gets a permit with its send time; another is refused at once."""
         fleet, begin = run_fleet(5, 10.0, requests_per_s=20.0, within_s=0.5)
         assert max(fleet.tally.waits) <= 0.5
         assert fleet.tally.refused >= 100
@@ -140,7 +140,7 @@
         assert fleet.arrived(READY_S + 5.0, READY_S + 30.0) >= 0.75 * PER_S * 25.0
 
     def test_isolated_instance_uses_its_local_share(self) -> None:
-        """It sends a fifth of what the server accepts."""
+        """An isolated instance of five sends a fifth of what the server accepts."""
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -240,7 +240,7 @@
         assert lender.lease_out(SERVER, "n2", 13.5) is not None
 
     def test_leases_start_after_those_of_the_earlier_incarnation(self) -> None:
-        """It is not known to which instance the earlier incarnation leased its share."""
+        """The borrower of the earlier incarnation's share is not known."""
         lender = make_shared_limits(now=100.0)
         lender.record_response("n1", ClockStamp(7, 1.0))
         assert lender.lease_out(SERVER, "n1", 102.3) is None
@@ -253,7 +253,7 @@
         assert make_shared_limits().lease_out(SERVER, "n1", 10.0) is None
 
     def test_no_lease_after_the_records_are_too_old(self) -> None:
-        """Other instances that read of its end use larger shares by then."""
+        """Other instances may have dropped this one by then, and use larger shares."""
         lender = make_shared_limits()
         lender.record_response("n1", ClockStamp(7, 1.0))
         assert lender.lease_out(SERVER, "n1", FLEET_RETENTION_S - MAX_STALE_READ_S) is not None
@@ -273,7 +273,7 @@
     """The permits that one instance grants for one server."""
 
     def test_pool_starts_empty(self) -> None:
-        """What was sent before is not known."""
+        """Requests that were sent before the pool existed are not known."""
         pool = PermitPool(PER_S, 0.0)
         pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
         assert not pool.take_permit(0.0, 1, 0.0).granted
@@ -292,7 +292,7 @@
     def test_pools_together_stay_within_the_allowed_total(
         self, per_s: float, weights: list[float]
     ) -> None:
-        """Counted in a window, and in the time before it by which a request may be late."""
+        """The sum covers a window and the time before it by which a request may be late."""
         total = sum(weights) or 1.0
         fractions = [weight / total for weight in weights]
         rate = max(per_s, MIN_RATE_PER_S)
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -100,7 +100,7 @@
         assert loads.prompt_s > 0.09
 
     def test_short_prompt_that_waited_does_not_hide_the_work(self) -> None:
-        """It flattens the slope over length; a part of the fastest prefill still counts as work."""
+        """A wait flattens the slope over length; a part of the fastest prefill counts as work."""
         meter = WorkloadMeter()
         for _ in range(20):
             meter.record_prompt(1500, 0.19)
@@ -212,7 +212,7 @@
         assert abs(loads.answer_s - 0.1 * (730 * 0.004 + 0.2)) < 1e-6
 
     def test_expected_service_time_needs_some_answers(self) -> None:
-        """It is the prefill time plus the answer's tokens at the measured pace."""
+        """The time is that of prefill plus the answer's tokens at the measured pace."""
         meter = WorkloadMeter()
         assert meter.expected_service_s(1000) is None
         for _ in range(5):
