--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget's share that nobody asked for."""
+"""Tests of retries charged to the retry budget, and of the pause after a server's refusal."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from crankhinge.decisions._server_stats import MAX_REFUSAL_PAUSE_S, REFUSAL_PAUSE_S
 
 
-class TestSpend:
-    """Repeats that servers cause."""
+class TestChargedRetries:
+    """Retries that a server's refusal causes are charged without asking the budget."""
 
-    def test_they_are_taken_from_those_that_are_asked_for(self) -> None:
-        """After two refusals only one of three saved repeats is left."""
+    def test_charged_retries_reduce_allowed_retries(self) -> None:
+        """After two charged retries, one of three saved retries is left."""
         budget = RetryBudget(ratio=0.1, burst=3.0)
         budget.charge_retry()
         budget.charge_retry()
         assert budget.try_retry()
         assert not budget.try_retry()
 
-    def test_a_debt_is_bounded(self) -> None:
-        """A hundred refusals must not forbid repeats for ever."""
+    def test_debt_is_bounded(self) -> None:
+        """A hundred refusals do not forbid retries for ever."""
         budget = RetryBudget(ratio=1.0, burst=3.0)
         for _ in range(100):
             budget.charge_retry()
@@ -28,15 +28,15 @@
         assert budget.allows_retry()
 
 
-def test_refusals_in_a_row_are_waited_out_ever_longer() -> None:
-    """Twice as long each time, up to a bound; a success ends it."""
-    standing = ServerStats()
-    waits = []
+def test_pause_grows_with_consecutive_refusals() -> None:
+    """The pause grows with each refusal up to a maximum, and a success resets it."""
+    stats = ServerStats()
+    pauses = []
     for _ in range(6):
-        standing.record_refusal(0.0)
-        waits.append(standing.full_until)
-    assert waits == sorted(waits)
-    assert (waits[0], waits[-1]) == (REFUSAL_PAUSE_S, MAX_REFUSAL_PAUSE_S)
-    standing.record_success(0.1)
-    standing.record_refusal(0.0)
-    assert standing.full_until == REFUSAL_PAUSE_S
+        stats.record_refusal(0.0)
+        pauses.append(stats.full_until)
+    assert pauses == sorted(pauses)
+    assert (pauses[0], pauses[-1]) == (REFUSAL_PAUSE_S, MAX_REFUSAL_PAUSE_S)
+    stats.record_success(0.1)
+    stats.record_refusal(0.0)
+    assert stats.full_until == REFUSAL_PAUSE_S
--- a/tests/test_quarantine_decisions.py
+++ b/tests/test_quarantine_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of when a request is kept from servers: the decision and what it costs a fleet."""
+"""Tests of the quarantine of requests that crash servers, and of the messages it costs a fleet."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 REQUEST = "f00d"
 
 
-def isolated(now: float = 0.0) -> Quarantine:
-    """Return what one instance believes after three crashes."""
+def quarantined_request(now: float = 0.0) -> Quarantine:
+    """Return the quarantine of an instance that counted three crashes under one request."""
     quarantine = Quarantine()
     for number in range(MAX_CRASHES):
         quarantine.record_crash(REQUEST, f"i-{number}", now)
@@ -40,32 +40,32 @@
 class TestCrashes:
     """Crashes of servers under one request."""
 
-    def test_three_servers_begin_a_quarantine(self) -> None:
-        """Two do not."""
+    def test_crashes_of_three_servers_begin_a_quarantine(self) -> None:
+        """Two crashes do not."""
         quarantine = Quarantine()
         assert quarantine.record_crash(REQUEST, "i-0", 0.0) is None
         assert quarantine.record_crash(REQUEST, "i-1", 0.0) is None
         assert quarantine.refusal_left_s(REQUEST, 0.0) == 0.0
-        begun = quarantine.record_crash(REQUEST, "i-2", 0.0)
-        assert begun == QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), FIRST_QUARANTINE_S)
+        update = quarantine.record_crash(REQUEST, "i-2", 0.0)
+        assert update == QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), FIRST_QUARANTINE_S)
         assert quarantine.refusal_left_s(REQUEST, 1.0) == FIRST_QUARANTINE_S - 1.0
 
-    def test_one_crash_that_is_told_twice_counts_once(self) -> None:
-        """Two instances saw it, or a message came late."""
+    def test_repeated_report_of_a_crash_counts_once(self) -> None:
+        """Two instances may report one crash, or a message may arrive late."""
         quarantine = Quarantine()
         for _ in range(5):
             assert quarantine.record_crash(REQUEST, "i-0", 0.0) is None
         assert quarantine.crash_count(REQUEST) == 1
 
-    def test_another_life_under_the_same_name_is_another_server(self) -> None:
-        """Its identity tells the lives apart."""
+    def test_each_incarnation_of_a_server_counts(self) -> None:
+        """Incarnation ids tell the runs of one server name apart."""
         quarantine = Quarantine()
-        for born in range(MAX_CRASHES):
-            quarantine.record_crash(REQUEST, f"i-0@{born}", 0.0)
+        for started_ms in range(MAX_CRASHES):
+            quarantine.record_crash(REQUEST, f"i-0@{started_ms}", 0.0)
         assert quarantine.is_quarantined(REQUEST)
 
-    def test_crashes_long_ago_do_not_count(self) -> None:
-        """Three in a day are chance."""
+    def test_old_crashes_do_not_count(self) -> None:
+        """Three crashes in a day may be chance."""
         quarantine = Quarantine()
         for number in range(5):
             assert (
@@ -73,19 +73,19 @@
                 is None
             )
 
-    def test_each_further_crash_makes_it_longer(self) -> None:
-        """So few servers are lost to trials."""
-        quarantine = isolated()
+    def test_each_further_crash_lengthens_the_quarantine(self) -> None:
+        """The longer quarantine limits how many servers are lost to trials."""
+        quarantine = quarantined_request()
         for number in range(MAX_CRASHES, 6):
-            longer = quarantine.record_crash(REQUEST, f"i-{number}", 0.0)
-            assert longer is not None
-            assert longer.left_s == FIRST_QUARANTINE_S * QUARANTINE_GROWTH ** (
+            update = quarantine.record_crash(REQUEST, f"i-{number}", 0.0)
+            assert update is not None
+            assert update.left_s == FIRST_QUARANTINE_S * QUARANTINE_GROWTH ** (
                 number + 1 - MAX_CRASHES
             )
 
-    def test_one_beyond_those_that_are_remembered_begins_a_quarantine_too(self) -> None:
-        """Else a trial would follow every few seconds."""
-        quarantine = isolated()
+    def test_crash_beyond_the_tracked_ones_renews_the_quarantine(self) -> None:
+        """Without a longer quarantine, a trial would follow every few seconds."""
+        quarantine = quarantined_request()
         for number in range(MAX_CRASHES, 3 * MAX_CRASHED_SERVERS):
             quarantine.begin_trial(REQUEST, 0.0)
             assert quarantine.record_crash(REQUEST, f"i-{number}", 0.0) is not None
@@ -93,78 +93,88 @@
 
 
 class TestTrial:
-    """One attempt is let through to see."""
+    """One attempt is let through to see whether it crashes a server."""
 
-    def test_is_due_when_the_quarantine_is_over(self) -> None:
-        """The others are refused while it runs."""
-        quarantine = isolated()
+    def test_trial_is_due_after_the_quarantine(self) -> None:
+        """Other attempts are refused while the trial runs."""
+        quarantine = quarantined_request()
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S) == 0.0
         quarantine.begin_trial(REQUEST, FIRST_QUARANTINE_S)
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S) == TRIAL_S
 
-    def test_another_is_due_when_nothing_came_of_it(self) -> None:
-        """Its caller left, or there was no room."""
-        quarantine = isolated()
+    def test_another_trial_is_due_without_a_result(self) -> None:
+        """The caller of the trial left, or no server had capacity for it."""
+        quarantine = quarantined_request()
         quarantine.begin_trial(REQUEST, FIRST_QUARANTINE_S)
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S + TRIAL_S) == 0.0
 
-    def test_an_answer_ends_the_quarantine(self) -> None:
-        """The crashes are forgotten; the count begins anew."""
-        quarantine = isolated()
+    def test_completed_request_ends_the_quarantine(self) -> None:
+        """The crashes are forgotten, and the count starts from zero."""
+        quarantine = quarantined_request()
         assert quarantine.record_completed(REQUEST, FIRST_QUARANTINE_S) == MAX_CRASHES
         assert not quarantine.is_quarantined(REQUEST)
         assert quarantine.record_crash(REQUEST, "i-9", FIRST_QUARANTINE_S) is None
 
 
-class TestTold:
-    """What other instances tell, by datagrams and in notes."""
+class TestUpdatesFromPeers:
+    """Quarantines that other instances send in datagrams or publish in their records."""
 
-    def test_is_taken(self) -> None:
-        """Twice is no news."""
+    def test_update_is_applied_once(self) -> None:
+        """A repeated update changes nothing."""
         quarantine = Quarantine()
-        told = QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), 7.0)
-        assert quarantine.apply_update(told, 0.0)
-        assert not quarantine.apply_update(told, 0.0)
+        update = QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), 7.0)
+        assert quarantine.apply_update(update, 0.0)
+        assert not quarantine.apply_update(update, 0.0)
         assert quarantine.refusal_left_s(REQUEST, 0.0) == 7.0
 
-    def test_can_not_shut_a_request_out_for_longer_than_its_crashes_do(self) -> None:
-        """A false message does little harm."""
+    def test_update_cannot_prolong_beyond_the_time_for_its_crashes(self) -> None:
+        """The bound limits the effect of a false message."""
         quarantine = Quarantine()
         quarantine.apply_update(QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), 1e9), 0.0)
         assert quarantine.refusal_left_s(REQUEST, 0.0) == FIRST_QUARANTINE_S
 
-    def test_a_note_that_is_read_again_and_again_prolongs_nothing(self) -> None:
-        """Notes are read every few seconds and say what they said."""
+    def test_repeated_reads_of_a_record_prolong_nothing(self) -> None:
+        """Records are read every few seconds and may be unchanged."""
         quarantine = Quarantine()
-        noted = isolated().to_instance_record()
-        assert list(quarantine.apply_instance_record(noted, 0.0, own=False))
+        published = quarantined_request().to_instance_record()
+        assert list(quarantine.apply_instance_record(published, 0.0, own=False))
         for now in range(1, 30):
-            assert not list(quarantine.apply_instance_record(noted, float(now), own=False))
+            assert not list(quarantine.apply_instance_record(published, float(now), own=False))
         assert quarantine.refusal_left_s(REQUEST, 30.0) == 0.0
 
-    def test_a_note_from_before_an_answer_is_not_believed(self) -> None:
-        """Until it has surely been written anew."""
-        quarantine = isolated()
-        noted = quarantine.to_instance_record()
+    def test_record_from_before_a_completed_request_is_ignored(self) -> None:
+        """The record is ignored until it has surely been written again."""
+        quarantine = quarantined_request()
+        published = quarantine.to_instance_record()
         quarantine.record_completed(REQUEST, 20.0)
         assert not list(
-            quarantine.apply_instance_record(noted, 20.0 + COMPLETED_RETENTION_S - 1.0, own=False)
+            quarantine.apply_instance_record(
+                published, 20.0 + COMPLETED_RETENTION_S - 1.0, own=False
+            )
         )
 
-    def test_only_who_counted_tells_it_in_a_note(self) -> None:
-        """Else no note would ever lose it, each instance taking it from another's."""
+    def test_only_the_counting_instance_publishes_a_quarantine(self) -> None:
+        """Copies of each other's records would never let the quarantine end."""
         quarantine = Quarantine()
-        list(quarantine.apply_instance_record(isolated().to_instance_record(), 0.0, own=False))
+        list(
+            quarantine.apply_instance_record(
+                quarantined_request().to_instance_record(), 0.0, own=False
+            )
+        )
         assert quarantine.to_instance_record() == {}
-        later_life = Quarantine()
-        list(later_life.apply_instance_record(isolated().to_instance_record(), 0.0, own=True))
-        assert later_life.to_instance_record() == isolated().to_instance_record()
+        later_incarnation = Quarantine()
+        list(
+            later_incarnation.apply_instance_record(
+                quarantined_request().to_instance_record(), 0.0, own=True
+            )
+        )
+        assert later_incarnation.to_instance_record() == quarantined_request().to_instance_record()
 
 
 class TestBounds:
-    """Memory is bounded whatever crashes."""
+    """Bounds on what is stored, whatever crashes."""
 
-    def test_of_suspects_and_quarantines(self) -> None:
+    def test_suspects_and_quarantines_are_bounded(self) -> None:
         """The oldest are forgotten first."""
         quarantine = Quarantine()
         for request in range(2 * MAX_SUSPECTS):
@@ -178,57 +188,57 @@
         assert len(quarantine.to_instance_record()) == MAX_PUBLISHED
 
     def test_flood_of_suspects_frees_no_request_from_quarantine(self) -> None:
-        """They are kept apart."""
-        quarantine = isolated()
+        """Suspects and quarantined requests are stored apart."""
+        quarantine = quarantined_request()
         for request in range(2 * MAX_SUSPECTS):
             quarantine.record_crash(f"s{request}", "i-0", 0.0)
         assert quarantine.is_quarantined(REQUEST)
 
 
-class CountingNotices(Notices):
-    """Counts datagrams; nobody gets them."""
+class CountingMessenger(Notices):
+    """Counts datagrams instead of sending them."""
 
     def __init__(self, peers: list[str], log: Any) -> None:
         super().__init__(address="", peers=lambda: peers, log=log)
         self.sent = 0
 
     async def send(self, peer: str, message: Any) -> None:
-        """Count one."""
+        """Count one datagram."""
         self.sent += 1
 
 
 class TestFleet:
-    """What a crash costs a fleet of 300 instances.
+    """The messages that a crash costs a fleet of 300 instances.
 
-    A server runs 64 requests at once; told to every instance, a crash would take 19,136 datagrams.
+    A server runs 64 requests at once; sent to every instance, a crash would take 19,136 datagrams.
     """
 
     @pytest.mark.parametrize("instances", [30, 300])
     def test_datagrams_of_a_crash_do_not_grow_with_instances(self, instances: int) -> None:
-        """Two a request at most, with all requests for one instance in one."""
-        sent = self._sent(instances, requests=64, crashes=1)
+        """At most two datagrams per request are sent; all requests for one instance share one."""
+        sent = self._count_datagrams(instances, requests=64, crashes=1)
         assert sent <= 64 * KEEPERS
 
-    def test_a_quarantine_is_told_to_each_instance_once(self) -> None:
-        """By this instance, which saw all three crashes."""
-        sent = self._sent(300, requests=1, crashes=MAX_CRASHES)
+    def test_quarantine_is_sent_to_each_instance_once(self) -> None:
+        """The instance that counted all three crashes sends the quarantine."""
+        sent = self._count_datagrams(300, requests=1, crashes=MAX_CRASHES)
         assert sent <= MAX_CRASHES * KEEPERS + 299
 
-    def _sent(self, instances: int, *, requests: int, crashes: int) -> int:
+    def _count_datagrams(self, instances: int, *, requests: int, crashes: int) -> int:
         names = [f"g{number}" for number in range(instances)]
         peers = {name: f"10.0.0.1:{number + 1}" for number, name in enumerate(names)}
-        members = Membership("g0", 0.0)
-        members.join(peers, 0.0, resumed=True)
+        membership = Membership("g0", 0.0)
+        membership.join(peers, 0.0, resumed=True)
         log = get_log(program="t", stream=Lines())
-        notices = CountingNotices(list(members.peer_addresses), log)
-        desk = QuarantineDesk(
-            name="g0", members=members, notices=notices, log=log, metrics=Metrics(prefix="t")
+        messenger = CountingMessenger(list(membership.peer_addresses), log)
+        service = QuarantineDesk(
+            name="g0", members=membership, notices=messenger, log=log, metrics=Metrics(prefix="t")
         )
 
-        async def story() -> None:
+        async def run_crashes() -> None:
             for number in range(crashes):
                 server = Server(f"i-{number}", "s", "h", 1, "z", EngineRole.PLAIN, 64, False, 1)
-                await desk.crashed(server, [f"{request:016x}" for request in range(requests)])
+                await service.crashed(server, [f"{request:016x}" for request in range(requests)])
 
-        run_virtual(story)
-        return notices.sent
+        run_virtual(run_crashes)
+        return messenger.sent
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routing."""
+"""Tests of the choice of backend servers, the prefix index and the agents an entry links to."""
 
 import random
 from collections import Counter
@@ -26,12 +26,12 @@
     return router
 
 
-class TestChoice:
-    """Which backend servers are tried."""
+class TestChooseBackends:
+    """Which backend servers are tried, and in which order."""
 
-    def test_entries_with_one_stale_minimum_do_not_herd(self) -> None:
-        """Twenty entries that all see one server as the least loaded spread all the same."""
-        firsts: Counter[str] = Counter()
+    def test_entries_with_the_same_stale_reports_spread_requests(self) -> None:
+        """Twenty entries that all see one server as the least loaded use the others, too."""
+        first_choices: Counter[str] = Counter()
         for entry in range(20):
             router = make_router(entry)
             for name, backend in router.backends.items():
@@ -40,11 +40,11 @@
                 best = router.choose_backends(["write"], 0.0)[0]
                 best.sent_since_report += 1
                 best.sent_work_s += 0.1
-                firsts[best.name] += 1
-        assert firsts["b0"] <= 0.35 * sum(firsts.values())
+                first_choices[best.name] += 1
+        assert first_choices["b0"] <= 0.35 * sum(first_choices.values())
 
-    def test_unusable_servers_are_left_out(self) -> None:
-        """A server that is unlinked, leaving, draining or broken off gets nothing."""
+    def test_unusable_servers_are_skipped(self) -> None:
+        """A server that is unlinked, leaving, draining or has an open breaker gets no request."""
         router = make_router()
         router.backends["b0"].linked = False
         router.backends["b1"].leaving = True
@@ -54,23 +54,23 @@
         names = {b.name for _ in range(50) for b in router.choose_backends(["write"], 0.5)}
         assert names == {"b4", "b5"}
 
-    def test_all_breakers_open(self) -> None:
-        """When every server has failed, they are tried all the same."""
+    def test_all_servers_are_tried_when_all_breakers_are_open(self) -> None:
+        """Requests are sent all the same when every server has failed."""
         router = make_router()
         for backend in router.backends.values():
             for _ in range(3):
                 backend.breaker.record_failure(0.0)
         assert len(router.usable_backends(["write"], 0.5)) == 6
 
-    def test_a_slow_server_is_avoided(self) -> None:
+    def test_slow_server_is_avoided(self) -> None:
         """A server whose steps take far longer than usual is the last choice."""
         router = make_router(step_s=0.03)
         router.backends["b0"].step_s = 0.2
-        firsts = {router.choose_backends(["write"], 0.0)[0].name for _ in range(100)}
-        assert "b0" not in firsts
+        first_choices = {router.choose_backends(["write"], 0.0)[0].name for _ in range(100)}
+        assert "b0" not in first_choices
 
-    def test_a_silent_server_is_used_only_when_no_other_is_left(self) -> None:
-        """Reports that have stopped rule a server out while others are heard."""
+    def test_server_with_stale_report_is_used_only_without_another(self) -> None:
+        """A server that stopped reporting is skipped while others report."""
         router = make_router(reported_at=100.0)
         router.backends["b0"].reported_at = 10.0
         names = {b.name for _ in range(50) for b in router.choose_backends(["write"], 100.0)}
@@ -78,45 +78,45 @@
         assert len(router.usable_backends(["write"], 500.0)) == 6
 
 
-class TestPrefill:
-    """Where a prompt is read."""
+class TestChoosePrefill:
+    """Which server processes a prompt."""
 
-    def test_a_cached_prefix_wins_until_its_server_is_busy(self) -> None:
-        """Affinity is worth the tokens it saves, no more."""
+    def test_cached_prefix_is_preferred_until_its_server_is_busy(self) -> None:
+        """A cached prefix counts for the tokens it saves, and no more."""
         router = make_router(tokens_per_s=10_000.0)
-        ask = RouteRequest(5000, tuple(range(64)), 64)
-        router.prefixes.record_cached("b3", ask.prefix)
-        found = {router.choose_prefill(["write"], ask, "z0", 0.0)[0].name for _ in range(50)}
-        assert "b3" in found
+        request = RouteRequest(5000, tuple(range(64)), 64)
+        router.prefixes.record_cached("b3", request.prefix)
+        names = {router.choose_prefill(["write"], request, "z0", 0.0)[0].name for _ in range(50)}
+        assert "b3" in names
         router.backends["b3"].backlog_s = 5.0
-        found = {router.choose_prefill(["write"], ask, "z0", 0.0)[0].name for _ in range(50)}
-        assert "b3" not in found
+        names = {router.choose_prefill(["write"], request, "z0", 0.0)[0].name for _ in range(50)}
+        assert "b3" not in names
 
-    def test_a_slow_link_is_avoided(self) -> None:
-        """A prompt is read in the zone where it is written when links between zones are slow."""
+    def test_slow_link_between_zones_is_avoided(self) -> None:
+        """The prompt is processed in the zone of its decode engine when links are slow."""
         router = make_router(tokens_per_s=10_000.0)
         router.costs = RoutingCosts(
             kv_bytes_per_token=100_000, same_zone_bytes_per_s=1e10, cross_zone_bytes_per_s=1e8
         )
         for name in ("b0", "b1", "b2"):
             router.backends[name].zone = "z1"
-        firsts = [
+        first_choices = [
             router.choose_prefill(["write"], RouteRequest(2000), "z1", 0.0)[0] for _ in range(50)
         ]
-        assert sum(b.zone == "z1" for b in firsts) > 40
+        assert sum(b.zone == "z1" for b in first_choices) > 40
 
-    def test_work_already_done_is_forgotten(self) -> None:
-        """A reported backlog shrinks as time goes by."""
+    def test_reported_backlog_shrinks_over_time(self) -> None:
+        """Reported work is taken to be done as time passes."""
         backend = Backend("b", "prefill", "read", "z", backlog_s=0.3, reported_at=10.0)
         assert backend.pending_work_s(10.1) < 0.3
         assert backend.pending_work_s(11.0) == 0.0
 
 
 class TestPrefixIndex:
-    """What is believed cached."""
+    """Which prompt blocks are taken to be cached on a server."""
 
-    def test_bounded(self) -> None:
-        """The oldest blocks go first."""
+    def test_index_is_bounded(self) -> None:
+        """The oldest blocks are forgotten first."""
         index = PrefixIndex(limit=10)
         index.record_cached("a", range(20))
         assert len(index) == 10
@@ -127,8 +127,8 @@
 class TestSubset:
     """Which agents an entry links to."""
 
-    def test_links_are_spread_evenly(self) -> None:
-        """Over many entries each agent has about the same number of links."""
+    def test_links_are_distributed_evenly(self) -> None:
+        """Over many entries, each agent has about the same number of links."""
         agents = [Instance(f"w{n}", "h", 1, "z", "write") for n in range(36)]
         links: Counter[str] = Counter()
         for entry in range(360):
@@ -136,7 +136,7 @@
         assert min(links.values()) > 40
         assert max(links.values()) < 130
 
-    def test_a_change_moves_few_links(self) -> None:
+    def test_change_of_agents_moves_few_links(self) -> None:
         """When one agent goes, an entry changes at most one link."""
         agents = [Instance(f"w{n}", "h", 1, "z", "write") for n in range(36)]
         before = set(subset(agents, entry="e1", limit=8))
@@ -144,7 +144,7 @@
         assert len(before - after) <= 1
 
     def test_order_depends_on_the_key(self) -> None:
-        """Rendezvous order is stable for a key and differs between keys."""
+        """The rendezvous order is stable for one key and differs between keys."""
         names = [f"n{n}" for n in range(20)]
         assert rank_by_key(b"a", names) == rank_by_key(b"a", reversed(names))
         assert rank_by_key(b"a", names) != rank_by_key(b"b", names)
