--- a/src/crankhinge/adapters/__init__.py
+++ b/src/crankhinge/adapters/__init__.py
@@ -1,4 +1,4 @@
-"""The outside systems: an abstract base class for each, and one adapter."""
+"""Abstract base classes for the external systems, and adapters that implement some of them."""
 
 from crankhinge.adapters._dialect import (
     AttemptParams,
--- a/src/crankhinge/adapters/_dialect.py
+++ b/src/crankhinge/adapters/_dialect.py
@@ -1,4 +1,4 @@
-"""How requests, answers and orders are written for a platform's callers and backend servers."""
+"""How a platform's callers and backend servers encode requests, responses and orders."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayRequest:
-    """What a caller's request says of itself.
+    """What the header of a caller's request states.
 
     Attributes:
-        request_id: the caller's identity of this attempt; empty where it gave none.
-        timeout_s: seconds that the caller waits, or None where it does not say.
-        prompt_tokens: length of the prompt.
-        max_answer_tokens: most tokens of the answer.
-        expected_answer_tokens: the caller's own estimate of the answer; 0 where it gives none.
-        last_event_id: the last event of a stream that the caller has; empty for none.
-        model: what is asked for; empty for no model in particular.
-        api_key: of the client account; empty where the caller gave none.
+        request_id: id that the caller gave to this attempt; empty if it gave none.
+        timeout_s: seconds that the caller waits for the response; None if it does not say.
+        prompt_tokens: length of the prompt; 0 if the caller does not say.
+        max_answer_tokens: maximum length of the answer; 0 if the caller does not say.
+        expected_answer_tokens: length of the answer as the caller estimates it; 0 if it does not.
+        last_event_id: id of the last stream event that the caller received; empty if it received
+            none.
+        model: name of the requested model; empty if the caller names none.
+        api_key: key of the client account; empty if the caller sent none.
     """
 
     request_id: str
@@ -38,22 +39,25 @@
 
     @property
     def max_total_tokens(self) -> int:
-        """Tokens of the prompt and most of the answer together; 0 where it states none."""
+        """Length of the prompt plus maximum length of the answer; 0 if both are missing."""
         return self.prompt_tokens + self.max_answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptParams:
-    """What a backend server is told beside the caller's request.
+    """Parameters that the router adds to a caller's request when it sends it to a server.
 
     Attributes:
-        server: name of the server that is meant; another one at its address refuses.
-        timeout_s: seconds that are left.
-        prompt_only: read the prompt, don't answer.
-        kv_cache_location: where the memory of the prompt lies; empty to read it there.
-        reservation_id: reservation made ahead.
-        last_event_id: continue a stream after this event.
-        urgency: 0 is the most urgent; None leaves it to the server.
+        server: name of the intended server; a different server at the same address refuses the
+            request.
+        timeout_s: seconds until the caller's deadline.
+        prompt_only: whether the server processes the prompt without generating an answer.
+        kv_cache_location: where the server fetches the KV cache of the prompt; empty if the server
+            processes the prompt itself.
+        reservation_id: id of a reservation made on the server before; empty if there is none.
+        last_event_id: event after which the server continues a stream; empty to start at its
+            beginning.
+        urgency: 0 is the most urgent; None leaves the choice to the server.
     """
 
     server: str
@@ -67,18 +71,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseSignals:
-    """What the head of an answer says.
+    """What the head of a server's response says beside its status.
 
     Attributes:
-        not_run: the server states that it did not run the request.
-        wrong_server: the server at this address is not the one that was meant.
-        retry_after_s: when it expects to have room.
-        backoff_s: seconds for which it wants no further request from this instance; None where it
-            does not say.
-        leaving: whether it says that it leaves.
-        advertises_limit: whether it says how much it takes.
-        limit_per_s: requests a second that it takes from all instances together; None where it
-            does not say, or says what is no such number.
+        not_run: whether the server states that it did not run the request.
+        wrong_server: whether the server at this address is not the intended one.
+        retry_after_s: seconds after which the server expects to have capacity; None if it does not
+            say.
+        backoff_s: seconds during which the server wants no further request from this instance;
+            None if it does not say.
+        leaving: whether the server announces its shutdown.
+        advertises_limit: whether the response has the field for the server's own limit, readable
+            or not.
+        limit_per_s: requests per second that the server accepts from all instances together; None
+            if the field is absent or holds no valid rate.
     """
 
     not_run: bool
@@ -92,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SideCall:
-    """A call of the router's own to a backend server."""
+    """Call that the router itself makes to a backend server, such as one that reserves a slot."""
 
     method: str
     target: str
@@ -101,12 +107,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine says of itself.
+    """State that an engine reports.
 
     Attributes:
-        role: the part that it plays.
-        orders_taken: orders that it has taken since its start.
-        busy: whether one is under way.
+        role: current role of the engine.
+        orders_taken: number of orders that the engine has accepted since its start.
+        busy: whether the engine is still carrying out an order.
     """
 
     role: EngineRole
@@ -115,7 +121,15 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What an engine says to an order."""
+    """How an engine responds to an order.
+
+    Attributes:
+        ACCEPTED: the engine carries out the order, or already has the role.
+        CONFLICT: another order was accepted before, or is still being carried out.
+        FENCED: the engine has seen a greater fencing token.
+        WRONG_SERVER: the server at this address is not the intended one.
+        REFUSED: any other response.
+    """
 
     ACCEPTED = "taken"
     CONFLICT = "in-the-way"
@@ -125,81 +139,89 @@
 
 
 class Dialect(abc.ABC):
-    """Translates; decides nothing."""
+    """Translates between the platform's formats and the router's types. It makes no decisions."""
 
     @abc.abstractmethod
     def parse_request(self, req: HttpRequest) -> RelayRequest:
-        """Decode what a request says of itself. Raises BadHttp for figures that are none."""
+        """Decode the header of a caller's request. Raises BadHttp if a number in it is invalid."""
 
     @abc.abstractmethod
     def attempt_fields(
         self, req: HttpRequest, attempt: AttemptParams, account: str | None
     ) -> list[tuple[str, str]]:
-        """Return the header fields of the request as it goes to a server.
+        """Return the header fields of the request as it is sent to a server.
 
         Args:
             req: the caller's request.
-            attempt: what the server is told beside it.
-            account: name of the client account, empty for none; the caller's key stays here. None
-                where there are no accounts: what the caller says of itself is passed on.
+            attempt: parameters that the router adds.
+            account: name of the client account, empty if the request has none; the caller's key
+                is then removed. None if no accounts are configured: the fields in which the caller
+                identifies itself are passed on unchanged.
         """
 
     @abc.abstractmethod
     def response_fields(self, fields: list[tuple[str, str]]) -> list[tuple[str, str]]:
-        """Return the header fields of an answer that the caller gets."""
+        """Return the fields of a server's response that are passed on to the caller."""
 
     @abc.abstractmethod
     def own_response_fields(self, request: RelayRequest) -> list[tuple[str, str]]:
-        """Return the header fields of an answer of the router's own."""
+        """Return the header fields of a response that the router itself makes to *request*."""
 
     @abc.abstractmethod
     def parse_signals(self, status: int, headers: Mapping[str, str]) -> ResponseSignals:
-        """Decode what the head of an answer says."""
+        """Decode the signals in the head of a server's response."""
 
     @abc.abstractmethod
     def response_request_id(self, headers: Mapping[str, str]) -> str:
-        """Return the identity of the request that an answer belongs to; empty for none given."""
+        """Return the id of the request that a response belongs to; empty if it carries none."""
 
     @abc.abstractmethod
     def parse_kv_cache_handle(self, body: bytes) -> str:
-        """Return the handle of a prompt's memory. Raises BadHttp."""
+        """Return the handle of a KV cache from a response body. Raises BadHttp if it has none."""
 
     @abc.abstractmethod
     def kv_cache_location(self, host: str, port: int, handle: str) -> str:
-        """Return where a prompt's memory lies, for :class:`AttemptParams`."""
+        """Return the location of a KV cache, for :class:`AttemptParams`."""
 
     @abc.abstractmethod
     def free_kv_cache_call(self, handle: str) -> SideCall:
-        """Return the call that frees a prompt's memory."""
+        """Return the call that frees the KV cache of a prompt."""
 
     @abc.abstractmethod
     def reserve_call(self, tokens: int, duration_s: float) -> SideCall:
-        """Return the call that reserves a slot and memory."""
+        """Return the call that reserves a slot and KV memory for *tokens* tokens."""
 
     @abc.abstractmethod
     def parse_reservation_id(self, body: bytes) -> str:
-        """Return the identity of a reservation. Raises BadHttp."""
+        """Return the id of a reservation from a response body. Raises BadHttp if it has none."""
 
     @abc.abstractmethod
     def release_reservation_call(self, reservation_id: str) -> SideCall:
-        """Return the call that gives a reservation back."""
+        """Return the call that releases a reservation."""
 
     @abc.abstractmethod
     def side_call_fields(self, server: str) -> dict[str, str]:
-        """Return the header fields of a side call that is meant for *server* alone."""
+        """Return the header fields of a side call, which any server but *server* refuses."""
 
     @abc.abstractmethod
     def engine_state_call(self) -> SideCall:
-        """Return the call that asks an engine for its state."""
+        """Return the call that queries the state of an engine."""
 
     @abc.abstractmethod
     def parse_engine_state(self, body: bytes) -> EngineState:
-        """Return an engine's state. Raises BadHttp."""
+        """Return the state of an engine from a response body. Raises BadHttp if it is invalid."""
 
     @abc.abstractmethod
     def role_order_call(self, role: EngineRole, lease: OrderLease, orders_taken: int) -> SideCall:
-        """Return the order to play another part, void unless *orders_taken* came before."""
+        """Return the call that orders an engine to change its role.
+
+        Args:
+            role: the new role.
+            lease: order lease of this instance; the engine checks its fencing token.
+            orders_taken: number of accepted orders as the engine last reported it. The engine
+                refuses the order if it has accepted another one since.
+        """
 
     @abc.abstractmethod
     def order_outcome(self, status: int) -> OrderOutcome:
-        """Return what the status of an answer to an order means."""
+        """Return the meaning of the response status to an order."""
--- a/src/crankhinge/adapters/_engine.py
+++ b/src/crankhinge/adapters/_engine.py
@@ -1,4 +1,4 @@
-"""A model engine, as an agent needs it."""
+"""Interface of a model engine, as agents use it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EngineFailed(CrankhingeError):
-    """The engine refused or broke off. ``ran`` is False when it certainly did no work."""
+    """The engine refused or aborted a request. ``ran`` is False if it certainly did no work."""
 
     code = "engine-failed"
 
@@ -19,19 +19,19 @@
 
 
 class KvExpired(EngineFailed):
-    """The result of the reading was gone before the decode engine had it."""
+    """The KV cache of the prompt expired before the decode engine fetched it."""
 
     code = "kv-expired"
 
 
 @dataclass(frozen=True)
 class PrefillResult:
-    """A prompt was read.
+    """Result of the prefill of one prompt.
 
     Attributes:
-        kv_handle: JSON of the handle under which a decode engine fetches the result.
-        prompt_tokens: prompt tokens.
-        cached_tokens: of these, found in the prefix cache.
+        kv_handle: JSON of the handle with which a decode engine fetches the KV cache.
+        prompt_tokens: number of tokens of the prompt.
+        cached_tokens: number of prompt tokens that were found in the prefix cache.
     """
 
     kv_handle: bytes
@@ -41,11 +41,11 @@
 
 @dataclass(frozen=True)
 class EngineLoad:
-    """What the engine reports, late.
+    """Load that an engine reports; it lags behind the real load.
 
     Attributes:
-        running: requests in memory.
-        waiting: requests queued inside the engine.
+        running: number of requests in the engine's KV memory.
+        waiting: number of requests queued inside the engine.
     """
 
     running: int
@@ -53,21 +53,23 @@
 
 
 class DecodeStream(abc.ABC):
-    """An answer that is being written."""
+    """An answer that a decode engine is generating."""
 
     finish_reason: str = ""
 
     @abc.abstractmethod
     async def next_pieces(self) -> list[str]:
-        """Return the next pieces, one per token; empty at the end, with ``finish`` set.
+        """Return the next pieces of text, one per token.
+
+        At the end of the answer the list is empty and ``finish_reason`` is set.
 
         Raises:
-            EngineFailed: when the engine breaks off.
+            EngineFailed: the engine aborted the answer.
         """
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """End the request; the engine frees its memory."""
+        """End the request; the engine frees its KV memory."""
 
 
 class Engine(abc.ABC):
@@ -75,25 +77,25 @@
 
     @abc.abstractmethod
     async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
-        """Read the prompt of the completion request *body*."""
+        """Process the prompt of the completion request *body* and keep its KV cache."""
 
     @abc.abstractmethod
     async def decode(
         self, path: str, body: bytes, kv_handle: bytes, *, request_id: int
     ) -> DecodeStream:
-        """Fetch the result *kv_handle* and write the answer to *body*."""
+        """Fetch the KV cache *kv_handle* and generate the answer to the request *body*."""
 
     @abc.abstractmethod
     async def load_adapter(self, name: str, path: str, version: int, *, fencing_token: int) -> None:
-        """Load an adapter's weights, in the place of an older version.
+        """Load the weights of an adapter, replacing an older version.
 
         Args:
-            name: of the adapter.
-            path: of its weights.
-            version: of its weights.
-            fencing_token: an engine that checks it refuses a smaller one than it has seen.
+            name: name of the adapter.
+            path: path of the weights.
+            version: version of the weights.
+            fencing_token: an engine that checks it refuses a token smaller than one it has seen.
         """
 
     @abc.abstractmethod
     async def get_load(self) -> EngineLoad:
-        """Return the engine's load."""
+        """Return the load that the engine reports."""
--- a/src/crankhinge/adapters/_instances.py
+++ b/src/crankhinge/adapters/_instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of instances."""
+"""Interface of the platform's list of instances, which lags behind the real state."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True)
 class Instance:
-    """An agent's instance.
+    """An instance that runs an agent.
 
     Attributes:
-        name: unique within the fleet.
+        name: unique name within the fleet.
         host: IP address.
-        port: of the agent's internal listener.
+        port: port of the agent's internal listener.
         zone: availability zone.
-        pool: pool of its backend server.
-        leaving: whether it is about to go.
+        pool: pool of the agent's backend server.
+        leaving: whether the instance has announced its shutdown.
     """
 
     name: str
@@ -28,8 +28,8 @@
 
 
 class InstanceList(abc.ABC):
-    """Who is there, as far as the platform has noticed."""
+    """List of the instances that the platform knows; recent changes may be missing."""
 
     @abc.abstractmethod
     async def list_agents(self) -> list[Instance]:
-        """Return the agents. Raises KeyValueUnavailable."""
+        """Return the instances that run agents. Raises KeyValueUnavailable."""
--- a/src/crankhinge/adapters/_order_lease.py
+++ b/src/crankhinge/adapters/_order_lease.py
@@ -1,4 +1,4 @@
-"""Who may give orders to backend servers: one instance at a time, under a rising fence."""
+"""Lease that lets one instance at a time send orders to engines, with a fencing token."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderLease:
-    """The right to give orders.
+    """Exclusive right of one instance to send orders to engines.
 
     Attributes:
-        holder: the instance.
-        token: greater than that of every earlier holder.
-        lease_id: what it is renewed by.
-        expires_at: end on the runtime's clock, in seconds, as the holder must believe.
+        holder: name of the instance that holds the lease.
+        token: fencing token, greater than that of every earlier holder.
+        lease_id: id with which the holder renews the lease.
+        expires_at: time on the runtime's clock, in seconds, from which the holder must treat the
+            lease as expired.
     """
 
     holder: str
@@ -24,16 +25,16 @@
 
 
 class OrderLeaseStore(abc.ABC):
-    """Gives the right to one instance at a time.
+    """Grants the order lease to one instance at a time.
 
-    Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when no answer comes; a
-    right that was given without an answer runs out by itself.
+    Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when the store does not
+    respond; a lease that was granted without a response expires by itself.
     """
 
     @abc.abstractmethod
     async def acquire(self, holder: str) -> OrderLease | None:
-        """Return the right, or None while another instance has it."""
+        """Return the order lease, or None while another instance holds it."""
 
     @abc.abstractmethod
     async def renew(self, lease: OrderLease) -> OrderLease | None:
-        """Return the right with its new end, or None when it is over."""
+        """Return the order lease with its new expiry, or None if it has expired."""
--- a/src/crankhinge/adapters/_registry.py
+++ b/src/crankhinge/adapters/_registry.py
@@ -1,4 +1,4 @@
-"""Where instances tell each other what requests take, and where they can be reached."""
+"""Registry in which each instance publishes its address and its measurements for the others."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRecord:
-    """What one instance tells.
+    """Record that one instance publishes. It is stored as JSON under its field names.
 
     Attributes:
-        peer: ``host:port`` where it takes notices; empty where it takes none.
-        sheets: its measurements by service.
-        settled: whether it could act for all instances.
-        quarantined: requests in quarantine by fingerprint, each with the identities of the servers
-            that crashed under it.
-        limited: requests a second that servers say they take, by their identities.
+        peer: ``host:port`` at which the instance receives peer messages; empty if it receives none.
+        sheets: cost of requests that the instance measured, by service.
+        settled: whether the instance was ready to coordinate when it wrote the record.
+        quarantined: fingerprints of quarantined requests, each with the ids of the servers that
+            crashed while they ran it.
+        limited: advertised limits of servers in requests per second, by server id.
     """
 
     peer: str
@@ -31,11 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordLease:
-    """How long a note lasts.
+    """Lease under which an instance record is stored.
 
     Attributes:
-        expires_at: its end on the runtime's clock, in seconds, as its writer must believe.
-        may_have_lapsed: whether there may have been no note for a while before.
+        expires_at: time on the runtime's clock, in seconds, until which the record is certain to
+            be in the registry. It is counted from before the call that set the lease.
+        may_have_lapsed: whether the record may have been missing from the registry before the call.
     """
 
     expires_at: float
@@ -43,27 +44,28 @@
 
 
 class InstanceRegistry(abc.ABC):
-    """Holds one note of each instance for a while.
+    """Holds one record per instance, each under a lease that its instance renews.
 
-    Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when no answer comes.
+    Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when the registry does not
+    respond.
     """
 
     @abc.abstractmethod
     async def take_over(self, name: str) -> tuple[InstanceRecord, RecordLease] | None:
-        """Take over the note of an earlier life of the instance *name*; None where it has gone."""
+        """Take over the record of an earlier incarnation of *name*; return None if it expired."""
 
     @abc.abstractmethod
     async def publish(self, name: str, record: InstanceRecord) -> RecordLease:
-        """Put the note of the instance *name* in the place of its last one."""
+        """Write the record of the instance *name*, replacing its previous one."""
 
     @abc.abstractmethod
     async def renew(self) -> RecordLease | None:
-        """Have the note last longer; None where it has gone."""
+        """Renew the lease of the record; return None if the record has expired."""
 
     @abc.abstractmethod
     async def read_all(self, *, allow_stale: bool = True) -> dict[str, InstanceRecord]:
-        """Return the notes of all instances, by their names.
+        """Return the records of all instances by instance name.
 
         Args:
-            allow_stale: take notes that may be seconds old, which costs less.
+            allow_stale: accept records that may be several seconds old; such a read costs less.
         """
--- a/src/crankhinge/adapters/_service.py
+++ b/src/crankhinge/adapters/_service.py
@@ -1,4 +1,4 @@
-"""A plain service, as an agent needs it."""
+"""Interface of a plain service, that is one without model engines, as agents use it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True)
 class ServiceResponse:
-    """A whole answer.
+    """Complete response of a service.
 
     Attributes:
-        status: of HTTP.
-        headers: that are passed on.
-        body: the whole body.
-        backoff_s: seconds for which the service wants no further call; None where it does not say.
+        status: HTTP status.
+        headers: header fields that are passed on to the caller.
+        body: the complete body.
+        backoff_s: seconds during which the service wants no further call; None if it does not say.
     """
 
     status: int
@@ -25,18 +25,18 @@
 
 
 class PlainService(abc.ABC):
-    """A service that answers calls."""
+    """A service that responds to each call as a whole."""
 
     @abc.abstractmethod
     async def is_reachable(self) -> bool:
-        """Whether the service can be reached."""
+        """Return whether the service accepts connections."""
 
     @abc.abstractmethod
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
     ) -> ServiceResponse:
-        """Pass the call on, once.
+        """Forward the call to the service, without retries.
 
         Raises:
-            EngineFailed: with ``ran`` False when the call certainly did not arrive.
+            EngineFailed: the call failed; ``ran`` is False if it certainly did not arrive.
         """
--- a/src/crankhinge/adapters/_source.py
+++ b/src/crankhinge/adapters/_source.py
@@ -1,4 +1,4 @@
-"""Where the operators' configuration and the list of backend servers come from."""
+"""Interface of the source of the operators' configuration and the list of backend servers."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class HistoryLost(CrankhingeError):
-    """Changes since the given mark are no longer known; everything must be read anew."""
+    """The source no longer knows the changes since the given revision; read everything again."""
 
     code = "history-lost"
 
 
 class TooMuchChanged(CrankhingeError):
-    """What changed since the given mark is longer than was asked for; nothing of it was read."""
+    """The changes since the given revision exceed the size limit; none of them were read."""
 
     code = "too-much-changed"
 
 
 @dataclass(frozen=True)
 class ConfigUpdate:
-    """What was seen of the configuration.
+    """Result of a read or a watch of the configuration.
 
     Attributes:
-        table: the newest; None where none was written.
-        revision: to watch from.
-        size_bytes: bytes that carried the newest; 0 without one.
+        table: newest configuration; None if none was written.
+        revision: revision from which to watch for the next change.
+        size_bytes: encoded size of the newest configuration; 0 if there is none.
     """
 
     table: RouteTable | None
@@ -39,13 +39,13 @@
 
 @dataclass(frozen=True)
 class ServersUpdate:
-    """What was seen of the list of servers.
+    """Result of a read or a watch of the list of servers.
 
     Attributes:
-        servers: as their entries tell.
-        removed: names that have no entry any more.
-        revision: to watch from.
-        unusable: names whose entries name no server to use.
+        servers: servers as their entries describe them.
+        removed: names of servers whose entries were removed.
+        revision: revision from which to watch for the next change.
+        unusable: names of servers whose entries cannot be decoded.
     """
 
     servers: tuple[Server, ...]
@@ -55,20 +55,24 @@
 
 
 class DiscoverySource(abc.ABC):
-    """Reads and watches what the platform knows.
+    """Reads and watches the operators' configuration and the list of backend servers.
 
-    Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when no answer comes.
+    Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when the source does not
+    respond.
     """
 
     @property
     @abc.abstractmethod
     def received_bytes(self) -> int:
-        """Bytes that came from the source so far, those of answers that were given up too."""
+        """Bytes received from the source since the start, aborted responses included."""
 
     @property
     @abc.abstractmethod
     def call_counts(self) -> Mapping[str, int]:
-        """Calls so far of this instance to what keeps the source, whatever for, by kind."""
+        """Calls of this instance to the service behind the source since the start, by kind.
+
+        Calls to that service for other purposes are included.
+        """
 
     @abc.abstractmethod
     async def read_config(self) -> ConfigUpdate:
@@ -76,23 +80,26 @@
 
     @abc.abstractmethod
     async def watch_config(self, revision: int, wait_s: float, max_bytes: int) -> ConfigUpdate:
-        """Return the newest configuration after *revision*, or None after *wait_s*.
+        """Return the newest configuration after *revision*, without a table if none comes.
 
-        Every version since *revision* is carried, in *max_bytes* at most.
+        Args:
+            revision: revision from which to watch.
+            wait_s: seconds to wait for a new version.
+            max_bytes: size limit of the response, which carries every version since *revision*.
 
         Raises:
-            HistoryLost: read anew.
-            TooMuchChanged: the versions are longer.
+            HistoryLost: the source no longer knows the changes since *revision*.
+            TooMuchChanged: the versions since *revision* exceed *max_bytes*.
         """
 
     @abc.abstractmethod
     async def read_servers(self) -> ServersUpdate:
-        """Return every entry."""
+        """Return all servers of the list."""
 
     @abc.abstractmethod
     async def watch_servers(self, revision: int, wait_s: float) -> ServersUpdate:
-        """Return what changed after *revision*, within *wait_s*.
+        """Return the changes after *revision*, waiting up to *wait_s* seconds for the first.
 
         Raises:
-            HistoryLost: read anew.
+            HistoryLost: the source no longer knows the changes since *revision*.
         """
--- a/src/crankhinge/adapters/http_service.py
+++ b/src/crankhinge/adapters/http_service.py
@@ -1,4 +1,4 @@
-"""Adapter for plain services over HTTP/1.1 (RFC 9112)."""
+"""Adapter for plain services that speak HTTP/1.1 (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 def end_to_end_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the headers that are passed on (RFC 9110, section 7.6.1)."""
+    """Return the header fields that a proxy passes on (RFC 9110, section 7.6.1)."""
     return {name: value for name, value in headers.items() if name not in HOP_BY_HOP_HEADERS}
 
 
 class HttpService(PlainService):
-    """The service at one address."""
+    """A plain service at one address."""
 
     def __init__(self, host: str, port: int) -> None:
         self._client = HttpClient(host, port)
 
     async def is_reachable(self) -> bool:
-        """Whether the service takes connections."""
+        """Return whether the service accepts connections."""
         return await self._client.is_reachable()
 
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
     ) -> ServiceResponse:
-        """Pass the call on, once, on a connection of its own.
+        """Forward the call to the service once, on a new connection.
 
-        A kept connection that the service has just closed would leave it unknown whether a
-        non-repeatable call arrived.
+        If the service has just closed a pooled connection, it would be unknown whether a
+        non-repeatable call sent on it arrived.
         """
         try:
             resp = await self._client.call(
--- a/src/crankhinge/adapters/openai_engine.py
+++ b/src/crankhinge/adapters/openai_engine.py
@@ -1,10 +1,10 @@
 """Adapter for engines that speak the OpenAI completions API with vLLM's ``kv_transfer_params``.
 
 Source: the published OpenAI API reference (completions, chat completions, streaming) and vLLM's
-documentation of disaggregated prefilling: a prefill engine is asked for one token with
-``do_remote_decode`` and returns the handle of its KV cache; a decode engine is given that handle
-with ``do_remote_prefill``. ``GET /metrics`` is in the Prometheus text format. Closing the
-connection cancels a request.
+documentation of disaggregated prefilling: a request for one token with ``do_remote_decode`` makes
+a prefill engine return the handle of its KV cache; a request with that handle and
+``do_remote_prefill`` makes a decode engine fetch the cache. ``GET /metrics`` is in the Prometheus
+text format. Closing the connection cancels a request.
 """
 
 from __future__ import annotations
@@ -63,13 +63,13 @@
 
 
 class OpenAiEngine(Engine):
-    """The engine at one address."""
+    """An engine at one address."""
 
     def __init__(self, host: str, port: int) -> None:
         self._client = HttpClient(host, port, pool_size=32)
 
     async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
-        """Read a prompt: a completion of one token whose KV cache is kept for another engine."""
+        """Request a completion of one token whose KV cache is kept for the decode engine."""
         asked = _with(body, kv_transfer_params=_WANT_KV, max_tokens=1, stream=False)
         stream = await self._open(path, asked, request_id)
         try:
@@ -86,7 +86,7 @@
     async def decode(
         self, path: str, body: bytes, kv_handle: bytes, *, request_id: int
     ) -> DecodeStream:
-        """Write an answer, streamed."""
+        """Request the answer as a stream, from the KV cache *kv_handle*."""
         params = {
             **msgspec.json.decode(kv_handle),
             "do_remote_prefill": True,
@@ -110,7 +110,7 @@
         return stream
 
     async def load_adapter(self, name: str, path: str, version: int, *, fencing_token: int) -> None:
-        """Load an adapter by vLLM's ``/v1/load_lora_adapter``, in place."""
+        """Load an adapter with vLLM's ``/v1/load_lora_adapter``, replacing an older version."""
         order = {"lora_name": name, "lora_path": path, "load_inplace": True}
         headers = {**_JSON, FENCING_HEADER: str(fencing_token), "x-adapter-version": str(version)}
         try:
@@ -127,7 +127,7 @@
             raise EngineFailed(f"status {resp.status}")
 
     async def get_load(self) -> EngineLoad:
-        """Read the engine's gauges."""
+        """Return the load from the gauges of the engine's metrics."""
         try:
             resp = await self._client.call("GET", "/metrics")
         except (HttpClosed, BadHttp) as exc:
@@ -139,7 +139,7 @@
 
 
 class _Stream(DecodeStream):
-    """A streamed completion."""
+    """Stream of one completion."""
 
     def __init__(self, stream: ClientStream) -> None:
         self._stream = stream
@@ -153,7 +153,7 @@
             except (HttpClosed, BadHttp) as exc:
                 raise EngineFailed(exc.detail) from exc
             if not chunk:
-                raise EngineFailed("answer ended before its last event")
+                raise EngineFailed("response ended before its last event")
             pieces = self._pieces(chunk)
             if pieces:
                 return pieces
@@ -187,7 +187,7 @@
 
 
 def _with(body: bytes, **more: object) -> bytes:
-    """Return the JSON object *body* with some members set."""
+    """Return the JSON object *body* with the members *more* set."""
     data = msgspec.json.decode(body)
     data.update(more)
     return msgspec.json.encode(data)
