--- a/src/crankhinge/adapters/consul.py
+++ b/src/crankhinge/adapters/consul.py
@@ -33,18 +33,18 @@
 
     async def get(self, key: str) -> StoredValue | None:
         """Return the value of *key*, or None if the key does not exist."""
-        resp = await _call(self._client, "GET", _path(key) + "?consistent")
-        return _value_of(resp)
+        resp = await _call(self._client, "GET", _key_path(key) + "?consistent")
+        return _parse_value(resp)
 
     async def watch(self, key: str, index: int, wait_s: float) -> StoredValue | None:
         """Return the value as soon as its index differs from *index*, or after *wait_s* seconds."""
-        target = f"{_path(key)}?index={index}&wait={int(wait_s * 1000)}ms"
+        target = f"{_key_path(key)}?index={index}&wait={int(wait_s * 1000)}ms"
         # Consul may extend the wait by up to a sixteenth.
-        return _value_of(await _call(self._client, "GET", target, wait_s=wait_s * 17 / 16))
+        return _parse_value(await _call(self._client, "GET", target, wait_s=wait_s * 17 / 16))
 
     async def compare_and_swap(self, key: str, data: bytes, index: int) -> bool:
         """Write *data* if the value's index is *index* (0: if the key does not exist)."""
-        resp = await _call(self._client, "PUT", f"{_path(key)}?cas={index}", data)
+        resp = await _call(self._client, "PUT", f"{_key_path(key)}?cas={index}", data)
         if resp.status != 200:
             raise KeyValueUnavailable(f"status {resp.status}")
         return resp.body.strip() == b"true"
@@ -62,10 +62,10 @@
         resp = await _call(self._client, "GET", target)
         if resp.status != 200:
             raise KeyValueUnavailable(f"status {resp.status}")
-        return [_instance_of(row) for row in _json(resp)]
+        return [_parse_instance(row) for row in _decode_json(resp)]
 
 
-def _path(key: str) -> str:
+def _key_path(key: str) -> str:
     return "/v1/kv/" + quote(key)
 
 
@@ -87,26 +87,26 @@
         raise KeyValueUnavailable(str(exc)) from exc
 
 
-def _json(resp: Response) -> Any:
+def _decode_json(resp: Response) -> Any:
     try:
         return msgspec.json.decode(resp.body)
     except msgspec.DecodeError as exc:
         raise KeyValueUnavailable(f"response is not JSON: {exc}") from exc
 
 
-def _value_of(resp: Response) -> StoredValue | None:
+def _parse_value(resp: Response) -> StoredValue | None:
     if resp.status == 404:
         return None
     if resp.status != 200:
         raise KeyValueUnavailable(f"status {resp.status}")
     try:
-        row = _json(resp)[0]
+        row = _decode_json(resp)[0]
         return StoredValue(base64.b64decode(row["Value"] or ""), int(row["ModifyIndex"]))
     except (LookupError, TypeError, ValueError) as exc:
         raise KeyValueUnavailable(f"unexpected response: {exc}") from exc
 
 
-def _instance_of(row: Any) -> Instance:
+def _parse_instance(row: Any) -> Instance:
     try:
         service = row["Service"]
         meta = service["Meta"]
--- a/src/crankhinge/adapters/openai_engine.py
+++ b/src/crankhinge/adapters/openai_engine.py
@@ -26,20 +26,20 @@
 
 HTTP_GONE = 410
 FENCING_HEADER = "x-fencing-token"
-_JSON = {"content-type": "application/json"}
-_WANT_KV = {"do_remote_decode": True, "do_remote_prefill": False}
+_JSON_HEADERS = {"content-type": "application/json"}
+_KEEP_KV_CACHE = {"do_remote_decode": True, "do_remote_prefill": False}
 
 
-class _Details(msgspec.Struct):
+class _PromptTokensDetails(msgspec.Struct):
     cached_tokens: int = 0
 
 
 class _Usage(msgspec.Struct):
     prompt_tokens: int = 0
-    prompt_tokens_details: _Details | None = None
+    prompt_tokens_details: _PromptTokensDetails | None = None
 
 
-class _PrefillAnswer(msgspec.Struct):
+class _PrefillResponse(msgspec.Struct):
     kv_transfer_params: dict[str, Any]
     usage: _Usage = msgspec.field(default_factory=_Usage)
 
@@ -58,8 +58,8 @@
     choices: list[_Choice] = []
 
 
-_chunks = msgspec.json.Decoder(_Chunk)
-_answers = msgspec.json.Decoder(_PrefillAnswer)
+_chunk_decoder = msgspec.json.Decoder(_Chunk)
+_prefill_decoder = msgspec.json.Decoder(_PrefillResponse)
 
 
 class OpenAiEngine(Engine):
@@ -70,16 +70,18 @@
 
     async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
         """Request a completion of one token whose KV cache is kept for the decode engine."""
-        asked = _with(body, kv_transfer_params=_WANT_KV, max_tokens=1, stream=False)
-        stream = await self._open(path, asked, request_id)
+        request_body = _with_members(
+            body, kv_transfer_params=_KEEP_KV_CACHE, max_tokens=1, stream=False
+        )
+        stream = await self._open(path, request_body, request_id)
         try:
             data = await stream.read_all()
-            answer = _answers.decode(data)
+            answer = _prefill_decoder.decode(data)
         except (HttpClosed, BadHttp, msgspec.DecodeError) as exc:
             raise EngineFailed(str(exc)) from exc
         finally:
             await stream.close()
-        details = answer.usage.prompt_tokens_details or _Details()
+        details = answer.usage.prompt_tokens_details or _PromptTokensDetails()
         kv = msgspec.json.encode(answer.kv_transfer_params)
         return PrefillResult(kv, answer.usage.prompt_tokens, details.cached_tokens)
 
@@ -92,11 +94,11 @@
             "do_remote_prefill": True,
             "do_remote_decode": False,
         }
-        asked = _with(body, kv_transfer_params=params, stream=True)
-        return _Stream(await self._open(path, asked, request_id))
+        request_body = _with_members(body, kv_transfer_params=params, stream=True)
+        return _CompletionStream(await self._open(path, request_body, request_id))
 
     async def _open(self, path: str, body: bytes, req: int) -> ClientStream:
-        headers = {**_JSON, "x-request-id": f"{req:016x}"}
+        headers = {**_JSON_HEADERS, "x-request-id": f"{req:016x}"}
         try:
             stream = await self._client.open(
                 "POST", path, headers=headers, body=body, new_connection=True
@@ -112,7 +114,11 @@
     async def load_adapter(self, name: str, path: str, version: int, *, fencing_token: int) -> None:
         """Load an adapter with vLLM's ``/v1/load_lora_adapter``, replacing an older version."""
         order = {"lora_name": name, "lora_path": path, "load_inplace": True}
-        headers = {**_JSON, FENCING_HEADER: str(fencing_token), "x-adapter-version": str(version)}
+        headers = {
+            **_JSON_HEADERS,
+            FENCING_HEADER: str(fencing_token),
+            "x-adapter-version": str(version),
+        }
         try:
             resp = await self._client.call(
                 "POST",
@@ -138,7 +144,7 @@
         )
 
 
-class _Stream(DecodeStream):
+class _CompletionStream(DecodeStream):
     """Stream of one completion."""
 
     def __init__(self, stream: ClientStream) -> None:
@@ -154,23 +160,23 @@
                 raise EngineFailed(exc.detail) from exc
             if not chunk:
                 raise EngineFailed("response ended before its last event")
-            pieces = self._pieces(chunk)
+            pieces = self._parse_chunk(chunk)
             if pieces:
                 return pieces
         return []
 
-    def _pieces(self, chunk: bytes) -> list[str]:
+    def _parse_chunk(self, chunk: bytes) -> list[str]:
         pieces = []
         for data in self._parser.feed(chunk):
             if data == b"[DONE]":
                 self._done = True
                 break
-            pieces += self._read_event(data)
+            pieces += self._parse_event(data)
         return pieces
 
-    def _read_event(self, data: bytes) -> list[str]:
+    def _parse_event(self, data: bytes) -> list[str]:
         try:
-            event = _chunks.decode(data)
+            event = _chunk_decoder.decode(data)
         except msgspec.DecodeError as exc:
             raise EngineFailed(f"unreadable event: {exc}") from exc
         texts = []
@@ -186,7 +192,7 @@
         await self._stream.close()
 
 
-def _with(body: bytes, **more: object) -> bytes:
+def _with_members(body: bytes, **more: object) -> bytes:
     """Return the JSON object *body* with the members *more* set."""
     data = msgspec.json.decode(body)
     data.update(more)
