--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter to the key-value service of the product's own interface."""
+"""Tests of the adapter for Consul's key-value store."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from platform_fakes import HOST
 from virtual_time import run_virtual
 
-# Bytes a second of a thin link (1 Mbit/s), and of a bundle as large as the service holds.
-THIN_B_S = 125_000
+# Bytes per second of a slow link (1 Mbit/s), and a bundle of the largest size the service accepts.
+SLOW_LINK_BYTES_PER_S = 125_000
 BUNDLE = b"b" * 512 * 1024
 
 
 class TestLargeBundle:
-    """A bundle that a thin link carries for longer than any single silence."""
+    """A bundle whose transfer over a slow link takes longer than the timeout of a single read."""
 
-    def test_is_read_as_long_as_bytes_come(self) -> None:
-        """A bound on the whole answer would give it up each time; here it takes 5.6 s."""
+    def test_read_continues_as_long_as_bytes_arrive(self) -> None:
+        """The response takes 5.6 s; a short timeout for the whole of it would always abort it."""
         [port] = free_ports(1)
         row = {"Value": base64.b64encode(BUNDLE).decode(), "ModifyIndex": 7}
         body = json.dumps([row]).encode()
@@ -31,7 +31,7 @@
         async def handle(sock: Any, _: Any) -> None:
             await sock.recv(65536)
             await sock.sendall(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body))
-            step = THIN_B_S // 10
+            step = SLOW_LINK_BYTES_PER_S // 10
             for begin in range(0, len(body), step):
                 await curio.sleep(0.1)
                 await sock.sendall(body[begin : begin + step])
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""The page of every word that the contract allows: complete for the adapter, its tests there."""
+"""Checks that the contract page lists every name the adapter decodes and only existing tests."""
 
 from __future__ import annotations
 
@@ -16,11 +16,10 @@
 
 ROOT = Path(__file__).parents[1]
 PAGE = (ROOT / "docs/design/contract.md").read_text()
-# What stands in the store beside the words of others: ours, and its own shape.
-NAMED = re.compile(r"`(test_\w+)(?:::(\w+))?`")
+TEST_REFERENCE = re.compile(r"`(test_\w+)(?:::(\w+))?`")
 
 
-def words_of_heads() -> set[str]:
+def header_names() -> set[str]:
     """Return the header fields that the adapter knows by name."""
     names = {
         value
@@ -31,7 +30,7 @@
 
 
 def structs(module: Any) -> list[type[msgspec.Struct]]:
-    """Return the messages that a module defines."""
+    """Return the message structs that a module defines."""
     return [
         kind
         for kind in vars(module).values()
@@ -41,47 +40,47 @@
     ]
 
 
-def words_of_bodies() -> set[str]:
-    """Return the fields of entries, configurations and answers that the adapter decodes."""
+def body_fields() -> set[str]:
+    """Return the fields of entries, configurations and responses that the adapter decodes."""
     lists = {"routes", "services", "limits", "tenants", "engine"}
     kinds = structs(dialect) + structs(source)
     return {field for kind in kinds for field in kind.__struct_fields__} - lists
 
 
-def words_of_instances() -> set[str]:
-    """Return the tags of what instances tell each other."""
+def peer_message_tags() -> set[str]:
+    """Return the tags of the peer messages between instances."""
     tags = {kind.__struct_config__.tag for kind in structs(_peer_messages)}
     return {tag for tag in tags if isinstance(tag, str)}
 
 
 class TestPage:
-    """What stands on it."""
+    """Contents of the page."""
 
     @pytest.mark.parametrize(
-        "words",
-        [words_of_heads, words_of_bodies, words_of_instances],
+        "names_of",
+        [header_names, body_fields, peer_message_tags],
         ids=["heads", "bodies", "instances"],
     )
-    def test_has_each_word_that_is_decoded(self, words: Any) -> None:
-        """A new one needs its row: whom it binds, until when, its test."""
-        assert len(words()) > 3
-        assert sorted(word for word in words() if f"`{word}`" not in PAGE) == []
+    def test_page_lists_each_decoded_name(self, names_of: Any) -> None:
+        """A new name needs a row that says whom it binds, until when, and which test checks it."""
+        assert len(names_of()) > 3
+        assert sorted(word for word in names_of() if f"`{word}`" not in PAGE) == []
 
-    def test_has_each_setting(self) -> None:
-        """Those that come from a sheet, too."""
+    def test_page_lists_each_setting(self) -> None:
+        """All settings of the gateway are on the page."""
         assert sorted(name for name in GatewaySettings.__struct_fields__ if name not in PAGE) == []
 
-    def test_names_tests_that_are_there(self) -> None:
-        """A test that was renamed or taken out is missed here."""
-        named = set(NAMED.findall(PAGE))
+    def test_page_names_only_existing_tests(self) -> None:
+        """Fails when a test that the page names was renamed or removed."""
+        named = set(TEST_REFERENCE.findall(PAGE))
         assert len(named) > 50
-        assert sorted(row for row in named if not is_there(*row)) == []
+        assert sorted(row for row in named if not is_defined(*row)) == []
 
-    def test_each_row_names_a_test_or_why_there_is_none(self) -> None:
-        """Whatever is not decoded says so, or that it is left."""
+    def test_each_row_names_a_test_or_a_reason(self) -> None:
+        """A row without a test says that the name is not decoded or still open."""
         reasons = ("left", "nobody", "unknown")
         rows = [row for row in PAGE.splitlines() if row.startswith("| ")]
-        bare = [row for row in rows if not NAMED.search(row)]
+        bare = [row for row in rows if not TEST_REFERENCE.search(row)]
         heads = [row for row in bare if row.startswith("| word |")]
         assert len(rows) > 60
         assert [
@@ -91,8 +90,8 @@
         ] == []
 
 
-def is_there(module: str, name: str) -> bool:
-    """Whether a test file, and in it a class or function, is there."""
+def is_defined(module: str, name: str) -> bool:
+    """Return whether a test file exists and defines a class or function of that name."""
     path = ROOT / "tests" / f"{module}.py"
     if not path.exists():
         return False
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of what a gateway knows while the store is away, forgets or lies behind."""
+"""Tests of configuration and server list while the store fails, drops its history or is slow."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def play(world: World, story: object) -> None:
-    """Run *story* under a clock that jumps."""
+    """Run *story* on virtual time."""
     run_virtual(world.play, story, ONCE, settle_s=0.003)
 
 
 class TestConfig:
-    """The configuration in force."""
+    """Which configuration a gateway applies."""
 
-    def test_an_older_version_never_comes_back(self) -> None:
-        """Versions rise in uneven steps; a lower one is not taken."""
+    def test_older_version_is_never_applied(self) -> None:
+        """Version numbers may skip; a lower one is not applied."""
         world = World()
         world.add("i-1", "plain")
 
@@ -35,8 +35,8 @@
 
         play(world, story)
 
-    def test_requests_are_served_while_the_store_is_away(self) -> None:
-        """What is known stays in force; the return is noticed within a second."""
+    def test_requests_are_served_while_the_store_is_unreachable(self) -> None:
+        """The known state stays in force; a recovered store is noticed within a second."""
         world = World()
         world.add("i-1", "plain")
 
@@ -54,8 +54,8 @@
 
         play(world, story)
 
-    def test_the_stores_return_is_noticed_though_nothing_changed(self) -> None:
-        """The first watch after an absence is answered at once, not after its wait."""
+    def test_recovered_store_is_noticed_without_a_change(self) -> None:
+        """The first watch after an outage asks for a response without a wait."""
         world = World()
         world.add("i-1", "plain")
 
@@ -70,29 +70,29 @@
 
         play(world, story)
 
-    def test_watches_from_what_was_read_not_from_the_last_change(self) -> None:
-        """A store that forgot its history before the first read is not asked without end."""
+    def test_watch_starts_at_the_revision_of_the_read(self) -> None:
+        """A store that dropped its history before the first read does not cause endless reads."""
         world = World()
         world.add("i-1", "plain")
         world.store.revision = 1000
 
-        def following() -> int:
-            """Calls to follow configuration and list, not those about notes."""
+        def watch_calls() -> int:
+            """Return the number of calls for configuration and list, without those for records."""
             return sum(call in ("/v1/kv-watch", "/v1/kv-key") for call in world.store.calls)
 
         async def story() -> None:
             await curio.sleep(1.0)
             world.store.forget_history()
-            before = following()
+            before = watch_calls()
             await world.store.put("other/key", "x")
             await curio.sleep(60.0)
-            # Two watches of 2 s: one call a second, not thousands.
-            assert following() - before < 65
+            # Two watches of 2 s each make one call per second, not thousands.
+            assert watch_calls() - before < 65
 
         play(world, story)
 
-    def test_lost_history_is_not_pressed(self) -> None:
-        """A store that says 'history gone' to every watch is asked with growing pauses."""
+    def test_lost_history_is_retried_with_growing_delays(self) -> None:
+        """A store that answers every watch with 'history gone' is called with growing delays."""
         world = World()
         world.add("i-1", "plain")
 
@@ -106,25 +106,26 @@
         play(world, story)
 
 
-# What a thin link carries, in bytes a second (5 Mbit/s), and how long the store remembers changes.
-THIN_B_S = 625_000
+# Capacity of a slow link in bytes per second (5 Mbit/s), and seconds for which the store keeps its
+# history of changes.
+SLOW_LINK_BYTES_PER_S = 625_000
 HISTORY_S = 20.0
 
 
 class TestLargeConfig:
-    """A configuration that takes a thin link longer than any answer of the store took before.
-
-    Users saw instances on thin links serve by an old configuration for the rest of the day, long
-    after newer ones were confirmed. The operators had added 1,400 routes three times, to a value of
-    1 MB; the store had dropped its history, so that the instances had to read the whole value. A
-    5 Mbit/s link carries it in 1.7 s; a read was given up after 1.5 s, whatever had come, and begun
-    again, for ever. Evidence: `source_still_lost what=config why="no answer in 1.5 s" failures=4
-    received=2630700` on each such instance, its link full all the while, and `config_in_force`
-    0.17 s after the write on every instance with a wide link.
+    """A configuration whose transfer over a slow link takes longer than the timeout of a read.
+
+    Guards against instances on slow links that keep an old configuration for the rest of the day.
+    The operators had added 1,400 routes three times, to a value of 1 MB, and the store had dropped
+    its history, so that instances had to read the whole value. A 5 Mbit/s link carries it in 1.7 s,
+    but a read was aborted after 1.5 s, whatever had arrived, and repeated endlessly. Each such
+    instance logged `source_still_lost what=config why="no answer in 1.5 s" failures=4
+    received=2630700` while its link was saturated; instances with a fast link logged
+    `config_in_force` 0.17 s after the write.
     """
 
-    def test_is_in_force_soon_after_a_thin_link_has_carried_it(self) -> None:
-        """A read goes on as long as bytes come."""
+    def test_large_configuration_is_applied_over_a_slow_link(self) -> None:
+        """A read continues as long as bytes arrive."""
         world = World()
         world.add("i-1", "plain")
         more = [route(f"r-{n}", f"/more-{n:05}/", "unsafe", "plain") for n in range(4200)]
@@ -132,10 +133,10 @@
         async def story() -> None:
             await world.store.put("other/key", "x")
             world.store.forget_history()
-            world.store.faults.bytes_per_s = THIN_B_S
+            world.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S
             await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}, *more))
             value = world.store.items["op/config"]["value"]
-            carried_s = len(value) / THIN_B_S
+            carried_s = len(value) / SLOW_LINK_BYTES_PER_S
             assert carried_s > 1.5
             await curio.sleep(carried_s + 1.5)
             assert (await world.call("q1", "/new/a"))[0] == 200
@@ -143,8 +144,8 @@
 
         play(world, story)
 
-    def test_is_not_read_again_when_a_connection_ends(self) -> None:
-        """The watch goes on from where it was: nothing has changed, nothing needs carrying."""
+    def test_configuration_is_not_read_again_after_a_connection_ends(self) -> None:
+        """The watch continues from its last revision, so the value is not transferred again."""
         world = World()
         world.add("i-1", "plain")
 
@@ -163,26 +164,26 @@
 
         play(world, story)
 
-    def test_versions_in_quick_succession_are_passed_over(self) -> None:
-        """Of those written while one is carried only the newest is read.
+    def test_versions_in_quick_succession_are_skipped(self) -> None:
+        """Of the versions written during a transfer, only the newest is read.
 
-        A watch answers with every version since its mark. Six large ones at a time are six times
-        what a thin link carries in the time in which one has to be in force, and more have been
-        written when they are there.
+        The response to a watch carries every version since its revision. Six large versions take a
+        slow link six times as long as the time in which a version must be applied, and further ones
+        are written in the meantime.
         """
         world = World()
         world.add("i-1", "plain")
         more = [route(f"r-{n}", f"/more-{n:05}/", "unsafe", "plain") for n in range(2000)]
 
         async def story() -> None:
-            world.store.faults.bytes_per_s = THIN_B_S // 2
+            world.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S // 2
             for version in range(2, 14):
                 moved = {**ONCE, "path_prefix": f"/v{version}/"}
                 await world.store.put("op/config", config(version, moved, *more))
                 await curio.sleep(0.3)
             value = world.store.items["op/config"]["value"]
-            # The one that was under way, and the newest.
-            await curio.sleep(2 * len(value) / (THIN_B_S // 2) + 0.5)
+            # Time for the version in transfer and for the newest one.
+            await curio.sleep(2 * len(value) / (SLOW_LINK_BYTES_PER_S // 2) + 0.5)
             assert (await world.call("q1", "/v13/a"))[0] == 200
             assert world.lines.having("event=config_passed_over")
             assert not world.lines.having("event=history_lost", "what=config")
@@ -190,28 +191,28 @@
         play(world, story)
 
 
-class TestLeftUnheard:
-    """A server that left while its instance had no word of it.
+class TestMissedRemoval:
+    """A server whose entry is removed while the gateway does not receive the change.
 
-    Users saw requests reach a server 2.1 and 2.3 s after its entry had gone, although an instance
-    learns of that within milliseconds. The list had been quiet for longer than the store remembers
-    changes, so that the watch was answered with lost history instead of the change, and the list
-    was read anew. Because the last word of the list was more than a second old, the store counted
-    as having been away, the missing entry as one that may have lapsed meanwhile, and its server was
-    sent requests for 2.3 to 2.9 s more. Evidence: requests within exactly that span; `history_lost
-    what=servers` without `source_lost` before it; `server_gone why=not_back` 2.4 to 3.0 s after the
-    list was read.
+    Guards against requests to a removed server; they arrived 2.1 and 2.3 s after the removal,
+    although an instance usually learns of it within milliseconds. The list had not changed for
+    longer than the store keeps its history, so the watch got "history lost" instead of the change
+    and the list was read again. As the last response about the list was more than a second old, the
+    gateway assumed that the store had been unreachable and that the missing entry might have
+    expired during that time, and it kept the server for another 2.3 to 2.9 s. The logs showed
+    requests in exactly that span, `history_lost what=servers` without `source_lost` before it, and
+    `server_gone why=not_back` 2.4 to 3.0 s after the list was read.
     """
 
-    def test_a_quiet_list_is_no_absence_of_the_store(self) -> None:
-        """What is missing from a list that was read anew after a quiet time has gone."""
+    def test_unchanged_list_does_not_count_as_an_outage(self) -> None:
+        """A server missing from a list that is read again after an idle time is dropped at once."""
         world = World(HISTORY_S)
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
 
         async def story() -> None:
             for number in range(48):
-                # Other items change all the while: the mark of a quiet list grows old.
+                # Other items change meanwhile, so the revision of the unchanged list grows old.
                 await curio.sleep(0.5)
                 await world.store.put("other/key", number)
             await world.store.remove("servers/i-1")
@@ -223,11 +224,12 @@
 
         play(world, story)
 
-    def test_one_instance_that_was_cut_off_believes_the_list(self) -> None:
-        """Where the other entries stand, the store was not away: a missing server has gone.
+    def test_disconnected_instance_drops_a_server_missing_from_the_list(self) -> None:
+        """If the other entries still exist, the store was reachable for the servers.
 
-        Nine instances were cut off for twelve seconds, a server left three seconds into that, and a
-        request reached it 13 s later: 4 s after the cut, when the list had been read long since.
+        Then a missing entry was removed and did not expire. Guards against this failure: nine
+        instances were disconnected for twelve seconds, a server left after three of them, and a
+        request reached it 13 s later, 4 s after the connections were back and the list was read.
         """
         world = World()
         leaving = world.add("i-1", "plain")
@@ -250,42 +252,42 @@
         play(world, story)
 
 
-# Seconds after which an instance whose connections were reset counts as in touch again.
-IN_TOUCH_S = 3.0
+# Seconds after a reset of its connections until an instance counts as reconnected.
+RECONNECTED_S = 3.0
 
 
-class TestSilentConnection:
-    """A connection on which the store stays silent although it is open and new ones work.
+class TestUnresponsiveConnection:
+    """An open connection on which the store no longer responds, although new connections work.
 
-    Nothing at the connection shows it: it acknowledges what it is sent. A configuration that was
-    changed was in force after 25.1 s and a server that left known after 25.2 s, when the watch that
-    waited there was given up.
+    The connection still acknowledges what is sent, so the transport does not show the fault. A
+    changed configuration was applied only after 25.1 s and a leaving server noticed after 25.2 s,
+    when the watch on that connection timed out.
     """
 
-    def test_is_noticed_before_its_instance_counts_as_in_touch_again(self) -> None:
-        """Configuration and list are read anew on another connection."""
+    def test_unresponsive_connection_is_noticed_in_time(self) -> None:
+        """Configuration and list are read again on another connection."""
         world = World()
         world.add("i-1", "plain")
         world.add("i-2", "plain")
 
         async def story() -> None:
-            # Both watches have just been asked again.
+            # Both watches have just been sent again.
             await curio.sleep(10.0)
             world.store.mute_open_calls()
             await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}))
             await world.store.remove("servers/i-1")
-            await curio.sleep(IN_TOUCH_S)
+            await curio.sleep(RECONNECTED_S)
             assert world.lines.having("event=server_gone", "server=i-1")
             for number in range(10):
                 assert (await world.call(f"q{number}", "/new/a"))[2] == b"whole:i-2"
 
         play(world, story)
 
-    def test_is_noticed_in_time_though_changes_are_gathered(self) -> None:
-        """It falls silent while nothing is asked, since changes go on and are gathered.
+    def test_unresponsive_connection_is_noticed_between_batched_watches(self) -> None:
+        """The connection fails between two watches, while the gateway waits to batch changes.
 
-        The next watch is sent on it up to 0.8 s later; had it waited as long as any other, a
-        leaving server would have been known after 3.6 s.
+        The next watch is sent on it up to 0.8 s later. With the full wait of a watch, a leaving
+        server would be noticed only after 3.6 s.
         """
         world = World()
         world.add("i-1", "plain")
@@ -299,13 +301,13 @@
                 await curio.sleep(0.02)
             world.store.mute_open_conns()
             await world.store.remove("servers/i-1")
-            await curio.sleep(IN_TOUCH_S)
+            await curio.sleep(RECONNECTED_S)
             assert world.lines.having("event=server_gone", "server=i-1")
 
         play(world, story)
 
-    def test_a_quiet_store_is_asked_before_it_forgets(self) -> None:
-        """A watch that waits longer than changes are remembered ends in a read of everything."""
+    def test_watch_ends_before_the_store_drops_its_history(self) -> None:
+        """A watch that waits longer than the store keeps its history would cause a full read."""
         world = World(HISTORY_S)
         world.add("i-1", "plain")
 
@@ -320,14 +322,14 @@
 
 
 class TestManyChanges:
-    """A release, in which the list changes many times a second.
+    """A rollout, during which the list changes many times per second.
 
-    A watch is answered by the first change. Sixty-eight instances asked again at once, each made a
-    call for each of some 150 changes, and paid for 11,867 calls in 55 s.
+    The response to a watch comes with the first change. When 68 instances sent the next watch at
+    once, each made a call for each of about 150 changes: 11,867 charged calls in 55 s.
     """
 
-    def test_changes_are_gathered(self) -> None:
-        """Ten changes a second for ten seconds take fewer than two calls a second."""
+    def test_changes_are_batched(self) -> None:
+        """Ten changes per second for ten seconds take fewer than two calls per second."""
         world = World()
         world.add("i-1", "plain")
         other = world.add("i-2", "plain")
@@ -338,14 +340,14 @@
             for number in range(100):
                 await other.enter("draining" if number % 2 else "ready")
                 await curio.sleep(0.1)
-            # One watch for the list each 0.8 s, one for the configuration each 2 s.
+            # One watch for the list every 0.8 s, one for the configuration every 2 s.
             assert world.store.calls.count("/v1/kv-watch") - before < 20
             assert world.lines.having("event=source_called", "watch_servers=")
 
         play(world, story)
 
-    def test_a_server_that_leaves_meanwhile_gets_nothing_after_the_bound(self) -> None:
-        """It leaves in the worst moment, right after an answer."""
+    def test_leaving_server_gets_no_request_after_the_bound(self) -> None:
+        """It leaves at the worst moment, right after the response to a watch."""
         world = World()
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -369,8 +371,8 @@
 
         play(world, story)
 
-    def test_a_change_after_a_quiet_time_is_known_at_once(self) -> None:
-        """Nothing is waited for when nothing was changing."""
+    def test_first_change_after_an_idle_time_is_seen_at_once(self) -> None:
+        """Batching does not delay a change that follows an idle time."""
         world = World()
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -383,8 +385,8 @@
 
         play(world, story)
 
-    def test_configurations_in_storms_are_gathered(self) -> None:
-        """Forty versions in ten seconds are in force soon, each within its bound."""
+    def test_many_configurations_in_succession_are_applied(self) -> None:
+        """The last of forty versions in ten seconds is applied within half a second."""
         world = World()
         world.add("i-1", "plain")
 
@@ -401,16 +403,16 @@
         play(world, story)
 
 
-class TestLapsedTogether:
-    """Entries that all lapsed while the store was away.
+class TestEntriesExpiredTogether:
+    """Entries that all expired while the store was unresponsive.
 
-    A store that fell silent for six seconds let all entries lapse and then told so in one answer:
-    every instance dropped every server in the same moment, and had none until they had entered
-    themselves again.
+    A store that was unresponsive for six seconds let all entries expire and then reported that in
+    one response. Every instance dropped every server at once and had none until the servers had
+    written their entries again.
     """
 
-    def test_servers_that_vanish_at_once_are_kept_until_they_had_time_to_return(self) -> None:
-        """They serve; who does not return has gone after that time."""
+    def test_servers_that_vanish_together_are_kept_until_the_grace_ends(self) -> None:
+        """The servers get requests meanwhile; one whose entry does not return is then dropped."""
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in (1, 2, 3)]
 
@@ -435,8 +437,8 @@
 
         play(world, story)
 
-    def test_who_is_back_late_is_known_in_time(self) -> None:
-        """Entries return over two seconds; none is dropped because others were gathered first."""
+    def test_server_whose_entry_returns_late_is_kept(self) -> None:
+        """Entries return over two seconds; batching the first ones does not drop the later ones."""
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in range(5)]
 
@@ -458,8 +460,8 @@
 
         play(world, story)
 
-    def test_entries_that_were_made_anew_tell_of_it(self) -> None:
-        """Two of four are back when the list is read: the others are waited for."""
+    def test_recreated_entries_make_the_missing_ones_suspect(self) -> None:
+        """Two of the expired entries are back when the list is read; the third is waited for."""
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in (1, 2, 3, 4)]
 
@@ -480,11 +482,11 @@
         play(world, story)
 
 
-class TestSight:
-    """What the logs tell of a source that does not answer."""
+class TestLogs:
+    """Log lines about a source that does not respond."""
 
-    def test_a_silent_store_is_told_apart_from_one_that_breaks_off(self) -> None:
-        """Lines go on while it is away, with how often it failed and how much came meanwhile."""
+    def test_unresponsive_store_differs_from_one_that_aborts_responses(self) -> None:
+        """During an outage, lines report the number of failures and the bytes received."""
         world = World()
         world.add("i-1", "plain")
 
@@ -503,8 +505,8 @@
 
         play(world, story)
 
-    def test_a_list_that_is_read_anew_tells_who_is_doubted(self) -> None:
-        """With how long ago the list was last heard of."""
+    def test_repeated_read_of_the_list_logs_suspect_servers(self) -> None:
+        """The lines say how long ago the last response about the list came."""
         world = World()
         world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -528,10 +530,10 @@
 
 
 class TestSlowStore:
-    """A store whose answers take a second."""
+    """A store whose responses take more than a second."""
 
-    def test_changes_come_through(self) -> None:
-        """A watch that is answered at once has as long for its first byte as any call."""
+    def test_changes_are_applied_despite_slow_responses(self) -> None:
+        """A watch without a wait has the same timeout for its first byte as any call."""
         world = World()
         world.add("i-1", "plain")
 
@@ -548,8 +550,8 @@
 class TestServers:
     """The list of servers."""
 
-    def test_a_leaving_server_gets_no_new_request(self) -> None:
-        """From the moment its entry says so."""
+    def test_leaving_server_gets_no_new_request(self) -> None:
+        """It gets none from the moment its entry says so."""
         world = World()
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -562,8 +564,8 @@
 
         play(world, story)
 
-    def test_entries_that_lapsed_during_an_outage_are_kept_for_a_while(self) -> None:
-        """An empty list right after the store's return is not believed; a lasting one is."""
+    def test_servers_whose_entries_expired_in_an_outage_are_kept_for_a_while(self) -> None:
+        """An empty list is ignored right after an outage and applied if it persists."""
         world = World()
         world.add("i-1", "plain")
 
@@ -581,8 +583,8 @@
 
         play(world, story)
 
-    def test_an_unreadable_entry_costs_only_its_own_server(self) -> None:
-        """The others are used, and the line names the key."""
+    def test_invalid_entry_affects_only_its_own_server(self) -> None:
+        """The other servers are used, and a log line names the key of the invalid entry."""
         world = World()
         world.add("i-1", "plain")
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,12 +1,10 @@
-"""Figures that callers, servers and entries name, whatever stands in them.
-
-What was seen: a request whose `Length-Hint` or `X-Deadline-Ms` was `nan` got no answer, its
-connection was closed; one whose `X-Token-Count` was negative ran and added to its client account's
-limit in place of using it. Found by calling the decoder with figures at the edge of what its types
-hold; no caller was seen to send such.
-Events: the text is a number by the language's rules, so it was decoded; it has no whole number, or
-one that no comparison orders, where the figure is used.
-Cause: each figure was asked whether it is a number, not whether it is one that can be meant.
+"""Tests of numbers sent by callers, servers and operators, with arbitrary text in their fields.
+
+Guards against numbers that `float` or `int` accepts but that make no sense. A request with `nan` in
+`Length-Hint` or `X-Deadline-Ms` got no response and its connection was closed, because `nan` cannot
+be rounded or ordered where it is used. A request with a negative `X-Token-Count` ran and credited
+its client account's limit instead of charging it. Both were found by calling the decoder with
+extreme values; no caller was seen to send them.
 """
 
 from __future__ import annotations
@@ -29,9 +27,9 @@
 from platform_fakes import World, route
 from virtual_time import run_virtual
 
-FIGURES = ("x-deadline-ms", "x-token-count", "length-hint")
-WORDS = ("server-limit", "server-leaving", "retry-after", "x-not-executed")
-NO_FIGURES = [
+NUMBER_FIELDS = ("x-deadline-ms", "x-token-count", "length-hint")
+RESPONSE_FIELDS = ("server-limit", "server-leaving", "retry-after", "x-not-executed")
+INVALID_NUMBERS = [
     *(("length_hint", text) for text in ("nan", "inf", "1e309", "-1")),
     *(("x_deadline_ms", text) for text in ("nan", "inf", "-inf", "1e309")),
     *(("x_token_count", text) for text in ("-5,7", "5,-7", "9" * 400 + ",1", "1," + "9" * 400)),
@@ -46,17 +44,17 @@
 }
 ONCE = route("once", "/once/", "unsafe", "plain")
 
-# What is drawn first is slow on a busy machine, and no matter of these tests.
-at_any_pace = settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
-edges = st.sampled_from(
+# Drawing the first example can be slow on a busy machine; these tests do not check speed.
+without_deadline = settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
+extremes = st.sampled_from(
     ["", "0", "-0", "-1", "nan", "-nan", "inf", "-inf", "1e309", "1e-309", "9" * 400, "9" * 5000]
 )
 texts = st.one_of(
-    edges,
+    extremes,
     st.floats().map(str),
     st.integers().map(str),
     st.text(max_size=20),
-    st.lists(edges, max_size=3).map(",".join),
+    st.lists(extremes, max_size=3).map(",".join),
 )
 values: Any = st.recursive(
     st.one_of(st.none(), st.booleans(), st.integers(), st.floats(), st.text(max_size=8)),
@@ -68,11 +66,11 @@
 
 
 class TestCallers:
-    """What a caller says of its request."""
+    """Header fields of callers."""
 
-    @pytest.mark.parametrize(("field", "text"), NO_FIGURES)
-    def test_no_figure_is_a_bad_request(self, field: str, text: str) -> None:
-        """Answered as such, sent to no server; the next request is served."""
+    @pytest.mark.parametrize(("field", "text"), INVALID_NUMBERS)
+    def test_invalid_number_is_a_bad_request(self, field: str, text: str) -> None:
+        """The request gets status 400 and is sent to no server; the next request is served."""
         world = World()
         replica = world.add("i-1", "plain")
 
@@ -84,47 +82,51 @@
 
         run_virtual(world.play, story, ONCE, settle_s=0.003)
 
-    @at_any_pace
-    @given(st.dictionaries(st.sampled_from(FIGURES), texts))
-    def test_any_text_is_a_figure_that_can_be_meant_or_a_bad_request(
-        self, fields: dict[str, str]
-    ) -> None:
-        """Whatever is decoded can be counted with."""
+    @without_deadline
+    @given(st.dictionaries(st.sampled_from(NUMBER_FIELDS), texts))
+    def test_any_text_is_a_valid_number_or_a_bad_request(self, fields: dict[str, str]) -> None:
+        """Each decoded number is finite, and token counts are not negative."""
         try:
-            ask = PlatformDialect().parse_request(HttpRequest("POST", "/a", fields, b""))
+            parsed = PlatformDialect().parse_request(HttpRequest("POST", "/a", fields, b""))
         except BadHttp:
             return
-        assert ask.timeout_s is None or math.isfinite(ask.timeout_s)
-        for tokens in (ask.prompt_tokens, ask.max_answer_tokens, ask.expected_answer_tokens):
+        assert parsed.timeout_s is None or math.isfinite(parsed.timeout_s)
+        for tokens in (
+            parsed.prompt_tokens,
+            parsed.max_answer_tokens,
+            parsed.expected_answer_tokens,
+        ):
             assert tokens >= 0
             assert math.isfinite(float(tokens))
 
 
 class TestServers:
-    """What heads of answers and entries say of servers."""
-
-    @at_any_pace
-    @given(st.integers(100, 599), st.dictionaries(st.sampled_from(WORDS), texts))
-    def test_any_head_says_what_can_be_kept(self, status: int, fields: dict[str, str]) -> None:
-        """No rest without a time, no limit that is none, no leave but the word for it."""
-        word = PlatformDialect().parse_signals(status, fields)
-        for figure in (word.backoff_s, word.retry_after_s, word.limit_per_s):
-            assert figure is None or (math.isfinite(figure) and figure >= 0)
-        assert word.backoff_s is None or "retry-after" in fields
-        assert word.limit_per_s is None or word.advertises_limit
-        assert word.leaving == (fields.get("server-leaving", "").strip() == "1")
+    """Response heads and entries of servers."""
+
+    @without_deadline
+    @given(st.integers(100, 599), st.dictionaries(st.sampled_from(RESPONSE_FIELDS), texts))
+    def test_any_response_head_gives_valid_signals(
+        self, status: int, fields: dict[str, str]
+    ) -> None:
+        """Backoff, limit and leaving are set only by valid values of their fields."""
+        signals = PlatformDialect().parse_signals(status, fields)
+        for number in (signals.backoff_s, signals.retry_after_s, signals.limit_per_s):
+            assert number is None or (math.isfinite(number) and number >= 0)
+        assert signals.backoff_s is None or "retry-after" in fields
+        assert signals.limit_per_s is None or signals.advertises_limit
+        assert signals.leaving == (fields.get("server-leaving", "").strip() == "1")
 
     @pytest.mark.parametrize("port", ["0", "-1", "65536", "nan", "1e3", "", "9" * 5000])
-    def test_an_address_without_a_port_names_no_server(self, port: str) -> None:
-        """It is told as an entry that can't be read, not found out by each request."""
+    def test_address_with_an_invalid_port_is_rejected(self, port: str) -> None:
+        """The entry is invalid, so that no request is sent to the address."""
         data = msgspec.json.encode({**ENTRY, "address": f"127.0.0.1:{port}"})
         with pytest.raises((KeyValueUnavailable, ValueError)):
             decode_server(item_of(data))
 
-    @at_any_pace
+    @without_deadline
     @given(st.dictionaries(st.sampled_from([*ENTRY, "born", "models"]), values))
-    def test_any_entry_names_a_server_or_is_unreadable(self, fields: dict[str, Any]) -> None:
-        """Fields of a usual entry, some replaced by anything."""
+    def test_any_entry_is_a_valid_server_or_is_rejected(self, fields: dict[str, Any]) -> None:
+        """Some fields of a valid entry are replaced by arbitrary values."""
         data = msgspec.json.encode({**ENTRY, **fields})
         try:
             server = decode_server(item_of(data))
@@ -136,20 +138,20 @@
 
 
 class TestOperators:
-    """What a configuration says."""
+    """Configurations."""
 
-    @at_any_pace
+    @without_deadline
     @given(st.dictionaries(st.sampled_from(["version", "routes", "services", "limits"]), values))
-    def test_any_configuration_is_one_or_is_refused(self, fields: dict[str, Any]) -> None:
-        """A typed failure, for which the last one that could be read stays."""
-        usual: dict[str, Any] = {"version": 1, "routes": [], "services": []}
+    def test_any_configuration_is_decoded_or_rejected(self, fields: dict[str, Any]) -> None:
+        """An invalid configuration raises KeyValueUnavailable, so that the previous one stays."""
+        valid: dict[str, Any] = {"version": 1, "routes": [], "services": []}
         try:
-            table = decode_config(msgspec.json.encode({**usual, **fields}))
+            table = decode_config(msgspec.json.encode({**valid, **fields}))
         except KeyValueUnavailable:
             return
         assert isinstance(table, RouteTable)
 
 
 def item_of(data: bytes) -> Item:
-    """Return the item of a server's entry."""
+    """Return the store item of a server's entry."""
     return Item("servers/i-1", value=base64.b64encode(data).decode())
--- a/tests/test_http_service.py
+++ b/tests/test_http_service.py
@@ -13,10 +13,10 @@
 from crankhinge_bench._procs import HOST, free_ports
 
 
-def answer_of(status: int, fields: list[tuple[str, str]]) -> ServiceResponse:
-    """Return what the adapter makes of a service's answer."""
+def response_of(status: int, fields: list[tuple[str, str]]) -> ServiceResponse:
+    """Return the adapter's result for a service's response."""
     [port] = free_ports(1)
-    answers: list[ServiceResponse] = []
+    responses: list[ServiceResponse] = []
 
     async def handle(exchange: Exchange) -> None:
         await exchange.respond_with_fields(status, fields, b"")
@@ -31,14 +31,14 @@
         service = HttpService(HOST, port)
         while not await service.is_reachable():
             await curio.sleep(0.01)
-        answers.append(await service.call("POST", "/x", {}, b""))
+        responses.append(await service.call("POST", "/x", {}, b""))
 
     curio.run(run_until_first_ends, serve, call)
-    return answers[0]
+    return responses[0]
 
 
-class TestRest:
-    """A service that is unavailable for a while."""
+class TestBackoff:
+    """A service that asks for no calls for some time."""
 
     @pytest.mark.parametrize(
         ("status", "named", "rest_s"),
@@ -52,8 +52,10 @@
             (200, "3", None),
         ],
     )
-    def test_is_decoded(self, status: int, named: str, rest_s: float | None) -> None:
-        """Only where it says so, in seconds; the field itself is passed on."""
-        answer = answer_of(status, [("retry-after", named)])
-        assert (answer.status, answer.backoff_s) == (status, rest_s)
-        assert answer.headers["retry-after"] == named
+    def test_retry_after_of_a_503_is_the_backoff(
+        self, status: int, named: str, rest_s: float | None
+    ) -> None:
+        """The value must be valid and in seconds; the field itself is passed on."""
+        response = response_of(status, [("retry-after", named)])
+        assert (response.status, response.backoff_s) == (status, rest_s)
+        assert response.headers["retry-after"] == named
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of client accounts and their keys, between callers, a store and replicas."""
+"""Tests of client accounts and their keys, with callers, a store and replicas."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 
 
 def play(world: World, story: Any, *routes: dict[str, Any]) -> None:
-    """Run *story* under a clock that jumps."""
+    """Run *story* on virtual time."""
     run_virtual(world.play, story, *(routes or ALL), settle_s=0.003)
 
 
 def keyed_world(**settings: Any) -> World:
-    """Return a world whose callers need keys."""
+    """Return a world in which callers need keys."""
     return World(tenants=(RED, BLUE), **settings)
 
 
 class TestKeys:
-    """Who asks.
+    """Identification of callers.
 
-    Users saw the keys of their callers arrive at backend servers, which could have used them, and
-    no backend server knew for whom it worked.
+    Guards against passing callers' keys on to backend servers, which could have used them, and
+    against sending requests without the name of the client account.
     """
 
-    def test_a_server_gets_the_accounts_name_and_never_the_key(self) -> None:
-        """Whatever the caller says of its account, on every call for the request."""
+    def test_server_gets_the_account_name_and_never_the_key(self) -> None:
+        """The caller's own X-Tenant is replaced, on every call made for the request."""
         world = keyed_world()
         plain = world.add("i-p", "plain")
         reader = world.add("i-r", "llm", "prefill")
@@ -61,8 +61,8 @@
 
         play(world, story)
 
-    def test_a_key_that_nobody_holds_is_refused(self) -> None:
-        """With 401, as is a request without one; the key is in no log line."""
+    def test_unknown_key_is_refused(self) -> None:
+        """Unknown and missing keys get 401; the key appears in no log line."""
         world = keyed_world()
         plain = world.add("i-p", "plain")
 
@@ -76,8 +76,8 @@
 
         play(world, story)
 
-    def test_a_route_without_need_of_a_key_goes_on_without(self) -> None:
-        """No account is named then, whatever the caller says."""
+    def test_anonymous_route_needs_no_key(self) -> None:
+        """The caller's own X-Tenant is dropped."""
         world = keyed_world()
         plain = world.add("i-p", "plain")
 
@@ -87,8 +87,8 @@
 
         play(world, story)
 
-    def test_without_accounts_a_field_of_that_name_is_the_callers_own(self) -> None:
-        """Credentials are between caller and server then."""
+    def test_without_accounts_credentials_are_passed_on(self) -> None:
+        """If no accounts are configured, the server checks credentials itself."""
         world = World()
         plain = world.add("i-p", "plain")
 
@@ -98,8 +98,8 @@
 
         play(world, story)
 
-    def test_a_key_works_as_soon_as_a_configuration_has_it_and_no_longer(self) -> None:
-        """Keys come and go with versions."""
+    def test_key_is_valid_only_while_the_configuration_has_it(self) -> None:
+        """A new configuration adds one key and removes another."""
         world = keyed_world()
         world.add("i-p", "plain")
 
@@ -114,15 +114,15 @@
         play(world, story)
 
 
-class TestTakenAway:
-    """Keys that are taken away while an instance can't hear of it.
+class TestRevokedKeys:
+    """Keys that operators revoke while an instance cannot reach the store.
 
-    Operators took a key away; instances that the store turned away, or that were cut off from it,
-    ran requests with that key for as long as the trouble lasted.
+    Guards against running requests with a revoked key. Instances that the store refused, or that
+    were disconnected from it, ran such requests for as long as the outage lasted.
     """
 
-    def test_runs_nothing_later_than_the_bound(self) -> None:
-        """The last is run within the bound after the store fell silent; then "not run"."""
+    def test_no_request_runs_after_the_revocation_bound(self) -> None:
+        """Requests are refused once the store has been unreachable for the bound."""
         world = keyed_world(**FAIL_CLOSED)
         plain = world.add("i-p", "plain")
 
@@ -142,8 +142,8 @@
 
         play(world, story)
 
-    def test_tells_the_balancer_and_serves_again_when_the_store_is_back(self) -> None:
-        """A route without need of a key is served all the time."""
+    def test_instance_is_not_ready_until_the_store_is_back(self) -> None:
+        """Anonymous routes are served throughout."""
         world = keyed_world(**FAIL_CLOSED)
         world.add("i-p", "plain")
 
@@ -160,8 +160,8 @@
 
         play(world, story)
 
-    def test_a_quiet_store_is_no_trouble(self) -> None:
-        """With no change for a minute and with changes every two seconds a key works."""
+    def test_key_stays_valid_without_configuration_changes(self) -> None:
+        """A key works for a minute without changes, and with changes every two seconds."""
         world = keyed_world(**FAIL_CLOSED)
         world.add("i-p", "plain")
 
@@ -175,8 +175,8 @@
 
         play(world, story)
 
-    def test_a_request_that_waits_is_not_sent_when_its_key_is_gone(self) -> None:
-        """It waited for room while its key was taken away."""
+    def test_waiting_request_is_refused_once_its_key_is_revoked(self) -> None:
+        """The key is revoked while the request waits for capacity."""
         world = keyed_world(**FAIL_CLOSED)
         writer = world.add("i-w", "llm", "decode", behave=stream, room=0)
 
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -1,4 +1,4 @@
-"""Tests of the folder that speaks the users' platform's language."""
+"""Tests of the package that translates for the users' platform."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 )
 
 
-def lines_of(folder: Path) -> int:
-    """Return how many lines the modules of a folder have."""
+def count_lines(folder: Path) -> int:
+    """Return the number of lines of all modules of a folder."""
     return sum(len(path.read_text().splitlines()) for path in folder.rglob("*.py"))
 
 
@@ -46,34 +46,34 @@
 
 
 class TestFolder:
-    """Where the platform's names are."""
+    """The platform's names stay inside the folder."""
 
-    def test_the_standard_module_of_that_name_is_still_found(self) -> None:
-        """The folder holds a package of another name, so nothing is hidden."""
+    def test_standard_module_platform_is_not_shadowed(self) -> None:
+        """The folder `platform` holds a package of another name."""
         assert Path(str(importlib.import_module("platform").__file__)).name == "platform.py"
         assert platform.system()
 
-    def test_the_gateway_knows_no_name_of_the_platform(self) -> None:
-        """Headers, keys and paths stand in the folder alone."""
+    def test_gateway_contains_no_platform_names(self) -> None:
+        """Header fields, keys and paths of the platform appear in the folder only."""
         for path in (PRODUCT / "gateway").glob("*.py"):
             text = path.read_text()
             assert [name for name in NAMES if name in text] == [], path.name
 
-    def test_it_is_small(self) -> None:
-        """Under an eighth of the product."""
-        assert lines_of(FOLDER) * 8 < lines_of(PRODUCT)
+    def test_folder_is_less_than_an_eighth_of_the_product(self) -> None:
+        """The number of lines is bounded."""
+        assert count_lines(FOLDER) * 8 < count_lines(PRODUCT)
 
-    def test_it_keeps_no_state_of_requests(self) -> None:
-        """The dialect translates; two of them can't differ."""
+    def test_dialect_has_no_state(self) -> None:
+        """Two dialects always translate alike, since neither keeps anything."""
         assert vars(PlatformDialect()) == {}
 
 
-class TestReadAsk:
-    """What a request says of itself."""
+class TestParseRequest:
+    """Decoding the header of a caller's request."""
 
-    def test_figures_are_decoded(self) -> None:
-        """Milliseconds become seconds."""
-        ask = PlatformDialect().parse_request(
+    def test_numbers_are_decoded(self) -> None:
+        """Milliseconds are converted to seconds."""
+        parsed = PlatformDialect().parse_request(
             request(
                 ("x-request-id", "q"),
                 ("x-deadline-ms", "1500"),
@@ -81,15 +81,15 @@
                 ("length-hint", "33"),
             )
         )
-        assert (ask.request_id, ask.timeout_s) == ("q", 1.5)
-        assert (ask.prompt_tokens, ask.max_answer_tokens, ask.expected_answer_tokens) == (
+        assert (parsed.request_id, parsed.timeout_s) == ("q", 1.5)
+        assert (parsed.prompt_tokens, parsed.max_answer_tokens, parsed.expected_answer_tokens) == (
             1460,
             80,
             33,
         )
 
-    def test_what_is_no_number_is_a_bad_request(self) -> None:
-        """A typed failure, not a crash."""
+    def test_invalid_number_raises_bad_http(self) -> None:
+        """The error names the header field."""
         for name, value in (("x-deadline-ms", "soon"), ("x-token-count", "many")):
             try:
                 PlatformDialect().parse_request(request((name, value)))
@@ -99,60 +99,62 @@
                 raise AssertionError(name)
 
 
-class TestWord:
-    """What the head of an answer says."""
+class TestParseSignals:
+    """Decoding the head of a server's response."""
 
     @pytest.mark.parametrize(
         ("named", "per_s"),
         [("4.2", 4.2), ("0", 0.0), ("0.25", 0.25), (" 12 ", 12.0), ("1e3", 1000.0)],
     )
-    def test_a_servers_limit_is_decoded(self, named: str, per_s: float) -> None:
-        """Requests a second, fractions included."""
-        word = PlatformDialect().parse_signals(200, {"server-limit": named})
-        assert (word.advertises_limit, word.limit_per_s) == (True, per_s)
+    def test_server_limit_is_decoded(self, named: str, per_s: float) -> None:
+        """The limit is a number of requests per second, fractions included."""
+        signals = PlatformDialect().parse_signals(200, {"server-limit": named})
+        assert (signals.advertises_limit, signals.limit_per_s) == (True, per_s)
 
     @pytest.mark.parametrize("named", ["many", "", "-1", "nan", "inf", "-inf", "4,2", "4 5"])
-    def test_what_is_no_rate_is_told_from_no_limit(self, named: str) -> None:
-        """It says that there is a limit, but not which."""
-        word = PlatformDialect().parse_signals(200, {"server-limit": named})
-        assert (word.advertises_limit, word.limit_per_s) == (True, None)
+    def test_invalid_limit_differs_from_no_limit(self, named: str) -> None:
+        """The server advertises a limit, but its value is unknown."""
+        signals = PlatformDialect().parse_signals(200, {"server-limit": named})
+        assert (signals.advertises_limit, signals.limit_per_s) == (True, None)
 
-    def test_no_limit_is_none(self) -> None:
-        """As most answers."""
-        word = PlatformDialect().parse_signals(200, {})
-        assert (word.advertises_limit, word.limit_per_s) == (False, None)
+    def test_absent_limit_is_none(self) -> None:
+        """Most responses carry no limit."""
+        signals = PlatformDialect().parse_signals(200, {})
+        assert (signals.advertises_limit, signals.limit_per_s) == (False, None)
 
     @pytest.mark.parametrize(("named", "leaving"), [("1", True), (" 1 ", True), ("0", False)])
-    def test_a_server_that_leaves_is_decoded(self, named: str, leaving: bool) -> None:
-        """Whatever else its answer says."""
+    def test_leaving_server_is_decoded(self, named: str, leaving: bool) -> None:
+        """The field counts whatever the status of the response is."""
         assert PlatformDialect().parse_signals(500, {"server-leaving": named}).leaving is leaving
 
     @pytest.mark.parametrize(("named", "rest_s"), [("3", 3.0), ("0.4", 0.4), (" 90 ", 90.0)])
-    def test_a_server_that_asks_for_rest_is_decoded(self, named: str, rest_s: float) -> None:
-        """Where it turns a request away, also where it does not say that it ran nothing."""
+    def test_backoff_of_a_refusal_is_decoded(self, named: str, rest_s: float) -> None:
+        """A 503 with Retry-After is a backoff, with or without X-Not-Executed."""
         for more in ({}, {"x-not-executed": "1"}):
-            word = PlatformDialect().parse_signals(503, {"retry-after": named, **more})
-            assert word.backoff_s == rest_s
+            signals = PlatformDialect().parse_signals(503, {"retry-after": named, **more})
+            assert signals.backoff_s == rest_s
 
     @pytest.mark.parametrize(
         "named", ["", "soon", "-1", "0", "nan", "inf", "1e309", "Wed, 21 Oct 2026 07:28:00 GMT"]
     )
-    def test_what_is_no_time_is_no_rest(self, named: str) -> None:
-        """A server is not shut out past what it asked."""
-        word = PlatformDialect().parse_signals(503, {"retry-after": named, "x-not-executed": "1"})
-        assert (word.backoff_s, word.retry_after_s) == (None, None)
+    def test_invalid_retry_after_is_no_backoff(self, named: str) -> None:
+        """A server is not excluded for a time that it did not ask for."""
+        signals = PlatformDialect().parse_signals(
+            503, {"retry-after": named, "x-not-executed": "1"}
+        )
+        assert (signals.backoff_s, signals.retry_after_s) == (None, None)
 
     @pytest.mark.parametrize("status", [200, 421, 500])
-    def test_other_answers_ask_for_no_rest(self, status: int) -> None:
-        """Nothing was turned away, or by another server."""
+    def test_retry_after_of_other_responses_is_no_backoff(self, status: int) -> None:
+        """The request was not refused, or a wrong server refused it."""
         assert PlatformDialect().parse_signals(status, {"retry-after": "3"}).backoff_s is None
 
 
 class TestFields:
-    """Which header fields travel."""
+    """Which header fields are forwarded."""
 
-    def test_fields_of_one_connection_stay_there(self) -> None:
-        """Also those that the connection field names."""
+    def test_hop_by_hop_fields_are_not_forwarded(self) -> None:
+        """The fields that the Connection field names are dropped as well."""
         fields = PlatformDialect().attempt_fields(
             request(("connection", "close, x-hop"), ("x-hop", "1"), ("x-kept", "1")),
             dialect.AttemptParams("i-1", 1.0),
@@ -162,8 +164,8 @@
         assert {"connection", "x-hop"}.isdisjoint(names)
         assert "x-kept" in names
 
-    def test_an_answers_framing_is_not_copied(self) -> None:
-        """The gateway frames anew; the signature goes through."""
+    def test_framing_of_a_response_is_not_copied(self) -> None:
+        """The gateway frames the response itself; the server's seal is passed on."""
         fields = PlatformDialect().response_fields(
             [("transfer-encoding", "chunked"), ("keep-alive", "timeout=5"), ("x-server-seal", "s")]
         )
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the notes that instances keep in the store."""
+"""Tests of the registry of instance records in the store."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from virtual_time import run_virtual
 
 TTL_S = 45.0
-NOTE = InstanceRecord("10.0.0.1:7380", {})
+RECORD = InstanceRecord("10.0.0.1:7380", {})
 
 
 def play(story: Callable[[FakeStore, PlatformInstanceRegistry], Awaitable[None]]) -> None:
-    """Run *story* with a store and the board of one instance."""
+    """Run *story* with a store and the registry client of one instance."""
     store = FakeStore()
-    board = PlatformInstanceRegistry(StoreClient(HOST, store.port), TTL_S, get_log(program="t"))
+    registry = PlatformInstanceRegistry(StoreClient(HOST, store.port), TTL_S, get_log(program="t"))
 
     async def told() -> None:
         await curio.sleep(0.01)
-        await story(store, board)
+        await story(store, registry)
 
     async def main() -> None:
         await run_until_first_ends(store.run, told)
@@ -35,107 +35,107 @@
 
 
 class TestLease:
-    """What a note costs: a renewal is a tenth of a call."""
+    """The lease of a record; renewing it costs a tenth of granting a new one."""
 
-    def test_one_lease_carries_all_notes(self) -> None:
-        """It is renewed with each."""
+    def test_all_records_of_an_instance_share_one_lease(self) -> None:
+        """Each write renews the lease instead of granting another one."""
 
-        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
+        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             for _ in range(5):
-                await board.publish("here", NOTE)
+                await registry.publish("here", RECORD)
                 await curio.sleep(30.0)
             assert store.calls.count("/v1/kv-lease") == 1
             assert sum(call.startswith("/v1/kv-keep/") for call in store.calls) == 4
-            assert await board.read_all() == {"here": NOTE}
+            assert await registry.read_all() == {"here": RECORD}
 
         play(story)
 
-    def test_a_lease_that_is_over_is_made_anew(self) -> None:
-        """The store ended it, or forgot it."""
+    def test_expired_lease_is_replaced(self) -> None:
+        """The record is written again under a new lease after the store ended the first one."""
 
-        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
-            await board.publish("here", NOTE)
+        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+            await registry.publish("here", RECORD)
             await store.end_leases()
-            assert await board.read_all() == {}
-            await board.publish("here", NOTE)
-            assert await board.read_all() == {"here": NOTE}
+            assert await registry.read_all() == {}
+            await registry.publish("here", RECORD)
+            assert await registry.read_all() == {"here": RECORD}
             assert store.calls.count("/v1/kv-lease") == 2
 
         play(story)
 
-    def test_after_a_failure_nothing_is_taken_for_granted(self) -> None:
-        """A lease that may have ended between renewal and note is not used again."""
+    def test_failed_write_makes_the_next_one_use_a_new_lease(self) -> None:
+        """A lease is not reused if it may have expired between its renewal and the write."""
 
-        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
-            await board.publish("here", NOTE)
+        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+            await registry.publish("here", RECORD)
             store.refused = "/v1/kv-txn"
             with pytest.raises(KeyValueUnavailable):
-                await board.publish("here", NOTE)
+                await registry.publish("here", RECORD)
             store.refused = ""
-            await board.publish("here", NOTE)
+            await registry.publish("here", RECORD)
             assert store.calls.count("/v1/kv-lease") == 2
-            assert await board.read_all() == {"here": NOTE}
+            assert await registry.read_all() == {"here": RECORD}
 
         play(story)
 
 
-class TestLives:
-    """The note of an instance that starts again."""
+class TestTakeOver:
+    """The record of an instance that restarts."""
 
-    def test_is_taken_over_while_it_lasts(self) -> None:
-        """It never ceased, so whoever reads sees the instance all the time."""
+    def test_unexpired_record_is_taken_over(self) -> None:
+        """Readers see the record without interruption."""
 
-        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
-            note = InstanceRecord("10.0.0.1:7380", {}, settled=True)
-            await board.publish("here", note)
-            after = another(store)
-            found = await after.take_over("here")
+        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+            record = InstanceRecord("10.0.0.1:7380", {}, settled=True)
+            await registry.publish("here", record)
+            restarted = next_incarnation(store)
+            found = await restarted.take_over("here")
             assert found is not None
-            assert (found[0], found[1].may_have_lapsed) == (note, False)
+            assert (found[0], found[1].may_have_lapsed) == (record, False)
             assert found[1].expires_at <= await curio.clock() + TTL_S
-            assert await board.read_all() == {"here": note}
+            assert await registry.read_all() == {"here": record}
 
         play(story)
 
-    def test_is_not_taken_over_once_it_has_gone(self) -> None:
-        """Others may act in its place by then."""
+    def test_expired_record_is_not_taken_over(self) -> None:
+        """Other instances may have taken over its duties in the meantime."""
 
-        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
-            await board.publish("here", NOTE)
+        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+            await registry.publish("here", RECORD)
             await store.end_leases()
-            assert await another(store).take_over("here") is None
+            assert await next_incarnation(store).take_over("here") is None
 
         play(story)
 
-    def test_is_not_taken_over_when_it_changed_meanwhile(self) -> None:
-        """Between reading and writing it may have gone and come again."""
+    def test_record_changed_after_the_read_is_not_taken_over(self) -> None:
+        """The record may have expired and been written again between the read and the write."""
 
-        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
-            await board.publish("here", NOTE)
+        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+            await registry.publish("here", RECORD)
             store.faults.delay_s = 0.1
-            task = await curio.spawn(another(store).take_over, "here")
+            task = await curio.spawn(next_incarnation(store).take_over, "here")
             await curio.sleep(0.15)
             store.faults.delay_s = 0.0
-            await board.publish("here", NOTE)
+            await registry.publish("here", RECORD)
             assert await task.join() is None
 
         play(story)
 
-    def test_a_renewal_tells_whether_it_was_there(self) -> None:
-        """One that had gone is not renewed."""
+    def test_renewal_of_an_expired_record_fails(self) -> None:
+        """The next write says that the record may have been missing."""
 
-        async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
-            await board.publish("here", NOTE)
+        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+            await registry.publish("here", RECORD)
             began = await curio.clock()
-            lease = await board.renew()
+            lease = await registry.renew()
             assert lease is not None and began + TTL_S <= lease.expires_at
             await store.end_leases()
-            assert await board.renew() is None
-            assert (await board.publish("here", NOTE)).may_have_lapsed
+            assert await registry.renew() is None
+            assert (await registry.publish("here", RECORD)).may_have_lapsed
 
         play(story)
 
 
-def another(store: FakeStore) -> PlatformInstanceRegistry:
-    """Return the board of a later life of the instance."""
+def next_incarnation(store: FakeStore) -> PlatformInstanceRegistry:
+    """Return the registry client of a later incarnation of the instance."""
     return PlatformInstanceRegistry(StoreClient(HOST, store.port), TTL_S, get_log(program="t"))
