--- a/src/crankhinge/adapters/openai_engine.py
+++ b/src/crankhinge/adapters/openai_engine.py
@@ -76,14 +76,14 @@
         stream = await self._open(path, request_body, request_id)
         try:
             data = await stream.read_all()
-            answer = _prefill_decoder.decode(data)
+            response = _prefill_decoder.decode(data)
         except (HttpClosed, BadHttp, msgspec.DecodeError) as exc:
             raise EngineFailed(str(exc)) from exc
         finally:
             await stream.close()
-        details = answer.usage.prompt_tokens_details or _PromptTokensDetails()
-        kv = msgspec.json.encode(answer.kv_transfer_params)
-        return PrefillResult(kv, answer.usage.prompt_tokens, details.cached_tokens)
+        details = response.usage.prompt_tokens_details or _PromptTokensDetails()
+        kv_handle = msgspec.json.encode(response.kv_transfer_params)
+        return PrefillResult(kv_handle, response.usage.prompt_tokens, details.cached_tokens)
 
     async def decode(
         self, path: str, body: bytes, kv_handle: bytes, *, request_id: int
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -36,7 +36,7 @@
                 await curio.sleep(0.1)
                 await sock.sendall(body[begin : begin + step])
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(0.01)
             began = await curio.clock()
             value = await ConsulKeyValueStore(HOST, port).get("bundle")
@@ -46,6 +46,6 @@
 
         async def main() -> None:
             log = get_log(program="t")
-            await run_until_first_ends(lambda: serve_tcp(HOST, port, handle, log=log), story)
+            await run_until_first_ends(lambda: serve_tcp(HOST, port, handle, log=log), scenario)
 
         run_virtual(main, settle_s=0.003)
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -26,30 +26,30 @@
         for name, value in vars(dialect).items()
         if name.isupper() and isinstance(value, str) and name not in ("LEAVING_VALUE", "BEARER")
     }
-    return names | dialect.ROUTER_ONLY_FIELDS
+    return names | dialect.RESERVED_FIELDS
 
 
 def structs(module: Any) -> list[type[msgspec.Struct]]:
     """Return the message structs that a module defines."""
     return [
-        kind
-        for kind in vars(module).values()
-        if isinstance(kind, type)
-        and issubclass(kind, msgspec.Struct)
-        and kind.__module__ == module.__name__
+        struct
+        for struct in vars(module).values()
+        if isinstance(struct, type)
+        and issubclass(struct, msgspec.Struct)
+        and struct.__module__ == module.__name__
     ]
 
 
 def body_fields() -> set[str]:
     """Return the fields of entries, configurations and responses that the adapter decodes."""
     lists = {"routes", "services", "limits", "tenants", "engine"}
-    kinds = structs(dialect) + structs(source)
-    return {field for kind in kinds for field in kind.__struct_fields__} - lists
+    messages = structs(dialect) + structs(source)
+    return {field for struct in messages for field in struct.__struct_fields__} - lists
 
 
 def peer_message_tags() -> set[str]:
     """Return the tags of the peer messages between instances."""
-    tags = {kind.__struct_config__.tag for kind in structs(_peer_messages)}
+    tags = {struct.__struct_config__.tag for struct in structs(_peer_messages)}
     return {tag for tag in tags if isinstance(tag, str)}
 
 
@@ -64,7 +64,7 @@
     def test_page_lists_each_decoded_name(self, names_of: Any) -> None:
         """A new name needs a row that says whom it binds, until when, and which test checks it."""
         assert len(names_of()) > 3
-        assert sorted(word for word in names_of() if f"`{word}`" not in PAGE) == []
+        assert sorted(name for name in names_of() if f"`{name}`" not in PAGE) == []
 
     def test_page_lists_each_setting(self) -> None:
         """All settings of the gateway are on the page."""
@@ -72,21 +72,21 @@
 
     def test_page_names_only_existing_tests(self) -> None:
         """Fails when a test that the page names was renamed or removed."""
-        named = set(TEST_REFERENCE.findall(PAGE))
-        assert len(named) > 50
-        assert sorted(row for row in named if not is_defined(*row)) == []
+        references = set(TEST_REFERENCE.findall(PAGE))
+        assert len(references) > 50
+        assert sorted(row for row in references if not is_defined(*row)) == []
 
     def test_each_row_names_a_test_or_a_reason(self) -> None:
         """A row without a test says that the name is not decoded or still open."""
         reasons = ("left", "nobody", "unknown")
         rows = [row for row in PAGE.splitlines() if row.startswith("| ")]
-        bare = [row for row in rows if not TEST_REFERENCE.search(row)]
-        heads = [row for row in bare if row.startswith("| word |")]
+        without_test = [row for row in rows if not TEST_REFERENCE.search(row)]
+        header_rows = [row for row in without_test if row.startswith("| word |")]
         assert len(rows) > 60
         assert [
             row
-            for row in bare
-            if row not in heads and not any(reason in row.lower() for reason in reasons)
+            for row in without_test
+            if row not in header_rows and not any(reason in row.lower() for reason in reasons)
         ] == []
 
 
@@ -95,6 +95,6 @@
     path = ROOT / "tests" / f"{module}.py"
     if not path.exists():
         return False
-    kinds = (ast.ClassDef, ast.FunctionDef)
+    node_types = (ast.ClassDef, ast.FunctionDef)
     nodes = ast.walk(ast.parse(path.read_text()))
-    return not name or any(isinstance(node, kinds) and node.name == name for node in nodes)
+    return not name or any(isinstance(node, node_types) and node.name == name for node in nodes)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -10,9 +10,9 @@
 ONCE = route("r-once", "/once/", "unsafe", "plain")
 
 
-def play(world: World, story: object) -> None:
-    """Run *story* on virtual time."""
-    run_virtual(world.play, story, ONCE, settle_s=0.003)
+def run_scenario(world: World, scenario: object) -> None:
+    """Run *scenario* on virtual time."""
+    run_virtual(world.play, scenario, ONCE, settle_s=0.003)
 
 
 class TestConfig:
@@ -23,7 +23,7 @@
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             moved = {**ONCE, "path_prefix": "/moved/"}
             await world.store.put("op/config", config(7, moved))
             await curio.sleep(0.2)
@@ -33,14 +33,14 @@
             assert (await world.call("q2", "/moved/a"))[0] == 200
             assert (await world.call("q3", "/once/a"))[0] == 404
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_requests_are_served_while_the_store_is_unreachable(self) -> None:
         """The known state stays in force; a recovered store is noticed within a second."""
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.down = True
             world.store.forget_history()
             await world.store.put("op/config", config(3, {**ONCE, "path_prefix": "/late/"}))
@@ -52,14 +52,14 @@
             assert (await world.call("q2", "/late/a"))[0] == 200
             assert world.lines.having("event=source_regained", "what=config")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_recovered_store_is_noticed_without_a_change(self) -> None:
         """The first watch after an outage asks for a response without a wait."""
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.down = True
             await curio.sleep(10.0)
             assert world.lines.having("event=source_lost", "what=config")
@@ -68,7 +68,7 @@
             for what in ("config", "servers"):
                 assert world.lines.having("event=source_regained", f"what={what}")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_watch_starts_at_the_revision_of_the_read(self) -> None:
         """A store that dropped its history before the first read does not cause endless reads."""
@@ -80,7 +80,7 @@
             """Return the number of calls for configuration and list, without those for records."""
             return sum(call in ("/v1/kv-watch", "/v1/kv-key") for call in world.store.calls)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(1.0)
             world.store.forget_history()
             before = watch_calls()
@@ -89,21 +89,21 @@
             # Two watches of 2 s each make one call per second, not thousands.
             assert watch_calls() - before < 65
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_lost_history_is_retried_with_growing_delays(self) -> None:
         """A store that answers every watch with 'history gone' is called with growing delays."""
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.oldest = 10**9
             await world.store.put("op/config", config(2, ONCE))
             before = len(world.store.calls)
             await curio.sleep(10.0)
             assert len(world.store.calls) - before < 120
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 # Capacity of a slow link in bytes per second (5 Mbit/s), and seconds for which the store keeps its
@@ -130,7 +130,7 @@
         world.add("i-1", "plain")
         more = [route(f"r-{n}", f"/more-{n:05}/", "unsafe", "plain") for n in range(4200)]
 
-        async def story() -> None:
+        async def scenario() -> None:
             await world.store.put("other/key", "x")
             world.store.forget_history()
             world.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S
@@ -142,14 +142,14 @@
             assert (await world.call("q1", "/new/a"))[0] == 200
             assert (await world.call("q2", "/once/a"))[0] == 404
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_configuration_is_not_read_again_after_a_connection_ends(self) -> None:
         """The watch continues from its last revision, so the value is not transferred again."""
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(1.0)
             before = world.store.calls.count("/v1/kv-key")
             world.store.down = True
@@ -162,7 +162,7 @@
             assert world.lines.having("event=source_regained", "what=config")
             assert world.store.calls.count("/v1/kv-key") == before
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_versions_in_quick_succession_are_skipped(self) -> None:
         """Of the versions written during a transfer, only the newest is read.
@@ -175,7 +175,7 @@
         world.add("i-1", "plain")
         more = [route(f"r-{n}", f"/more-{n:05}/", "unsafe", "plain") for n in range(2000)]
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S // 2
             for version in range(2, 14):
                 moved = {**ONCE, "path_prefix": f"/v{version}/"}
@@ -188,7 +188,7 @@
             assert world.lines.having("event=config_passed_over")
             assert not world.lines.having("event=history_lost", "what=config")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 class TestMissedRemoval:
@@ -210,7 +210,7 @@
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(48):
                 # Other items change meanwhile, so the revision of the unchanged list grows old.
                 await curio.sleep(0.5)
@@ -222,7 +222,7 @@
                 assert (await world.call(f"q{number}", "/once/a"))[2] == b"whole:i-2"
             assert not leaving.arrivals
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_disconnected_instance_drops_a_server_missing_from_the_list(self) -> None:
         """If the other entries still exist, the store was reachable for the servers.
@@ -236,7 +236,7 @@
         world.add("i-2", "plain")
         world.add("i-3", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.down = True
             await curio.sleep(3.0)
             await world.store.remove("servers/i-1")
@@ -249,7 +249,7 @@
                 assert (await world.call(f"q{number}", "/once/a"))[2] != b"whole:i-1"
             assert not leaving.arrivals
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 # Seconds after a reset of its connections until an instance counts as reconnected.
@@ -270,7 +270,7 @@
         world.add("i-1", "plain")
         world.add("i-2", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             # Both watches have just been sent again.
             await curio.sleep(10.0)
             world.store.mute_open_calls()
@@ -281,7 +281,7 @@
             for number in range(10):
                 assert (await world.call(f"q{number}", "/new/a"))[2] == b"whole:i-2"
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_unresponsive_connection_is_noticed_between_batched_watches(self) -> None:
         """The connection fails between two watches, while the gateway waits to batch changes.
@@ -294,7 +294,7 @@
         world.add("i-2", "plain")
         other = world.add("i-3", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(10.0)
             for state in ("draining", "ready", "draining"):
                 await other.enter(state)
@@ -304,21 +304,21 @@
             await curio.sleep(RECONNECTED_S)
             assert world.lines.having("event=server_gone", "server=i-1")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_watch_ends_before_the_store_drops_its_history(self) -> None:
         """A watch that waits longer than the store keeps its history would cause a full read."""
         world = World(HISTORY_S)
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(100):
                 await curio.sleep(0.5)
                 await world.store.put("other/key", number)
             assert not world.lines.having("event=history_lost")
             assert len(world.lines.having("event=servers_listed")) == 1
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 class TestManyChanges:
@@ -334,7 +334,7 @@
         world.add("i-1", "plain")
         other = world.add("i-2", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(1.0)
             before = world.store.calls.count("/v1/kv-watch")
             for number in range(100):
@@ -344,7 +344,7 @@
             assert world.store.calls.count("/v1/kv-watch") - before < 20
             assert world.lines.having("event=source_called", "watch_servers=")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_leaving_server_gets_no_request_after_the_bound(self) -> None:
         """It leaves at the worst moment, right after the response to a watch."""
@@ -353,7 +353,7 @@
         world.add("i-2", "plain")
         other = world.add("i-3", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(1.0)
             for state in ("draining", "ready", "draining"):
                 await other.enter(state)
@@ -369,7 +369,7 @@
             assert len(leaving.arrivals) > 0
             assert late == []
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_first_change_after_an_idle_time_is_seen_at_once(self) -> None:
         """Batching does not delay a change that follows an idle time."""
@@ -377,20 +377,20 @@
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(5.0)
             await leaving.enter("draining")
             await curio.sleep(0.05)
             assert world.lines.having("event=server_seen", "server=i-1", "leaving=true")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_many_configurations_in_succession_are_applied(self) -> None:
         """The last of forty versions in ten seconds is applied within half a second."""
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(1.0)
             for version in range(2, 42):
                 await world.store.put(
@@ -400,7 +400,7 @@
             await curio.sleep(0.5)
             assert (await world.call("q", "/v41/a"))[0] == 200
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 class TestEntriesExpiredTogether:
@@ -416,7 +416,7 @@
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in (1, 2, 3)]
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.faults.down = "silent"
             for replica in replicas:
                 await world.store.remove(f"servers/{replica.ident}")
@@ -435,14 +435,14 @@
             assert world.lines.having("event=server_gone", "server=i-1", "why=not_back")
             assert len(world.lines.having("event=server_gone")) == 1
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_server_whose_entry_returns_late_is_kept(self) -> None:
         """Entries return over two seconds; batching the first ones does not drop the later ones."""
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in range(5)]
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.faults.down = "silent"
             for replica in replicas:
                 await world.store.remove(f"servers/{replica.ident}")
@@ -458,14 +458,14 @@
             assert len(world.lines.having("event=server_doubted")) == 5
             assert not world.lines.having("event=server_gone")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_recreated_entries_make_the_missing_ones_suspect(self) -> None:
         """Two of the expired entries are back when the list is read; the third is waited for."""
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in (1, 2, 3, 4)]
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.down = True
             for replica in replicas[:3]:
                 await world.store.remove(f"servers/{replica.ident}")
@@ -479,7 +479,7 @@
             assert world.lines.having("event=server_doubted", "server=i-3")
             assert not world.lines.having("event=server_gone")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 class TestLogs:
@@ -490,7 +490,7 @@
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.faults.down = "silent"
             await curio.sleep(45.0)
             silent = world.lines.having("event=source_still_lost", "what=config")
@@ -503,7 +503,7 @@
             assert broken
             assert " received=0" not in broken[-1]
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_repeated_read_of_the_list_logs_suspect_servers(self) -> None:
         """The lines say how long ago the last response about the list came."""
@@ -511,7 +511,7 @@
         world.add("i-1", "plain")
         world.add("i-2", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert world.lines.having("event=servers_listed", "servers=2", "doubted=0")
             world.store.down = True
             await world.store.remove("servers/i-1")
@@ -526,7 +526,7 @@
             for ident in ("i-1", "i-2"):
                 assert world.lines.having("event=server_doubted", f"server={ident}", "heard_s=6.")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 class TestSlowStore:
@@ -537,14 +537,14 @@
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.faults.delay_s = 1.2
             await curio.sleep(10.0)
             await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}))
             await curio.sleep(6.0)
             assert (await world.call("q1", "/new/a"))[0] == 200
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 class TestServers:
@@ -556,20 +556,20 @@
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await leaving.enter("draining")
             await curio.sleep(0.1)
             for number in range(10):
                 assert (await world.call(f"q{number}", "/once/a"))[2] == b"whole:i-2"
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_servers_whose_entries_expired_in_an_outage_are_kept_for_a_while(self) -> None:
         """An empty list is ignored right after an outage and applied if it persists."""
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.down = True
             await world.store.remove("servers/i-1")
             world.store.forget_history()
@@ -581,17 +581,17 @@
             assert (await world.call("q2", "/once/a"))[0] == 503
             assert world.lines.having("event=server_gone", "why=not_back")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_invalid_entry_affects_only_its_own_server(self) -> None:
         """The other servers are used, and a log line names the key of the invalid entry."""
         world = World()
         world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             await world.store.put("servers/i-bad", {"service": 5})
             await curio.sleep(0.1)
             assert (await world.call("q1", "/once/a"))[0] == 200
             assert world.lines.having("event=entry_unreadable", "i-bad")
 
-        play(world, story)
+        run_scenario(world, scenario)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -74,13 +74,13 @@
         world = World()
         replica = world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             status, _, _ = await world.call("q1", "/once/a", **{field: text})
             assert (status, len(replica.arrivals)) == (400, 0)
             status, _, _ = await world.call("q2", "/once/a")
             assert (status, len(replica.arrivals)) == (200, 1)
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(world.play, scenario, ONCE, settle_s=0.003)
 
     @without_deadline
     @given(st.dictionaries(st.sampled_from(NUMBER_FIELDS), texts))
--- a/tests/test_http_service.py
+++ b/tests/test_http_service.py
@@ -41,7 +41,7 @@
     """A service that asks for no calls for some time."""
 
     @pytest.mark.parametrize(
-        ("status", "named", "rest_s"),
+        ("status", "value", "backoff_s"),
         [
             (503, "3", 3.0),
             (503, "0.5", 0.5),
@@ -53,9 +53,9 @@
         ],
     )
     def test_retry_after_of_a_503_is_the_backoff(
-        self, status: int, named: str, rest_s: float | None
+        self, status: int, value: str, backoff_s: float | None
     ) -> None:
         """The value must be valid and in seconds; the field itself is passed on."""
-        response = response_of(status, [("retry-after", named)])
-        assert (response.status, response.backoff_s) == (status, rest_s)
-        assert response.headers["retry-after"] == named
+        response = response_of(status, [("retry-after", value)])
+        assert (response.status, response.backoff_s) == (status, backoff_s)
+        assert response.headers["retry-after"] == value
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -25,9 +25,9 @@
     return {"authorization": f"Bearer {key}"}
 
 
-def play(world: World, story: Any, *routes: dict[str, Any]) -> None:
-    """Run *story* on virtual time."""
-    run_virtual(world.play, story, *(routes or ALL), settle_s=0.003)
+def run_scenario(world: World, scenario: Any, *routes: dict[str, Any]) -> None:
+    """Run *scenario* on virtual time."""
+    run_virtual(world.play, scenario, *(routes or ALL), settle_s=0.003)
 
 
 def keyed_world(**settings: Any) -> World:
@@ -49,7 +49,7 @@
         reader = world.add("i-r", "llm", "prefill")
         writer = world.add("i-w", "llm", "decode", behave=stream)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await world.call("a", "/once/a", x_tenant="blue", **bearer("key-red"))
             await world.call("b", "/stream/a", **TOKENS, **bearer("key-blue"))
             arrivals = [*plain.arrivals, *reader.arrivals, *writer.arrivals]
@@ -59,14 +59,14 @@
             names = [arrival.headers["x-tenant"] for arrival in arrivals]
             assert names == ["red", "blue", "blue"]
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_unknown_key_is_refused(self) -> None:
         """Unknown and missing keys get 401; the key appears in no log line."""
         world = keyed_world()
         plain = world.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await world.call("a", "/once/a", **bearer("key-green")))[0] == 401
             assert (await world.call("b", "/once/a"))[0] == 401
             assert (await world.call("c", "/once/a", authorization="Basic key-red"))[0] == 401
@@ -74,36 +74,36 @@
             assert world.lines.having("code=bad-credentials")
             assert not world.lines.having("key-")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_anonymous_route_needs_no_key(self) -> None:
         """The caller's own X-Tenant is dropped."""
         world = keyed_world()
         plain = world.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await world.call("a", "/open/a", x_tenant="red"))[0] == 200
             assert "x-tenant" not in plain.arrivals[0].headers
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_without_accounts_credentials_are_passed_on(self) -> None:
         """If no accounts are configured, the server checks credentials itself."""
         world = World()
         plain = world.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await world.call("a", "/once/a", **bearer("key-red")))[0] == 200
             assert plain.arrivals[0].headers["authorization"] == "Bearer key-red"
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_key_is_valid_only_while_the_configuration_has_it(self) -> None:
         """A new configuration adds one key and removes another."""
         world = keyed_world()
         world.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await world.call("a", "/once/a", **bearer("key-new")))[0] == 401
             later = config(2, *ALL, tenants=(tenant("red", "key-new"), BLUE))
             await world.store.put("op/config", later)
@@ -111,7 +111,7 @@
             assert (await world.call("b", "/once/a", **bearer("key-new")))[0] == 200
             assert (await world.call("c", "/once/a", **bearer("key-red")))[0] == 401
 
-        play(world, story)
+        run_scenario(world, scenario)
 
 
 class TestRevokedKeys:
@@ -126,7 +126,7 @@
         world = keyed_world(**FAIL_CLOSED)
         plain = world.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             began = await curio.clock()
             world.store.down = True
             await world.store.put("op/config", config(2, *ALL, tenants=(BLUE,)))
@@ -140,14 +140,14 @@
             assert max(arrival.at for arrival in plain.arrivals) <= began + REVOKE_S
             assert world.lines.having("code=config-too-old", "age_s=")
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_instance_is_not_ready_until_the_store_is_back(self) -> None:
         """Anonymous routes are served throughout."""
         world = keyed_world(**FAIL_CLOSED)
         world.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             world.store.down = True
             await curio.sleep(REVOKE_S + 0.1)
             assert await world.readiness() == 503
@@ -158,14 +158,14 @@
             assert await world.readiness() == 200
             assert (await world.call("c", "/once/a", **bearer("key-red")))[0] == 200
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_key_stays_valid_without_configuration_changes(self) -> None:
         """A key works for a minute without changes, and with changes every two seconds."""
         world = keyed_world(**FAIL_CLOSED)
         world.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(240):
                 assert (await world.call("a", "/once/a", **bearer("key-red")))[0] == 200
                 await curio.sleep(0.25)
@@ -173,14 +173,14 @@
                     later = config(number, *ALL, tenants=(RED, BLUE))
                     await world.store.put("op/config", later)
 
-        play(world, story)
+        run_scenario(world, scenario)
 
     def test_waiting_request_is_refused_once_its_key_is_revoked(self) -> None:
         """The key is revoked while the request waits for capacity."""
         world = keyed_world(**FAIL_CLOSED)
         writer = world.add("i-w", "llm", "decode", behave=stream, room=0)
 
-        async def story() -> None:
+        async def scenario() -> None:
             task = await curio.spawn(
                 lambda: world.call("a", "/stream/a", **TOKENS, **bearer("key-red"))
             )
@@ -192,4 +192,4 @@
             assert status == 401
             assert writer.arrivals == []
 
-        play(world, story)
+        run_scenario(world, scenario)
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -103,18 +103,18 @@
     """Decoding the head of a server's response."""
 
     @pytest.mark.parametrize(
-        ("named", "per_s"),
+        ("value", "per_s"),
         [("4.2", 4.2), ("0", 0.0), ("0.25", 0.25), (" 12 ", 12.0), ("1e3", 1000.0)],
     )
-    def test_server_limit_is_decoded(self, named: str, per_s: float) -> None:
+    def test_server_limit_is_decoded(self, value: str, per_s: float) -> None:
         """The limit is a number of requests per second, fractions included."""
-        signals = PlatformDialect().parse_signals(200, {"server-limit": named})
+        signals = PlatformDialect().parse_signals(200, {"server-limit": value})
         assert (signals.advertises_limit, signals.limit_per_s) == (True, per_s)
 
-    @pytest.mark.parametrize("named", ["many", "", "-1", "nan", "inf", "-inf", "4,2", "4 5"])
-    def test_invalid_limit_differs_from_no_limit(self, named: str) -> None:
+    @pytest.mark.parametrize("value", ["many", "", "-1", "nan", "inf", "-inf", "4,2", "4 5"])
+    def test_invalid_limit_differs_from_no_limit(self, value: str) -> None:
         """The server advertises a limit, but its value is unknown."""
-        signals = PlatformDialect().parse_signals(200, {"server-limit": named})
+        signals = PlatformDialect().parse_signals(200, {"server-limit": value})
         assert (signals.advertises_limit, signals.limit_per_s) == (True, None)
 
     def test_absent_limit_is_none(self) -> None:
@@ -122,25 +122,25 @@
         signals = PlatformDialect().parse_signals(200, {})
         assert (signals.advertises_limit, signals.limit_per_s) == (False, None)
 
-    @pytest.mark.parametrize(("named", "leaving"), [("1", True), (" 1 ", True), ("0", False)])
-    def test_leaving_server_is_decoded(self, named: str, leaving: bool) -> None:
+    @pytest.mark.parametrize(("value", "leaving"), [("1", True), (" 1 ", True), ("0", False)])
+    def test_leaving_server_is_decoded(self, value: str, leaving: bool) -> None:
         """The field counts whatever the status of the response is."""
-        assert PlatformDialect().parse_signals(500, {"server-leaving": named}).leaving is leaving
+        assert PlatformDialect().parse_signals(500, {"server-leaving": value}).leaving is leaving
 
-    @pytest.mark.parametrize(("named", "rest_s"), [("3", 3.0), ("0.4", 0.4), (" 90 ", 90.0)])
-    def test_backoff_of_a_refusal_is_decoded(self, named: str, rest_s: float) -> None:
+    @pytest.mark.parametrize(("value", "backoff_s"), [("3", 3.0), ("0.4", 0.4), (" 90 ", 90.0)])
+    def test_backoff_of_a_refusal_is_decoded(self, value: str, backoff_s: float) -> None:
         """A 503 with Retry-After is a backoff, with or without X-Not-Executed."""
         for more in ({}, {"x-not-executed": "1"}):
-            signals = PlatformDialect().parse_signals(503, {"retry-after": named, **more})
-            assert signals.backoff_s == rest_s
+            signals = PlatformDialect().parse_signals(503, {"retry-after": value, **more})
+            assert signals.backoff_s == backoff_s
 
     @pytest.mark.parametrize(
-        "named", ["", "soon", "-1", "0", "nan", "inf", "1e309", "Wed, 21 Oct 2026 07:28:00 GMT"]
+        "value", ["", "soon", "-1", "0", "nan", "inf", "1e309", "Wed, 21 Oct 2026 07:28:00 GMT"]
     )
-    def test_invalid_retry_after_is_no_backoff(self, named: str) -> None:
+    def test_invalid_retry_after_is_no_backoff(self, value: str) -> None:
         """A server is not excluded for a time that it did not ask for."""
         signals = PlatformDialect().parse_signals(
-            503, {"retry-after": named, "x-not-executed": "1"}
+            503, {"retry-after": value, "x-not-executed": "1"}
         )
         assert (signals.backoff_s, signals.retry_after_s) == (None, None)
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -19,17 +19,19 @@
 RECORD = InstanceRecord("10.0.0.1:7380", {})
 
 
-def play(story: Callable[[FakeStore, PlatformInstanceRegistry], Awaitable[None]]) -> None:
-    """Run *story* with a store and the registry client of one instance."""
+def run_scenario(
+    scenario: Callable[[FakeStore, PlatformInstanceRegistry], Awaitable[None]],
+) -> None:
+    """Run *scenario* with a store and the registry client of one instance."""
     store = FakeStore()
     registry = PlatformInstanceRegistry(StoreClient(HOST, store.port), TTL_S, get_log(program="t"))
 
-    async def told() -> None:
+    async def run_when_ready() -> None:
         await curio.sleep(0.01)
-        await story(store, registry)
+        await scenario(store, registry)
 
     async def main() -> None:
-        await run_until_first_ends(store.run, told)
+        await run_until_first_ends(store.run, run_when_ready)
 
     run_virtual(main, settle_s=0.003)
 
@@ -40,7 +42,7 @@
     def test_all_records_of_an_instance_share_one_lease(self) -> None:
         """Each write renews the lease instead of granting another one."""
 
-        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+        async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             for _ in range(5):
                 await registry.publish("here", RECORD)
                 await curio.sleep(30.0)
@@ -48,12 +50,12 @@
             assert sum(call.startswith("/v1/kv-keep/") for call in store.calls) == 4
             assert await registry.read_all() == {"here": RECORD}
 
-        play(story)
+        run_scenario(scenario)
 
     def test_expired_lease_is_replaced(self) -> None:
         """The record is written again under a new lease after the store ended the first one."""
 
-        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+        async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
             await store.end_leases()
             assert await registry.read_all() == {}
@@ -61,12 +63,12 @@
             assert await registry.read_all() == {"here": RECORD}
             assert store.calls.count("/v1/kv-lease") == 2
 
-        play(story)
+        run_scenario(scenario)
 
     def test_failed_write_makes_the_next_one_use_a_new_lease(self) -> None:
         """A lease is not reused if it may have expired between its renewal and the write."""
 
-        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+        async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
             store.refused = "/v1/kv-txn"
             with pytest.raises(KeyValueUnavailable):
@@ -76,7 +78,7 @@
             assert store.calls.count("/v1/kv-lease") == 2
             assert await registry.read_all() == {"here": RECORD}
 
-        play(story)
+        run_scenario(scenario)
 
 
 class TestTakeOver:
@@ -85,7 +87,7 @@
     def test_unexpired_record_is_taken_over(self) -> None:
         """Readers see the record without interruption."""
 
-        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+        async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             record = InstanceRecord("10.0.0.1:7380", {}, settled=True)
             await registry.publish("here", record)
             restarted = next_incarnation(store)
@@ -95,22 +97,22 @@
             assert found[1].expires_at <= await curio.clock() + TTL_S
             assert await registry.read_all() == {"here": record}
 
-        play(story)
+        run_scenario(scenario)
 
     def test_expired_record_is_not_taken_over(self) -> None:
         """Other instances may have taken over its duties in the meantime."""
 
-        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+        async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
             await store.end_leases()
             assert await next_incarnation(store).take_over("here") is None
 
-        play(story)
+        run_scenario(scenario)
 
     def test_record_changed_after_the_read_is_not_taken_over(self) -> None:
         """The record may have expired and been written again between the read and the write."""
 
-        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+        async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
             store.faults.delay_s = 0.1
             task = await curio.spawn(next_incarnation(store).take_over, "here")
@@ -119,12 +121,12 @@
             await registry.publish("here", RECORD)
             assert await task.join() is None
 
-        play(story)
+        run_scenario(scenario)
 
     def test_renewal_of_an_expired_record_fails(self) -> None:
         """The next write says that the record may have been missing."""
 
-        async def story(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
+        async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
             began = await curio.clock()
             lease = await registry.renew()
@@ -133,7 +135,7 @@
             assert await registry.renew() is None
             assert (await registry.publish("here", RECORD)).may_have_lapsed
 
-        play(story)
+        run_scenario(scenario)
 
 
 def next_incarnation(store: FakeStore) -> PlatformInstanceRegistry:
