--- a/src/crankhinge/adapters/_dialect.py
+++ b/src/crankhinge/adapters/_dialect.py
@@ -189,7 +189,10 @@
 
     @abc.abstractmethod
     def reserve_call(self, tokens: int, duration_s: float) -> SideCall:
-        """Return the call that reserves a slot and KV memory for *tokens* tokens."""
+        """Return the call that reserves a slot and KV memory for *tokens* tokens.
+
+        The reservation expires after *duration_s* seconds.
+        """
 
     @abc.abstractmethod
     def parse_reservation_id(self, body: bytes) -> str:
--- a/src/crankhinge/adapters/_registry.py
+++ b/src/crankhinge/adapters/_registry.py
@@ -52,7 +52,10 @@
 
     @abc.abstractmethod
     async def take_over(self, name: str) -> tuple[InstanceRecord, RecordLease] | None:
-        """Take over the record of an earlier incarnation of *name*; return None if it expired."""
+        """Take over the record of an earlier incarnation of the instance *name*.
+
+        Returns None if the record has expired or changes in the meantime.
+        """
 
     @abc.abstractmethod
     async def publish(self, name: str, record: InstanceRecord) -> RecordLease:
--- a/src/crankhinge/adapters/consul.py
+++ b/src/crankhinge/adapters/consul.py
@@ -73,7 +73,7 @@
     client: HttpClient, method: str, target: str, body: bytes = b"", *, wait_s: float = 0.0
 ) -> Response:
     """Make a call to which Consul may delay its response by *wait_s* seconds."""
-    patience = ResponseTimeouts(
+    timeouts = ResponseTimeouts(
         first_byte_s=wait_s + CALL_TIMEOUT_S,
         next_byte_s=CALL_TIMEOUT_S,
         total_s=wait_s + MAX_RESPONSE_S,
@@ -82,7 +82,7 @@
     # connection makes that less likely.
     fresh = method != "GET"
     try:
-        return await client.call(method, target, body=body, new_connection=fresh, timeouts=patience)
+        return await client.call(method, target, body=body, new_connection=fresh, timeouts=timeouts)
     except (HttpClosed, BadHttp, OSError) as exc:
         raise KeyValueUnavailable(str(exc)) from exc
 
