--- a/src/crankhinge/gateway/_legs.py
+++ b/src/crankhinge/gateway/_attempts.py
@@ -15,15 +15,15 @@
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._crashes import CrashDetector
 from crankhinge.gateway._permits import Permits
-from crankhinge.gateway._quarantine import QuarantineDesk
+from crankhinge.gateway._quarantine import QuarantineService
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ClientStream, ConnectFailed
 
 # Answers below this status are of requests that servers ran well.
-RAN_BELOW = 300
+SUCCESS_STATUS_END = 300
 
 
-class Legs:
+class Attempts:
     """Opens requests at servers; used by every kind of request.
 
     Args:
@@ -39,7 +39,7 @@
         self,
         backends: Backends,
         authenticator: Authenticator,
-        quarantine: QuarantineDesk,
+        quarantine: QuarantineService,
         crashes: CrashDetector,
         permits: Permits,
     ) -> None:
@@ -51,7 +51,7 @@
 
     @asynccontextmanager
     async def open(
-        self, relay: Relay, server: Server, leg: AttemptParams
+        self, relay: Relay, server: Server, params: AttemptParams
     ) -> AsyncIterator[ClientStream]:
         """Send the request and give its answer, head read; the connection is closed or kept.
 
@@ -66,19 +66,21 @@
             BadHttp: it may have run; what came back is no answer.
         """
         dialect = self._backends.dialect
-        standing = self._backends.standing(server.incarnation_id)
+        standing = self._backends.stats(server.incarnation_id)
         req = relay.exchange.req
         began = await curio.clock()
-        self._authenticator.check(relay, began)
-        work = relay.work(read_only=leg.prompt_only)
+        self._authenticator.recheck(relay, began)
+        work = relay.work_key(prompt_only=params.prompt_only)
         await self._quarantine.admit(relay, work, began)
         # Its place may have been taken seconds ago, while its prompt was read elsewhere.
-        bar = self._backends.bar(server, began)
+        bar = self._backends.exclusion_reason(server, began)
         if bar is not None:
             raise ServerBarred(f"{server.incarnation_id}: {bar.value}")
         # Last, since it is used: a permit of a request that is not sent is lost to others.
-        permit = await self._permits.spend(relay, server)
-        relay.facts.update(self._backends.bars.violation_log_fields(server.incarnation_id, began))
+        permit = await self._permits.use_permit(relay, server)
+        relay.log_fields.update(
+            self._backends.exclusions.violation_log_fields(server.incarnation_id, began)
+        )
         standing.breaker.record_sent(began)
         standing.open_requests += 1
         stream: ClientStream | None = None
@@ -87,16 +89,16 @@
             stream = await self._backends.client(server).open_with_fields(
                 req.method,
                 req.target,
-                fields=dialect.attempt_fields(req, leg, relay.account_name),
+                fields=dialect.attempt_fields(req, params, relay.account_name),
                 body=req.body,
-                is_own_response=_owner_is(dialect, relay.ask.request_id),
+                is_own_response=_owner_is(dialect, relay.request.request_id),
             )
             word = dialect.parse_signals(stream.status, stream.headers)
             if word.wrong_server:
-                self._backends.replaced(server)
+                self._backends.record_replaced(server)
                 raise ConnectFailed(f"another server answers for {server.incarnation_id}")
-            ran = not word.not_run and stream.status < RAN_BELOW
-            await self._backends.heard(server, word, sent_at=began, ran=ran)
+            ran = not word.not_run and stream.status < SUCCESS_STATUS_END
+            await self._backends.notify_listeners(server, word, sent_at=began, succeeded=ran)
             yield stream
             whole = True
         except CallerGone:
@@ -107,8 +109,8 @@
                 relay.permits[server.incarnation_id] = permit
             if isinstance(exc, HttpClosed) and not isinstance(exc, ConnectFailed):
                 # A trial that was cut is over, whatever the server is found to be.
-                relay.trial = ""
-                await self._crashes.connection_ended(server, work)
+                relay.trial_work = ""
+                await self._crashes.on_connection_ended(server, work)
             raise
         finally:
             standing.open_requests -= 1
--- a/src/crankhinge/gateway/_call_log.py
+++ b/src/crankhinge/gateway/_call_log.py
@@ -10,7 +10,7 @@
 from crankhinge.adapters import DiscoverySource
 
 # Seconds between lines: a few hundred bytes a minute.
-TELL_S = 10.0
+LOG_INTERVAL_S = 10.0
 
 
 class CallLog:
@@ -29,8 +29,8 @@
         """Write lines until cancelled."""
         told: Counter[str] = Counter()
         while True:
-            await curio.sleep(TELL_S)
+            await curio.sleep(LOG_INTERVAL_S)
             calls = Counter(self._source.call_counts)
             since = calls - told
             told = calls
-            self._log.info("source_called", within_s=TELL_S, total=since.total(), **since)
+            self._log.info("source_called", within_s=LOG_INTERVAL_S, total=since.total(), **since)
--- a/src/crankhinge/gateway/_crashes.py
+++ b/src/crankhinge/gateway/_crashes.py
@@ -19,11 +19,11 @@
 
 # A server that crashes cuts all its requests within a few milliseconds (1 to 5 were seen between
 # the first and the last); one look serves those that are cut together. Seconds.
-GATHER_S = 0.01
+CUTS_BATCH_S = 0.01
 # Seconds within which the entry of a server that crashed goes: three of its heartbeats of 1.2 s and
 # what the list may be late (2.6 to 2.9 s were seen); with as much again for a busy store. It tells
 # of crashes that a look does not: the machine is silent, or another life listens there already.
-ENTRY_GOES_S = 8.0
+ENTRY_LAPSE_S = 8.0
 
 # Called with a server that crashed and the fingerprints of the requests that it was running.
 OnCrash = Callable[[Server, Collection[str]], Awaitable[None]]
@@ -62,9 +62,9 @@
         # Those whose server may have crashed for all that a look told.
         self._unsure: dict[str, _Cut] = {}
 
-    async def connection_ended(self, server: Server, fingerprint: str) -> None:
+    async def on_connection_ended(self, server: Server, fingerprint: str) -> None:
         """Note that a request's connection to a server ended in the middle."""
-        if self._backends.leaves(server.incarnation_id):
+        if self._backends.is_leaving(server.incarnation_id):
             return
         if server.incarnation_id in self._cut:
             self._cut[server.incarnation_id].add(fingerprint)
@@ -72,18 +72,18 @@
         self._cut[server.incarnation_id] = {fingerprint}
         await curio.spawn(self._look, server, daemon=True)
 
-    async def entry_gone(self, ident: str) -> None:
+    async def on_entry_gone(self, incarnation_id: str) -> None:
         """Note that a server's entry has gone."""
-        cut = self._unsure.pop(ident, None)
-        if cut is None or self._backends.leaves(ident):
+        cut = self._unsure.pop(incarnation_id, None)
+        if cut is None or self._backends.is_leaving(incarnation_id):
             return
-        if await curio.clock() - cut.at <= ENTRY_GOES_S:
+        if await curio.clock() - cut.at <= ENTRY_LAPSE_S:
             await self._crashed(cut.server, cut.fingerprints, "entry_gone")
 
     async def _look(self, server: Server) -> None:
-        await curio.sleep(GATHER_S)
+        await curio.sleep(CUTS_BATCH_S)
         fingerprints = self._cut.pop(server.incarnation_id)
-        if not self._backends.knows(server.incarnation_id):
+        if not self._backends.is_listed(server.incarnation_id):
             # An instance that stood still hears of both together, the entry first.
             await self._crashed(server, fingerprints, "entry_gone")
             return
@@ -111,7 +111,7 @@
     async def _wait_for_entry(self, server: Server, fingerprints: set[str]) -> None:
         """Remember requests whose server is known to have crashed only when its entry goes."""
         now = await curio.clock()
-        over = [ident for ident, cut in self._unsure.items() if now - cut.at > ENTRY_GOES_S]
+        over = [ident for ident, cut in self._unsure.items() if now - cut.at > ENTRY_LAPSE_S]
         for ident in over:
             del self._unsure[ident]
         known = self._unsure.get(server.incarnation_id)
--- a/src/crankhinge/gateway/_directory.py
+++ b/src/crankhinge/gateway/_discovery.py
@@ -10,19 +10,19 @@
 
 from crankhinge.adapters import ConfigUpdate, DiscoverySource, ServersUpdate, TooMuchChanged
 from crankhinge.decisions import FreshnessBounds, RouteTable, ServerList, ServerListChange
-from crankhinge.gateway._follower import Follower, Step
+from crankhinge.gateway._source_watcher import CallResult, SourceWatcher
 
 # A watch carries every version of the configuration since its mark. An answer this many times as
 # long as the last version holds several, of which only the newest is wanted: it is read instead,
 # since a link of 5 Mbit/s takes 2.1 s for a value of 1 MB and more are written meanwhile. What such
 # a link carries in a tenth of a second is taken in any case.
-SEVERAL = 1.5
-SHORT_BYTES = 64 * 1024
+READ_INSTEAD_FACTOR = 1.5
+MIN_WATCH_BYTES = 64 * 1024
 # Seconds until it is asked again whether there is a first configuration.
 NO_CONFIG_PAUSE_S = 0.6
 
 
-class Directory:
+class Discovery:
     """What this instance knows of routes and servers, and how old it is.
 
     Args:
@@ -37,28 +37,28 @@
     ) -> None:
         self.table: RouteTable | None = None
         self.servers = ServerList()
-        self.listed = False
-        self.on_gone: list[Callable[[str], Awaitable[None]]] = []
+        self.has_server_list = False
+        self.on_server_gone: list[Callable[[str], Awaitable[None]]] = []
         self._source = source
         self._freshness = freshness
         self._log = log
         self._config_bytes = 0
         self._doubting = curio.Event()
-        self.config = Follower(
+        self.config_watcher = SourceWatcher(
             "config",
             read=self._read_config,
             watch=self._next_config,
-            watch_s=freshness.config_watch_wait_s,
+            watch_wait_s=freshness.config_watch_wait_s,
             pause_s=freshness.config_pause_s,
             source=source,
             log=log,
             rng=rng,
         )
-        self.list = Follower(
+        self.server_list_watcher = SourceWatcher(
             "servers",
             read=self._read_servers,
             watch=self._next_servers,
-            watch_s=lambda age_s: freshness.max_watch_wait_s,
+            watch_wait_s=lambda age_s: freshness.max_watch_wait_s,
             pause_s=freshness.list_pause_s,
             source=source,
             log=log,
@@ -66,19 +66,19 @@
         )
 
     @property
-    def known(self) -> bool:
+    def has_data(self) -> bool:
         """Whether requests can be served: there are a configuration and a list."""
-        return self.table is not None and self.listed
+        return self.table is not None and self.has_server_list
 
     def keys_age_s(self, now: float) -> float:
         """Return the age of what is known of keys, in seconds."""
-        return now - self.config.proved
+        return now - self.config_watcher.current_at
 
-    def knows_keys(self, now: float) -> bool:
+    def may_use_keys(self, now: float) -> bool:
         """Whether what is known of keys is young enough to serve by."""
         return self.keys_age_s(now) <= self._freshness.max_key_age_s
 
-    async def expire(self) -> None:
+    async def expire_suspects(self) -> None:
         """Drop servers that stayed away after the list's return, until cancelled."""
         while True:
             await self._doubting.wait()
@@ -88,22 +88,24 @@
                 for ident in self.servers.expire_suspects(await curio.clock()):
                     await self._forget(ident, "not_back")
 
-    async def _read_config(self) -> Step:
+    async def _read_config(self) -> CallResult:
         seen = await self._source.read_config()
         self._take(seen)
         if seen.table is None:
             await curio.sleep(NO_CONFIG_PAUSE_S)
-        return Step(seen.revision, gather=seen.table is not None)
+        return CallResult(seen.revision, may_batch=seen.table is not None)
 
-    async def _next_config(self, mark: int, wait_s: float) -> Step:
-        most_bytes = max(SHORT_BYTES, round(SEVERAL * self._config_bytes))
+    async def _next_config(self, mark: int, wait_s: float) -> CallResult:
+        most_bytes = max(MIN_WATCH_BYTES, round(READ_INSTEAD_FACTOR * self._config_bytes))
         try:
             seen = await self._source.watch_config(mark, wait_s, most_bytes)
         except TooMuchChanged as exc:
             self._log.info("config_passed_over", why=exc.detail)
             return await self._read_config()
         self._take(seen)
-        return Step(seen.revision, gather=seen.table is not None, quiet=seen.table is None)
+        return CallResult(
+            seen.revision, may_batch=seen.table is not None, unchanged=seen.table is None
+        )
 
     def _take(self, seen: ConfigUpdate) -> None:
         """Put a configuration in force if it is newer; an older one never comes back."""
@@ -122,14 +124,14 @@
             size=seen.size_bytes,
         )
 
-    async def _read_servers(self) -> Step:
+    async def _read_servers(self) -> CallResult:
         seen = await self._source.read_servers()
         now = await curio.clock()
-        was_away = self.list.was_away
+        was_away = self.server_list_watcher.was_unreachable
         change = self.servers.apply_list(
             seen.servers, now, was_unreachable=was_away, unusable=seen.unusable
         )
-        self.listed = True
+        self.has_server_list = True
         self._log.info(
             "servers_listed",
             servers=len(seen.servers),
@@ -138,17 +140,17 @@
             doubted=len(change.suspected),
         )
         await self._tell(change, "not_listed", now)
-        return Step(seen.revision, gather=self._gathers(seen))
+        return CallResult(seen.revision, may_batch=self._gathers(seen))
 
-    async def _next_servers(self, mark: int, wait_s: float) -> Step:
+    async def _next_servers(self, mark: int, wait_s: float) -> CallResult:
         seen = await self._source.watch_servers(mark, wait_s)
         now = await curio.clock()
-        was_away = self.list.was_away
+        was_away = self.server_list_watcher.was_unreachable
         change = self.servers.apply_changes(
             seen.servers, seen.removed, now, was_unreachable=was_away, unusable=seen.unusable
         )
         await self._tell(change, "gone", now)
-        return Step(seen.revision, gather=self._gathers(seen))
+        return CallResult(seen.revision, may_batch=self._gathers(seen))
 
     def _gathers(self, seen: ServersUpdate) -> bool:
         """Whether more changes may wait after these.
@@ -159,7 +161,11 @@
 
     def _heard_s(self, now: float) -> float | None:
         """Return how long ago the list was last heard of, in seconds."""
-        return None if self.list.heard is None else round(now - self.list.heard, 1)
+        return (
+            None
+            if self.server_list_watcher.received_at is None
+            else round(now - self.server_list_watcher.received_at, 1)
+        )
 
     async def _tell(self, change: ServerListChange, why: str, now: float) -> None:
         """Write what changed, and see to it that nobody is doubted for long."""
@@ -184,5 +190,5 @@
 
     async def _forget(self, ident: str, why: str) -> None:
         self._log.info("server_gone", server=ident, why=why)
-        for listener in self.on_gone:
+        for listener in self.on_server_gone:
             await listener(ident)
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -19,10 +19,10 @@
     Stopping,
 )
 from crankhinge.gateway._admission import Admission
-from crankhinge.gateway._directory import Directory
+from crankhinge.gateway._discovery import Discovery
 from crankhinge.gateway._permits import Permits
 from crankhinge.gateway._plain import PlainRelay
-from crankhinge.gateway._quarantine import QuarantineDesk
+from crankhinge.gateway._quarantine import QuarantineService
 from crankhinge.gateway._quota import AccountLimits
 from crankhinge.gateway._request import Relay
 from crankhinge.gateway._settings import GatewaySettings
@@ -33,17 +33,17 @@
 
 HTTP_OK = 200
 # A request that is not told otherwise comes back after this many seconds.
-RETRY_AFTER_S = 0.5
+DEFAULT_RETRY_AFTER_S = 0.5
 # A request that meets a stopping instance finds another one at once, in seconds.
 STOPPING_RETRY_S = 0.05
 # The balancer looks once a second and turns away after two misses; whoever stops before sends
 # callers to a closed door.
-UNREADY_S = 2.5
+UNREADY_BEFORE_CLOSE_S = 2.5
 DRAIN_POLL_S = 0.05
 # What is left of the time for a planned stop when the last requests are given up on, in seconds.
-LAST_CALL_S = 0.7
+CANCEL_BEFORE_END_S = 0.7
 # Seconds for the last answers to get out.
-LAST_WORDS_S = 0.3
+FINAL_RESPONSES_S = 0.3
 
 
 class Gateway:
@@ -51,7 +51,7 @@
 
     Args:
         settings: its settings.
-        directory: routes and servers.
+        discovery: routes and servers.
         admission: tells what a request is and who asks.
         limits: of accounts.
         permits: of requests, for servers that say how much they take.
@@ -67,11 +67,11 @@
         self,
         *,
         settings: GatewaySettings,
-        directory: Directory,
+        discovery: Discovery,
         admission: Admission,
         limits: AccountLimits,
         permits: Permits,
-        quarantine: QuarantineDesk,
+        quarantine: QuarantineService,
         dialect: Dialect,
         plain: PlainRelay,
         streams: StreamRelay,
@@ -79,7 +79,7 @@
         metrics: PrometheusMetrics,
     ) -> None:
         self._settings = settings
-        self._directory = directory
+        self._directory = discovery
         self._admission = admission
         self._limits = limits
         self._permits = permits
@@ -121,12 +121,12 @@
         )
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether new callers are turned away."""
         return self._draining
 
     @property
-    def in_progress(self) -> int:
+    def open_requests(self) -> int:
         """Requests that are not answered yet."""
         return self._open
 
@@ -135,16 +135,16 @@
         began = await curio.clock()
         self._draining = True
         self._log.info("draining", open=self._open)
-        await curio.sleep(UNREADY_S)
+        await curio.sleep(UNREADY_BEFORE_CLOSE_S)
         # What comes now could not be served to its end; it is told so, or finds the door closed.
         await self._closed.set()
-        left = self._settings.drain_s - LAST_CALL_S - (await curio.clock() - began)
+        left = self._settings.drain_s - CANCEL_BEFORE_END_S - (await curio.clock() - began)
         await curio.ignore_after(max(0.0, left), self._wait_idle)
         if self._open:
             # Whoever is still waiting hears at least what is known.
             self._log.warning("cut_by_stop", open=self._open)
             await self._ending.set()
-            await curio.ignore_after(LAST_WORDS_S, self._wait_idle)
+            await curio.ignore_after(FINAL_RESPONSES_S, self._wait_idle)
         self._log.info("drained", open=self._open)
 
     async def _wait_idle(self) -> None:
@@ -182,8 +182,8 @@
         try:
             return await self._run_or_gone(exchange, ask, relay)
         finally:
-            await self._limits.settle(relay)
-            await self._permits.settle(relay)
+            await self._limits.return_unused(relay)
+            await self._permits.return_unused(relay)
 
     async def _run_or_gone(self, exchange: Exchange, ask: RelayRequest, relay: Relay) -> bool:
         """Run one request while its caller is there; returns whether it has a whole answer."""
@@ -194,23 +194,25 @@
             return bool(work.result)
         self._metrics.count("callers_gone")
         await _clock_out(relay)
-        self._log.info("caller_gone", request=ask.request_id, route=relay.route.name, **relay.facts)
+        self._log.info(
+            "caller_gone", request=ask.request_id, route=relay.route.name, **relay.log_fields
+        )
         raise HttpClosed("the caller has gone")
 
     async def _answer(self, relay: Relay) -> bool:
         """Answer one request; returns whether the caller has a whole answer."""
         try:
-            self._quarantine.refuse_isolated(relay.work(read_only=False), relay.began)
-            await self._limits.admit(relay)
+            self._quarantine.refuse_quarantined(relay.work_key(prompt_only=False), relay.started_at)
+            await self._limits.take_tokens(relay)
             await self._run(relay)
         except CrankhingeError as exc:
             # Before the answer: its caller may send the next request with these tokens at once.
-            await self._limits.settle(relay)
-            return await self._refuse(relay.exchange, relay.ask, relay, exc)
+            await self._limits.return_unused(relay)
+            return await self._refuse(relay.exchange, relay.request, relay, exc)
         await _clock_out(relay)
         self._note_end(relay)
-        if relay.facts["status"] == HTTP_OK:
-            await self._quarantine.done(relay, relay.work(read_only=False))
+        if relay.log_fields["status"] == HTTP_OK:
+            await self._quarantine.record_completed(relay, relay.work_key(prompt_only=False))
         return True
 
     async def _run(self, relay: Relay) -> None:
@@ -224,7 +226,7 @@
                 raise failure
             return
         # A server that has the request may still run it.
-        relay.may_have_run = relay.may_have_run or bool(relay.sent)
+        relay.may_have_run = relay.may_have_run or bool(relay.sent_to)
         raise Stopping("this instance ends", retry_after_s=STOPPING_RETRY_S)
 
     async def _outcome(self, relay: Relay) -> CrankhingeError | None:
@@ -245,15 +247,17 @@
 
     def _note_end(self, relay: Relay) -> None:
         self._metrics.count(f"answered.{relay.route.kind.value}")
-        self._metrics.timing(f"answered.{relay.route.kind.value}", relay.facts["took_ms"] / 1000)
-        if "first_ms" in relay.facts:
-            self._metrics.timing("first_event", relay.facts["first_ms"] / 1000)
+        self._metrics.timing(
+            f"answered.{relay.route.kind.value}", relay.log_fields["took_ms"] / 1000
+        )
+        if "first_ms" in relay.log_fields:
+            self._metrics.timing("first_event", relay.log_fields["first_ms"] / 1000)
         self._log.info(
             "answered",
-            request=relay.ask.request_id,
+            request=relay.request.request_id,
             route=relay.route.name,
-            sent=len(relay.sent),
-            **relay.facts,
+            sent=len(relay.sent_to),
+            **relay.log_fields,
         )
 
     async def _refuse(
@@ -273,8 +277,8 @@
         facts: dict[str, Any] = {}
         if relay is not None:
             await _clock_out(relay)
-            facts.update(relay.facts, route=relay.route.name, config=relay.version)
-            facts["sent"] = len(relay.sent)
+            facts.update(relay.log_fields, route=relay.route.name, config=relay.config_version)
+            facts["sent"] = len(relay.sent_to)
         elif (table := self._directory.table) is not None:
             facts["config"] = table.version
             facts["keys_age_s"] = round(self._directory.keys_age_s(await curio.clock()), 2)
@@ -287,7 +291,7 @@
         self._log.warning("request_failed", request=ask.request_id, **facts)
         fields = [*self._dialect.own_response_fields(ask), ("content-type", "application/json")]
         if status in (429, 503):
-            after = exc.retry_after_s or RETRY_AFTER_S
+            after = exc.retry_after_s or DEFAULT_RETRY_AFTER_S
             # Rounded up: whoever comes a moment early is refused once more.
             after = math.ceil(round(after * 100, 6)) / 100
             fields.append(("retry-after", f"{after:.2f}"))
@@ -301,7 +305,7 @@
 
 async def _clock_out(relay: Relay) -> None:
     """Note how long a request was in the gateway's hands."""
-    relay.facts["took_ms"] = round((await curio.clock() - relay.began) * 1000)
+    relay.log_fields["took_ms"] = round((await curio.clock() - relay.started_at) * 1000)
 
 
 def _body(exc: CrankhingeError, outcome: Outcome) -> bytes:
--- a/src/crankhinge/gateway/_peer_messages.py
+++ b/src/crankhinge/gateway/_peer_messages.py
@@ -24,7 +24,7 @@
     within_s: float
 
 
-class Greeting(msgspec.Struct, frozen=True, tag="greeting"):
+class JoinAnnouncement(msgspec.Struct, frozen=True, tag="greeting"):
     """An instance has come.
 
     Attributes:
@@ -36,7 +36,7 @@
     peer: str
 
 
-class Greeted(msgspec.Struct, frozen=True, tag="greeted"):
+class JoinAcknowledgement(msgspec.Struct, frozen=True, tag="greeted"):
     """An instance counts the one that greeted.
 
     Attributes:
@@ -46,7 +46,7 @@
     name: str
 
 
-class QuotaAsk(msgspec.Struct, frozen=True, tag="quota-ask"):
+class QuotaRequest(msgspec.Struct, frozen=True, tag="quota-ask"):
     """A request wants tokens of its account.
 
     Attributes:
@@ -60,7 +60,7 @@
     tokens: int
 
 
-class QuotaAnswer(msgspec.Struct, frozen=True, tag="quota-answer"):
+class QuotaResponse(msgspec.Struct, frozen=True, tag="quota-answer"):
     """Whether a request has its tokens.
 
     Attributes:
@@ -124,7 +124,7 @@
     fingerprint: str
 
 
-class LimitNamed(msgspec.Struct, frozen=True, tag="limit-named"):
+class LimitAdvertised(msgspec.Struct, frozen=True, tag="limit-named"):
     """A server said how much it takes from all instances together.
 
     Attributes:
@@ -138,7 +138,7 @@
     ago_s: float
 
 
-class LimitEnded(msgspec.Struct, frozen=True, tag="limit-ended"):
+class LimitWithdrawn(msgspec.Struct, frozen=True, tag="limit-ended"):
     """A server that named a limit names none any more.
 
     Attributes:
@@ -150,7 +150,7 @@
     sent_ago_s: float
 
 
-class ServerLeaves(msgspec.Struct, frozen=True, tag="server-leaves"):
+class ServerLeaving(msgspec.Struct, frozen=True, tag="server-leaves"):
     """A server said in an answer that it leaves.
 
     Attributes:
@@ -160,32 +160,34 @@
     server: str
 
 
-class ShareLoan(msgspec.Struct, frozen=True, array_like=True):
+class ShareLeaseMessage(msgspec.Struct, frozen=True, array_like=True):
     """The sender's share of a server's limit, lent to the receiver.
 
     Attributes:
-        life: number of the receiver's life, as the lender knows it.
-        at: the latest moment of the receiver's clock that the lender has seen, in seconds.
-        for_s: seconds for which it is lent from then.
-        fleet: instances that the lender counts.
+        incarnation: number of the receiver's life, as the lender knows it.
+        clock_s: the latest moment of the receiver's clock that the lender has seen, in seconds.
+        duration_s: seconds for which it is lent from then.
+        fleet_size: instances that the lender counts.
     """
 
-    life: int
-    at: float
-    for_s: float
-    fleet: int
+    incarnation: int
+    clock_s: float
+    duration_s: float
+    fleet_size: int
 
     @classmethod
-    def of(cls, loan: ShareLease) -> ShareLoan:
+    def from_lease(cls, lease: ShareLease) -> ShareLeaseMessage:
         """Return the message of a loan."""
-        return cls(loan.stamp.incarnation, loan.stamp.at, loan.duration_s, loan.fleet_size)
+        return cls(lease.stamp.incarnation, lease.stamp.at, lease.duration_s, lease.fleet_size)
 
-    def decoded(self) -> ShareLease:
+    def to_lease(self) -> ShareLease:
         """Return the loan."""
-        return ShareLease(ClockStamp(self.life, self.at), self.for_s, self.fleet)
+        return ShareLease(
+            ClockStamp(self.incarnation, self.clock_s), self.duration_s, self.fleet_size
+        )
 
 
-class PermitAsk(msgspec.Struct, frozen=True, tag="permit-ask", kw_only=True):
+class PermitRequest(msgspec.Struct, frozen=True, tag="permit-ask", kw_only=True):
     """An instance lends its share of a server's limit, and may want to send a request there.
 
     Attributes:
@@ -206,14 +208,14 @@
     ago_s: float
     within_s: float | None
     caller: bool
-    loan: ShareLoan | None
+    loan: ShareLeaseMessage | None
 
-    def numbered(self, number: int) -> PermitAsk:
+    def with_number(self, number: int) -> PermitRequest:
         """Return the question under a number."""
         return msgspec.structs.replace(self, number=number)
 
 
-class PermitAnswer(msgspec.Struct, frozen=True, tag="permit-answer", kw_only=True):
+class PermitResponse(msgspec.Struct, frozen=True, tag="permit-answer", kw_only=True):
     """Whether a request may be sent to a server.
 
     Attributes:
@@ -243,18 +245,18 @@
 
 PeerMessage = (
     EngineOrdered
-    | Greeting
-    | Greeted
-    | QuotaAsk
-    | QuotaAnswer
+    | JoinAnnouncement
+    | JoinAcknowledgement
+    | QuotaRequest
+    | QuotaResponse
     | QuotaReturn
     | ServerCrashed
     | QuarantineBegun
     | QuarantineEnded
-    | LimitNamed
-    | LimitEnded
-    | ServerLeaves
-    | PermitAsk
-    | PermitAnswer
+    | LimitAdvertised
+    | LimitWithdrawn
+    | ServerLeaving
+    | PermitRequest
+    | PermitResponse
     | PermitReturn
 )
--- a/src/crankhinge/gateway/_notices.py
+++ b/src/crankhinge/gateway/_peer_messenger.py
@@ -17,31 +17,33 @@
 from crankhinge.runtime import split_host_port
 
 # Longest datagram, in bytes: one fits in a packet.
-MOST_BYTES = 1200
+MAX_DATAGRAM_BYTES = 1200
 
 # Called with a message and ``host:port`` of who sent it.
-Handle = Callable[[Any, str], Awaitable[None]]
+MessageHandler = Callable[[Any, str], Awaitable[None]]
 
 
-class Notices:
+class PeerMessenger:
     """Sends datagrams to the other instances and takes theirs.
 
     Args:
         address: ``host:port`` (UDP) where this instance takes them; empty for nowhere.
-        peers: tells where the others take them.
+        peer_addresses: tells where the others take them.
         log: for events.
     """
 
-    def __init__(self, *, address: str, peers: Callable[[], Sequence[str]], log: Any) -> None:
+    def __init__(
+        self, *, address: str, peer_addresses: Callable[[], Sequence[str]], log: Any
+    ) -> None:
         self._address = address
-        self._peers = peers
-        self._handlers: dict[type, Handle] = {}
+        self._peers = peer_addresses
+        self._handlers: dict[type, MessageHandler] = {}
         self._log = log
         self._sock: Any = None
 
-    def on(self, kind: type, handle: Handle) -> None:
-        """Have *handle* called with each message of a kind."""
-        self._handlers[kind] = handle
+    def add_handler(self, kind: type, handler: MessageHandler) -> None:
+        """Have *handler* called with each message of a kind."""
+        self._handlers[kind] = handler
 
     async def run(self) -> None:
         """Take datagrams until cancelled."""
@@ -55,7 +57,7 @@
 
     async def _take_one(self) -> None:
         try:
-            data, sender = await self._sock.recvfrom(MOST_BYTES)
+            data, sender = await self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             message = msgspec.msgpack.decode(data, type=PeerMessage)
         except (msgspec.DecodeError, msgspec.ValidationError) as exc:
             self._log.info("notice_unreadable", peer=sender[0], why=str(exc))
@@ -68,23 +70,23 @@
         if handle is not None:
             await handle(message, f"{sender[0]}:{sender[1]}")
 
-    async def send(self, peer: str, message: PeerMessage) -> None:
+    async def send(self, address: str, message: PeerMessage) -> None:
         """Send a message to one instance."""
         if self._sock is None:
             return
         try:
-            await self._sock.sendto(msgspec.msgpack.encode(message), split_host_port(peer))
+            await self._sock.sendto(msgspec.msgpack.encode(message), split_host_port(address))
         except OSError as exc:
-            self._log.info("notice_undelivered", peer=peer, why=str(exc))
+            self._log.info("notice_undelivered", peer=address, why=str(exc))
 
-    async def tell(self, notice: PeerMessage, **facts: Any) -> None:
+    async def send_to_all(self, message: PeerMessage, **facts: Any) -> None:
         """Send a notice to every other instance that was seen.
 
         Args:
-            notice: what to tell.
+            message: what to tell.
             facts: what the line about it tells besides.
         """
         peers = self._peers()
         for peer in peers:
-            await self.send(peer, notice)
-        self._log.info("notice_told", kind=notice.__struct_config__.tag, peers=len(peers), **facts)
+            await self.send(peer, message)
+        self._log.info("notice_told", kind=message.__struct_config__.tag, peers=len(peers), **facts)
--- a/src/crankhinge/gateway/_questions.py
+++ b/src/crankhinge/gateway/_peer_requests.py
@@ -12,33 +12,33 @@
 
 # Seconds until an answer is given up. A question and its answer take 3 ms between availability
 # zones, and some ten more at an instance that is busy.
-ANSWER_S = 0.1
+RESPONSE_TIMEOUT_S = 0.1
 
 
-class Questions(Generic[T]):
+class PendingRequests(Generic[T]):
     """Matches answers to open questions by their numbers."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count()
         self._open: dict[int, _Question[T]] = {}
 
-    async def ask(self, send: Callable[[int], Awaitable[None]]) -> T | None:
+    async def send_and_wait(self, send: Callable[[int], Awaitable[None]]) -> T | None:
         """Have a question sent under a number; returns its answer, None for silence."""
         number = next(self._numbers)
         question: _Question[T] = _Question()
         self._open[number] = question
         try:
             await send(number)
-            answer: T | None = await curio.ignore_after(ANSWER_S, question.answered)
+            answer: T | None = await curio.ignore_after(RESPONSE_TIMEOUT_S, question.answered)
         finally:
             del self._open[number]
         return answer
 
-    async def answer(self, number: int, answer: T) -> None:
+    async def resolve(self, number: int, response: T) -> None:
         """Take an answer; nobody waits for one that is late or doubled."""
         question = self._open.get(number)
         if question is not None:
-            await question.answer(answer)
+            await question.answer(response)
 
 
 class _Question(Generic[T]):
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -24,23 +24,23 @@
 )
 from crankhinge.errors import ServerAtLimit
 from crankhinge.gateway._backends import Backends
-from crankhinge.gateway._limit_news import LimitNews
-from crankhinge.gateway._notices import Notices
+from crankhinge.gateway._limit_updates import LimitUpdates
 from crankhinge.gateway._peer_messages import (
-    PermitAnswer,
-    PermitAsk,
+    PermitRequest,
+    PermitResponse,
     PermitReturn,
-    ShareLoan,
+    ShareLeaseMessage,
 )
-from crankhinge.gateway._questions import Questions
+from crankhinge.gateway._peer_messenger import PeerMessenger
+from crankhinge.gateway._peer_requests import PendingRequests
 from crankhinge.gateway._request import Relay, SendPermit
 from crankhinge.runtime import Metrics
 
 # Seconds between lines that tell how much was sent to servers that name limits; the operators sum
 # their requests over as long.
-USE_S = 4.0
+USE_LOG_INTERVAL_S = 4.0
 # Lending anew is spread by these factors, so that instances do not lend in step.
-LEND_SPREAD = (0.8, 1.0)
+RENEWAL_JITTER = (0.8, 1.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,11 +74,11 @@
 
     Args:
         name: of this instance.
-        shared: what is known, lent and handed out.
-        news: takes what other instances heard of servers.
-        members: the instances.
+        shared_limits: what is known, lent and handed out.
+        limit_updates: takes what other instances heard of servers.
+        membership: the instances.
         backends: the servers.
-        notices: carries the datagrams.
+        messenger: carries the datagrams.
         log: for events.
         metrics: for counters.
     """
@@ -87,33 +87,33 @@
         self,
         *,
         name: str,
-        shared: SharedLimits,
-        news: LimitNews,
-        members: Membership,
+        shared_limits: SharedLimits,
+        limit_updates: LimitUpdates,
+        membership: Membership,
         backends: Backends,
-        notices: Notices,
+        messenger: PeerMessenger,
         log: Any,
         metrics: Metrics,
     ) -> None:
         self._name = name
-        self._shared = shared
-        self._news = news
-        self._members = members
+        self._shared = shared_limits
+        self._news = limit_updates
+        self._members = membership
         self._backends = backends
-        self._notices = notices
+        self._notices = messenger
         self._log = log
         self._metrics = metrics
-        self._questions: Questions[_Answer] = Questions()
+        self._questions: PendingRequests[_Answer] = PendingRequests()
         self._sent: Counter[str] = Counter()
-        notices.on(PermitAsk, self._take_ask)
-        notices.on(PermitAnswer, self._take_answer)
-        notices.on(PermitReturn, self._take_return)
+        messenger.add_handler(PermitRequest, self._take_ask)
+        messenger.add_handler(PermitResponse, self._take_answer)
+        messenger.add_handler(PermitReturn, self._take_return)
 
-    def has_come(self, name: str) -> None:
+    def record_joined(self, name: str) -> None:
         """Note that an instance has come."""
         self._shared.record_joined(name)
 
-    async def permit(self, relay: Relay, server: Server) -> bool:
+    async def try_get_permit(self, relay: Relay, server: Server) -> bool:
         """Get a request leave to be sent to a server now; it keeps the permit.
 
         Returns:
@@ -124,13 +124,13 @@
             return True
         now = await curio.clock()
         held = relay.permits.get(server.incarnation_id)
-        if held is not None and now <= held.until:
+        if held is not None and now <= held.expires_at:
             return True
-        if self._backends.standing(server.incarnation_id).limited_until > now:
+        if self._backends.stats(server.incarnation_id).limited_until > now:
             return False
         return (await self._get(relay, server, _Wish(0.0, caller=False))).granted
 
-    async def queue(self, relay: Relay, server: Server, within_s: float) -> PermitDecision:
+    async def request_permit(self, relay: Relay, server: Server, within_s: float) -> PermitDecision:
         """Get a request leave to be sent to a server soon, or a time for its caller to come back.
 
         Args:
@@ -140,14 +140,14 @@
         """
         return await self._get(relay, server, _Wish(within_s, caller=True))
 
-    async def wait(self, server: Server, word: PermitDecision) -> None:
+    async def wait_for_permit(self, server: Server, decision: PermitDecision) -> None:
         """Wait until a request may be sent that was granted for later."""
-        await curio.sleep(word.after_s)
-        self._backends.standing(server.incarnation_id).limited_until = 0.0
+        await curio.sleep(decision.after_s)
+        self._backends.stats(server.incarnation_id).limited_until = 0.0
 
     async def _get(self, relay: Relay, server: Server, wish: _Wish) -> PermitDecision:
         now = await curio.clock()
-        standing = self._backends.standing(server.incarnation_id)
+        standing = self._backends.stats(server.incarnation_id)
         allocator, word = await self._ask(server.incarnation_id, wish)
         if word.granted:
             # From when it was asked: the answer may have been under way for any time.
@@ -161,7 +161,7 @@
         self._metrics.count("permits_refused")
         self._log.info(
             "permit_refused",
-            request=relay.ask.request_id,
+            request=relay.request.request_id,
             server=server.incarnation_id,
             by=allocator or "own",
             after_ms=round(word.after_s * 1000),
@@ -169,7 +169,7 @@
         )
         return word
 
-    async def spend(self, relay: Relay, server: Server) -> SendPermit | None:
+    async def use_permit(self, relay: Relay, server: Server) -> SendPermit | None:
         """Use a request's permit, as it is sent to a server; None where none is needed.
 
         Raises:
@@ -177,17 +177,17 @@
         """
         if self._shared.advertised.get(server.incarnation_id) is None:
             return None
-        if not await self.permit(relay, server):
+        if not await self.try_get_permit(relay, server):
             raise ServerAtLimit(f"{server.incarnation_id} takes no more now")
         self._sent[server.incarnation_id] += 1
         return relay.permits.pop(server.incarnation_id, None)
 
-    async def settle(self, relay: Relay) -> None:
+    async def return_unused(self, relay: Relay) -> None:
         """Give the permits of a request back that it did not use."""
         now = await curio.clock()
         while relay.permits:
             ident, permit = relay.permits.popitem()
-            if now > permit.until:
+            if now > permit.expires_at:
                 continue
             if permit.allocator in ("", self._name):
                 self._shared.return_permit(ident, now)
@@ -216,7 +216,7 @@
         send = partial(
             self._send_ask,
             peer,
-            PermitAsk(
+            PermitRequest(
                 number=0,
                 lender=self._name,
                 server=ident,
@@ -224,10 +224,10 @@
                 ago_s=now - limit.received_at,
                 within_s=None if wish is None else wish.within_s,
                 caller=wish is not None and wish.caller,
-                loan=None if loan is None else ShareLoan.of(loan),
+                loan=None if loan is None else ShareLeaseMessage.from_lease(loan),
             ),
         )
-        answer = await self._questions.ask(send)
+        answer = await self._questions.send_and_wait(send)
         if answer is None:
             self._log.info("permit_unanswered", server=ident, instance=allocator)
             self._metrics.count("permits_unanswered")
@@ -236,23 +236,25 @@
             self._shared.record_response(allocator, answer.stamp)
         return answer
 
-    async def _send_ask(self, peer: str, ask: PermitAsk, number: int) -> None:
-        await self._notices.send(peer, ask.numbered(number))
+    async def _send_ask(self, peer: str, ask: PermitRequest, number: int) -> None:
+        await self._notices.send(peer, ask.with_number(number))
 
     # Handing out.
 
-    async def _take_ask(self, message: PermitAsk, sender: str) -> None:
+    async def _take_ask(self, message: PermitRequest, sender: str) -> None:
         now = await curio.clock()
-        self._news.told(message.server, message.per_s, now - message.ago_s, message.lender)
+        self._news.record_peer_update(
+            message.server, message.per_s, now - message.ago_s, message.lender
+        )
         if message.loan is not None:
-            self._shared.accept_lease(message.server, message.lender, message.loan.decoded(), now)
+            self._shared.accept_lease(message.server, message.lender, message.loan.to_lease(), now)
         word = None
         if message.within_s is not None:
             word = self._shared.take_permit(
                 message.server, message.within_s, now, for_caller=message.caller
             )
         stamp = self._shared.stamp(now)
-        answer = PermitAnswer(
+        answer = PermitResponse(
             number=message.number,
             granted=None if word is None else word.granted,
             after_s=0.0 if word is None else word.after_s,
@@ -261,21 +263,21 @@
         )
         await self._notices.send(sender, answer)
 
-    async def _take_answer(self, message: PermitAnswer, sender: str) -> None:
+    async def _take_answer(self, message: PermitResponse, sender: str) -> None:
         word = None if message.granted is None else PermitDecision(message.granted, message.after_s)
         stamp = ClockStamp(message.life, message.at)
-        await self._questions.answer(message.number, _Answer(word, stamp))
+        await self._questions.resolve(message.number, _Answer(word, stamp))
 
     async def _take_return(self, message: PermitReturn, sender: str) -> None:
         self._shared.return_permit(message.server, await curio.clock())
 
     # Tasks.
 
-    async def lend(self) -> None:
+    async def renew_leases(self) -> None:
         """Lend the shares of limits that others hand out for, again and again, until cancelled."""
         while True:
             await curio.sleep(
-                self._shared.renewal_interval_s * self._backends.rng.uniform(*LEND_SPREAD)
+                self._shared.renewal_interval_s * self._backends.rng.uniform(*RENEWAL_JITTER)
             )
             for ident in self._shared.advertised.servers:
                 await self._lend(ident)
@@ -289,10 +291,10 @@
             if await self._question(allocator, ident, None) is not None:
                 return
 
-    async def tell_use(self) -> None:
+    async def log_use(self) -> None:
         """Tell how much is sent to servers that name limits, until cancelled."""
         while True:
-            await curio.sleep(USE_S)
+            await curio.sleep(USE_LOG_INTERVAL_S)
             sent, self._sent = self._sent, Counter()
             for ident, requests in sent.items():
                 limit = self._shared.advertised.get(ident)
@@ -301,5 +303,5 @@
                     server=ident,
                     per_s=None if limit is None else limit.per_s,
                     sent=requests,
-                    within_s=USE_S,
+                    within_s=USE_LOG_INTERVAL_S,
                 )
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -23,27 +23,27 @@
     idle_connection_limit,
 )
 from crankhinge.gateway._admission import Admission
+from crankhinge.gateway._attempts import Attempts
 from crankhinge.gateway._authenticator import Authenticator
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._call_log import CallLog
-from crankhinge.gateway._choice import ServerChoice
 from crankhinge.gateway._crashes import CrashDetector
-from crankhinge.gateway._directory import Directory
-from crankhinge.gateway._follower import Follower
+from crankhinge.gateway._discovery import Discovery
 from crankhinge.gateway._gateway import Gateway
-from crankhinge.gateway._greeter import Greeter
-from crankhinge.gateway._legs import Legs
-from crankhinge.gateway._limit_news import LimitNews
-from crankhinge.gateway._notices import Notices
-from crankhinge.gateway._orderer import LOST_S, Orderer
+from crankhinge.gateway._join_announcer import JoinAnnouncer
+from crankhinge.gateway._limit_updates import LimitUpdates
 from crankhinge.gateway._peer_messages import EngineOrdered
+from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._permits import Permits
 from crankhinge.gateway._plain import PlainRelay
-from crankhinge.gateway._quarantine import QuarantineDesk
+from crankhinge.gateway._quarantine import QuarantineService
 from crankhinge.gateway._quota import AccountLimits
-from crankhinge.gateway._server_words import ServerWords
+from crankhinge.gateway._record_sync import InstanceRecordSync
+from crankhinge.gateway._role_controller import MAX_ORDER_S, RoleController
+from crankhinge.gateway._server_selector import ServerSelector
+from crankhinge.gateway._server_signals import ServerSignals
 from crankhinge.gateway._settings import GatewaySettings
-from crankhinge.gateway._shared_work import SharedWork
+from crankhinge.gateway._source_watcher import SourceWatcher
 from crankhinge.gateway._status import StatusPages
 from crankhinge.gateway._stream import StreamRelay
 from crankhinge.runtime import (
@@ -62,15 +62,15 @@
 # less than that part of its own first attempts, since requests are counted by when callers sent
 # them, and saves up few: thirty instances that spend all at once, with one in debt each, stay
 # within a slack of a hundred.
-REPEATS_USED = 0.75
-REPEATS_SAVED = 2.0
+RETRY_RATIO_SHARE = 0.75
+MAX_SAVED_RETRIES = 2.0
 # Numbers of instances' lives are drawn of so many bits: no two agree.
-LIFE_BITS = 63
+INCARNATION_BITS = 63
 
 
-def repeat_budget(settings: GatewaySettings) -> RetryBudget:
+def new_retry_budget(settings: GatewaySettings) -> RetryBudget:
     """Return what an instance may repeat of the requests for one service."""
-    return RetryBudget(ratio=REPEATS_USED * settings.repeat_ratio, burst=REPEATS_SAVED)
+    return RetryBudget(ratio=RETRY_RATIO_SHARE * settings.repeat_ratio, burst=MAX_SAVED_RETRIES)
 
 
 @dataclass(frozen=True)
@@ -80,14 +80,14 @@
     Attributes:
         dialect: how callers and servers are spoken to.
         source: configuration and list of servers.
-        office: gives the right to order servers.
-        board: where instances tell each other what requests take.
+        order_leases: gives the right to order servers.
+        registry: where instances tell each other what requests take.
     """
 
     dialect: Dialect
     source: DiscoverySource
-    office: OrderLeaseStore
-    board: InstanceRegistry
+    order_leases: OrderLeaseStore
+    registry: InstanceRegistry
 
 
 MakePlatform = Callable[[GatewaySettings, Any], Platform]
@@ -107,7 +107,7 @@
     )
     platform = make_platform(settings, log)
     dialect = platform.dialect
-    directory = Directory(platform.source, settings.freshness, log, rng)
+    directory = Discovery(platform.source, settings.freshness_bounds, log, rng)
     now = await curio.clock()
     members = Membership(settings.name, now)
     backends = Backends(
@@ -117,66 +117,73 @@
         log=log,
         metrics=metrics,
         rng=rng,
-        most_kept=partial(_most_kept, directory, members),
+        idle_limit=partial(_most_kept, directory, members),
     )
     authenticator = Authenticator(directory)
-    directory.on_gone.append(backends.forget)
-    budgets: defaultdict[str, RetryBudget] = defaultdict(partial(repeat_budget, settings))
+    directory.on_server_gone.append(backends.remove_server)
+    budgets: defaultdict[str, RetryBudget] = defaultdict(partial(new_retry_budget, settings))
     meters: defaultdict[str, WorkloadMeter] = defaultdict(WorkloadMeter)
-    notices = Notices(address=settings.peer, peers=lambda: members.peer_addresses, log=log)
-    notices.on(EngineOrdered, partial(_believe, backends))
-    quarantine = QuarantineDesk(
-        name=settings.name, members=members, notices=notices, log=log, metrics=metrics
+    notices = PeerMessenger(
+        address=settings.peer, peer_addresses=lambda: members.peer_addresses, log=log
     )
-    crashes = CrashDetector(backends=backends, on_crash=quarantine.crashed, log=log)
-    directory.on_gone.append(crashes.entry_gone)
+    notices.add_handler(EngineOrdered, partial(_believe, backends))
+    quarantine = QuarantineService(
+        name=settings.name, membership=members, messenger=notices, log=log, metrics=metrics
+    )
+    crashes = CrashDetector(backends=backends, on_crash=quarantine.record_crash, log=log)
+    directory.on_server_gone.append(crashes.on_entry_gone)
     shared_limits = SharedLimits(
-        name=settings.name, membership=members, incarnation=rng.getrandbits(LIFE_BITS), now=now
+        name=settings.name,
+        membership=members,
+        incarnation=rng.getrandbits(INCARNATION_BITS),
+        now=now,
+    )
+    limit_news = LimitUpdates(
+        shared_limits=shared_limits, backends=backends, messenger=notices, log=log
     )
-    limit_news = LimitNews(shared=shared_limits, backends=backends, notices=notices, log=log)
-    directory.on_gone.append(limit_news.forget)
-    words = ServerWords(bars=backends.bars, notices=notices, log=log)
+    directory.on_server_gone.append(limit_news.remove_server)
+    words = ServerSignals(exclusions=backends.exclusions, messenger=notices, log=log)
     backends.listeners += [limit_news, words]
     permits = Permits(
         name=settings.name,
-        shared=shared_limits,
-        news=limit_news,
-        members=members,
+        shared_limits=shared_limits,
+        limit_updates=limit_news,
+        membership=members,
         backends=backends,
-        notices=notices,
+        messenger=notices,
         log=log,
         metrics=metrics,
     )
-    choice = ServerChoice(backends, permits)
+    choice = ServerSelector(backends, permits)
     common: dict[str, Any] = {
         "backends": backends,
-        "choice": choice,
-        "legs": Legs(backends, authenticator, quarantine, crashes, permits),
+        "selector": choice,
+        "attempts": Attempts(backends, authenticator, quarantine, crashes, permits),
         "budget_of": budgets.__getitem__,
         "log": log,
     }
     limits = AccountLimits(
         name=settings.name,
-        directory=directory,
-        members=members,
-        bounds=settings.quota,
-        notices=notices,
+        discovery=directory,
+        membership=members,
+        bounds=settings.quota_bounds,
+        messenger=notices,
         log=log,
         metrics=metrics,
         now=now,
     )
-    greeter = Greeter(
+    greeter = JoinAnnouncer(
         name=settings.name,
-        peer=settings.peer,
-        members=members,
-        notices=notices,
-        on_come=[limits.has_come, permits.has_come],
+        address=settings.peer,
+        membership=members,
+        messenger=notices,
+        on_joined=[limits.record_joined, permits.record_joined],
         log=log,
     )
     gateway = Gateway(
         settings=settings,
-        directory=directory,
-        admission=Admission(directory=directory, authenticator=authenticator, rng=rng),
+        discovery=directory,
+        admission=Admission(discovery=directory, authenticator=authenticator, rng=rng),
         limits=limits,
         permits=permits,
         quarantine=quarantine,
@@ -187,41 +194,41 @@
         metrics=metrics,
     )
     status = StatusPages(
-        settings=settings, directory=directory, gateway=gateway, log=log, metrics=metrics
+        settings=settings, discovery=directory, gateway=gateway, log=log, metrics=metrics
     )
-    work = SharedWork(
+    work = InstanceRecordSync(
         name=settings.name,
-        peer=settings.peer,
-        members=members,
-        board=platform.board,
+        address=settings.peer,
+        membership=members,
+        registry=platform.registry,
         meters=meters,
         quarantine=quarantine,
-        limits=limit_news,
+        limit_updates=limit_news,
         log=log,
         rng=rng,
     )
-    orderer = Orderer(
+    orderer = RoleController(
         name=settings.name,
-        directory=directory,
+        discovery=directory,
         backends=backends,
-        office=platform.office,
-        work=work,
-        notices=notices,
+        order_leases=platform.order_leases,
+        record_sync=work,
+        messenger=notices,
         log=log,
     )
     # The runtime's clock is the steady clock; a page is made outside of any task's trap.
-    metrics.set_gauge_function("config_heard_s_ago", partial(_age, directory.config))
-    metrics.set_gauge_function("servers_heard_s_ago", partial(_age, directory.list))
+    metrics.set_gauge_function("config_heard_s_ago", partial(_age, directory.config_watcher))
+    metrics.set_gauge_function("servers_heard_s_ago", partial(_age, directory.server_list_watcher))
     metrics.set_gauge_function(
         "config_version", lambda: directory.table.version if directory.table else 0
     )
     metrics.set_gauge_function("requests_quarantined", quarantine.__len__)
     metrics.set_gauge_function("servers_limited", limit_news.__len__)
     metrics.set_gauge_function(
-        "servers_leaving", lambda: backends.barred(ExclusionReason.LEAVING, steady_s())
+        "servers_leaving", lambda: backends.count_excluded(ExclusionReason.LEAVING, steady_s())
     )
     metrics.set_gauge_function(
-        "servers_resting", lambda: backends.barred(ExclusionReason.BACKOFF, steady_s())
+        "servers_resting", lambda: backends.count_excluded(ExclusionReason.BACKOFF, steady_s())
     )
     metrics.set_gauge_function("servers_known", lambda: len(list(directory.servers.all())))
     metrics.set_gauge_function("servers_doubted", lambda: len(directory.servers.suspects()))
@@ -231,23 +238,23 @@
     supervisor.add("listener", gateway.listen)
     supervisor.add("ready", status.listen_ready)
     supervisor.add("metrics", status.listen_metrics)
-    supervisor.add("config", directory.config.run)
-    supervisor.add("servers", directory.list.run)
-    supervisor.add("expiry", directory.expire)
+    supervisor.add("config", directory.config_watcher.run)
+    supervisor.add("servers", directory.server_list_watcher.run)
+    supervisor.add("expiry", directory.expire_suspects)
     supervisor.add("orders", orderer.run)
     supervisor.add("work", work.run)
-    supervisor.add("peers", work.follow_peers)
+    supervisor.add("peers", work.refresh_membership)
     supervisor.add("notices", notices.run)
     supervisor.add("greeter", greeter.run)
-    supervisor.add("lending", permits.lend)
-    supervisor.add("limits", permits.tell_use)
+    supervisor.add("lending", permits.renew_leases)
+    supervisor.add("limits", permits.log_use)
     supervisor.add("calls", CallLog(platform.source, log).run)
     log.info("started", listen=settings.listen, zone=settings.zone, source=settings.source)
     await run_until_first_ends(supervisor.run, partial(_drain_on, stopping, gateway))
     log.info("stopped")
 
 
-def _most_kept(directory: Directory, members: Membership, service: str) -> int:
+def _most_kept(directory: Discovery, members: Membership, service: str) -> int:
     """Return how many idle connections to keep to each server of a service."""
     known = directory.table.services.get(service) if directory.table else None
     return (
@@ -257,14 +264,14 @@
     )
 
 
-def _age(follower: Follower) -> float:
-    return steady_s() - (follower.heard or 0.0)
+def _age(follower: SourceWatcher) -> float:
+    return steady_s() - (follower.received_at or 0.0)
 
 
 async def _believe(backends: Backends, notice: EngineOrdered, sender: str) -> None:
     """Act on what another instance tells."""
-    until = await curio.clock() + min(notice.within_s, LOST_S)
-    backends.ordered(notice.server, notice.phase, until, told=True)
+    until = await curio.clock() + min(notice.within_s, MAX_ORDER_S)
+    backends.record_order(notice.server, notice.phase, until, by_peer=True)
 
 
 async def _drain_on(stopping: curio.Event, gateway: Gateway) -> None:
--- a/src/crankhinge/gateway/_quarantine.py
+++ b/src/crankhinge/gateway/_quarantine.py
@@ -18,45 +18,51 @@
 from crankhinge.adapters import InstanceRecord
 from crankhinge.decisions import Membership, Quarantine, QuarantineUpdate, Server
 from crankhinge.errors import Quarantined
-from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._peer_messages import QuarantineBegun, QuarantineEnded, ServerCrashed
+from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._request import Relay
 from crankhinge.runtime import Metrics
 
 # Instances that count the crashes of one request: one may be gone or not hear.
-KEEPERS = 2
+COUNTING_INSTANCES = 2
 # Fingerprints in one datagram: 19 bytes each, 1,200 in a datagram.
-FINGERPRINTS_AT_ONCE = 48
+MAX_FINGERPRINTS_PER_MESSAGE = 48
 
 
-class QuarantineDesk:
+class QuarantineService:
     """Refuses requests that are in quarantine and tells instances of crashes.
 
     Args:
         name: of this instance.
-        members: the instances.
-        notices: carries the datagrams.
+        membership: the instances.
+        messenger: carries the datagrams.
         log: for events.
         metrics: for counters.
     """
 
     def __init__(
-        self, *, name: str, members: Membership, notices: Notices, log: Any, metrics: Metrics
+        self,
+        *,
+        name: str,
+        membership: Membership,
+        messenger: PeerMessenger,
+        log: Any,
+        metrics: Metrics,
     ) -> None:
         self._name = name
-        self._members = members
-        self._notices = notices
+        self._members = membership
+        self._notices = messenger
         self._log = log
         self._metrics = metrics
         self._quarantine = Quarantine()
-        notices.on(ServerCrashed, self._take_crash)
-        notices.on(QuarantineBegun, self._take_begun)
-        notices.on(QuarantineEnded, self._take_ended)
+        messenger.add_handler(ServerCrashed, self._take_crash)
+        messenger.add_handler(QuarantineBegun, self._take_begun)
+        messenger.add_handler(QuarantineEnded, self._take_ended)
 
     def __len__(self) -> int:
         return len(self._quarantine)
 
-    def refuse_isolated(self, work: str, now: float) -> None:
+    def refuse_quarantined(self, work: str, now: float) -> None:
         """Refuse work that no server may be sent now.
 
         Args:
@@ -77,30 +83,30 @@
         """Look at work that is about to be sent to a server; it may become the trial.
 
         Raises:
-            Quarantined: as :meth:`refuse_isolated` does.
+            Quarantined: as :meth:`refuse_quarantined` does.
         """
-        if relay.trial == work:
+        if relay.trial_work == work:
             return
-        self.refuse_isolated(work, now)
+        self.refuse_quarantined(work, now)
         if not self._quarantine.is_quarantined(work):
             return
-        relay.trial = work
+        relay.trial_work = work
         trial = self._quarantine.begin_trial(work, now)
-        self._log.info("quarantine_trial", request=relay.ask.request_id, fingerprint=work)
+        self._log.info("quarantine_trial", request=relay.request.request_id, fingerprint=work)
         await self._tell(trial)
 
-    async def crashed(self, server: Server, fingerprints: Collection[str]) -> None:
+    async def record_crash(self, server: Server, fingerprints: Collection[str]) -> None:
         """Note that a server crashed while it ran requests, and have it counted."""
         by_keeper: defaultdict[str, list[str]] = defaultdict(list)
         for fingerprint in fingerprints:
-            for keeper in self._members.first_instances(fingerprint, KEEPERS):
+            for keeper in self._members.first_instances(fingerprint, COUNTING_INSTANCES):
                 by_keeper[keeper].append(fingerprint)
             await self._count(fingerprint, server.incarnation_id, "own")
         by_keeper.pop(self._name, None)
         for keeper, cut in by_keeper.items():
             peer = self._members.peer_address(keeper)
-            for first in range(0, len(cut) if peer else 0, FINGERPRINTS_AT_ONCE):
-                some = tuple(cut[first : first + FINGERPRINTS_AT_ONCE])
+            for first in range(0, len(cut) if peer else 0, MAX_FINGERPRINTS_PER_MESSAGE):
+                some = tuple(cut[first : first + MAX_FINGERPRINTS_PER_MESSAGE])
                 await self._notices.send(peer, ServerCrashed(server.incarnation_id, some))
 
     async def _count(self, fingerprint: str, server: str, told_by: str) -> None:
@@ -116,30 +122,30 @@
             self._note_begun(isolation, "own")
             await self._tell(isolation)
 
-    async def done(self, relay: Relay, work: str) -> None:
+    async def record_completed(self, relay: Relay, work: str) -> None:
         """Note that a server did work to its end, which it does not where that crashes servers."""
         isolated = self._quarantine.is_quarantined(work)
         crashes = self._quarantine.record_completed(work, await curio.clock())
         if not crashes:
             return
         self._log.info(
-            "request_cleared", request=relay.ask.request_id, fingerprint=work, crashes=crashes
+            "request_cleared", request=relay.request.request_id, fingerprint=work, crashes=crashes
         )
         if isolated:
-            await self._notices.tell(QuarantineEnded(work), fingerprint=work)
+            await self._notices.send_to_all(QuarantineEnded(work), fingerprint=work)
             return
-        for keeper in self._members.first_instances(work, KEEPERS):
+        for keeper in self._members.first_instances(work, COUNTING_INSTANCES):
             if keeper != self._name and (peer := self._members.peer_address(keeper)):
                 await self._notices.send(peer, QuarantineEnded(work))
 
-    def noted(self) -> Mapping[str, tuple[str, ...]]:
+    def to_instance_record(self) -> Mapping[str, tuple[str, ...]]:
         """Return what belongs into this instance's note."""
         return self._quarantine.to_instance_record()
 
-    async def recall(self, notes: Mapping[str, InstanceRecord]) -> None:
+    async def apply_instance_records(self, records: Mapping[str, InstanceRecord]) -> None:
         """Take what stands in the notes of instances; this one's own is of an earlier life."""
         now = await curio.clock()
-        for name, note in notes.items():
+        for name, note in records.items():
             own = name == self._name
             for isolation in self._quarantine.apply_instance_record(note.quarantined, now, own=own):
                 self._note_begun(isolation, f"note:{name}")
@@ -157,7 +163,7 @@
 
     async def _tell(self, isolation: QuarantineUpdate) -> None:
         notice = QuarantineBegun(isolation.fingerprint, isolation.servers, isolation.left_s)
-        await self._notices.tell(notice, fingerprint=isolation.fingerprint)
+        await self._notices.send_to_all(notice, fingerprint=isolation.fingerprint)
 
     async def _take_crash(self, message: ServerCrashed, sender: str) -> None:
         for fingerprint in message.fingerprints:
--- a/src/crankhinge/gateway/_quota.py
+++ b/src/crankhinge/gateway/_quota.py
@@ -17,15 +17,15 @@
     QuotaOutcome,
 )
 from crankhinge.errors import LimitReached, NotReady
-from crankhinge.gateway._directory import Directory
-from crankhinge.gateway._notices import Notices
-from crankhinge.gateway._peer_messages import QuotaAnswer, QuotaAsk, QuotaReturn
-from crankhinge.gateway._questions import Questions
-from crankhinge.gateway._request import Grant, Relay
+from crankhinge.gateway._discovery import Discovery
+from crankhinge.gateway._peer_messages import QuotaRequest, QuotaResponse, QuotaReturn
+from crankhinge.gateway._peer_messenger import PeerMessenger
+from crankhinge.gateway._peer_requests import PendingRequests
+from crankhinge.gateway._request import Relay, TokenGrant
 from crankhinge.runtime import Metrics
 
 # When to come back where no instance could tell whether tokens are there, in seconds.
-UNKNOWN_S = 0.2
+NO_ALLOCATOR_RETRY_S = 0.2
 
 
 class AccountLimits:
@@ -33,10 +33,10 @@
 
     Args:
         name: of this instance.
-        directory: the accounts and how old they are.
-        members: the instances.
+        discovery: the accounts and how old they are.
+        membership: the instances.
         bounds: what the operators allow.
-        notices: carries questions and answers.
+        messenger: carries questions and answers.
         log: for events.
         metrics: for counters.
         now: on the runtime's clock, in seconds.
@@ -46,32 +46,32 @@
         self,
         *,
         name: str,
-        directory: Directory,
-        members: Membership,
+        discovery: Discovery,
+        membership: Membership,
         bounds: QuotaBounds,
-        notices: Notices,
+        messenger: PeerMessenger,
         log: Any,
         metrics: Metrics,
         now: float,
     ) -> None:
         self._name = name
-        self._directory = directory
-        self._members = members
-        self._notices = notices
+        self._directory = discovery
+        self._members = membership
+        self._notices = messenger
         self._log = log
         self._metrics = metrics
-        self._allocator = QuotaAllocator(name=name, membership=members, bounds=bounds, now=now)
-        self._asker = QuotaClient(name=name, membership=members)
-        self._questions: Questions[QuotaDecision] = Questions()
-        notices.on(QuotaAsk, self._take_ask)
-        notices.on(QuotaAnswer, self._take_answer)
-        notices.on(QuotaReturn, self._take_return)
-
-    def has_come(self, name: str) -> None:
+        self._allocator = QuotaAllocator(name=name, membership=membership, bounds=bounds, now=now)
+        self._asker = QuotaClient(name=name, membership=membership)
+        self._questions: PendingRequests[QuotaDecision] = PendingRequests()
+        messenger.add_handler(QuotaRequest, self._take_ask)
+        messenger.add_handler(QuotaResponse, self._take_answer)
+        messenger.add_handler(QuotaReturn, self._take_return)
+
+    def record_joined(self, name: str) -> None:
         """Note that an instance has come."""
         self._asker.record_response(name)
 
-    async def admit(self, relay: Relay) -> None:
+    async def take_tokens(self, relay: Relay) -> None:
         """Get a request its tokens.
 
         Raises:
@@ -81,42 +81,44 @@
         account = relay.account
         if account is None or account.limit is None:
             return
-        tokens = account.cost(relay.ask.max_total_tokens)
+        tokens = account.cost(relay.request.max_total_tokens)
         for allocator in self._asker.allocators(account.name, await curio.clock()):
             word = await self._ask(allocator, account, tokens)
             if word is not None and word.outcome is not QuotaOutcome.NOT_ALLOCATOR:
-                self._decide(relay, Grant(allocator, account, tokens), word)
+                self._decide(relay, TokenGrant(allocator, account, tokens), word)
                 return
         word = self._allocator.allocate_local(account, tokens, await curio.clock())
-        self._decide(relay, Grant("", account, tokens), word)
+        self._decide(relay, TokenGrant("", account, tokens), word)
 
-    def _decide(self, relay: Relay, grant: Grant, word: QuotaDecision) -> None:
+    def _decide(self, relay: Relay, grant: TokenGrant, word: QuotaDecision) -> None:
         by = grant.allocator or "own"
         if word.outcome is QuotaOutcome.GRANTED:
             relay.grant = grant
-            relay.facts.update(cost=grant.tokens, granted_by=by)
+            relay.log_fields.update(cost=grant.tokens, granted_by=by)
             return
         self._metrics.count("over_limit")
         self._log.info(
             "over_limit",
-            request=relay.ask.request_id,
+            request=relay.request.request_id,
             account=grant.account.name,
             tokens=grant.tokens,
             by=by,
             left=round(word.left_tokens),
             after_ms=round(word.retry_after_s * 1000),
-            config=relay.version,
+            config=relay.config_version,
         )
         if word.outcome is QuotaOutcome.NOT_ALLOCATOR:
-            raise NotReady("nobody can tell what the account has left", retry_after_s=UNKNOWN_S)
+            raise NotReady(
+                "nobody can tell what the account has left", retry_after_s=NO_ALLOCATOR_RETRY_S
+            )
         raise LimitReached(
             f"account {grant.account.name} has used its limit", retry_after_s=word.retry_after_s
         )
 
-    async def settle(self, relay: Relay) -> None:
+    async def return_unused(self, relay: Relay) -> None:
         """Give the tokens of a request back that no server had."""
         grant, relay.grant = relay.grant, None
-        if grant is None or relay.sent or relay.was_read or relay.may_have_run:
+        if grant is None or relay.sent_to or relay.prompt_processed or relay.may_have_run:
             return
         if grant.allocator in ("", self._name):
             now = await curio.clock()
@@ -135,9 +137,9 @@
             return None
 
         async def send(number: int) -> None:
-            await self._notices.send(peer, QuotaAsk(number, account.name, tokens))
+            await self._notices.send(peer, QuotaRequest(number, account.name, tokens))
 
-        word = await self._questions.ask(send)
+        word = await self._questions.send_and_wait(send)
         if word is None:
             self._log.info("quota_unanswered", account=account.name, instance=allocator)
             self._metrics.count("quota_unanswered")
@@ -152,18 +154,18 @@
             return None
         return table.accounts.by_name.get(name)
 
-    async def _take_ask(self, message: QuotaAsk, sender: str) -> None:
+    async def _take_ask(self, message: QuotaRequest, sender: str) -> None:
         account = self._account(message.account)
         word = NOT_ALLOCATOR
         if account is not None and account.limit is not None:
             # Also by an old limit: a new one binds once every instance can have heard of it.
             word = self._allocator.allocate(account, message.tokens, await curio.clock())
-        answer = QuotaAnswer(message.number, word.outcome, word.retry_after_s, word.left_tokens)
+        answer = QuotaResponse(message.number, word.outcome, word.retry_after_s, word.left_tokens)
         await self._notices.send(sender, answer)
 
-    async def _take_answer(self, message: QuotaAnswer, sender: str) -> None:
+    async def _take_answer(self, message: QuotaResponse, sender: str) -> None:
         word = QuotaDecision(message.verdict, message.after_s, message.left)
-        await self._questions.answer(message.number, word)
+        await self._questions.resolve(message.number, word)
 
     async def _take_return(self, message: QuotaReturn, sender: str) -> None:
         account = self._account(message.account)
--- a/src/crankhinge/gateway/_shared_work.py
+++ b/src/crankhinge/gateway/_record_sync.py
@@ -22,31 +22,31 @@
     combined_loads,
 )
 from crankhinge.errors import KeyValueUnavailable
-from crankhinge.gateway._limit_news import LimitNews
-from crankhinge.gateway._quarantine import QuarantineDesk
+from crankhinge.gateway._limit_updates import LimitUpdates
+from crankhinge.gateway._quarantine import QuarantineService
 
 # Seconds between looks whether the own note is still true.
-LOOK_S = 1.0
+RECORD_CHECK_INTERVAL_S = 1.0
 # A note is written anew when its samples have doubled or its loads have moved by this part, but
 # not sooner than this after the last one, in seconds.
-MOVED_PART = 0.15
-SOONEST_S = 2.5
+REWRITE_CHANGE_SHARE = 0.15
+MIN_REWRITE_INTERVAL_S = 2.5
 # It is written anew at the latest after this time, in seconds, since the store drops it later.
-LATEST_S = 30.0
+MAX_REWRITE_INTERVAL_S = 30.0
 # Seconds until the store is tried again that did not answer: within the time that a note lasts.
-AGAIN_S = 1.0
+STORE_RETRY_S = 1.0
 # Readings of notes are spread by these factors, so that instances do not read in step.
-READ_SPREAD = (0.8, 1.2)
+READ_JITTER = (0.8, 1.2)
 
 
-class SharedWork:
+class InstanceRecordSync:
     """This instance's measurements and, when they are asked for, those of all instances.
 
     Args:
         name: of this instance.
-        peer: ``host:port`` where this instance takes notices; empty for nowhere.
-        members: the instances, whose notes tell where they are reached.
-        board: where instances put their notes.
+        address: ``host:port`` where this instance takes notices; empty for nowhere.
+        membership: the instances, whose notes tell where they are reached.
+        registry: where instances put their notes.
         meters: measure this instance's requests, by service.
         quarantine, limits: what instances tell each other in their notes besides.
         log: for events.
@@ -56,25 +56,25 @@
         self,
         *,
         name: str,
-        peer: str,
-        members: Membership,
-        board: InstanceRegistry,
+        address: str,
+        membership: Membership,
+        registry: InstanceRegistry,
         meters: Mapping[str, WorkloadMeter],
-        quarantine: QuarantineDesk,
-        limits: LimitNews,
+        quarantine: QuarantineService,
+        limit_updates: LimitUpdates,
         log: Any,
         rng: random.Random,
     ) -> None:
         self._name = name
-        self._peer = peer
+        self._peer = address
         self._rng = rng
-        self._members = members
+        self._members = membership
         self._joined = False
         self._held_at = float("-inf")
-        self._board = board
+        self._board = registry
         self._meters = meters
         self._quarantine = quarantine
-        self._limits = limits
+        self._limits = limit_updates
         self._told_quarantined: Mapping[str, tuple[str, ...]] = {}
         self._told_limited: Mapping[str, float] = {}
         self._log = log
@@ -86,15 +86,15 @@
         """Keep this instance's note true until cancelled."""
         await self._resume()
         # A fleet that starts together does not write in the same moment.
-        await curio.sleep(self._rng.uniform(0.0, LOOK_S))
+        await curio.sleep(self._rng.uniform(0.0, RECORD_CHECK_INTERVAL_S))
         while True:
             try:
                 await self._look()
             except KeyValueUnavailable as exc:
                 self._log.info("note_unknown", why=exc.detail)
-                await curio.sleep(AGAIN_S)
+                await curio.sleep(STORE_RETRY_S)
             else:
-                await curio.sleep(LOOK_S)
+                await curio.sleep(RECORD_CHECK_INTERVAL_S)
 
     async def _resume(self) -> None:
         """Take over the note of a life before, if there is one."""
@@ -103,12 +103,12 @@
                 found = await self._board.take_over(self._name)
                 if found is not None:
                     note, lease = found
-                    await self._quarantine.recall({self._name: note})
-                    await self._limits.recall({self._name: note})
+                    await self._quarantine.apply_instance_records({self._name: note})
+                    await self._limits.apply_instance_records({self._name: note})
                     await self._join(lease, resumed=note.settled)
             except KeyValueUnavailable as exc:
                 self._log.info("note_unknown", why=exc.detail)
-                await curio.sleep(AGAIN_S)
+                await curio.sleep(STORE_RETRY_S)
                 continue
             self._log.info("life_before", found=found is not None, joined=self._joined)
             return
@@ -117,8 +117,11 @@
         """Write, renew and follow up the note, whichever is due."""
         sheets = self._sheets()
         now = await curio.clock()
-        settled, quarantined = self._members.may_coordinate(now), self._quarantine.noted()
-        limited = self._limits.noted(now)
+        settled, quarantined = (
+            self._members.may_coordinate(now),
+            self._quarantine.to_instance_record(),
+        )
+        limited = self._limits.to_instance_record(now)
         news = (
             settled is not self._told_settled
             or quarantined != self._told_quarantined
@@ -160,10 +163,10 @@
             self._members.join(_peers(notes), asked, resumed=resumed)
             self._joined = True
 
-    async def follow_peers(self) -> None:
+    async def refresh_membership(self) -> None:
         """Look who else is there, now and then, until cancelled."""
         while True:
-            await curio.sleep(self._members.read_interval_s * self._rng.uniform(*READ_SPREAD))
+            await curio.sleep(self._members.read_interval_s * self._rng.uniform(*READ_JITTER))
             try:
                 await self._read()
             except KeyValueUnavailable as exc:
@@ -181,8 +184,8 @@
     async def _recall(self, notes: Mapping[str, InstanceRecord]) -> None:
         """Take what the others tell besides; what this instance told itself it need not read."""
         others = {name: note for name, note in notes.items() if name != self._name}
-        await self._quarantine.recall(others)
-        await self._limits.recall(others)
+        await self._quarantine.apply_instance_records(others)
+        await self._limits.apply_instance_records(others)
 
     def _sheets(self) -> dict[str, WorkloadStats]:
         sheets = {service: meter.stats() for service, meter in self._meters.items()}
@@ -190,9 +193,9 @@
 
     def _due(self, sheets: dict[str, WorkloadStats], now: float) -> bool:
         since = now - self._told_at
-        if since < SOONEST_S:
+        if since < MIN_REWRITE_INTERVAL_S:
             return False
-        return since > LATEST_S or any(
+        return since > MAX_REWRITE_INTERVAL_S or any(
             self._moved(sheet, self._told.get(service)) for service, sheet in sheets.items()
         )
 
@@ -201,16 +204,16 @@
             return True
         now, then = sheet.loads(), told.loads()
         return (
-            abs(now.prompt_s - then.prompt_s) > MOVED_PART * then.prompt_s
-            or abs(now.answer_s - then.answer_s) > MOVED_PART * then.answer_s
+            abs(now.prompt_s - then.prompt_s) > REWRITE_CHANGE_SHARE * then.prompt_s
+            or abs(now.answer_s - then.answer_s) > REWRITE_CHANGE_SHARE * then.answer_s
         )
 
-    def glimpse(self, service: str) -> PoolLoads | None:
+    def local_loads(self, service: str) -> PoolLoads | None:
         """Return the loads as this instance sees them, from however few requests."""
         sheet = self._meters[service].stats()
         return None if sheet is None else sheet.loads()
 
-    async def together(self, service: str) -> tuple[PoolLoads | None, int]:
+    async def fleet_loads(self, service: str) -> tuple[PoolLoads | None, int]:
         """Return the loads as all instances see them, and how many answers shaped them.
 
         Raises:
--- a/src/crankhinge/gateway/_places.py
+++ b/src/crankhinge/gateway/_reservations.py
@@ -27,14 +27,14 @@
 )
 from crankhinge.errors import BadHttp, NoBackend, Overloaded, ServerAtLimit, ServersRest
 from crankhinge.gateway._backends import Backends
-from crankhinge.gateway._choice import ServerChoice
 from crankhinge.gateway._permits import Permits
 from crankhinge.gateway._request import Relay
+from crankhinge.gateway._server_selector import ServerSelector
 
 # Engines asked in one round; more would cost more calls than the chance of room is worth.
-ASKED_AT_ONCE = 3
+MAX_ENGINES_PER_ROUND = 3
 # Seconds between rounds while nothing ends here: others' requests end unseen.
-ROUND_S = 0.05
+ROUND_INTERVAL_S = 0.05
 # A round takes some milliseconds; with less than this left none is begun, in seconds.
 MIN_ROUND_S = 0.005
 
@@ -61,28 +61,28 @@
 
 
 @dataclass
-class Place:
+class Reservation:
     """A reservation.
 
     Attributes:
         server: where.
-        hold: its identity; empty where the server takes no reservations or it was used.
+        reservation_id: its identity; empty where the server takes no reservations or it was used.
         tokens: memory reserved.
-        number: in the forecast of memory.
+        forecast_number: in the forecast of memory.
     """
 
     server: Server
-    hold: str
+    reservation_id: str
     tokens: int
-    number: int
+    forecast_number: int
 
 
-class Places:
+class Reservations:
     """Finds places for streams.
 
     Args:
         backends: the servers.
-        choice: waits for those that want no request for a while.
+        selector: waits for those that want no request for a while.
         permits: leave to send to those that say how much they take.
         log: for events.
         meters: the work of each service's requests, by its name.
@@ -91,13 +91,13 @@
     def __init__(
         self,
         backends: Backends,
-        choice: ServerChoice,
+        selector: ServerSelector,
         permits: Permits,
         log: Any,
         meters: Mapping[str, WorkloadMeter],
     ) -> None:
         self._backends = backends
-        self._choice = choice
+        self._choice = selector
         self._permits = permits
         self._meters = meters
         self._log = log
@@ -105,33 +105,34 @@
         self._forecasts: defaultdict[str, MemoryForecast] = defaultdict(MemoryForecast)
 
     @asynccontextmanager
-    async def take(
-        self, relay: Relay, *, extra: int = 0, avoid: frozenset[str] = frozenset()
-    ) -> AsyncIterator[Place]:
+    async def reserve(
+        self, relay: Relay, *, extra_tokens: int = 0, avoid: frozenset[str] = frozenset()
+    ) -> AsyncIterator[Reservation]:
         """Give a place; it is given back at the end unless it was used.
 
         Args:
             relay: the request.
-            extra: tokens of the answer that were made elsewhere and are read with the prompt.
+            extra_tokens: tokens of the answer that were made elsewhere and are read with the
+                prompt.
             avoid: servers that are out of the question.
 
         Raises:
             Overloaded: no room in time.
             NoBackend: no server writes.
         """
-        place = await self._find(relay, extra, avoid)
-        standing = self._backends.standing(place.server.incarnation_id)
+        place = await self._find(relay, extra_tokens, avoid)
+        standing = self._backends.stats(place.server.incarnation_id)
         standing.reserved_tokens += place.tokens
         try:
             yield place
         finally:
             standing.reserved_tokens -= place.tokens
-            self._forecasts[relay.service.name].record_released(place.number)
-            if place.hold:
-                call = self._backends.dialect.release_reservation_call(place.hold)
-                await self._backends.later(place.server, call)
+            self._forecasts[relay.service.name].record_released(place.forecast_number)
+            if place.reservation_id:
+                call = self._backends.dialect.release_reservation_call(place.reservation_id)
+                await self._backends.side_call_in_background(place.server, call)
 
-    async def _find(self, relay: Relay, extra: int, avoid: frozenset[str]) -> Place:
+    async def _find(self, relay: Relay, extra: int, avoid: frozenset[str]) -> Reservation:
         engine = relay.service.engine
         assert engine is not None
         now = await curio.clock()
@@ -153,7 +154,7 @@
     def _need(
         self, relay: Relay, engine: EngineLimits, extra: int, now: float
     ) -> ReservationRequest:
-        ask = relay.ask
+        ask = relay.request
         meter = self._meters[relay.service.name]
         likely = min(ask.expected_answer_tokens or ask.max_answer_tokens, ask.max_answer_tokens)
         tokens = tokens_to_reserve(
@@ -165,43 +166,45 @@
         return ReservationRequest(
             tokens=tokens,
             # A stream that is taken up elsewhere has had its first event.
-            target_s=relay.began + relay.route.target_s - now,
-            remaining_s=relay.until - now,
-            event_timeout_s=(relay.event_at or relay.began)
+            target_s=relay.started_at + relay.route.target_s - now,
+            remaining_s=relay.deadline - now,
+            event_timeout_s=(relay.last_event_at or relay.started_at)
             + stream_event_timeout_s(relay.route.target_s, relay.route.max_pause_s)
             - now,
-            is_retry=relay.returned,
+            is_retry=relay.is_retry,
             service_s=meter.expected_service_s(likely) or DEFAULT_SERVICE_S,
             first_event_s=meter.mean_first_event_s or DEFAULT_FIRST_EVENT_S,
         )
 
     async def _look(
         self, search: _Search, engine: EngineLimits, order: ReservationQueue
-    ) -> Place | None:
+    ) -> Reservation | None:
         """Ask the engines that may have room."""
         relay, need = search.relay, search.need
         if need.max_wait_s < 0:
             self._refused(search, "no_time", 0.0)
             raise Overloaded("can't end in time", retry_after_s=retry_delay_s(self._backends.rng))
         now = await curio.clock()
-        service, model = relay.service.name, relay.ask.model
-        writers = self._backends.able(service, now, EngineRole.DECODE, model, search.avoid)
+        service, model = relay.service.name, relay.request.model
+        writers = self._backends.available_servers(
+            service, now, EngineRole.DECODE, model, search.avoid
+        )
         if not writers:
             self._refused(search, "no_writer", now - search.began)
             raise NoBackend("no server writes", retry_after_s=retry_delay_s(self._backends.rng))
         if not order.may_try(search.number, now):
             return None
         able = engines_to_try(
-            self._backends.without_rest(writers, now),
-            self._backends.standing,
+            self._backends.without_backoff(writers, now),
+            self._backends.stats,
             tokens=need.tokens,
             kv_tokens=engine.kv_tokens,
             now=now,
             rng=self._backends.rng,
             refusal_pause_s=need.refusal_pause_s(now - search.began),
         )
-        for server in able[:ASKED_AT_ONCE]:
-            if not await self._permits.permit(relay, server):
+        for server in able[:MAX_ENGINES_PER_ROUND]:
+            if not await self._permits.try_get_permit(relay, server):
                 continue
             search.asked += 1
             hold = await self._reserve(server, need.tokens, engine.max_reservation_s)
@@ -209,17 +212,17 @@
                 # It was asked in vain, and in need each question counts.
                 relay.permits.pop(server.incarnation_id, None)
             if hold is not None:
-                relay.placed_at = await curio.clock()
-                waited = relay.placed_at - search.began
-                relay.facts.update(waited_ms=round(waited * 1000), asked=search.asked)
+                relay.reserved_at = await curio.clock()
+                waited = relay.reserved_at - search.began
+                relay.log_fields.update(waited_ms=round(waited * 1000), asked=search.asked)
                 number = self._forecasts[relay.service.name].record_reserved(
                     need.tokens,
                     need.service_s,
-                    relay.placed_at,
+                    relay.reserved_at,
                     late=need.is_late(waited),
                 )
                 self._taken(relay, need, server)
-                return Place(server, hold, need.tokens, number)
+                return Reservation(server, hold, need.tokens, number)
         return None
 
     async def _wait(self, search: _Search) -> None:
@@ -227,13 +230,13 @@
         need = search.need
         waited = await curio.clock() - search.began
         free_s = self._free_in(search, waited)
-        if "free_ms" not in search.relay.facts and free_s is not None:
-            search.relay.facts["free_ms"] = round(free_s * 1000)
+        if "free_ms" not in search.relay.log_fields and free_s is not None:
+            search.relay.log_fields["free_ms"] = round(free_s * 1000)
         spare = need.max_wait_s - waited
         if spare <= MIN_ROUND_S or not need.should_keep_waiting(waited, free_s):
             self._refused(search, "no_room", waited)
             raise Overloaded("no room to write", retry_after_s=self._back(search, waited))
-        await curio.sleep(min(ROUND_S, spare - MIN_ROUND_S))
+        await curio.sleep(min(ROUND_INTERVAL_S, spare - MIN_ROUND_S))
 
     async def _waited_for_rest(self, search: _Search) -> bool:
         """Wait until an engine wants requests; returns whether none did before.
@@ -244,12 +247,12 @@
         now = await curio.clock()
         waited_s = now - search.began
         try:
-            ends = self._choice.rest_ends(
+            ends = self._choice.backoff_end(
                 search.relay,
                 now,
                 avoid=search.avoid,
-                spare_s=search.need.max_wait_s - waited_s,
-                phase=EngineRole.DECODE,
+                max_wait_s=search.need.max_wait_s - waited_s,
+                role=EngineRole.DECODE,
             )
         except ServersRest:
             self._refused(search, "servers_rest", waited_s)
@@ -270,19 +273,21 @@
             return False
         waited_s = await curio.clock() - search.began
         spare_s = max(0.0, search.need.max_wait_s - waited_s)
-        word = await self._permits.queue(search.relay, limited, spare_s)
+        word = await self._permits.request_permit(search.relay, limited, spare_s)
         if not word.granted:
             self._refused(search, "at_limit", waited_s)
             raise ServerAtLimit("engines take no more now", retry_after_s=word.after_s)
-        await self._permits.wait(limited, word)
+        await self._permits.wait_for_permit(limited, word)
         return True
 
     async def _first_at_limit(self, search: _Search) -> Server | None:
         """Return the engine that takes more first; None where one does now, or there is none."""
         relay, now = search.relay, await curio.clock()
-        service, model = relay.service.name, relay.ask.model
-        writers = self._backends.eligible(service, now, EngineRole.DECODE, model, search.avoid)
-        limited = self._backends.at_limit(writers, now)
+        service, model = relay.service.name, relay.request.model
+        writers = self._backends.eligible_servers(
+            service, now, EngineRole.DECODE, model, search.avoid
+        )
+        limited = self._backends.servers_at_limit(writers, now)
         return limited[0] if limited and len(limited) == len(writers) else None
 
     def _free_in(self, search: _Search, waited_s: float) -> float | None:
@@ -303,7 +308,7 @@
         forecast.record_promised_retry(need.tokens, now + back_s)
         self._log.info(
             "told_to_return",
-            request=search.relay.ask.request_id,
+            request=search.relay.request.request_id,
             back_ms=round(back_s * 1000),
             free_ms=None if free_s is None else round(free_s * 1000),
             ahead_tokens=ahead,
@@ -313,7 +318,7 @@
     async def _reserve(self, server: Server, tokens: int, hold_s: float) -> str | None:
         """Return a reservation, or None when the server has no room."""
         dialect = self._backends.dialect
-        standing = self._backends.standing(server.incarnation_id)
+        standing = self._backends.stats(server.incarnation_id)
         if hold_s <= 0:
             return ""
         resp = await self._backends.side_call(server, dialect.reserve_call(tokens, hold_s))
@@ -322,7 +327,7 @@
             standing.record_failure(now)
             return None
         if dialect.parse_signals(resp.status, resp.headers).wrong_server:
-            self._backends.replaced(server)
+            self._backends.record_replaced(server)
             return None
         if resp.status != 200:
             standing.record_no_capacity(now, self._backends.rng)
@@ -336,15 +341,15 @@
             return None
 
     def _taken(self, relay: Relay, need: ReservationRequest, server: Server) -> None:
-        standing = self._backends.standing(server.incarnation_id)
+        standing = self._backends.stats(server.incarnation_id)
         about = {
-            **relay.facts,
+            **relay.log_fields,
             "server": server.incarnation_id,
             "own_tokens": standing.reserved_tokens,
         }
         self._log.info(
             "place_taken",
-            request=relay.ask.request_id,
+            request=relay.request.request_id,
             tokens=need.tokens,
             **about,
         )
@@ -354,7 +359,7 @@
         order = self._orders[relay.service.name]
         self._log.info(
             "place_refused",
-            request=relay.ask.request_id,
+            request=relay.request.request_id,
             why=why,
             tokens=need.tokens,
             serve_s=round(need.service_s, 1),
--- a/src/crankhinge/gateway/_orderer.py
+++ b/src/crankhinge/gateway/_role_controller.py
@@ -22,30 +22,30 @@
 )
 from crankhinge.errors import BadHttp, KeyValueUnavailable
 from crankhinge.gateway._backends import Backends
-from crankhinge.gateway._directory import Directory
-from crankhinge.gateway._notices import Notices
+from crankhinge.gateway._discovery import Discovery
 from crankhinge.gateway._peer_messages import EngineOrdered
-from crankhinge.gateway._shared_work import SharedWork
+from crankhinge.gateway._peer_messenger import PeerMessenger
+from crankhinge.gateway._record_sync import InstanceRecordSync
 
 # Seconds between looks at the split.
-LOOK_S = 1.0
+SPLIT_CHECK_INTERVAL_S = 1.0
 # Looks in a row that want the same change before it is made: a crashed server is back by then or
 # its entry has gone.
-LOOKS = 2
+CONSISTENT_CHECKS = 2
 # Seconds until the others' notes are read again when they did not want the change.
-DISAGREED_S = 2.0
+DISAGREEMENT_PAUSE_S = 2.0
 # Seconds without another wish after one that another instance's orders came before: it holds the
 # right until engines play their new parts, some six seconds.
-QUIET_S = 6.0
+OTHER_CONTROLLER_PAUSE_S = 6.0
 # Seconds until the right is asked for again after the store gave no answer: a lease that was made
 # all the same is over by then.
-AGAIN_S = 4.0
+STORE_RETRY_S = 4.0
 # Seconds before its end in which the right isn't used any more: the way to the engine takes time.
-MARGIN_S = 0.5
+LEASE_END_MARGIN_S = 0.5
 # Seconds between questions about an order under way, and until an unanswered one counts as lost;
 # one may be carried out up to twelve seconds late.
-SETTLE_S = 1.0
-LOST_S = 13.0
+ORDER_POLL_INTERVAL_S = 1.0
+MAX_ORDER_S = 13.0
 
 
 @dataclass
@@ -59,7 +59,7 @@
         """Note what a look shows; returns whether it has shown the same wish for long enough."""
         self.looks = self.looks + 1 if phase is self.phase else 1
         self.phase = phase
-        return phase is not None and self.looks >= LOOKS
+        return phase is not None and self.looks >= CONSISTENT_CHECKS
 
 
 @dataclass(frozen=True)
@@ -89,16 +89,16 @@
         return len(self.writing) + self.to_write
 
 
-class Orderer:
+class RoleController:
     """Keeps the split between reading and writing engines where the load wants it.
 
     Args:
         name: of this instance.
-        directory: routes and servers.
+        discovery: routes and servers.
         backends: the servers.
-        office: gives the right to order.
-        work: what all instances measured.
-        notices: tells the other instances of orders.
+        order_leases: gives the right to order.
+        record_sync: what all instances measured.
+        messenger: tells the other instances of orders.
         log: for events.
     """
 
@@ -106,19 +106,19 @@
         self,
         *,
         name: str,
-        directory: Directory,
+        discovery: Discovery,
         backends: Backends,
-        office: OrderLeaseStore,
-        work: SharedWork,
-        notices: Notices,
+        order_leases: OrderLeaseStore,
+        record_sync: InstanceRecordSync,
+        messenger: PeerMessenger,
         log: Any,
     ) -> None:
         self._name = name
-        self._directory = directory
+        self._directory = discovery
         self._backends = backends
-        self._office = office
-        self._work = work
-        self._notices = notices
+        self._office = order_leases
+        self._work = record_sync
+        self._notices = messenger
         self._log = log
         self._tenure: OrderLease | None = None
         self._quiet_until = 0.0
@@ -127,7 +127,7 @@
     async def run(self) -> None:
         """Look at the split until cancelled."""
         while True:
-            await curio.sleep(LOOK_S * self._backends.rng.uniform(0.8, 1.2))
+            await curio.sleep(SPLIT_CHECK_INTERVAL_S * self._backends.rng.uniform(0.8, 1.2))
             table = self._directory.table
             if table is None:
                 continue
@@ -139,7 +139,7 @@
         now = await curio.clock()
         pools = self._pools(service.name, now)
         split = (pools.readers, pools.writers)
-        glimpse = self._work.glimpse(service.name)
+        glimpse = self._work.local_loads(service.name)
         if glimpse is None or now < self._quiet_until:
             return
         wanted = wanted_prompt_engines(glimpse, *split, MIN_ANSWERS_TO_GROW_PREFILL)
@@ -150,18 +150,18 @@
 
     def _pools(self, service: str, now: float) -> _Pools:
         return _Pools(
-            reading=self._backends.able(service, now, EngineRole.PREFILL),
-            writing=self._backends.able(service, now, EngineRole.DECODE),
-            to_read=self._backends.coming(service, EngineRole.PREFILL, now),
-            to_write=self._backends.coming(service, EngineRole.DECODE, now),
+            reading=self._backends.available_servers(service, now, EngineRole.PREFILL),
+            writing=self._backends.available_servers(service, now, EngineRole.DECODE),
+            to_read=self._backends.count_changing_to(service, EngineRole.PREFILL, now),
+            to_write=self._backends.count_changing_to(service, EngineRole.DECODE, now),
         )
 
     async def _decide(self, service: Service, pools: _Pools) -> None:
         """Change the split where the measurements of all instances want it."""
         now = await curio.clock()
-        self._quiet_until = now + DISAGREED_S
+        self._quiet_until = now + DISAGREEMENT_PAUSE_S
         try:
-            loads, answers = await self._work.together(service.name)
+            loads, answers = await self._work.fleet_loads(service.name)
         except KeyValueUnavailable as exc:
             self._log.info("notes_unknown", why=exc.detail)
             return
@@ -171,7 +171,7 @@
         wanted = wanted_prompt_engines(loads, *split, answers)
         if wanted == split[0]:
             return
-        self._quiet_until = now + QUIET_S
+        self._quiet_until = now + OTHER_CONTROLLER_PAUSE_S
         phase = _more_of(wanted, split[0])
         assert phase is not None
         self._log.info(
@@ -185,9 +185,7 @@
         )
         servers = pools.reading if phase is EngineRole.DECODE else pools.writing
         # Those that have least to finish can change soonest.
-        servers.sort(
-            key=lambda server: self._backends.standing(server.incarnation_id).open_requests
-        )
+        servers.sort(key=lambda server: self._backends.stats(server.incarnation_id).open_requests)
         await self._change(servers, abs(wanted - split[0]), phase)
 
     async def _change(self, servers: list[Server], count: int, phase: EngineRole) -> None:
@@ -196,7 +194,7 @@
             self._tenure = await self._office.acquire(self._name)
         except KeyValueUnavailable as exc:
             self._log.info("tenure_unknown", why=exc.detail)
-            self._quiet_until = await curio.clock() + AGAIN_S
+            self._quiet_until = await curio.clock() + STORE_RETRY_S
             return
         if self._tenure is None:
             self._log.info("tenure_held_elsewhere")
@@ -232,7 +230,7 @@
         if state is None or state.busy or state.role is phase:
             self._log.info("order_left_out", server=target.incarnation_id, state=str(state))
             return OrderOutcome.CONFLICT
-        if await curio.clock() > tenure.expires_at - MARGIN_S:
+        if await curio.clock() > tenure.expires_at - LEASE_END_MARGIN_S:
             self._log.info("tenure_over", fence=tenure.token)
             return OrderOutcome.FENCED
         call = self._backends.dialect.role_order_call(phase, tenure, state.orders_taken)
@@ -252,16 +250,16 @@
 
     async def _tell(self, target: Server, phase: EngineRole) -> None:
         """Have this instance and the others leave the engine out until it plays its new part."""
-        until = await curio.clock() + LOST_S
-        self._backends.ordered(target.incarnation_id, phase, until, told=False)
-        notice = EngineOrdered(target.incarnation_id, phase, LOST_S)
-        await self._notices.tell(notice, server=notice.server, phase=phase.value)
+        until = await curio.clock() + MAX_ORDER_S
+        self._backends.record_order(target.incarnation_id, phase, until, by_peer=False)
+        notice = EngineOrdered(target.incarnation_id, phase, MAX_ORDER_S)
+        await self._notices.send_to_all(notice, server=notice.server, phase=phase.value)
 
     async def _settle(self, targets: list[Server], phase: EngineRole) -> None:
         """Keep the right until the outcome of all orders is known."""
-        until = await curio.clock() + LOST_S
+        until = await curio.clock() + MAX_ORDER_S
         while targets and await curio.clock() < until and await self._renewed():
-            await curio.sleep(SETTLE_S)
+            await curio.sleep(ORDER_POLL_INTERVAL_S)
             for target in list(targets):
                 entry = self._directory.servers.get(target.incarnation_id)
                 if entry is None or entry.role is phase:
--- a/src/crankhinge/gateway/_server_words.py
+++ b/src/crankhinge/gateway/_server_signals.py
@@ -12,42 +12,42 @@
 
 from crankhinge.adapters import ResponseSignals
 from crankhinge.decisions import Server, ServerExclusions
-from crankhinge.gateway._listener import WordListener
-from crankhinge.gateway._notices import Notices
-from crankhinge.gateway._peer_messages import ServerLeaves
+from crankhinge.gateway._peer_messages import ServerLeaving
+from crankhinge.gateway._peer_messenger import PeerMessenger
+from crankhinge.gateway._signal_listener import SignalListener
 
 
-class ServerWords(WordListener):
+class ServerSignals(SignalListener):
     """What servers say, as this instance hears it.
 
     Args:
-        bars: keeps it.
-        notices: carries it to the other instances.
+        exclusions: keeps it.
+        messenger: carries it to the other instances.
         log: for events.
     """
 
-    def __init__(self, *, bars: ServerExclusions, notices: Notices, log: Any) -> None:
-        self._bars = bars
-        self._notices = notices
+    def __init__(self, *, exclusions: ServerExclusions, messenger: PeerMessenger, log: Any) -> None:
+        self._bars = exclusions
+        self._notices = messenger
         self._log = log
-        notices.on(ServerLeaves, self._take_leaves)
+        messenger.add_handler(ServerLeaving, self._take_leaves)
 
-    async def heard(
-        self, server: Server, word: ResponseSignals, *, sent_at: float, ran: bool
+    async def on_signals(
+        self, server: Server, signals: ResponseSignals, *, sent_at: float, succeeded: bool
     ) -> None:
         """Note what the head of a server's answer says of leaving and rest."""
         now = await curio.clock()
-        if word.leaving and self._note_leaves(server.incarnation_id, now, "own"):
-            await self._notices.tell(
-                ServerLeaves(server.incarnation_id), server=server.incarnation_id
+        if signals.leaving and self._note_leaves(server.incarnation_id, now, "own"):
+            await self._notices.send_to_all(
+                ServerLeaving(server.incarnation_id), server=server.incarnation_id
             )
-        if word.backoff_s is not None:
+        if signals.backoff_s is not None:
             was = self._bars.backoff_until(server.incarnation_id, now)
-            longer = self._bars.record_backoff(server.incarnation_id, now + word.backoff_s)
+            longer = self._bars.record_backoff(server.incarnation_id, now + signals.backoff_s)
             self._log.info(
                 "server_rests",
                 server=server.incarnation_id,
-                for_s=round(word.backoff_s, 2),
+                for_s=round(signals.backoff_s, 2),
                 left_s=None if was is None else round(was - now, 2),
                 taken=longer,
             )
@@ -59,5 +59,5 @@
             self._log.info("server_leaves", server=ident, told_by=told_by)
         return news
 
-    async def _take_leaves(self, message: ServerLeaves, sender: str) -> None:
+    async def _take_leaves(self, message: ServerLeaving, sender: str) -> None:
         self._note_leaves(message.server, await curio.clock(), sender)
--- a/src/crankhinge/gateway/_settings.py
+++ b/src/crankhinge/gateway/_settings.py
@@ -59,11 +59,11 @@
     statsd: str = ""
 
     @property
-    def quota(self) -> QuotaBounds:
+    def quota_bounds(self) -> QuotaBounds:
         """What the operators allow beyond accounts' limits."""
         return QuotaBounds(self.quota_window_s, self.quota_overrun, self.quota_slack)
 
     @property
-    def freshness(self) -> FreshnessBounds:
+    def freshness_bounds(self) -> FreshnessBounds:
         """How old beliefs may become."""
         return FreshnessBounds(self.apply_s, self.leave_s, self.contact_s, self.revoke_s)
--- a/src/crankhinge/gateway/_listener.py
+++ b/src/crankhinge/gateway/_signal_listener.py
@@ -8,19 +8,19 @@
 from crankhinge.decisions import Server
 
 
-class WordListener(abc.ABC):
+class SignalListener(abc.ABC):
     """Keeps some of what servers say of themselves."""
 
     @abc.abstractmethod
-    async def heard(
-        self, server: Server, word: ResponseSignals, *, sent_at: float, ran: bool
+    async def on_signals(
+        self, server: Server, signals: ResponseSignals, *, sent_at: float, succeeded: bool
     ) -> None:
         """Note what the head of a server's answer says.
 
         Args:
             server: the server.
-            word: what the head says.
+            signals: what the head says.
             sent_at: when the request was sent, on the runtime's clock, in seconds.
-            ran: whether it is the answer of a request that the server ran well. A refusal may come
-                from before the server itself, and the answer to a side call need not say all.
+            succeeded: whether it is the answer of a request that the server ran well. A refusal may
+                come from before the server itself, and the answer to a side call need not say all.
         """
--- a/src/crankhinge/gateway/_follower.py
+++ b/src/crankhinge/gateway/_source_watcher.py
@@ -16,32 +16,32 @@
 
 # Pauses between attempts while the source is away, in seconds: soon enough that its return is
 # noticed well within the two seconds in which a configuration has to be in force.
-FIRST_PAUSE_S = 0.1
-MAX_PAUSE_S = 0.6
+FIRST_RETRY_S = 0.1
+MAX_RETRY_S = 0.6
 # Seconds between lines that tell that the source is still away; each of its calls fails after 1.5 s
 # at most, so that a line stands for a few.
-STILL_LOST_S = 5.0
+STILL_LOST_LOG_INTERVAL_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class CallResult:
     """What one call brought.
 
     Attributes:
-        mark: to watch from.
-        gather: whether the next call may wait, so that it tells of several changes.
-        quiet: whether nothing had changed to the end of the wait.
+        revision: to watch from.
+        may_batch: whether the next call may wait, so that it tells of several changes.
+        unchanged: whether nothing had changed to the end of the wait.
     """
 
-    mark: int
-    gather: bool
-    quiet: bool = False
+    revision: int
+    may_batch: bool
+    unchanged: bool = False
 
 
-Read = Callable[[], Awaitable[Step]]
-Watch = Callable[[int, float], Awaitable[Step]]
+ReadCall = Callable[[], Awaitable[CallResult]]
+WatchCall = Callable[[int, float], Awaitable[CallResult]]
 # Returns the longest wait of a watch when what was last proved is so old; both in seconds.
-WatchS = Callable[[float], float]
+WatchWait = Callable[[float], float]
 
 
 @dataclass
@@ -61,43 +61,44 @@
     failures: int = 0
 
 
-class Follower:
+class SourceWatcher:
     """Follows one thing until cancelled.
 
     Args:
-        what: its name, for logs.
+        name: its name, for logs.
         read: takes what stands now.
         watch: takes what changed since a mark, within some seconds.
-        watch_s: tells the longest wait of one watch.
+        watch_wait_s: tells the longest wait of one watch.
         pause_s: seconds without a call while changes go on; they come in one answer.
         source: where it comes from.
         log: for events.
         rng: for the pauses between attempts.
 
     Attributes:
-        heard: when the source last had a word of it, on the runtime's clock; None before the first.
-        proved: what is known was current at this time, on the runtime's clock; minus infinity
+        received_at: when the source last had a word of it, on the runtime's clock; None before
+            the first.
+        current_at: what is known was current at this time, on the runtime's clock; minus infinity
             before the first word.
     """
 
     def __init__(
         self,
-        what: str,
+        name: str,
         *,
-        read: Read,
-        watch: Watch,
-        watch_s: WatchS,
+        read: ReadCall,
+        watch: WatchCall,
+        watch_wait_s: WatchWait,
         pause_s: float,
         source: DiscoverySource,
         log: Any,
         rng: random.Random,
     ) -> None:
-        self.heard: float | None = None
-        self.proved = -math.inf
-        self._what = what
+        self.received_at: float | None = None
+        self.current_at = -math.inf
+        self._what = name
         self._read = read
         self._watch = watch
-        self._watch_s = watch_s
+        self._watch_s = watch_wait_s
         self._gathering = ChangeBatcher(pause_s)
         self._source = source
         self._log = log
@@ -105,14 +106,14 @@
         self._absence: _Absence | None = None
 
     @property
-    def was_away(self) -> bool:
+    def was_unreachable(self) -> bool:
         """Whether a call to the source has failed since its last word."""
         return self._absence is not None
 
     async def run(self) -> None:
         """Read and watch until cancelled."""
         mark: int | None = None
-        pause = FIRST_PAUSE_S
+        pause = FIRST_RETRY_S
         lost_pause = 0.0
         gathered_s = 0.0
         while True:
@@ -128,23 +129,23 @@
                 mark = None
                 # What is read next is current; history that is lost again at once is not pressed.
                 await curio.sleep(lost_pause)
-                lost_pause = min(MAX_PAUSE_S, lost_pause * 2 or FIRST_PAUSE_S)
+                lost_pause = min(MAX_RETRY_S, lost_pause * 2 or FIRST_RETRY_S)
                 continue
             except KeyValueUnavailable as exc:
                 await self._failed(exc)
                 await curio.sleep(pause * self._rng.uniform(0.7, 1.3))
-                pause = min(MAX_PAUSE_S, pause * 2)
+                pause = min(MAX_RETRY_S, pause * 2)
                 continue
-            mark = step.mark
+            mark = step.revision
             # The answer was made some time after the call was sent; one that tells of no change,
             # at the end of the wait.
-            self.proved = max(self.proved, asked + (wait_s if step.quiet else 0.0))
+            self.current_at = max(self.current_at, asked + (wait_s if step.unchanged else 0.0))
             await self._answered()
-            pause = FIRST_PAUSE_S
+            pause = FIRST_RETRY_S
             gathered_s = 0.0
             if watched:
                 lost_pause = 0.0
-                if step.gather:
+                if step.may_batch:
                     # The connection may fall silent meanwhile: the watch that would show it is
                     # shorter by the time in which none is under way.
                     gathered_s = self._gathering.record_change(await curio.clock())
@@ -152,9 +153,9 @@
 
     def _wait_s(self, now: float, gathered_s: float) -> float:
         """Return how long the next watch waits, in seconds."""
-        if self.was_away:
+        if self.was_unreachable:
             return 0.0
-        return max(0.0, self._watch_s(now - self.proved) - gathered_s)
+        return max(0.0, self._watch_s(now - self.current_at) - gathered_s)
 
     async def _failed(self, exc: KeyValueUnavailable) -> None:
         now = await curio.clock()
@@ -163,7 +164,7 @@
             self._log.warning("source_lost", what=self._what, why=exc.detail)
         absence = self._absence
         absence.failures += 1
-        if now - absence.told_at >= STILL_LOST_S:
+        if now - absence.told_at >= STILL_LOST_LOG_INTERVAL_S:
             absence.told_at = now
             self._log.warning(
                 "source_still_lost",
@@ -175,9 +176,9 @@
             )
 
     async def _answered(self) -> None:
-        self.heard = await curio.clock()
+        self.received_at = await curio.clock()
         if self._absence is not None:
-            away_s = round(self.heard - self._absence.since, 3)
+            away_s = round(self.received_at - self._absence.since, 3)
             self._log.info(
                 "source_regained",
                 what=self._what,
--- a/src/crankhinge/gateway/_status.py
+++ b/src/crankhinge/gateway/_status.py
@@ -7,7 +7,7 @@
 import curio
 import msgspec
 
-from crankhinge.gateway._directory import Directory
+from crankhinge.gateway._discovery import Discovery
 from crankhinge.gateway._gateway import Gateway
 from crankhinge.gateway._settings import GatewaySettings
 from crankhinge.http import Exchange, serve_http
@@ -23,7 +23,7 @@
 
     Args:
         settings: of the gateway.
-        directory: what it knows.
+        discovery: what it knows.
         gateway: answers callers.
         log: for events.
         metrics: what is shown.
@@ -33,13 +33,13 @@
         self,
         *,
         settings: GatewaySettings,
-        directory: Directory,
+        discovery: Discovery,
         gateway: Gateway,
         log: Any,
         metrics: PrometheusMetrics,
     ) -> None:
         self._settings = settings
-        self._directory = directory
+        self._directory = discovery
         self._gateway = gateway
         self._log = log
         self._metrics = metrics
@@ -65,7 +65,7 @@
         await exchange.respond(200, self._metrics.render(), {"content-type": METRICS_TYPE})
 
     async def _ready(self, exchange: Exchange) -> None:
-        ready = self._directory.known and not self._gateway.draining
+        ready = self._directory.has_data and not self._gateway.is_draining
         # Others may still know; the balancer sends new connections to them.
         ready = ready and self._knows_keys(await curio.clock())
         if exchange.req.path != self._settings.ready_path:
@@ -73,10 +73,10 @@
             return
         table = self._directory.table
         version = table.version if table else None
-        state = {"ready": ready, "config": version, "open": self._gateway.in_progress}
+        state = {"ready": ready, "config": version, "open": self._gateway.open_requests}
         await exchange.respond(200 if ready else 503, msgspec.json.encode(state))
 
     def _knows_keys(self, now: float) -> bool:
         table = self._directory.table
         keyless = table is None or table.accounts is None
-        return keyless or self._directory.knows_keys(now)
+        return keyless or self._directory.may_use_keys(now)
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -19,10 +19,10 @@
 from crankhinge.gateway import GatewaySettings, Platform, serve
 from crankhinge.gateway._authenticator import Authenticator
 from crankhinge.gateway._backends import Backends
-from crankhinge.gateway._limit_news import LimitNews
-from crankhinge.gateway._notices import Notices
+from crankhinge.gateway._limit_updates import LimitUpdates
+from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._permits import Permits
-from crankhinge.gateway._quarantine import QuarantineDesk
+from crankhinge.gateway._quarantine import QuarantineService
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ClientStream, Exchange, HttpClient, serve_http
 from crankhinge.runtime import Metrics, get_log, run_until_first_ends, split_host_port
@@ -121,12 +121,12 @@
     body: bytes
 
 
-def lone_desk(name: str, log: Any) -> QuarantineDesk:
+def lone_desk(name: str, log: Any) -> QuarantineService:
     """Return what keeps requests from servers, at an instance that has nobody to tell."""
-    return QuarantineDesk(
+    return QuarantineService(
         name=name,
-        members=Membership(name, 0.0),
-        notices=Notices(address="", peers=list, log=log),
+        membership=Membership(name, 0.0),
+        messenger=PeerMessenger(address="", peer_addresses=list, log=log),
         log=log,
         metrics=Metrics(prefix="t"),
     )
@@ -152,7 +152,7 @@
     def __init__(self) -> None:
         pass
 
-    def check(self, relay: Relay, now: float) -> None:
+    def recheck(self, relay: Relay, now: float) -> None:
         """Let it pass."""
 
 
@@ -163,7 +163,7 @@
 class LoneLimits:
     """What keeps to servers' limits, at an instance that has nobody to ask."""
 
-    news: LimitNews
+    news: LimitUpdates
     permits: Permits
 
 
@@ -173,15 +173,15 @@
     """Return what keeps to servers' limits, at an instance that has nobody to ask."""
     members = members or Membership(name, 0.0)
     shared = SharedLimits(name=name, membership=members, incarnation=1, now=0.0)
-    notices = Notices(address="", peers=list, log=log)
-    news = LimitNews(shared=shared, backends=backends, notices=notices, log=log)
+    notices = PeerMessenger(address="", peer_addresses=list, log=log)
+    news = LimitUpdates(shared_limits=shared, backends=backends, messenger=notices, log=log)
     permits = Permits(
         name=name,
-        shared=shared,
-        news=news,
-        members=members,
+        shared_limits=shared,
+        limit_updates=news,
+        membership=members,
         backends=backends,
-        notices=notices,
+        messenger=notices,
         log=log,
         metrics=Metrics(prefix="t"),
     )
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -58,35 +58,35 @@
             engine("r1", EngineRole.PREFILL),
             engine("w0", EngineRole.DECODE),
         )
-        backends.ordered("r0", EngineRole.DECODE, 13.0, told=True)
-        assert idents(backends.able("llm", 5.0, EngineRole.PREFILL)) == ["r1"]
-        assert idents(backends.able("llm", 5.0, EngineRole.DECODE)) == ["w0"]
-        assert backends.coming("llm", EngineRole.DECODE, 5.0) == 1
-        assert backends.coming("llm", EngineRole.PREFILL, 5.0) == 0
-        assert backends.coming("other", EngineRole.DECODE, 5.0) == 0
-        assert not backends.takes_work("r0", 5.0)
-        assert idents(backends.able("llm", 13.0, EngineRole.PREFILL)) == ["r0", "r1"]
-        assert backends.coming("llm", EngineRole.DECODE, 13.0) == 0
-        assert backends.takes_work("r0", 13.0)
+        backends.record_order("r0", EngineRole.DECODE, 13.0, by_peer=True)
+        assert idents(backends.available_servers("llm", 5.0, EngineRole.PREFILL)) == ["r1"]
+        assert idents(backends.available_servers("llm", 5.0, EngineRole.DECODE)) == ["w0"]
+        assert backends.count_changing_to("llm", EngineRole.DECODE, 5.0) == 1
+        assert backends.count_changing_to("llm", EngineRole.PREFILL, 5.0) == 0
+        assert backends.count_changing_to("other", EngineRole.DECODE, 5.0) == 0
+        assert not backends.accepts_work("r0", 5.0)
+        assert idents(backends.available_servers("llm", 13.0, EngineRole.PREFILL)) == ["r0", "r1"]
+        assert backends.count_changing_to("llm", EngineRole.DECODE, 13.0) == 0
+        assert backends.accepts_work("r0", 13.0)
 
     def test_play_their_new_part_as_soon_as_their_entry_tells(self) -> None:
         """Then nothing is coming any more."""
         backends = backends_of(engine("r0", EngineRole.DECODE), engine("r1", EngineRole.PREFILL))
-        backends.ordered("r0", EngineRole.DECODE, 13.0, told=True)
-        assert idents(backends.able("llm", 5.0, EngineRole.DECODE)) == ["r0"]
-        assert backends.coming("llm", EngineRole.DECODE, 5.0) == 0
+        backends.record_order("r0", EngineRole.DECODE, 13.0, by_peer=True)
+        assert idents(backends.available_servers("llm", 5.0, EngineRole.DECODE)) == ["r0"]
+        assert backends.count_changing_to("llm", EngineRole.DECODE, 5.0) == 0
 
     def test_are_used_where_no_other_is(self) -> None:
         """A pool is never empty for a notice."""
         backends = backends_of(engine("r0", EngineRole.PREFILL), engine("w0", EngineRole.DECODE))
-        backends.ordered("r0", EngineRole.DECODE, 13.0, told=True)
-        assert idents(backends.able("llm", 5.0, EngineRole.PREFILL)) == ["r0"]
+        backends.record_order("r0", EngineRole.DECODE, 13.0, by_peer=True)
+        assert idents(backends.available_servers("llm", 5.0, EngineRole.PREFILL)) == ["r0"]
 
     def test_unknown_ones_are_nothing(self) -> None:
         """No state is kept for a server that is not on the list."""
         backends = backends_of(engine("r0", EngineRole.PREFILL))
-        backends.ordered("gone", EngineRole.DECODE, 13.0, told=True)
-        assert backends.coming("llm", EngineRole.DECODE, 5.0) == 0
+        backends.record_order("gone", EngineRole.DECODE, 13.0, by_peer=True)
+        assert backends.count_changing_to("llm", EngineRole.DECODE, 5.0) == 0
 
 
 class TestResting:
@@ -96,33 +96,38 @@
     def test_get_none_until_their_time_is_over(self, rest_s: float) -> None:
         """Also where no other is there; then they get some again."""
         backends = backends_of(engine("r0", EngineRole.PREFILL), engine("r1", EngineRole.PREFILL))
-        backends.bars.record_backoff("r0", 10.0 + rest_s)
-        assert idents(backends.eligible("llm", 10.0, EngineRole.PREFILL)) == ["r1"]
-        backends.bars.record_backoff("r1", 10.0 + 2 * rest_s)
+        backends.exclusions.record_backoff("r0", 10.0 + rest_s)
+        assert idents(backends.eligible_servers("llm", 10.0, EngineRole.PREFILL)) == ["r1"]
+        backends.exclusions.record_backoff("r1", 10.0 + 2 * rest_s)
         last = 10.0 + 0.99 * rest_s
-        assert backends.eligible("llm", last, EngineRole.PREFILL) == []
-        assert backends.pick("llm", last, avoid=frozenset()) is None
-        assert idents(backends.eligible("llm", 10.0 + rest_s, EngineRole.PREFILL)) == ["r0"]
-        assert len(backends.eligible("llm", 10.0 + 2 * rest_s, EngineRole.PREFILL)) == 2
+        assert backends.eligible_servers("llm", last, EngineRole.PREFILL) == []
+        assert backends.choose_server("llm", last, avoid=frozenset()) is None
+        assert idents(backends.eligible_servers("llm", 10.0 + rest_s, EngineRole.PREFILL)) == ["r0"]
+        assert len(backends.eligible_servers("llm", 10.0 + 2 * rest_s, EngineRole.PREFILL)) == 2
 
     def test_the_first_end_is_told_where_all_rest(self) -> None:
         """Of those that a request may go to."""
         backends = backends_of(engine("r0", EngineRole.PREFILL), engine("r1", EngineRole.PREFILL))
         r0, r1 = engine("r0", EngineRole.PREFILL), engine("r1", EngineRole.PREFILL)
-        backends.bars.record_backoff("r0", 13.0)
-        assert backends.rest_ends([r0, r1], 10.0) is None
-        backends.bars.record_backoff("r1", 16.0)
-        assert backends.rest_ends([r0, r1], 10.0) == 13.0
-        assert backends.rest_ends(backends.able("llm", 10.0, avoid=frozenset({"r0"})), 10.0) == 16.0
-        assert backends.rest_ends([r0, r1], 13.0) is None
-        assert backends.rest_ends([], 10.0) is None
+        backends.exclusions.record_backoff("r0", 13.0)
+        assert backends.backoff_end([r0, r1], 10.0) is None
+        backends.exclusions.record_backoff("r1", 16.0)
+        assert backends.backoff_end([r0, r1], 10.0) == 13.0
+        assert (
+            backends.backoff_end(
+                backends.available_servers("llm", 10.0, avoid=frozenset({"r0"})), 10.0
+            )
+            == 16.0
+        )
+        assert backends.backoff_end([r0, r1], 13.0) is None
+        assert backends.backoff_end([], 10.0) is None
 
     def test_stay_among_those_that_the_split_counts(self) -> None:
         """A pool that is short for seconds is no reason for orders."""
         backends = backends_of(engine("r0", EngineRole.PREFILL))
-        backends.bars.record_backoff("r0", 13.0)
-        assert idents(backends.able("llm", 10.0, EngineRole.PREFILL)) == ["r0"]
-        assert backends.barred(ExclusionReason.BACKOFF, 10.0) == 1
+        backends.exclusions.record_backoff("r0", 13.0)
+        assert idents(backends.available_servers("llm", 10.0, EngineRole.PREFILL)) == ["r0"]
+        assert backends.count_excluded(ExclusionReason.BACKOFF, 10.0) == 1
 
 
 class TestChoice:
@@ -144,7 +149,7 @@
             took_s = []
             for _ in range(10):
                 began = time.process_time()
-                assert backends.pick("llm", 5.0, avoid=frozenset()) is not None
+                assert backends.choose_server("llm", 5.0, avoid=frozenset()) is not None
                 took_s.append(time.process_time() - began)
         print(f"a choice among {len(servers)}: {min(took_s) / len(servers) * 1e6:.1f} us a server")
         assert made == len(servers)
@@ -166,7 +171,7 @@
     def test_follow_the_fleet(self) -> None:
         """Also those of a server that was used before the fleet grew."""
         most = 8
-        backends = backends_of(engine("r0", EngineRole.PREFILL), most_kept=lambda service: most)
+        backends = backends_of(engine("r0", EngineRole.PREFILL), idle_limit=lambda service: most)
         client = backends.client(engine("r0", EngineRole.PREFILL))
         assert client.pool_size == 8
         most = 2
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from crankhinge.gateway import GatewaySettings
-from crankhinge.gateway._program import repeat_budget
+from crankhinge.gateway._program import new_retry_budget
 from crankhinge_platform.gateway import SETTINGS_PATH
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -73,7 +73,7 @@
         text = fill((ROOT / "deploy" / "gateway.toml.template").read_text(), given)
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
         assert settings.repeat_ratio == 0.05
-        budget = repeat_budget(settings)
+        budget = new_retry_budget(settings)
         for _ in range(1000):
             budget.record_first_attempt()
         spent = 0
--- a/tests/test_legs.py
+++ b/tests/test_legs.py
@@ -14,9 +14,9 @@
 from crankhinge.adapters import AttemptParams
 from crankhinge.decisions import Server
 from crankhinge.errors import CallerGone, HttpClosed, ServerBarred
+from crankhinge.gateway._attempts import Attempts
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._crashes import CrashDetector
-from crankhinge.gateway._legs import Legs
 from crankhinge.gateway._request import Relay
 from crankhinge.http import HttpRequest
 from crankhinge.runtime import get_log
@@ -39,7 +39,7 @@
 class Way:
     """The way of one request to one server."""
 
-    legs: Legs
+    legs: Attempts
     backends: Backends
     relay: Relay
     server: Server
@@ -59,16 +59,16 @@
     )
     relay = SimpleNamespace(
         exchange=SimpleNamespace(req=req),
-        ask=SimpleNamespace(request_id="q"),
-        facts={},
+        request=SimpleNamespace(request_id="q"),
+        log_fields={},
         account_name=None,
-        trial="",
-        work=lambda *, read_only: "f",
+        trial_work="",
+        work_key=lambda *, prompt_only: "f",
     )
     quarantine = lone_desk("g", log)
-    crashes = CrashDetector(backends=backends, on_crash=quarantine.crashed, log=log)
+    crashes = CrashDetector(backends=backends, on_crash=quarantine.record_crash, log=log)
     limits = lone_limits("g", backends, log)
-    legs = Legs(backends, PASSES, quarantine, crashes, limits.permits)
+    legs = Attempts(backends, PASSES, quarantine, crashes, limits.permits)
     return Way(legs, backends, cast(Relay, relay), server)
 
 
@@ -83,7 +83,7 @@
         with pytest.raises(type(failure)):
             async with way.legs.open(way.relay, way.server, AttemptParams("i-1", 1.0)):
                 raise failure
-        seen.append(way.backends.standing("i-1").failure_share)
+        seen.append(way.backends.stats("i-1").failure_share)
 
     run_virtual(world.play, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
     return seen[0]
@@ -95,9 +95,9 @@
     @pytest.mark.parametrize(
         "bar",
         [
-            lambda way: way.backends.bars.record_leaving("i-1", 1.0),
-            lambda way: way.backends.bars.record_backoff("i-1", math.inf),
-            lambda way: way.backends.replaced(way.server),
+            lambda way: way.backends.exclusions.record_leaving("i-1", 1.0),
+            lambda way: way.backends.exclusions.record_backoff("i-1", math.inf),
+            lambda way: way.backends.record_replaced(way.server),
             lambda way: way.backends._servers.apply_list([], 1.0, was_unreachable=False),
         ],
         ids=["leaving", "resting", "replaced", "gone"],
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from crankhinge.decisions import EngineRole
-from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._peer_messages import EngineOrdered
+from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.runtime import get_log, run_until_first_ends
 from platform_fakes import HOST, Lines, World, free_port, route, stream
 from virtual_time import run_virtual
@@ -29,14 +29,14 @@
         self.lines = Lines()
         self.notices = [self._instance(address) for address in self.addresses]
 
-    def _instance(self, address: str) -> Notices:
+    def _instance(self, address: str) -> PeerMessenger:
         async def handle(notice: EngineOrdered, sender: str) -> None:
             self.heard.append((address, notice))
 
         others = [other for other in self.addresses if other != address]
         log = get_log(program="t", stream=self.lines)
-        notices = Notices(address=address, peers=lambda: others, log=log)
-        notices.on(EngineOrdered, handle)
+        notices = PeerMessenger(address=address, peer_addresses=lambda: others, log=log)
+        notices.add_handler(EngineOrdered, handle)
         return notices
 
     def play(self, story: Any, running: int | None = None) -> None:
@@ -54,7 +54,7 @@
 
         async def story() -> None:
             await curio.sleep(0.05)
-            await fleet.notices[0].tell(NOTICE)
+            await fleet.notices[0].send_to_all(NOTICE)
             await curio.sleep(0.2)
             assert sorted(fleet.heard) == sorted((at, NOTICE) for at in fleet.addresses[1:])
 
@@ -67,7 +67,7 @@
         async def story() -> None:
             await curio.sleep(0.05)
             for _ in range(2):
-                await fleet.notices[0].tell(NOTICE)
+                await fleet.notices[0].send_to_all(NOTICE)
                 await curio.sleep(0.2)
             assert [at for at, _ in fleet.heard] == [fleet.addresses[1]] * 2
 
@@ -84,7 +84,7 @@
             for data in (b"", b"\xc1", msgspec.msgpack.encode({"type": "engine-ordered"})):
                 await sock.sendto(data, (host, int(port)))
             await curio.sleep(0.1)
-            await fleet.notices[0].tell(NOTICE)
+            await fleet.notices[0].send_to_all(NOTICE)
             await curio.sleep(0.1)
             await sock.close()
             assert len(fleet.lines.having("event=notice_unreadable")) == 3
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -22,10 +22,10 @@
     ShareLease,
 )
 from crankhinge.errors import ServerAtLimit
+from crankhinge.gateway._attempts import Attempts
 from crankhinge.gateway._crashes import CrashDetector
-from crankhinge.gateway._legs import Legs
-from crankhinge.gateway._notices import MOST_BYTES
-from crankhinge.gateway._peer_messages import PermitAnswer, PermitAsk, ShareLoan
+from crankhinge.gateway._peer_messages import PermitRequest, PermitResponse, ShareLeaseMessage
+from crankhinge.gateway._peer_messenger import MAX_DATAGRAM_BYTES
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ConnectFailed, HttpRequest
 from crankhinge.runtime import get_log
@@ -102,7 +102,8 @@
         limits = lone_limits("here", self.backends, log, self.members)
         self.news, self.permits = limits.news, limits.permits
         self.relay = cast(
-            Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="q"), facts={})
+            Relay,
+            SimpleNamespace(permits={}, request=SimpleNamespace(request_id="q"), log_fields={}),
         )
 
     def play(self, story: Callable[[], Awaitable[None]]) -> None:
@@ -113,7 +114,7 @@
             self.members.join({"here": ""}, await curio.clock(), resumed=True)
             await curio.sleep(SETTLED_S)
             word = ResponseSignals(False, False, None, advertises_limit=True, limit_per_s=2.0)
-            await self.news.heard(SERVER, word, sent_at=0.0, ran=True)
+            await self.news.on_signals(SERVER, word, sent_at=0.0, succeeded=True)
             await story()
 
         run_virtual(ready)
@@ -121,13 +122,14 @@
     async def left(self) -> int:
         """Return how many requests may be sent at once, and take them."""
         number = 0
-        while await self.permits.permit(self._other(), SERVER):
+        while await self.permits.try_get_permit(self._other(), SERVER):
             number += 1
         return number
 
     def _other(self) -> Relay:
         return cast(
-            Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="o"), facts={})
+            Relay,
+            SimpleNamespace(permits={}, request=SimpleNamespace(request_id="o"), log_fields={}),
         )
 
 
@@ -139,12 +141,12 @@
         alone = Alone()
 
         async def story() -> None:
-            assert not await alone.permits.permit(alone.relay, SERVER)
+            assert not await alone.permits.try_get_permit(alone.relay, SERVER)
             await curio.sleep(FILLED_S)
-            assert await alone.permits.permit(alone.relay, SERVER)
+            assert await alone.permits.try_get_permit(alone.relay, SERVER)
             assert await alone.left() == 1
-            alone.backends.standing("i-1").limited_until = 0.0
-            await alone.permits.settle(alone.relay)
+            alone.backends.stats("i-1").limited_until = 0.0
+            await alone.permits.return_unused(alone.relay)
             assert not alone.relay.permits
             assert await alone.left() == 1
 
@@ -155,14 +157,14 @@
         alone = Alone()
 
         async def story() -> None:
-            await alone.permits.permit(alone.relay, SERVER)
+            await alone.permits.try_get_permit(alone.relay, SERVER)
             await curio.sleep(FILLED_S)
-            assert await alone.permits.permit(alone.relay, SERVER)
-            assert await alone.permits.permit(alone.relay, SERVER)
-            assert await alone.permits.spend(alone.relay, SERVER) is not None
+            assert await alone.permits.try_get_permit(alone.relay, SERVER)
+            assert await alone.permits.try_get_permit(alone.relay, SERVER)
+            assert await alone.permits.use_permit(alone.relay, SERVER) is not None
             assert await alone.left() == 1
             with pytest.raises(ServerAtLimit):
-                await alone.permits.spend(alone.relay, SERVER)
+                await alone.permits.use_permit(alone.relay, SERVER)
 
         alone.play(story)
 
@@ -171,14 +173,14 @@
         alone = Alone()
 
         async def story() -> None:
-            await alone.permits.permit(alone.relay, SERVER)
+            await alone.permits.try_get_permit(alone.relay, SERVER)
             await curio.sleep(FILLED_S)
-            assert await alone.permits.permit(alone.relay, SERVER)
+            assert await alone.permits.try_get_permit(alone.relay, SERVER)
             assert await alone.left() == 1
             await curio.sleep(PERMIT_TRANSIT_S + 0.1)
-            alone.backends.standing("i-1").limited_until = 0.0
+            alone.backends.stats("i-1").limited_until = 0.0
             before = alone.relay.permits["i-1"]
-            assert await alone.permits.permit(alone.relay, SERVER)
+            assert await alone.permits.try_get_permit(alone.relay, SERVER)
             assert alone.relay.permits["i-1"] != before
             assert await alone.left() == 1
 
@@ -189,11 +191,11 @@
         alone = Alone()
 
         async def story() -> None:
-            standing = alone.backends.standing("i-1")
+            standing = alone.backends.stats("i-1")
             standing.limited_until = math.inf
-            alone.news.told("i-1", 2.0, await curio.clock(), "there")
+            alone.news.record_peer_update("i-1", 2.0, await curio.clock(), "there")
             assert standing.limited_until == math.inf
-            alone.news.told("i-1", 8.0, await curio.clock(), "there")
+            alone.news.record_peer_update("i-1", 8.0, await curio.clock(), "there")
             assert standing.limited_until == 0.0
 
         alone.play(story)
@@ -204,18 +206,18 @@
         server = dataclasses.replace(SERVER, port=free_port())
         log = get_log(program="t", stream=Lines())
         quarantine = lone_desk("here", log)
-        crashes = CrashDetector(backends=alone.backends, on_crash=quarantine.crashed, log=log)
-        legs = Legs(alone.backends, PASSES, quarantine, crashes, alone.permits)
+        crashes = CrashDetector(backends=alone.backends, on_crash=quarantine.record_crash, log=log)
+        legs = Attempts(alone.backends, PASSES, quarantine, crashes, alone.permits)
         req = HttpRequest("GET", "/", {"x-request-id": "q"}, b"", (("x-request-id", "q"),))
         alone.relay.exchange = cast(Any, SimpleNamespace(req=req))
         alone.relay.__dict__.update(
-            account_name=None, facts={}, trial="", work=lambda *, read_only: "f"
+            account_name=None, log_fields={}, trial_work="", work_key=lambda *, prompt_only: "f"
         )
 
         async def story() -> None:
-            await alone.permits.permit(alone.relay, server)
+            await alone.permits.try_get_permit(alone.relay, server)
             await curio.sleep(FILLED_S)
-            assert await alone.permits.permit(alone.relay, server)
+            assert await alone.permits.try_get_permit(alone.relay, server)
             with pytest.raises(ConnectFailed):
                 async with legs.open(alone.relay, server, AttemptParams("i-1", 1.0)):
                     raise AssertionError("nobody is there")
@@ -233,7 +235,7 @@
         members.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
         shared = SharedLimits(name="n0", membership=members, incarnation=2**62, now=0.0)
         loan = ShareLease(shared.stamp(1234567.123), shared.lease_s, 300)
-        ask = PermitAsk(
+        ask = PermitRequest(
             number=123456,
             lender="frontend-pamplemousses-12",
             server="i-8b1d6bd897@1733200000000",
@@ -241,11 +243,11 @@
             ago_s=0.123,
             within_s=None,
             caller=False,
-            loan=ShareLoan.of(loan),
+            loan=ShareLeaseMessage.from_lease(loan),
         )
-        answer = PermitAnswer(number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1)
+        answer = PermitResponse(number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1)
         sizes = [len(msgspec.msgpack.encode(message)) for message in (ask, answer)]
         a_second = 300 / shared.renewal_interval_s
         print(f"{sizes} B, {a_second:.1f} a second, {a_second * sizes[0] / 1000:.1f} kB in")
         assert a_second * sum(sizes) <= 10_000
-        assert max(sizes) <= MOST_BYTES / 4
+        assert max(sizes) <= MAX_DATAGRAM_BYTES / 4
--- a/tests/test_quarantine_decisions.py
+++ b/tests/test_quarantine_decisions.py
@@ -20,8 +20,8 @@
     QUARANTINE_GROWTH,
     TRIAL_S,
 )
-from crankhinge.gateway._notices import Notices
-from crankhinge.gateway._quarantine import KEEPERS, QuarantineDesk
+from crankhinge.gateway._peer_messenger import PeerMessenger
+from crankhinge.gateway._quarantine import COUNTING_INSTANCES, QuarantineService
 from crankhinge.runtime import Metrics, get_log
 from platform_fakes import Lines
 from virtual_time import run_virtual
@@ -185,14 +185,14 @@
         assert quarantine.is_quarantined(REQUEST)
 
 
-class CountingNotices(Notices):
+class CountingNotices(PeerMessenger):
     """Counts datagrams; nobody gets them."""
 
-    def __init__(self, peers: list[str], log: Any) -> None:
-        super().__init__(address="", peers=lambda: peers, log=log)
+    def __init__(self, peer_addresses: list[str], log: Any) -> None:
+        super().__init__(address="", peer_addresses=lambda: peer_addresses, log=log)
         self.sent = 0
 
-    async def send(self, peer: str, message: Any) -> None:
+    async def send(self, address: str, message: Any) -> None:
         """Count one."""
         self.sent += 1
 
@@ -207,12 +207,12 @@
     def test_datagrams_of_a_crash_do_not_grow_with_instances(self, instances: int) -> None:
         """Two a request at most, with all requests for one instance in one."""
         sent = self._sent(instances, requests=64, crashes=1)
-        assert sent <= 64 * KEEPERS
+        assert sent <= 64 * COUNTING_INSTANCES
 
     def test_a_quarantine_is_told_to_each_instance_once(self) -> None:
         """By this instance, which saw all three crashes."""
         sent = self._sent(300, requests=1, crashes=MAX_CRASHES)
-        assert sent <= MAX_CRASHES * KEEPERS + 299
+        assert sent <= MAX_CRASHES * COUNTING_INSTANCES + 299
 
     def _sent(self, instances: int, *, requests: int, crashes: int) -> int:
         names = [f"g{number}" for number in range(instances)]
@@ -221,14 +221,14 @@
         members.join(peers, 0.0, resumed=True)
         log = get_log(program="t", stream=Lines())
         notices = CountingNotices(list(members.peer_addresses), log)
-        desk = QuarantineDesk(
-            name="g0", members=members, notices=notices, log=log, metrics=Metrics(prefix="t")
+        desk = QuarantineService(
+            name="g0", membership=members, messenger=notices, log=log, metrics=Metrics(prefix="t")
         )
 
         async def story() -> None:
             for number in range(crashes):
                 server = Server(f"i-{number}", "s", "h", 1, "z", EngineRole.PLAIN, 64, False, 1)
-                await desk.crashed(server, [f"{request:016x}" for request in range(requests)])
+                await desk.record_crash(server, [f"{request:016x}" for request in range(requests)])
 
         run_virtual(story)
         return notices.sent
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -19,7 +19,7 @@
 import pytest
 
 from crankhinge.errors import BadHttp, HttpClosed
-from crankhinge.gateway._notices import Notices
+from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.http import Exchange
 from platform_fakes import FakeReplica, World, crash, route, sealed, stream
 from virtual_time import run_virtual
@@ -98,13 +98,13 @@
 
     def play(self) -> None:
         """Play the seed."""
-        real = Notices.send
+        real = PeerMessenger.send
 
-        async def lossy(notices: Notices, peer: str, message: Any) -> None:
+        async def lossy(notices: PeerMessenger, peer: str, message: Any) -> None:
             if self._rng.random() >= LOST:
                 await real(notices, peer, message)
 
-        with mock.patch.object(Notices, "send", lossy):
+        with mock.patch.object(PeerMessenger, "send", lossy):
             run_virtual(self._world.play, self._story, ONCE, SAFE, STREAM, settle_s=0.003)
 
     async def _story(self) -> None:
--- a/tests/test_shared_work.py
+++ b/tests/test_shared_work.py
@@ -10,7 +10,11 @@
 from crankhinge.adapters import InstanceRecord, InstanceRegistry, RecordLease
 from crankhinge.decisions import RECORD_LEASE_S, Membership, WorkloadMeter, WorkloadStats
 from crankhinge.errors import KeyValueUnavailable
-from crankhinge.gateway._shared_work import AGAIN_S, LATEST_S, SharedWork
+from crankhinge.gateway._record_sync import (
+    MAX_REWRITE_INTERVAL_S,
+    STORE_RETRY_S,
+    InstanceRecordSync,
+)
 from crankhinge.runtime import get_log, run_until_first_ends
 from platform_fakes import Lines, lone_backends, lone_desk, lone_limits
 from virtual_time import run_virtual
@@ -78,14 +82,14 @@
         log = get_log(program="t", stream=self.lines)
         self.members = Membership("here", 0.0)
         self.limits = lone_limits("here", lone_backends(log), log)
-        self.work = SharedWork(
+        self.work = InstanceRecordSync(
             name="here",
-            peer="127.0.0.1:7",
-            members=self.members,
-            board=self.board,
+            address="127.0.0.1:7",
+            membership=self.members,
+            registry=self.board,
             meters={"llm": self.meter},
             quarantine=lone_desk("here", log),
-            limits=self.limits.news,
+            limit_updates=self.limits.news,
             log=log,
             rng=random.Random(3),
         )
@@ -99,7 +103,7 @@
 
     def play(self, story: object) -> None:
         """Run the task under *story*."""
-        run_virtual(run_until_first_ends, self.work.run, self.work.follow_peers, story)
+        run_virtual(run_until_first_ends, self.work.run, self.work.refresh_membership, story)
 
 
 class TestNote:
@@ -136,7 +140,7 @@
             here.serve(10)
             await curio.sleep(2.0)
             assert len(here.board.published) == 1
-            await curio.sleep(LATEST_S - 5.0)
+            await curio.sleep(MAX_REWRITE_INTERVAL_S - 5.0)
             assert len(here.board.published) == 1
             await curio.sleep(10.0)
             assert len(here.board.published) == 2
@@ -180,7 +184,7 @@
             await curio.sleep(2.0)
             assert here.lines.having("event=note_unknown", "why=away")
             here.board.away = False
-            await curio.sleep(AGAIN_S + 2.0)
+            await curio.sleep(STORE_RETRY_S + 2.0)
             assert len(here.board.published) == 1
 
         here.play(story)
@@ -197,7 +201,7 @@
             here.serve(10)
             await curio.sleep(2.0)
             here.serve(5)
-            loads, answers = await here.work.together("llm")
+            loads, answers = await here.work.fleet_loads("llm")
             assert loads is not None
             assert answers == 10 + 15
 
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -219,7 +219,7 @@
     "limit": (names_no_limit, 8),
 }
 # Modules that send requests to servers, each with its ways above.
-SENDERS = {"_plain", "_reading", "_stream"}
+SENDERS = {"_plain", "_prompt_processor", "_stream"}
 
 
 class TestWays:
