--- a/tests/test_quarantine_decisions.py
+++ b/tests/test_quarantine_decisions.py
@@ -20,8 +20,8 @@
     QUARANTINE_GROWTH,
     TRIAL_S,
 )
-from crankhinge.gateway._notices import Notices
-from crankhinge.gateway._quarantine import KEEPERS, QuarantineDesk
+from crankhinge.gateway._peer_messenger import PeerMessenger
+from crankhinge.gateway._quarantine import COUNTING_INSTANCES, QuarantineService
 from crankhinge.runtime import Metrics, get_log
 from platform_fakes import Lines
 from virtual_time import run_virtual
@@ -195,14 +195,14 @@
         assert quarantine.is_quarantined(REQUEST)
 
 
-class CountingMessenger(Notices):
+class CountingMessenger(PeerMessenger):
     """Counts datagrams instead of sending them."""
 
-    def __init__(self, peers: list[str], log: Any) -> None:
-        super().__init__(address="", peers=lambda: peers, log=log)
+    def __init__(self, peer_addresses: list[str], log: Any) -> None:
+        super().__init__(address="", peer_addresses=lambda: peer_addresses, log=log)
         self.sent = 0
 
-    async def send(self, peer: str, message: Any) -> None:
+    async def send(self, address: str, message: Any) -> None:
         """Count one datagram."""
         self.sent += 1
 
@@ -217,12 +217,12 @@
     def test_datagrams_of_a_crash_do_not_grow_with_instances(self, instances: int) -> None:
         """At most two datagrams per request are sent; all requests for one instance share one."""
         sent = self._count_datagrams(instances, requests=64, crashes=1)
-        assert sent <= 64 * KEEPERS
+        assert sent <= 64 * COUNTING_INSTANCES
 
     def test_quarantine_is_sent_to_each_instance_once(self) -> None:
         """The instance that counted all three crashes sends the quarantine."""
         sent = self._count_datagrams(300, requests=1, crashes=MAX_CRASHES)
-        assert sent <= MAX_CRASHES * KEEPERS + 299
+        assert sent <= MAX_CRASHES * COUNTING_INSTANCES + 299
 
     def _count_datagrams(self, instances: int, *, requests: int, crashes: int) -> int:
         names = [f"g{number}" for number in range(instances)]
@@ -231,14 +231,20 @@
         membership.join(peers, 0.0, resumed=True)
         log = get_log(program="t", stream=Lines())
         messenger = CountingMessenger(list(membership.peer_addresses), log)
-        service = QuarantineDesk(
-            name="g0", members=membership, notices=messenger, log=log, metrics=Metrics(prefix="t")
+        service = QuarantineService(
+            name="g0",
+            membership=membership,
+            messenger=messenger,
+            log=log,
+            metrics=Metrics(prefix="t"),
         )
 
         async def run_crashes() -> None:
             for number in range(crashes):
                 server = Server(f"i-{number}", "s", "h", 1, "z", EngineRole.PLAIN, 64, False, 1)
-                await service.crashed(server, [f"{request:016x}" for request in range(requests)])
+                await service.record_crash(
+                    server, [f"{request:016x}" for request in range(requests)]
+                )
 
         run_virtual(run_crashes)
         return messenger.sent
