--- a/src/crankhinge/agent/_adapters.py
+++ b/src/crankhinge/agent/_adapter_loader.py
@@ -22,50 +22,50 @@
 from crankhinge.runtime import wall_ms
 
 KEY_PREFIX = "crankhinge/roll/"
-CHECK_S = 0.5
-BUSY_PAUSE_S = 1.0
-MAX_PAUSE_S = 20.0
+CHECK_INTERVAL_S = 0.5
+INITIAL_RETRY_DELAY_S = 1.0
+MAX_RETRY_DELAY_S = 20.0
 
 
-class AdapterKeeper:
+class AdapterLoader:
     """Loads what the bundle wants into one engine.
 
     Args:
-        me: this agent's name.
-        pool: of its engine.
+        agent_name: this agent's name.
+        pool_name: of its engine.
         engine: the engine.
         kv: the key-value service, which paces the loading of a pool.
-        changed: told the names that the engine serves, after each change.
+        on_change: told the names that the engine serves, after each change.
         log: for events.
     """
 
     def __init__(
         self,
         *,
-        me: str,
-        pool: str,
+        agent_name: str,
+        pool_name: str,
         engine: Engine,
         kv: KeyValue,
-        changed: Callable[[tuple[str, ...]], Awaitable[None]],
+        on_change: Callable[[tuple[str, ...]], Awaitable[None]],
         log: Any,
     ) -> None:
-        self._me = me
-        self._pool = pool
+        self._me = agent_name
+        self._pool = pool_name
         self._engine = engine
         self._kv = kv
-        self._changed = changed
+        self._changed = on_change
         self._log = log
         self._wanted: dict[str, Adapter] = {}
         self._width = 1
         self._loaded: dict[str, int] = {}
-        self._rng = random.Random(me)
+        self._rng = random.Random(agent_name)
 
     @property
-    def served(self) -> tuple[str, ...]:
+    def loaded_names(self) -> tuple[str, ...]:
         """Names of the adapters that are loaded in some version that was wanted."""
         return tuple(sorted(self._loaded))
 
-    def apply(self, bundle: Bundle) -> None:
+    def apply_bundle(self, bundle: Bundle) -> None:
         """Take over what the bundle wants of this engine."""
         models = [m for m in bundle.models if self._pool in (*m.prefill, *m.decode)]
         self._wanted = {adapter.name: adapter for model in models for adapter in model.adapters}
@@ -74,20 +74,20 @@
 
     async def run(self) -> None:
         """Load what is missing until cancelled."""
-        pause = BUSY_PAUSE_S
+        pause = INITIAL_RETRY_DELAY_S
         while True:
             await self._drop_unwanted()
             versions = {name: adapter.version for name, adapter in self._wanted.items()}
             missing = adapters_to_load(versions, self._loaded)
             if not missing:
-                await curio.sleep(CHECK_S)
+                await curio.sleep(CHECK_INTERVAL_S)
                 continue
             try:
                 done = await self._roll(missing)
             except KeyValueUnavailable as exc:
                 self._log.warning("roll_waits", why=exc.detail)
                 done = False
-            pause = BUSY_PAUSE_S if done else min(MAX_PAUSE_S, pause * 1.5)
+            pause = INITIAL_RETRY_DELAY_S if done else min(MAX_RETRY_DELAY_S, pause * 1.5)
             if not done:
                 await curio.sleep(pause * self._rng.uniform(0.5, 1.0))
 
@@ -96,7 +96,7 @@
         for name in gone:
             del self._loaded[name]
         if gone:
-            await self._changed(self.served)
+            await self._changed(self.loaded_names)
 
     async def _roll(self, missing: list[str]) -> bool:
         """Take a place, load, and give the place back; False when no place was free."""
@@ -118,11 +118,11 @@
             await self._engine.load_adapter(name, adapter.path, adapter.version, token=token)
         except EngineFailed as exc:
             self._log.warning("adapter_failed", adapter=name, code=exc.code, why=exc.detail)
-            await curio.sleep(BUSY_PAUSE_S)
+            await curio.sleep(INITIAL_RETRY_DELAY_S)
             return
         self._loaded[name] = adapter.version
         self._log.info("adapter_loaded", adapter=name, version=adapter.version, token=token)
-        await self._changed(self.served)
+        await self._changed(self.loaded_names)
 
     async def _read(self) -> tuple[RolloutRecord, int]:
         value = await self._kv.get(KEY_PREFIX + self._pool)
@@ -156,4 +156,4 @@
                 if rest == record or await self._kv.swap(KEY_PREFIX + self._pool, data, index):
                     return
             except KeyValueUnavailable:
-                await curio.sleep(BUSY_PAUSE_S)
+                await curio.sleep(INITIAL_RETRY_DELAY_S)
--- a/src/crankhinge/agent/_agent.py
+++ b/src/crankhinge/agent/_agent.py
@@ -7,8 +7,8 @@
 import curio
 
 from crankhinge.adapters import Engine, Instance, KeyValue
-from crankhinge.agent._adapters import AdapterKeeper
-from crankhinge.agent._fence_desk import FenceDesk
+from crankhinge.agent._adapter_loader import AdapterLoader
+from crankhinge.agent._fence_service import FenceService
 from crankhinge.agent._role import Role
 from crankhinge.agent._settings import AgentSettings
 from crankhinge.config import BundleKeeper
@@ -17,14 +17,14 @@
 from crankhinge.runtime import Supervisor, serve_tcp
 from crankhinge.wire import (
     WIRE_VERSION,
-    Beat,
     GetInstances,
+    Heartbeat,
     Hello,
+    InstanceListReply,
     InstanceRow,
-    InstancesAre,
     Link,
+    LoadedAdapters,
     Message,
-    Serves,
     accept_link,
     send_if_open,
 )
@@ -40,8 +40,8 @@
         settings: its settings.
         role: what it does for its backend server.
         kv: the key-value service.
-        roster: the platform's list.
-        spread: keeps its bundle.
+        instance_list: the platform's list.
+        propagator: keeps its bundle.
         keeper: holds its bundle.
         incarnation: larger each time it starts.
         log: for events.
@@ -54,8 +54,8 @@
         settings: AgentSettings,
         role: Role,
         kv: KeyValue,
-        roster: InstanceListCache,
-        spread: BundlePropagator,
+        instance_list: InstanceListCache,
+        propagator: BundlePropagator,
         keeper: BundleKeeper,
         incarnation: int,
         log: Any,
@@ -63,37 +63,37 @@
     ) -> None:
         self._settings = settings
         self._role = role
-        self._spread = spread
+        self._spread = propagator
         self._keeper = keeper
-        self._roster = roster
+        self._roster = instance_list
         self._incarnation = incarnation
         self._log = log
         self._beater = HeartbeatSender(settings.beat_s, self._make_beat)
-        role.on_health = self._beater.send_now
-        self._fence = FenceDesk(
-            me=settings.name,
-            writer=incarnation,
+        role.on_health_change = self._beater.send_now
+        self._fence = FenceService(
+            agent_name=settings.name,
+            incarnation=incarnation,
             kv=kv,
-            roster=roster,
+            instance_list=instance_list,
             make_hello=self._hello,
             run_link=self._run_link,
             log=log,
         )
-        keeper.listeners.append(self._fence.apply)
-        self._adapters: AdapterKeeper | None = None
+        keeper.listeners.append(self._fence.apply_bundle)
+        self._adapters: AdapterLoader | None = None
         if engine is not None:
-            self._adapters = AdapterKeeper(
-                me=settings.name,
-                pool=settings.pool,
+            self._adapters = AdapterLoader(
+                agent_name=settings.name,
+                pool_name=settings.pool,
                 engine=engine,
                 kv=kv,
-                changed=self._tell_served,
+                on_change=self._tell_served,
                 log=log,
             )
-            keeper.listeners.append(self._adapters.apply)
+            keeper.listeners.append(self._adapters.apply_bundle)
 
-    def _make_beat(self, now: float) -> Beat:
-        return Beat(self._keeper.version, self._role.load(now))
+    def _make_beat(self, now: float) -> Heartbeat:
+        return Heartbeat(self._keeper.version, self._role.load(now))
 
     def _hello(self) -> Hello:
         settings = self._settings
@@ -124,7 +124,7 @@
     async def _tell_served(self, names: tuple[str, ...]) -> None:
         """Tell all entries which adapters the engine has."""
         for link in list(self._beater.links):
-            await send_if_open(link, Serves(names))
+            await send_if_open(link, LoadedAdapters(names))
 
     async def _listen(self) -> None:
         await serve_tcp(self._settings.host, self._settings.port, self._accept, log=self._log)
@@ -143,10 +143,10 @@
         is_agent = link.peer.role in AGENT_ROLES
         try:
             if is_agent:
-                await self._fence.linked(link)
+                await self._fence.add_link(link)
             await self._spread.add_link(link)
             if self._adapters is not None and not is_agent:
-                await link.send(Serves(self._adapters.served))
+                await link.send(LoadedAdapters(self._adapters.loaded_names))
             await self._beater.send_now()
             await link.run(self._handle)
         except (WireError, LinkClosed) as exc:
@@ -156,30 +156,30 @@
             self._beater.links.discard(link)
             self._spread.remove_link(link)
             if is_agent:
-                await self._fence.unlinked(link)
-            await self._role.forget(link)
+                await self._fence.remove_link(link)
+            await self._role.cancel_requests_of(link)
 
     async def _handle(self, link: Link, msg: Message) -> None:
         if await self._spread.handle_message(link, msg):
             return
         if isinstance(msg, GetInstances):
-            await link.send(InstancesAre(tuple(_row_of(i) for i in self._roster.instances)))
+            await link.send(InstanceListReply(tuple(_row_of(i) for i in self._roster.instances)))
             return
-        if not await self._fence.handle(link, msg):
+        if not await self._fence.handle_message(link, msg):
             await self._role.handle(link, msg)
 
     async def drain(self) -> None:
         """Take no new work and return once nothing is in progress, or after ``drain_s``."""
         self._log.info("draining")
-        self._role.close()
+        self._role.stop_accepting()
         await self._beater.send_now()
         await curio.ignore_after(self._settings.drain_s, self._wait_idle)
-        self._log.info("drained", open=self._role.open)
+        self._log.info("drained", open=self._role.open_requests)
 
     async def _wait_idle(self) -> None:
         # One more heartbeat, for requests that were on their way when the first one left.
         await curio.sleep(2 * self._settings.beat_s)
-        while self._role.busy:
+        while self._role.is_busy:
             await curio.sleep(DRAIN_POLL_S)
 
 
--- a/src/crankhinge/agent/_decode.py
+++ b/src/crankhinge/agent/_decode.py
@@ -8,7 +8,7 @@
 import curio
 
 from crankhinge.adapters import DecodeStream, Engine, EngineFailed
-from crankhinge.agent._probe import engine_load
+from crankhinge.agent._probe import probe_load
 from crankhinge.agent._role import BACKEND_DOWN, UNBOUNDED, Role
 from crankhinge.config import Pool
 from crankhinge.decisions import Refusal, SlotDecision, SlotGrant, SlotRequest, SlotTable
@@ -17,16 +17,16 @@
     Decode,
     DecodeDone,
     Failed,
-    Granted,
     Link,
     Load,
     Message,
-    Reserve,
+    ReserveSlot,
+    SlotGranted,
     Tokens,
 )
 
-STEP_GAIN = 0.2
-POLL_S = 0.5
+STEP_EWMA_WEIGHT = 0.2
+MAX_TICK_INTERVAL_S = 0.5
 
 
 class TransferStalled(EngineFailed):
@@ -54,15 +54,15 @@
         self._settled = False
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether any slot is held or awaited."""
         return self._table.is_busy
 
-    def close(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuse new requests; leases already given are honoured."""
         self._table.is_closed = True
 
-    def apply(self, pool: Pool) -> None:
+    def apply_pool(self, pool: Pool) -> None:
         """Take over the number of slots."""
         if self._table.capacity < UNBOUNDED:
             self._table.capacity = pool.slots
@@ -71,11 +71,11 @@
         """Return the load to report."""
         table = self._table
         return Load(
-            free=max(0, table.free_slots),
+            free_slots=max(0, table.free_slots),
             queued=table.queued,
             backlog_s=table.backlog_s(now),
             step_s=self._step_s,
-            draining=table.is_closed or self.sick,
+            draining=table.is_closed or self.is_unreachable,
         )
 
     async def run(self) -> None:
@@ -83,7 +83,11 @@
         while True:
             now = await curio.clock()
             until = self._table.next_tick_at()
-            pause = POLL_S if until is None else min(POLL_S, max(0.001, until - now))
+            pause = (
+                MAX_TICK_INTERVAL_S
+                if until is None
+                else min(MAX_TICK_INTERVAL_S, max(0.001, until - now))
+            )
             await curio.ignore_after(pause, self._wake.wait)
             self._wake.clear()
             await self._apply(self._table.tick(await curio.clock()))
@@ -95,7 +99,7 @@
         An engine frees what a dead agent asked for when it notices the closed connection. Until
         it has been seen with no more than our own requests, the difference isn't ours to give.
         """
-        load = await engine_load(self._engine)
+        load = await probe_load(self._engine)
         if load is None:
             self._settled = False
             return False
@@ -110,19 +114,19 @@
         for req in list(self._owners):
             if req not in self._tasks and not self._table.has_request(req):
                 self._ready.pop(req, None)
-                self.disown(req)
+                self.remove_owner(req)
 
     async def handle(self, link: Link, msg: Message) -> None:
         """Act on Reserve, Decode and Cancel."""
-        if isinstance(msg, Reserve):
+        if isinstance(msg, ReserveSlot):
             await self._reserve(link, msg)
         elif isinstance(msg, Decode):
             await self._decode(link, msg)
         elif isinstance(msg, Cancel):
             await self.cancel(msg.req)
 
-    async def _reserve(self, link: Link, msg: Reserve) -> None:
-        if self.sick:
+    async def _reserve(self, link: Link, msg: ReserveSlot) -> None:
+        if self.is_unreachable:
             await self.refuse(link, msg.req, BACKEND_DOWN)
             return
         now = await curio.clock()
@@ -132,13 +136,13 @@
             partner=weights.partner,
             member=msg.member,
             rank=msg.rank,
-            deadline=now + msg.within,
-            lead_s=msg.lead,
+            deadline=now + msg.timeout_s,
+            lead_s=msg.lead_s,
             max_tokens=msg.max_tokens,
             weight=weights.member_weight,
             partner_weight=weights.partner_weight,
         )
-        self.own(msg.req, link)
+        self.set_owner(msg.req, link)
         await self._apply(self._table.submit(ask, now))
         await self._wake.set()
 
@@ -147,18 +151,20 @@
             if isinstance(decision, SlotGrant):
                 req = decision.req
                 load = self.load(await curio.clock())
-                await self.tell(req, Granted(req, decision.ready_in_s, decision.lease_s, load))
+                await self.send_to_owner(
+                    req, SlotGranted(req, decision.ready_in_s, decision.lease_s, load)
+                )
             else:
                 await self._apply_refusal(decision)
 
     async def _apply_refusal(self, decision: Refusal) -> None:
-        link = self.owner(decision.req)
+        link = self.find_owner(decision.req)
         if link is not None:
             await self.refuse(link, decision.req, decision.code, decision.retry_after_s)
-        self.disown(decision.req)
+        self.remove_owner(decision.req)
 
     async def _decode(self, link: Link, msg: Decode) -> None:
-        if self.owner(msg.req) is not link or not self._table.is_leased(msg.req):
+        if self.find_owner(msg.req) is not link or not self._table.is_leased(msg.req):
             self.metrics.count("lease_expired")
             await link.send(Failed(msg.req, "lease-expired", False))
             return
@@ -183,12 +189,12 @@
         except EngineFailed as exc:
             self.log.warning("decode_failed", req=f"{req:016x}", code=exc.code, why=exc.detail)
             if not exc.ran:
-                await self.note_health(await self.probe())
+                await self.record_health(await self.probe())
             self.metrics.count(f"decode_failed.{exc.code}")
-            await self.tell(req, Failed(req, exc.code, exc.ran))
+            await self.send_to_owner(req, Failed(req, exc.code, exc.ran))
         finally:
             await self.release(req)
-            self.disown(req)
+            self.remove_owner(req)
 
     async def _open(self, msg: Decode) -> DecodeStream:
         """Return the answer's stream once the engine has the result of the reading.
@@ -198,17 +204,18 @@
         """
         try:
             stream: DecodeStream = await curio.timeout_after(
-                msg.patience, partial(self._engine.decode, msg.path, msg.body, msg.kv, req=msg.req)
+                msg.transfer_timeout_s,
+                partial(self._engine.decode, msg.path, msg.body, msg.kv_handle, req=msg.req),
             )
         except curio.TaskTimeout as exc:
-            raise TransferStalled(f"nothing in {msg.patience:.2f} s") from exc
+            raise TransferStalled(f"nothing in {msg.transfer_timeout_s:.2f} s") from exc
         return stream
 
     async def _relay(self, req: int, stream: DecodeStream) -> None:
         seq = 0
         last = 0.0
         while pieces := await stream.next():
-            await self.tell(req, Tokens(req, seq, tuple(pieces)))
+            await self.send_to_owner(req, Tokens(req, seq, tuple(pieces)))
             seq += len(pieces)
             self._table.record_progress(req, seq)
             now = await curio.clock()
@@ -216,10 +223,10 @@
                 self._note_step((now - last) / len(pieces))
             last = now
         self.metrics.count("tokens", seq)
-        await self.tell(req, DecodeDone(req, seq, stream.finish))
+        await self.send_to_owner(req, DecodeDone(req, seq, stream.finish))
 
     def _note_step(self, step_s: float) -> None:
-        gain = STEP_GAIN if self._step_s else 1.0
+        gain = STEP_EWMA_WEIGHT if self._step_s else 1.0
         self._step_s += gain * (step_s - self._step_s)
         self._table.step_s = self._step_s
 
--- a/src/crankhinge/agent/_fence_desk.py
+++ b/src/crankhinge/agent/_fence_service.py
@@ -42,23 +42,23 @@
     send_if_open,
 )
 
-TICK_S = 0.5
-DIAL_PAUSE_S = 1.0
-FIRST_PAUSE_S = 0.1
+TICK_INTERVAL_S = 0.5
+RECONNECT_DELAY_S = 1.0
+INITIAL_RECONNECT_DELAY_S = 0.1
 KEY_PREFIX = "crankhinge/fence/"
 RETRY_AFTER_S = 1.0
 
-OnLink = Callable[[Link], Awaitable[None]]
+LinkRunner = Callable[[Link], Awaitable[None]]
 
 
-class FenceDesk:
+class FenceService:
     """Keeps one :class:`FencePair` for each range that names this agent.
 
     Args:
-        me: this agent's name.
-        writer: identity of this start.
+        agent_name: this agent's name.
+        incarnation: identity of this start.
         kv: the key-value service.
-        roster: the platform's list, to find the other holders.
+        instance_list: the platform's list, to find the other holders.
         make_hello: makes the Hello of a link to another agent.
         run_link: runs such a link, as if it had been accepted.
         log: for events.
@@ -67,27 +67,27 @@
     def __init__(
         self,
         *,
-        me: str,
-        writer: int,
+        agent_name: str,
+        incarnation: int,
         kv: KeyValue,
-        roster: InstanceListCache,
+        instance_list: InstanceListCache,
         make_hello: Callable[[], Any],
-        run_link: OnLink,
+        run_link: LinkRunner,
         log: Any,
     ) -> None:
-        self._me = me
-        self._writer = writer
+        self._me = agent_name
+        self._writer = incarnation
         self._kv = kv
-        self._roster = roster
+        self._roster = instance_list
         self._make_hello = make_hello
         self._run_link = run_link
         self._log = log
         self._pairs: dict[str, FencePair] = {}
         self._links: dict[str, Link] = {}
         self._askers: dict[int, Link] = {}
-        self._rng = random.Random(me)
+        self._rng = random.Random(agent_name)
 
-    def apply(self, bundle: Bundle) -> None:
+    def apply_bundle(self, bundle: Bundle) -> None:
         """Take over which records this agent holds."""
         wanted: dict[str, str] = {}
         for pool in bundle.pools:
@@ -118,7 +118,7 @@
                 await self._act(pair, pair.on_tick(await curio.clock()))
                 if pair.role is not before:
                     self._log_role(pair)
-            await curio.sleep(TICK_S)
+            await curio.sleep(TICK_INTERVAL_S)
 
     def _log_role(self, pair: FencePair) -> None:
         self._log.info("fence_role", range=pair.range_id, role=pair.role.value, epoch=pair.epoch)
@@ -132,17 +132,17 @@
                     await self._run_link(link)
             except (LinkClosed, WireError) as exc:
                 self._log.info("fence_link_failed", agent=name, code=exc.code, why=exc.detail)
-            pause = DIAL_PAUSE_S if self._roster.instances else FIRST_PAUSE_S
+            pause = RECONNECT_DELAY_S if self._roster.instances else INITIAL_RECONNECT_DELAY_S
             await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
 
-    async def linked(self, link: Link) -> None:
+    async def add_link(self, link: Link) -> None:
         """Note a link to another agent."""
         name = link.peer.name
         self._links[name] = link
         for pair in self._with(name):
             await self._act(pair, pair.on_linked())
 
-    async def unlinked(self, link: Link) -> None:
+    async def remove_link(self, link: Link) -> None:
         """Note the end of a link."""
         name = link.peer.name
         if self._links.get(name) is not link:
@@ -154,7 +154,7 @@
     def _with(self, name: str) -> list[FencePair]:
         return [pair for pair in self._pairs.values() if pair.other == name]
 
-    async def handle(self, link: Link, msg: Message) -> bool:
+    async def handle_message(self, link: Link, msg: Message) -> bool:
         """Act on a message about a record; returns whether it was one."""
         if isinstance(msg, FencePermitRequest):
             await self._permit(link, msg)
--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -7,12 +7,12 @@
 import curio
 
 from crankhinge.adapters import EngineFailed, PlainService, ServiceAnswer
-from crankhinge.agent._queued import QueuedRole
-from crankhinge.wire import Call, CallDone, Failed, Link, Message
+from crankhinge.agent._queued_role import QueuedRole
+from crankhinge.wire import Failed, Link, Message, ServiceCall, ServiceResponse
 
 CALL_UNITS = 1
 CALL_RANK = 0
-RESTING = "backend-rests"
+BACKEND_IN_BACKOFF = "backend-rests"
 
 
 class PlainRole(QueuedRole):
@@ -31,10 +31,10 @@
 
     async def handle(self, link: Link, msg: Message) -> None:
         """Act on Call and Cancel."""
-        if not isinstance(msg, Call):
+        if not isinstance(msg, ServiceCall):
             await self.handle_cancel(msg)
         elif not await self._refused_in_rest(link, msg.req):
-            await self.enqueue(link, msg.req, msg.member, CALL_RANK, msg.within, CALL_UNITS, msg)
+            await self.enqueue(link, msg.req, msg.member, CALL_RANK, msg.timeout_s, CALL_UNITS, msg)
 
     async def _refused_in_rest(self, link: Link, req: int) -> bool:
         """Refuse a call while the service wants none; returns whether it does not.
@@ -45,7 +45,7 @@
         left_s = self._rests_until - await curio.clock()
         if left_s <= 0:
             return False
-        await self.refuse(link, req, RESTING, left_s)
+        await self.refuse(link, req, BACKEND_IN_BACKOFF, left_s)
         return True
 
     async def cancel(self, req: int) -> None:
@@ -61,19 +61,19 @@
         """Whether the service takes connections."""
         return await self._service.alive()
 
-    async def work(self, msg: Any) -> int:
+    async def process(self, msg: Any) -> int:
         """Pass one call on."""
         req = msg.req
-        link = self.owner(req)
+        link = self.find_owner(req)
         if link is not None and await self._refused_in_rest(link, req):
             return 0
         try:
             answer: ServiceAnswer = await curio.timeout_after(
-                msg.within, self._service.call, msg.method, msg.target, msg.headers, msg.body
+                msg.timeout_s, self._service.call, msg.method, msg.target, msg.headers, msg.body
             )
         except EngineFailed as exc:
             if not exc.ran:
-                await self.note_health(await self.probe())
+                await self.record_health(await self.probe())
             await self._failed(req, exc.code, ran=exc.ran)
             return 0
         except curio.TaskTimeout:
@@ -82,7 +82,9 @@
         if answer.rest_s is not None:
             await self._note_rest(answer.rest_s)
         self.metrics.count("calls")
-        await self.tell(req, CallDone(req, answer.status, dict(answer.headers), answer.body))
+        await self.send_to_owner(
+            req, ServiceResponse(req, answer.status, dict(answer.headers), answer.body)
+        )
         return CALL_UNITS
 
     async def _note_rest(self, rest_s: float) -> None:
@@ -93,4 +95,4 @@
     async def _failed(self, req: int, code: str, *, ran: bool) -> None:
         self.log.warning("call_failed", req=f"{req:016x}", code=code, ran=ran)
         self.metrics.count(f"call_failed.{code}")
-        await self.tell(req, Failed(req, code, ran))
+        await self.send_to_owner(req, Failed(req, code, ran))
--- a/src/crankhinge/agent/_prefill.py
+++ b/src/crankhinge/agent/_prefill.py
@@ -7,8 +7,8 @@
 import curio
 
 from crankhinge.adapters import Engine, EngineFailed
-from crankhinge.agent._probe import engine_load
-from crankhinge.agent._queued import QueuedRole
+from crankhinge.agent._probe import probe_load
+from crankhinge.agent._queued_role import QueuedRole
 from crankhinge.wire import Failed, Link, Message, Prefill, PrefillDone
 
 
@@ -27,15 +27,17 @@
     async def handle(self, link: Link, msg: Message) -> None:
         """Act on Prefill and Cancel."""
         if isinstance(msg, Prefill):
-            await self.enqueue(link, msg.req, msg.member, msg.rank, msg.within, msg.tokens, msg)
+            await self.enqueue(
+                link, msg.req, msg.member, msg.rank, msg.timeout_s, msg.uncached_tokens, msg
+            )
         else:
             await self.handle_cancel(msg)
 
     async def probe(self) -> bool:
         """Whether the engine answers."""
-        return await engine_load(self._engine) is not None
+        return await probe_load(self._engine) is not None
 
-    async def work(self, msg: Any) -> int:
+    async def process(self, msg: Any) -> int:
         """Read one prompt; returns the tokens that were computed."""
         req = msg.req
         began = await curio.clock()
@@ -45,13 +47,15 @@
             self.log.warning("prefill_failed", req=f"{req:016x}", code=exc.code, why=exc.detail)
             self.metrics.count(f"prefill_failed.{exc.code}")
             if not exc.ran:
-                await self.note_health(await self.probe())
-            await self.tell(req, Failed(req, exc.code, exc.ran))
+                await self.record_health(await self.probe())
+            await self.send_to_owner(req, Failed(req, exc.code, exc.ran))
             return 0
         now = await curio.clock()
         took = now - began
         self.metrics.count("prompt_tokens", result.prompt)
         self.metrics.count("prompt_tokens_cached", result.cached)
         load = self.load(now)
-        await self.tell(req, PrefillDone(req, result.kv, result.cached, result.prompt, took, load))
+        await self.send_to_owner(
+            req, PrefillDone(req, result.kv, result.cached, result.prompt, took, load)
+        )
         return result.prompt - result.cached
--- a/src/crankhinge/agent/_probe.py
+++ b/src/crankhinge/agent/_probe.py
@@ -9,7 +9,7 @@
 PROBE_TIMEOUT_S = 2.0
 
 
-async def engine_load(engine: Engine) -> EngineLoad | None:
+async def probe_load(engine: Engine) -> EngineLoad | None:
     """Return the engine's load; None when it can't be reached or doesn't answer in time."""
     try:
         load: EngineLoad = await curio.timeout_after(PROBE_TIMEOUT_S, engine.load)
--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -47,7 +47,7 @@
     """Pass what a new bundle says of the agent's pool to its role."""
     pool = bundle.find_pool(pool_name)
     if pool is not None:
-        role.apply(pool)
+        role.apply_pool(pool)
 
 
 async def serve(settings: AgentSettings, log: Any, stopping: curio.Event) -> None:
@@ -67,13 +67,13 @@
         role=role,
         engine=engine,
         kv=kv,
-        roster=InstanceListCache(
+        instance_list=InstanceListCache(
             ConsulInstanceList(*parse_endpoint(settings.instances)),
             refresh_interval_s=settings.list_s,
             log=log,
             rng=rng,
         ),
-        spread=BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng),
+        propagator=BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng),
         keeper=keeper,
         incarnation=time.time_ns(),
         log=log,
--- a/src/crankhinge/agent/_queued.py
+++ b/src/crankhinge/agent/_queued_role.py
@@ -27,19 +27,19 @@
         self._messages: dict[int, Any] = {}
 
     @abc.abstractmethod
-    async def work(self, msg: Any) -> int:
+    async def process(self, msg: Any) -> int:
         """Do one request and answer it; returns the units of work that were done."""
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether any request runs or waits."""
         return self._queue.is_busy
 
-    def close(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuse new requests; those that wait are still done."""
         self._queue.is_closed = True
 
-    def apply(self, pool: Pool) -> None:
+    def apply_pool(self, pool: Pool) -> None:
         """Take over the number of requests that are run at once."""
         if self._queue.width < UNBOUNDED:
             self._queue.width = pool.slots
@@ -48,18 +48,18 @@
         """Return the load to report."""
         queue = self._queue
         return Load(
-            free=queue.free_slots,
+            free_slots=queue.free_slots,
             queued=queue.queued,
             backlog_s=queue.backlog_s(now),
-            draining=queue.is_closed or self.sick,
-            rate=queue.units_per_s,
+            draining=queue.is_closed or self.is_unreachable,
+            tokens_per_s=queue.units_per_s,
         )
 
     async def enqueue(
-        self, link: Link, req: int, member: str, rank: int, within: float, units: int, msg: Any
+        self, link: Link, req: int, member: str, rank: int, timeout_s: float, units: int, msg: Any
     ) -> None:
         """Queue a request, or refuse it."""
-        if self.sick:
+        if self.is_unreachable:
             await self.refuse(link, req, BACKEND_DOWN)
             return
         now = await curio.clock()
@@ -69,7 +69,7 @@
             partner=weights.partner,
             member=member,
             rank=rank,
-            deadline=now + within,
+            deadline=now + timeout_s,
             units=units,
             weight=weights.member_weight,
             partner_weight=weights.partner_weight,
@@ -78,7 +78,7 @@
         if refusal is not None:
             await self.refuse(link, req, refusal.code, refusal.retry_after_s)
             return
-        self.own(req, link)
+        self.set_owner(req, link)
         self._messages[req] = msg
         await self._pump()
 
@@ -90,19 +90,19 @@
             await self.start_task(ask.req, self._work, self._messages.pop(ask.req))
 
     async def _refuse_late(self, refusal: Refusal) -> None:
-        link = self.owner(refusal.req)
+        link = self.find_owner(refusal.req)
         self._messages.pop(refusal.req, None)
         if link is not None:
             await self.refuse(link, refusal.req, refusal.code, refusal.retry_after_s)
-        self.disown(refusal.req)
+        self.remove_owner(refusal.req)
 
     async def _work(self, msg: Any) -> None:
         done = 0
         try:
-            done = await self.work(msg)
+            done = await self.process(msg)
         finally:
             self._queue.record_end(msg.req, await curio.clock(), done=done)
-            self.disown(msg.req)
+            self.remove_owner(msg.req)
             await self._pump()
 
     async def release(self, req: int) -> None:
--- a/src/crankhinge/agent/_role.py
+++ b/src/crankhinge/agent/_role.py
@@ -13,7 +13,7 @@
 from crankhinge.wire import Failed, Link, Load, Message, Refused, send_if_open
 
 UNBOUNDED = 1_000_000
-PROBE_S = 0.5
+PROBE_INTERVAL_S = 0.5
 BACKEND_DOWN = "backend-down"
 
 
@@ -33,8 +33,8 @@
         self._owners: dict[int, Link] = {}
         self._tasks: dict[int, curio.Task] = {}
         self._held: dict[Link, set[int]] = {}
-        self.sick = False
-        self.on_health: Callable[[], Awaitable[None]] | None = None
+        self.is_unreachable = False
+        self.on_health_change: Callable[[], Awaitable[None]] | None = None
 
     @abc.abstractmethod
     async def probe(self) -> bool:
@@ -47,18 +47,18 @@
         and every prompt read for it would be wasted.
         """
         while True:
-            await self.note_health(await self.probe())
-            await curio.sleep(PROBE_S)
+            await self.record_health(await self.probe())
+            await curio.sleep(PROBE_INTERVAL_S)
 
-    async def note_health(self, well: bool) -> None:
+    async def record_health(self, reachable: bool) -> None:
         """Note what was seen of the backend server, and tell the entries when it changes."""
-        if self.sick is not well:
+        if self.is_unreachable is not reachable:
             return
-        self.sick = not well
-        self.log.warning("backend_health", reachable=well)
-        self.metrics.count("backend_up" if well else "backend_down")
-        if self.on_health is not None:
-            await self.on_health()
+        self.is_unreachable = not reachable
+        self.log.warning("backend_health", reachable=reachable)
+        self.metrics.count("backend_up" if reachable else "backend_down")
+        if self.on_health_change is not None:
+            await self.on_health_change()
 
     @abc.abstractmethod
     async def handle(self, link: Link, msg: Message) -> None:
@@ -73,20 +73,20 @@
         """Return the load to report."""
 
     @abc.abstractmethod
-    def close(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no new work from now on."""
 
     @abc.abstractmethod
-    def apply(self, pool: Pool) -> None:
+    def apply_pool(self, pool: Pool) -> None:
         """Take over what the bundle says of this agent's pool."""
 
     @property
     @abc.abstractmethod
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether any request is in progress."""
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """Requests that hold or await something here."""
         return len(self._owners)
 
@@ -94,16 +94,16 @@
         """Do what has to be done by time, until cancelled."""
         await curio.sleep(float("inf"))
 
-    def own(self, req: int, link: Link) -> None:
+    def set_owner(self, req: int, link: Link) -> None:
         """Note whose request *req* is."""
         self._owners[req] = link
         self._held.setdefault(link, set()).add(req)
 
-    def owner(self, req: int) -> Link | None:
+    def find_owner(self, req: int) -> Link | None:
         """Return whose request *req* is."""
         return self._owners.get(req)
 
-    def disown(self, req: int) -> None:
+    def remove_owner(self, req: int) -> None:
         """Forget *req*."""
         link = self._owners.pop(req, None)
         if link in self._held:
@@ -118,7 +118,7 @@
             await run(*args)
         except Exception as exc:
             self.log.error("request_crashed", req=req, kind=type(exc).__name__, why=str(exc))
-            await self.tell(req, Failed(req, "internal", True))
+            await self.send_to_owner(req, Failed(req, "internal", True))
         finally:
             self._tasks.pop(req, None)
 
@@ -128,9 +128,9 @@
         if task is not None:
             await task.cancel()
         await self.release(req)
-        self.disown(req)
+        self.remove_owner(req)
 
-    async def forget(self, link: Link) -> None:
+    async def cancel_requests_of(self, link: Link) -> None:
         """End every request of an entry that is gone."""
         reqs = list(self._held.get(link, ()))
         if reqs:
@@ -140,15 +140,15 @@
             await self.cancel(req)
         self._held.pop(link, None)
 
-    async def tell(self, req: int, msg: Message) -> None:
+    async def send_to_owner(self, req: int, msg: Message) -> None:
         """Send *msg* to the request's entry, if that is still there."""
         link = self._owners.get(req)
         if link is not None:
             await send_if_open(link, msg)
 
-    async def refuse(self, link: Link, req: int, code: str, retry_after: float = 0.0) -> None:
+    async def refuse(self, link: Link, req: int, code: str, retry_after_s: float = 0.0) -> None:
         """Tell an entry that *req* was not started."""
         self.metrics.count(f"refused.{code}")
-        self.log.info("refused", req=f"{req:016x}", code=code, retry_after=round(retry_after, 3))
+        self.log.info("refused", req=f"{req:016x}", code=code, retry_after=round(retry_after_s, 3))
         load = self.load(await curio.clock())
-        await send_if_open(link, Refused(req, code, retry_after, load))
+        await send_if_open(link, Refused(req, code, retry_after_s, load))
--- a/src/crankhinge/ctl/_publish.py
+++ b/src/crankhinge/ctl/_publish.py
@@ -11,7 +11,15 @@
 from crankhinge.ctl._bundle import diff_texts, open_key_value, read_envelope_file, read_settings
 from crankhinge.errors import LinkClosed, PublishConflict, WireError
 from crankhinge.peers import parse_endpoint
-from crankhinge.wire import WIRE_VERSION, Beat, BundleIs, Hello, Link, Message, connect_link
+from crankhinge.wire import (
+    WIRE_VERSION,
+    BundleUpdate,
+    Heartbeat,
+    Hello,
+    Link,
+    Message,
+    connect_link,
+)
 
 # Maximum time to wait for one agent to confirm that the bundle is in force there.
 AGENT_CONFIRMATION_TIMEOUT_S = 3.0
@@ -48,10 +56,10 @@
     """
     sent = 0
     for seed in seeds:
-        hello = Hello(WIRE_VERSION, "ctl", "ctl", "", 0, bundle=version)
+        hello = Hello(WIRE_VERSION, "ctl", "ctl", "", 0, bundle_version=version)
         try:
             link = await connect_link(*parse_endpoint(seed), hello)
-            await link.send(BundleIs(envelope))
+            await link.send(BundleUpdate(envelope))
             await curio.ignore_after(
                 AGENT_CONFIRMATION_TIMEOUT_S, link.run, _close_when_installed(version)
             )
@@ -65,7 +73,7 @@
     """Return a message handler that closes the link once a heartbeat has *version*."""
 
     async def handle(link: Link, msg: Message) -> None:
-        if isinstance(msg, Beat) and msg.bundle >= version:
+        if isinstance(msg, Heartbeat) and msg.bundle_version >= version:
             await link.close()
 
     return handle
--- a/src/crankhinge/entry/_fleet.py
+++ b/src/crankhinge/entry/_agent_links.py
@@ -11,41 +11,41 @@
 from crankhinge.adapters import Instance
 from crankhinge.config import Bundle, BundleKeeper
 from crankhinge.decisions import Backend, Router
-from crankhinge.entry._calls import Calls
+from crankhinge.entry._agent_subset import choose_agents
+from crankhinge.entry._mailboxes import Mailboxes
 from crankhinge.entry._settings import EntrySettings
-from crankhinge.entry._subset import subset
 from crankhinge.errors import LinkClosed, WireError
 from crankhinge.peers import BundlePropagator, HeartbeatSender, InstanceListCache, parse_endpoint
 from crankhinge.wire import (
     WIRE_VERSION,
-    Beat,
     GetInstances,
+    Heartbeat,
     Hello,
-    InstancesAre,
+    InstanceListReply,
     Link,
     Load,
+    LoadedAdapters,
     Message,
-    Serves,
     connect_link,
 )
 
-FIRST_PAUSE_S = 0.1
-MAX_PAUSE_S = 5.0
-GONE_READINGS = 3
-SEED_S = 2.0
+INITIAL_RECONNECT_DELAY_S = 0.1
+MAX_RECONNECT_DELAY_S = 5.0
+MISSES_BEFORE_REMOVAL = 3
+SEED_TIMEOUT_S = 2.0
 
 
-class Fleet:
+class AgentLinks:
     """Keeps the links to the agents and the router's view of them.
 
     Args:
         settings: of this entry.
-        roster: the platform's list.
+        instance_list: the platform's list.
         router: told what is seen.
-        calls: told what arrives.
-        spread: told of links and bundles.
+        mailboxes: told what arrives.
+        propagator: told of links and bundles.
         keeper: holds the bundle.
-        beater: sends heartbeats.
+        heartbeat_sender: sends heartbeats.
         incarnation: of this entry.
         log: for events.
         rng: for pauses.
@@ -55,21 +55,23 @@
         self,
         *,
         settings: EntrySettings,
-        roster: InstanceListCache,
+        instance_list: InstanceListCache,
         router: Router,
-        calls: Calls,
-        spread: BundlePropagator,
+        mailboxes: Mailboxes,
+        propagator: BundlePropagator,
         keeper: BundleKeeper,
         incarnation: int,
         log: Any,
         rng: random.Random,
     ) -> None:
         self.router = router
-        self.beater = HeartbeatSender(settings.beat_s, lambda _now: Beat(keeper.version))
+        self.heartbeat_sender = HeartbeatSender(
+            settings.beat_s, lambda _now: Heartbeat(keeper.version)
+        )
         self._settings = settings
-        self._roster = roster
-        self._calls = calls
-        self._spread = spread
+        self._roster = instance_list
+        self._calls = mailboxes
+        self._spread = propagator
         self._keeper = keeper
         self._incarnation = incarnation
         self._log = log
@@ -81,16 +83,16 @@
         self._holders: frozenset[str] = frozenset()
 
     @property
-    def dropped(self) -> int:
+    def dropped_messages(self) -> int:
         """Messages that came for no request: late or crossed."""
-        return self._calls.dropped
+        return self._calls.dropped_count
 
     @property
-    def linked(self) -> int:
+    def link_count(self) -> int:
         """Agents that this entry has a link to."""
         return len(self._links)
 
-    def apply(self, bundle: Bundle) -> None:
+    def apply_bundle(self, bundle: Bundle) -> None:
         """Take over the links' rates and who keeps records."""
         pairs = [pair for pool in bundle.pools for pair in pool.fence]
         self._holders = frozenset(name for pair in pairs for name in pair)
@@ -103,7 +105,7 @@
             cross_zone_s=transfer.cross_zone_s,
         )
 
-    def link(self, name: str) -> Link:
+    def get_link(self, name: str) -> Link:
         """Return the link to an agent.
 
         Raises:
@@ -130,7 +132,7 @@
                 link = await connect_link(*parse_endpoint(seed), self._hello())
                 await self._spread.add_link(link)
                 await link.send(GetInstances())
-                await curio.ignore_after(SEED_S, link.run, self._handle_seed)
+                await curio.ignore_after(SEED_TIMEOUT_S, link.run, self._handle_seed)
             except (LinkClosed, WireError) as exc:
                 self._log.info("seed_failed", seed=seed, code=exc.code, why=exc.detail)
                 continue
@@ -140,7 +142,7 @@
                 return
 
     async def _handle_seed(self, link: Link, msg: Message) -> None:
-        if isinstance(msg, InstancesAre):
+        if isinstance(msg, InstanceListReply):
             self._roster.instances = [
                 Instance(r.name, r.host, r.port, r.zone, r.pool, r.leaving) for r in msg.rows
             ]
@@ -152,8 +154,11 @@
             await link.close()
 
     async def _update(self, listed: list[Instance]) -> None:
-        chosen = subset(
-            listed, entry=self._settings.name, limit=self._settings.subset, always=self._holders
+        chosen = choose_agents(
+            listed,
+            entry_name=self._settings.name,
+            max_per_pool=self._settings.subset,
+            required_names=self._holders,
         )
         for name, instance in chosen.items():
             self._missing.pop(name, None)
@@ -177,7 +182,7 @@
     async def _miss(self, name: str) -> None:
         """Drop an agent that several readings of the list don't show and that isn't linked."""
         self._missing[name] = self._missing.get(name, 0) + 1
-        if self._missing[name] >= GONE_READINGS and name not in self._links:
+        if self._missing[name] >= MISSES_BEFORE_REMOVAL and name not in self._links:
             await self._drop(name)
 
     async def _drop(self, name: str) -> None:
@@ -189,17 +194,17 @@
         self.router.remove_backend(name)
 
     async def _stay_linked(self, name: str) -> None:
-        pause = FIRST_PAUSE_S
+        pause = INITIAL_RECONNECT_DELAY_S
         while True:
             try:
                 began = await curio.clock()
                 await self._link_once(name)
-                if await curio.clock() - began > MAX_PAUSE_S:
-                    pause = FIRST_PAUSE_S
+                if await curio.clock() - began > MAX_RECONNECT_DELAY_S:
+                    pause = INITIAL_RECONNECT_DELAY_S
             except (LinkClosed, WireError) as exc:
                 self._log.info("link_failed", agent=name, code=exc.code, why=exc.detail)
             await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
-            pause = min(MAX_PAUSE_S, pause * 2)
+            pause = min(MAX_RECONNECT_DELAY_S, pause * 2)
 
     def _hello(self) -> Hello:
         settings = self._settings
@@ -209,7 +214,7 @@
             "entry",
             settings.zone,
             self._incarnation,
-            bundle=self._keeper.version,
+            bundle_version=self._keeper.version,
         )
 
     async def _link_once(self, name: str) -> None:
@@ -220,7 +225,7 @@
             raise WireError(f"{link.peer.name} answers at the address of {name}")
         self._introduce(name, link)
         self._links[name] = link
-        self.beater.links.add(link)
+        self.heartbeat_sender.links.add(link)
         try:
             await self._spread.add_link(link)
             await link.run(self._handle)
@@ -247,7 +252,7 @@
             self.router.add_backend(backend)
 
     async def _unlink(self, name: str, link: Link) -> None:
-        self.beater.links.discard(link)
+        self.heartbeat_sender.links.discard(link)
         self._spread.remove_link(link)
         if self._links.get(name) is link:
             del self._links[name]
@@ -255,18 +260,18 @@
         if backend is not None:
             backend.linked = False
         self._log.info("link_ended", agent=name)
-        await self._calls.fail(link)
+        await self._calls.fail_link(link)
 
     async def _handle(self, link: Link, msg: Message) -> None:
         if await self._spread.handle_message(link, msg):
             return
-        if isinstance(msg, Serves):
-            self.router.backends[link.peer.name].adapters = frozenset(msg.names)
+        if isinstance(msg, LoadedAdapters):
+            self.router.backends[link.peer.name].adapters = frozenset(msg.adapters)
             return
         load = getattr(msg, "load", None)
         if load is not None:
             await self._note_load(link, load)
-        if isinstance(msg, Beat):
+        if isinstance(msg, Heartbeat):
             return
         await self._calls.deliver(link, msg)
 
@@ -274,11 +279,11 @@
         self.router.record_report(
             link.peer.name,
             await curio.clock(),
-            free=load.free,
+            free=load.free_slots,
             queued=load.queued,
             backlog_s=load.backlog_s,
             step_s=load.step_s,
-            rate=load.rate,
+            rate=load.tokens_per_s,
             draining=load.draining,
         )
 
--- a/src/crankhinge/entry/_completion.py
+++ b/src/crankhinge/entry/_completion.py
@@ -13,15 +13,15 @@
 
 from crankhinge.config import BundleView, Policy
 from crankhinge.decisions import FULL, Mechanisms, RecordedResponse, RetryBudget
-from crankhinge.entry._answer import AnswerWriter
-from crankhinge.entry._ask import CompletionAsk
-from crankhinge.entry._calls import AttemptFailed, Calls, LinkLost, cancel_step
-from crankhinge.entry._estimates import Estimates
-from crankhinge.entry._fence import Fence, digest_of
-from crankhinge.entry._fleet import Fleet
-from crankhinge.entry._progress import Progress
-from crankhinge.entry._reading import Prompt, PromptReader
-from crankhinge.entry._slots import Slot, SlotFinder, SlotNeed
+from crankhinge.entry._agent_links import AgentLinks
+from crankhinge.entry._estimates import RequestEstimator
+from crankhinge.entry._fence_client import FenceClient, digest_request
+from crankhinge.entry._mailboxes import AttemptFailed, LinkLost, Mailboxes, cancel_step
+from crankhinge.entry._prefill_client import PrefillClient, PrefillTask
+from crankhinge.entry._progress import RequestProgress
+from crankhinge.entry._requests import CompletionRequest
+from crankhinge.entry._responses import CompletionWriter
+from crankhinge.entry._slot_client import LeasedSlot, SlotClient, SlotRequirements
 from crankhinge.errors import (
     AlreadyTaken,
     BackendFailed,
@@ -33,19 +33,19 @@
 from crankhinge.wire import Decode, DecodeDone, Failed, PrefillDone, Tokens
 
 MAX_ATTEMPTS = 4
-LEAST_PATIENCE_S = 0.4
-PATIENCE_FACTOR = 5.0
-TRANSFER_FAULTS = frozenset({"transfer-stalled", "kv-expired"})
+MIN_TRANSFER_TIMEOUT_S = 0.4
+TRANSFER_TIMEOUT_FACTOR = 5.0
+TRANSFER_FAILURE_CODES = frozenset({"transfer-stalled", "kv-expired"})
 
 
-class Completions:
+class CompletionRunner:
     """Runs completions.
 
     Args:
-        fleet: the agents.
-        calls: the mailboxes.
-        budget: for retries.
-        fence: gives leave for non-repeatable requests.
+        agent_links: the agents.
+        mailboxes: the mailboxes.
+        retry_budget: for retries.
+        fence_client: gives leave for non-repeatable requests.
         log: for events.
         metrics: for counters.
         mech: which mechanisms are at work.
@@ -54,51 +54,63 @@
     def __init__(
         self,
         *,
-        fleet: Fleet,
-        calls: Calls,
-        budget: RetryBudget,
-        fence: Fence,
+        agent_links: AgentLinks,
+        mailboxes: Mailboxes,
+        retry_budget: RetryBudget,
+        fence_client: FenceClient,
         log: Any,
         metrics: Metrics,
         mech: Mechanisms = FULL,
     ) -> None:
-        self.estimates = Estimates(fleet.router, mech)
-        self._router = fleet.router
-        self._slots = SlotFinder(fleet=fleet, calls=calls)
-        self._reader = PromptReader(fleet=fleet, calls=calls)
-        self._calls = calls
-        self._budget = budget
-        self._fence = fence
+        self.estimator = RequestEstimator(agent_links.router, mech)
+        self._router = agent_links.router
+        self._slots = SlotClient(agent_links=agent_links, mailboxes=mailboxes)
+        self._reader = PrefillClient(agent_links=agent_links, mailboxes=mailboxes)
+        self._calls = mailboxes
+        self._budget = retry_budget
+        self._fence = fence_client
         self._log = log
         self._metrics = metrics
         self._mech = mech
 
     async def run(
-        self, ask: CompletionAsk, view: BundleView, writer: AnswerWriter, progress: Progress
+        self,
+        request: CompletionRequest,
+        view: BundleView,
+        writer: CompletionWriter,
+        progress: RequestProgress,
     ) -> None:
-        """Answer *ask*, with leave if it may not be repeated. Raises as :meth:`_serve` does."""
+        """Answer *request*, with leave if it may not be repeated. Raises as :meth:`_serve` does."""
         policy = view.bundle.policy
-        pool = view.bundle.find_pool(ask.model.decode[0])
-        if ask.terms.repeatable or not ask.terms.key or pool is None:
-            progress.keyed = False
-            await self._serve(ask, policy, writer, progress)
+        pool = view.bundle.find_pool(request.model.decode[0])
+        if request.options.is_repeatable or not request.options.idempotency_key or pool is None:
+            progress.earlier_may_have_run = False
+            await self._serve(request, policy, writer, progress)
             return
-        digest = digest_of("POST", ask.path, msgspec.json.encode(ask.body))
-        leave = await self._fence.ask(
-            pool, ask.member.name, ask.terms.key, digest, progress.new_step()
+        digest = digest_request("POST", request.path, msgspec.json.encode(request.body))
+        leave = await self._fence.request_permit(
+            pool,
+            request.member.name,
+            request.options.idempotency_key,
+            digest,
+            progress.new_step_id(),
         )
         if isinstance(leave, RecordedResponse):
             raise AlreadyTaken("this request was answered before")
-        progress.keyed = False
+        progress.earlier_may_have_run = False
         try:
-            await self._serve(ask, policy, writer, progress)
-            await self._fence.settle(leave, RecordedResponse(200, cut=True))
+            await self._serve(request, policy, writer, progress)
+            await self._fence.record_response(leave, RecordedResponse(200, cut=True))
         finally:
-            if not progress.touched:
+            if not progress.may_have_run:
                 await self._fence.release(leave)
 
     async def _serve(
-        self, ask: CompletionAsk, policy: Policy, writer: AnswerWriter, progress: Progress
+        self,
+        ask: CompletionRequest,
+        policy: Policy,
+        writer: CompletionWriter,
+        progress: RequestProgress,
     ) -> None:
         """Answer *ask*; retries within the budget.
 
@@ -109,8 +121,8 @@
             DeadlinePassed: the caller's deadline went by.
         """
         began = await curio.clock()
-        until = began + self.estimates.patience_s(ask, policy, began)
-        limit = ask.terms.deadline_s
+        until = began + self.estimator.first_token_timeout_s(ask, policy, began)
+        limit = ask.options.deadline_s
         self._budget.record_first_attempt()
         while True:
             progress.attempts += 1
@@ -129,7 +141,11 @@
                 until = max(until, await curio.clock() + ask.model.first_token_s)
 
     def _consider_retry(
-        self, exc: CrankhingeError, ask: CompletionAsk, progress: Progress, writer: AnswerWriter
+        self,
+        exc: CrankhingeError,
+        ask: CompletionRequest,
+        progress: RequestProgress,
+        writer: CompletionWriter,
     ) -> None:
         """Return if another attempt may be made.
 
@@ -138,99 +154,107 @@
         """
         self._metrics.count("attempts_failed")
         spent = progress.attempts >= MAX_ATTEMPTS
-        spent = spent or (progress.touched and not ask.terms.repeatable)
+        spent = spent or (progress.may_have_run and not ask.options.is_repeatable)
         spent = spent or (self._mech.budget and not self._budget.try_retry())
-        spent = spent or (writer.tokens > 0 and not self._mech.resume)
+        spent = spent or (writer.token_count > 0 and not self._mech.resume)
         self._log.warning(
             "attempt_failed",
-            request=f"req-{progress.ident:016x}",
+            request=f"req-{progress.request_id:016x}",
             code=exc.code,
             why=exc.detail,
             attempt=progress.attempts,
-            written=writer.tokens,
+            written=writer.token_count,
             retry=not spent,
         )
         if spent:
             raise BackendFailed(exc.detail) from exc
 
     async def _attempt(
-        self, ask: CompletionAsk, writer: AnswerWriter, progress: Progress, until: float
+        self,
+        ask: CompletionRequest,
+        writer: CompletionWriter,
+        progress: RequestProgress,
+        until: float,
     ) -> None:
-        body = ask.body_after(writer.text, writer.tokens)
-        route = self.estimates.route(ask, writer.tokens)
-        need = SlotNeed(ask, route, until, ask.max_tokens - writer.tokens)
+        body = ask.continuation_body(writer.text, writer.token_count)
+        route = self.estimator.make_route_request(ask, writer.token_count)
+        need = SlotRequirements(ask, route, until, ask.max_tokens - writer.token_count)
         early: PrefillDone | None = None
         if not self._mech.reserve:
-            early = await self._read(Prompt(ask, route, body, "", until), writer, progress)
-        slot = await self._slots.find(need, progress)
-        progress.slot = progress.slot or await curio.clock()
+            early = await self._read(PrefillTask(ask, route, body, "", until), writer, progress)
+        slot = await self._slots.lease_slot(need, progress)
+        progress.slot_granted_at = progress.slot_granted_at or await curio.clock()
         done = False
         try:
-            prompt = Prompt(ask, route, body, slot.backend.zone, until)
+            prompt = PrefillTask(ask, route, body, slot.backend.zone, until)
             read = early or await self._read(prompt, writer, progress)
-            progress.touched = True
-            progress.read = progress.read or await curio.clock()
+            progress.may_have_run = True
+            progress.prompt_read_at = progress.prompt_read_at or await curio.clock()
             patience = self._transfer_patience_s(route.tokens, slot)
-            await slot.link.send(Decode(slot.box.req, ask.path, body, read.kv, patience))
+            await slot.link.send(Decode(slot.mailbox.req, ask.path, body, read.kv_handle, patience))
             await self._relay(slot, writer, progress)
             done = True
         finally:
             self._note_waste(progress)
             slot.backend.open_requests -= 1
-            self._calls.close(slot.box)
+            self._calls.close(slot.mailbox)
             if not done:
-                await cancel_step(slot.link, slot.box)
+                await cancel_step(slot.link, slot.mailbox)
 
-    async def _read(self, prompt: Prompt, writer: AnswerWriter, progress: Progress) -> PrefillDone:
-        done = await self._reader.read(prompt, progress)
-        self.estimates.learn(prompt.ask, writer.text, done.prompt)
-        writer.note_prompt(done.prompt)
+    async def _read(
+        self, prompt: PrefillTask, writer: CompletionWriter, progress: RequestProgress
+    ) -> PrefillDone:
+        done = await self._reader.prefill(prompt, progress)
+        self.estimator.record_prompt_tokens(prompt.request, writer.text, done.prompt_tokens)
+        writer.record_prompt_tokens(done.prompt_tokens)
         return done
 
-    def _transfer_patience_s(self, tokens: int, slot: Slot) -> float:
+    def _transfer_patience_s(self, tokens: int, slot: LeasedSlot) -> float:
         """Return the seconds after which a transfer that has brought nothing is given up."""
         zone = slot.backend.zone
         usual = self._router.transfer_s(tokens, zone, zone) + slot.backend.step_s
-        return max(LEAST_PATIENCE_S, PATIENCE_FACTOR * usual)
+        return max(MIN_TRANSFER_TIMEOUT_S, TRANSFER_TIMEOUT_FACTOR * usual)
 
-    def _note_waste(self, progress: Progress) -> None:
-        if progress.unused:
-            self._metrics.count("prompt_tokens_wasted", progress.unused)
-            progress.wasted += progress.unused
-            progress.unused = 0
+    def _note_waste(self, progress: RequestProgress) -> None:
+        if progress.unused_tokens:
+            self._metrics.count("prompt_tokens_wasted", progress.unused_tokens)
+            progress.wasted_tokens += progress.unused_tokens
+            progress.unused_tokens = 0
 
-    async def _relay(self, slot: Slot, writer: AnswerWriter, progress: Progress) -> None:
+    async def _relay(
+        self, slot: LeasedSlot, writer: CompletionWriter, progress: RequestProgress
+    ) -> None:
         """Pass tokens on in order until the answer is complete."""
         expected = 0
-        slot.box.streaming = True
+        slot.mailbox.is_streaming = True
         while True:
-            msg = await slot.box.get()
+            msg = await slot.mailbox.get()
             if isinstance(msg, Tokens):
-                if msg.seq > expected:
-                    raise AttemptFailed(f"tokens {expected} to {msg.seq} are missing")
-                fresh = msg.texts[expected - msg.seq :]
+                if msg.first_index > expected:
+                    raise AttemptFailed(f"tokens {expected} to {msg.first_index} are missing")
+                fresh = msg.texts[expected - msg.first_index :]
                 if not expected:
-                    progress.first = progress.first or await curio.clock()
-                    progress.unused = 0
+                    progress.first_token_at = progress.first_token_at or await curio.clock()
+                    progress.unused_tokens = 0
                 expected += len(fresh)
                 if fresh:
                     await writer.write(fresh)
             elif isinstance(msg, DecodeDone):
-                if msg.count != expected:
-                    raise AttemptFailed(f"{expected} of {msg.count} tokens arrived")
+                if msg.token_count != expected:
+                    raise AttemptFailed(f"{expected} of {msg.token_count} tokens arrived")
                 slot.backend.breaker.record_success()
-                progress.last = await curio.clock()
-                await writer.finish(msg.finish or "stop")
+                progress.last_token_at = await curio.clock()
+                await writer.finish(msg.finish_reason or "stop")
                 return
             else:
                 code = msg.code if isinstance(msg, Failed) else "no answer"
                 await self._blame(code, slot, progress)
                 raise AttemptFailed(code)
 
-    async def _blame(self, code: str, slot: Slot, progress: Progress) -> None:
+    async def _blame(self, code: str, slot: LeasedSlot, progress: RequestProgress) -> None:
         """Count a failure against the engine that is likely at fault."""
         now = await curio.clock()
-        if code in TRANSFER_FAULTS and progress.reader is not None:
-            progress.reader.breaker.record_failure(now)
+        if code in TRANSFER_FAILURE_CODES and progress.prefill_backend is not None:
+            progress.prefill_backend.breaker.record_failure(now)
         elif code != "lease-expired":
             slot.backend.breaker.record_failure(now)
--- a/src/crankhinge/entry/_entry.py
+++ b/src/crankhinge/entry/_entry.py
@@ -10,19 +10,19 @@
 
 from crankhinge.config import BundleKeeper, BundleView, Member
 from crankhinge.decisions import MemberLimits
-from crankhinge.entry._answer import OUTCOME_HEADER, AnswerWriter, send_error
-from crankhinge.entry._ask import (
+from crankhinge.entry._agent_links import AgentLinks
+from crankhinge.entry._completion import CompletionRunner
+from crankhinge.entry._plain_calls import PlainCallRunner
+from crankhinge.entry._progress import RequestIds, RequestProgress
+from crankhinge.entry._requests import (
     CHAT_PATH,
-    TEXT_PATH,
+    COMPLETIONS_PATH,
     authenticate,
-    check_length,
-    read_completion,
-    read_terms,
+    check_prompt_length,
+    parse_completion,
+    parse_options,
 )
-from crankhinge.entry._completion import Completions
-from crankhinge.entry._fleet import Fleet
-from crankhinge.entry._plain import PlainCalls
-from crankhinge.entry._progress import Progress, RequestIds
+from crankhinge.entry._responses import OUTCOME_HEADER, CompletionWriter, send_error
 from crankhinge.entry._settings import EntrySettings
 from crankhinge.errors import (
     BadHttp,
@@ -36,7 +36,7 @@
 from crankhinge.runtime import Metrics
 
 DRAIN_POLL_S = 0.05
-READY_GRACE_S = 2.0
+UNREADY_NOTICE_S = 2.0
 
 
 class Entry:
@@ -45,10 +45,10 @@
     Args:
         settings: its settings.
         keeper: holds the bundle.
-        fleet: the agents.
+        agent_links: the agents.
         completions: runs completions.
-        plain: runs calls to plain services.
-        ids: source of identities.
+        plain_calls: runs calls to plain services.
+        request_ids: source of identities.
         log: for events.
         metrics: for counters.
     """
@@ -58,19 +58,19 @@
         *,
         settings: EntrySettings,
         keeper: BundleKeeper,
-        fleet: Fleet,
-        completions: Completions,
-        plain: PlainCalls,
-        ids: RequestIds,
+        agent_links: AgentLinks,
+        completions: CompletionRunner,
+        plain_calls: PlainCallRunner,
+        request_ids: RequestIds,
         log: Any,
         metrics: Metrics,
     ) -> None:
         self._settings = settings
         self._keeper = keeper
-        self._fleet = fleet
+        self._fleet = agent_links
         self._completions = completions
-        self._plain = plain
-        self._ids = ids
+        self._plain = plain_calls
+        self._ids = request_ids
         self._log = log
         self._metrics = metrics
         self._limits = MemberLimits()
@@ -93,7 +93,7 @@
         """Report unready, so that the balancer turns away, then wait for what is in progress."""
         self._log.info("draining", open=self._open)
         self._draining = True
-        await curio.sleep(READY_GRACE_S)
+        await curio.sleep(UNREADY_NOTICE_S)
         await curio.ignore_after(self._settings.drain_s, self._wait_idle)
         self._log.info("drained", open=self._open)
 
@@ -121,14 +121,14 @@
             "draining": self._draining,
             "bundle": self._keeper.version,
             "open": self._open,
-            "linked": self._fleet.linked,
-            "dropped": self._fleet.dropped,
+            "linked": self._fleet.link_count,
+            "dropped": self._fleet.dropped_messages,
         }
         await exchange.respond(200 if ready else 503, msgspec.json.encode(state))
 
     async def _serve(self, exchange: Exchange) -> None:
         """Answer one request; a caller that goes ends its work."""
-        number = self._ids.next()
+        number = self._ids.new_id()
         ident = f"req-{number:016x}"
         self._open += 1
         try:
@@ -152,7 +152,9 @@
         self._log.error("request_crashed", request=ident, kind=kind, why=str(failure))
 
     async def _answer(self, exchange: Exchange, number: int, ident: str) -> None:
-        progress = Progress(number, keyed="idempotency-key" in exchange.req.headers)
+        progress = RequestProgress(
+            number, earlier_may_have_run="idempotency-key" in exchange.req.headers
+        )
         # Filled in as it becomes known, for whichever line ends the request.
         about: dict[str, Any] = {"request": ident}
         try:
@@ -168,13 +170,15 @@
                 why=exc.detail,
                 outcome=progress.outcome.value,
                 attempts=progress.attempts,
-                read_tokens=progress.computed,
-                wasted_tokens=progress.wasted,
+                read_tokens=progress.computed_tokens,
+                wasted_tokens=progress.wasted_tokens,
             )
             if not exchange.response_started:
                 await send_error(exchange, exc, outcome=progress.outcome, request_id=ident)
 
-    async def _route(self, exchange: Exchange, about: dict[str, Any], progress: Progress) -> None:
+    async def _route(
+        self, exchange: Exchange, about: dict[str, Any], progress: RequestProgress
+    ) -> None:
         view = self._keeper.require_view()
         if self._open > self._settings.max_requests:
             raise Overloaded("this entry is at its limit", retry_after_s=1.0)
@@ -182,7 +186,7 @@
         about["member"] = member.name
         self._enter(member, await curio.clock())
         try:
-            if exchange.req.path in (CHAT_PATH, TEXT_PATH) and exchange.req.method == "POST":
+            if exchange.req.path in (CHAT_PATH, COMPLETIONS_PATH) and exchange.req.method == "POST":
                 await self._complete(exchange, about, view, member, progress)
             else:
                 await self._call(exchange, about, view, member, progress)
@@ -202,36 +206,36 @@
         about: dict[str, Any],
         view: BundleView,
         member: Member,
-        progress: Progress,
+        progress: RequestProgress,
     ) -> None:
         began = await curio.clock()
-        ask = read_completion(view, exchange.req, member)
-        about.update(model=ask.body["model"], rank=ask.terms.rank)
-        check_length(ask, self._completions.estimates.tokens(ask))
-        writer = AnswerWriter(exchange, ask, about["request"], int(time.time()))
+        ask = parse_completion(view, exchange.req, member)
+        about.update(model=ask.body["model"], rank=ask.options.rank)
+        check_prompt_length(ask, self._completions.estimator.prompt_tokens(ask))
+        writer = CompletionWriter(exchange, ask, about["request"], int(time.time()))
         try:
             await self._completions.run(ask, view, writer, progress)
         except HttpClosed:
             raise
         except CrankhingeError as exc:
-            if writer.streaming:
-                await writer.break_off(exc)
+            if writer.has_started_stream:
+                await writer.abort(exc)
             raise
         took = await curio.clock() - began
-        first = progress.first - began
-        gaps = max(1, writer.tokens - 1)
+        first = progress.first_token_at - began
+        gaps = max(1, writer.token_count - 1)
         self._metrics.count("answered")
         self._metrics.timing("first_token", first)
         self._log.info(
             "answered",
             **about,
-            tokens=writer.tokens,
-            slot_ms=round((progress.slot - began) * 1000, 1),
-            read_ms=round((progress.read - began) * 1000, 1),
+            tokens=writer.token_count,
+            slot_ms=round((progress.slot_granted_at - began) * 1000, 1),
+            read_ms=round((progress.prompt_read_at - began) * 1000, 1),
             first_ms=round(first * 1000, 1),
-            gap_ms=round((progress.last - progress.first) / gaps * 1000, 1),
-            read_tokens=progress.computed,
-            wasted_tokens=progress.wasted,
+            gap_ms=round((progress.last_token_at - progress.first_token_at) / gaps * 1000, 1),
+            read_tokens=progress.computed_tokens,
+            wasted_tokens=progress.wasted_tokens,
             total_ms=round(took * 1000, 1),
             attempts=progress.attempts,
         )
@@ -242,13 +246,13 @@
         about: dict[str, Any],
         view: BundleView,
         member: Member,
-        progress: Progress,
+        progress: RequestProgress,
     ) -> None:
         req = exchange.req
         service = view.bundle.find_service(req.path)
         if service is None:
             raise UnknownRoute(f"no service takes {req.path}")
-        terms = read_terms(req.headers, member)
+        terms = parse_options(req.headers, member)
         done = await self._plain.run(req, member, view, service, terms, progress)
         self._metrics.count("calls_answered")
         headers = {"content-type": "application/octet-stream", **done.headers}
--- a/src/crankhinge/entry/_estimates.py
+++ b/src/crankhinge/entry/_estimates.py
@@ -4,17 +4,17 @@
 
 from crankhinge.config import Policy
 from crankhinge.decisions import FULL, Mechanisms, Router, RouteRequest
-from crankhinge.entry._ask import BLOCK_CHARS, CompletionAsk
+from crankhinge.entry._requests import PREFIX_BLOCK_CHARS, CompletionRequest
 
-CHARS_PER_TOKEN = 4.0
-CHARS_GAIN = 0.05
-PATIENT_S = 60.0
+DEFAULT_CHARS_PER_TOKEN = 4.0
+CHARS_EWMA_WEIGHT = 0.05
+FIXED_TIMEOUT_S = 60.0
 LONG_PROMPT_FACTOR = 1.5
-MARGIN = 0.05
-MARGIN_BY_WASTE = 0.1
+TARGET_MARGIN = 0.05
+TARGET_MARGIN_PER_WASTE_WEIGHT = 0.1
 
 
-class Estimates:
+class RequestEstimator:
     """Learns how many characters a token has, model by model.
 
     Args:
@@ -27,38 +27,49 @@
         self._mech = mech
         self._chars_per_token: dict[str, float] = {}
 
-    def _ratio(self, ask: CompletionAsk) -> float:
-        return self._chars_per_token.get(ask.model.name, CHARS_PER_TOKEN)
+    def _ratio(self, ask: CompletionRequest) -> float:
+        return self._chars_per_token.get(ask.model.name, DEFAULT_CHARS_PER_TOKEN)
 
-    def tokens(self, ask: CompletionAsk) -> int:
+    def prompt_tokens(self, request: CompletionRequest) -> int:
         """Return the likely number of prompt tokens, by what engines counted before."""
-        return max(1, int(len(ask.text) / self._ratio(ask)))
+        return max(1, int(len(request.prompt_text) / self._ratio(request)))
 
-    def learn(self, ask: CompletionAsk, written: str, tokens: int) -> None:
+    def record_prompt_tokens(
+        self, request: CompletionRequest, written_text: str, prompt_tokens: int
+    ) -> None:
         """Take in how many tokens the prompt, with what was written of the answer, has."""
-        if tokens <= 0:
+        if prompt_tokens <= 0:
             return
-        name = ask.model.name
-        seen = (len(ask.text) + len(written)) / tokens
+        name = request.model.name
+        seen = (len(request.prompt_text) + len(written_text)) / prompt_tokens
         before = self._chars_per_token.get(name, seen)
-        self._chars_per_token[name] = before + CHARS_GAIN * (seen - before)
+        self._chars_per_token[name] = before + CHARS_EWMA_WEIGHT * (seen - before)
 
-    def route(self, ask: CompletionAsk, written: int) -> RouteRequest:
-        """Return what routing needs to know, with *written* tokens of the answer there."""
-        block_tokens = int(BLOCK_CHARS / self._ratio(ask))
-        name = ask.body["model"]
-        adapter = "" if name == ask.model.name else name
-        return RouteRequest(self.tokens(ask) + written, ask.prefix, block_tokens, adapter)
+    def make_route_request(self, request: CompletionRequest, written_tokens: int) -> RouteRequest:
+        """Return what routing needs to know, with *written_tokens* tokens of the answer there."""
+        block_tokens = int(PREFIX_BLOCK_CHARS / self._ratio(request))
+        name = request.body["model"]
+        adapter = "" if name == request.model.name else name
+        return RouteRequest(
+            self.prompt_tokens(request) + written_tokens,
+            request.prefix_hashes,
+            block_tokens,
+            adapter,
+        )
 
-    def patience_s(self, ask: CompletionAsk, policy: Policy, now: float) -> float:
+    def first_token_timeout_s(
+        self, request: CompletionRequest, policy: Policy, now: float
+    ) -> float:
         """Return the seconds until the first token after which the request is given up.
 
         A prompt so long that even an idle engine reads it later than the target allows is given
         the time that it needs: it can't be in time, but it can be answered.
         """
         if not self._mech.refuse_early:
-            return PATIENT_S
-        aim = 1.0 - MARGIN - MARGIN_BY_WASTE * policy.waste_weight
-        target = ask.model.first_token_s * policy.patience * aim
-        idle = self._router.idle_prefill_s(ask.model.prefill, self.route(ask, 0), now)
+            return FIXED_TIMEOUT_S
+        aim = 1.0 - TARGET_MARGIN - TARGET_MARGIN_PER_WASTE_WEIGHT * policy.waste_weight
+        target = request.model.first_token_s * policy.patience * aim
+        idle = self._router.idle_prefill_s(
+            request.model.prefill, self.make_route_request(request, 0), now
+        )
         return max(target, LONG_PROMPT_FACTOR * idle)
--- a/src/crankhinge/entry/_fence.py
+++ b/src/crankhinge/entry/_fence_client.py
@@ -18,8 +18,8 @@
     FenceSettle,
     RecordedResponse,
 )
-from crankhinge.entry._calls import Calls, LinkLost
-from crankhinge.entry._fleet import Fleet
+from crankhinge.entry._agent_links import AgentLinks
+from crankhinge.entry._mailboxes import LinkLost, Mailboxes
 from crankhinge.errors import (
     AlreadyTaken,
     BadKey,
@@ -31,10 +31,10 @@
 from crankhinge.runtime import Metrics
 from crankhinge.wire import Link, Message
 
-ANSWER_S = 1.0
+REPLICA_RESPONSE_TIMEOUT_S = 1.0
 
 
-def digest_of(method: str, target: str, body: bytes) -> bytes:
+def digest_request(method: str, target: str, body: bytes) -> bytes:
     """Return what tells two requests with one key apart."""
     return hashlib.blake2b(
         b"\0".join((method.encode(), target.encode(), body)), digest_size=16
@@ -42,39 +42,39 @@
 
 
 @dataclass
-class Leave:
+class FencePermit:
     """Leave for one attempt.
 
     Attributes:
         req: identity of the attempt.
         range_id: the record.
         key: of the request.
-        holders: names of the agents that keep the record.
+        replicas: names of the agents that keep the record.
     """
 
     req: int
     range_id: str
     key: str
-    holders: tuple[str, str]
+    replicas: tuple[str, str]
 
 
-class Fence:
+class FenceClient:
     """Asks for leave and reports how it ended.
 
     Args:
-        fleet: the agents.
-        calls: the mailboxes.
+        agent_links: the agents.
+        mailboxes: the mailboxes.
         metrics: for counters.
     """
 
-    def __init__(self, *, fleet: Fleet, calls: Calls, metrics: Metrics) -> None:
-        self._fleet = fleet
-        self._calls = calls
+    def __init__(self, *, agent_links: AgentLinks, mailboxes: Mailboxes, metrics: Metrics) -> None:
+        self._fleet = agent_links
+        self._calls = mailboxes
         self._metrics = metrics
 
-    async def ask(
+    async def request_permit(
         self, pool: Pool, member: str, key: str, digest: bytes, req: int
-    ) -> Leave | RecordedResponse:
+    ) -> FencePermit | RecordedResponse:
         """Return leave for the attempt *req*, or the recorded answer of an earlier one.
 
         Raises:
@@ -88,7 +88,7 @@
             raise FenceUnavailable(f"pool {pool.name} keeps no record (fence)")
         number = zlib.crc32(key.encode()) % len(pool.fence)
         holders = pool.fence[number]
-        leave = Leave(
+        leave = FencePermit(
             req,
             fence_range_id(pool.name, number, holders),
             f"{member}/{key}",
@@ -110,38 +110,38 @@
         self._metrics.count("fence_unavailable")
         raise FenceUnavailable("its record can't be consulted", retry_after_s=1.0)
 
-    def _order(self, leave: Leave) -> tuple[str, ...]:
+    def _order(self, leave: FencePermit) -> tuple[str, ...]:
         """Return the holders, spread over the keys."""
-        first, second = leave.holders
+        first, second = leave.replicas
         return (first, second) if leave.req % 2 else (second, first)
 
-    async def _ask_one(self, name: str, leave: Leave, digest: bytes) -> Any:
+    async def _ask_one(self, name: str, leave: FencePermit, digest: bytes) -> Any:
         """Return one holder's answer; None when it gives none."""
         try:
-            link = self._fleet.link(name)
+            link = self._fleet.get_link(name)
             box = self._calls.open(link, leave.req)
         except LinkClosed:
             return None
         try:
             await link.send(FencePermitRequest(leave.req, leave.range_id, leave.key, digest))
-            return await curio.ignore_after(ANSWER_S, box.get)
+            return await curio.ignore_after(REPLICA_RESPONSE_TIMEOUT_S, box.get)
         except (LinkClosed, LinkLost):
             return None
         finally:
             self._calls.close(box)
 
-    async def settle(self, leave: Leave, answer: RecordedResponse) -> None:
+    async def record_response(self, permit: FencePermit, response: RecordedResponse) -> None:
         """Record how the attempt ended, for callers that repeat it."""
-        await self._tell(leave, FenceSettle(leave.req, leave.range_id, leave.key, answer))
+        await self._tell(permit, FenceSettle(permit.req, permit.range_id, permit.key, response))
 
-    async def release(self, leave: Leave) -> None:
+    async def release(self, permit: FencePermit) -> None:
         """Give the key back: the attempt has not run and never will."""
-        await self._tell(leave, FenceRelease(leave.req, leave.range_id, leave.key))
+        await self._tell(permit, FenceRelease(permit.req, permit.range_id, permit.key))
 
-    async def _tell(self, leave: Leave, msg: Message) -> None:
-        for name in leave.holders:
+    async def _tell(self, leave: FencePermit, msg: Message) -> None:
+        for name in leave.replicas:
             try:
-                link: Link = self._fleet.link(name)
+                link: Link = self._fleet.get_link(name)
                 await link.send(msg)
             except LinkClosed:
                 continue
--- a/src/crankhinge/entry/_calls.py
+++ b/src/crankhinge/entry/_mailboxes.py
@@ -9,7 +9,7 @@
 from crankhinge.errors import BackendFailed, LinkClosed, SlowCaller
 from crankhinge.wire import Cancel, Failed, Link, Message, Tokens, send_if_open
 
-SILENT_STREAM_S = 3.0
+STREAM_CHECK_INTERVAL_S = 3.0
 
 
 class LinkLost(BackendFailed):
@@ -29,24 +29,24 @@
 
     Args:
         req: identity of the request.
-        limit: tokens kept for a caller that reads slowly.
+        max_unread_tokens: tokens kept for a caller that reads slowly.
 
     Attributes:
-        arrived: messages so far.
-        streaming: whether messages are expected without a pause.
+        received_count: messages so far.
+        is_streaming: whether messages are expected without a pause.
     """
 
-    def __init__(self, req: int, limit: int) -> None:
+    def __init__(self, req: int, max_unread_tokens: int) -> None:
         self.req = req
-        self._limit = limit
-        self.arrived = 0
-        self.streaming = False
+        self._limit = max_unread_tokens
+        self.received_count = 0
+        self.is_streaming = False
         self._queue: curio.Queue = curio.Queue()
         self._tokens = 0
 
     async def put(self, msg: Message | None) -> None:
         """Add a message; None says that the link is gone."""
-        self.arrived += 1
+        self.received_count += 1
         if isinstance(msg, Tokens):
             self._tokens += len(msg.texts)
         await self._queue.put(msg)
@@ -68,16 +68,16 @@
         return msg
 
 
-class Calls:
+class Mailboxes:
     """The mailboxes of this entry.
 
     Args:
-        limit: tokens kept per mailbox.
+        max_unread_tokens: tokens kept per mailbox.
     """
 
-    def __init__(self, limit: int) -> None:
-        self.dropped = 0
-        self._limit = limit
+    def __init__(self, max_unread_tokens: int) -> None:
+        self.dropped_count = 0
+        self._limit = max_unread_tokens
         self._boxes: dict[int, tuple[Link, Mailbox]] = {}
 
     def open(self, link: Link, req: int) -> Mailbox:
@@ -92,39 +92,39 @@
         self._boxes[box.req] = (link, box)
         return box
 
-    def close(self, box: Mailbox) -> None:
+    def close(self, mailbox: Mailbox) -> None:
         """Forget a mailbox; what still arrives for it is dropped and counted."""
-        self._boxes.pop(box.req, None)
+        self._boxes.pop(mailbox.req, None)
 
     async def deliver(self, link: Link, msg: Any) -> None:
         """Pass *msg* to the request it names, if that is one sent over *link*."""
         entry = self._boxes.get(getattr(msg, "req", 0))
         if entry is None or entry[0] is not link:
-            self.dropped += 1
+            self.dropped_count += 1
             return
         await entry[1].put(msg)
 
-    async def watch(self) -> None:
+    async def watch_streams(self) -> None:
         """End the streams that have fallen silent, until cancelled.
 
         One look at all streams now and then takes the place of a timer for each token.
         """
         before: dict[int, int] = {}
         while True:
-            await curio.sleep(SILENT_STREAM_S)
-            streams = {req: box for req, (_, box) in self._boxes.items() if box.streaming}
+            await curio.sleep(STREAM_CHECK_INTERVAL_S)
+            streams = {req: box for req, (_, box) in self._boxes.items() if box.is_streaming}
             for req, box in streams.items():
-                if before.get(req) == box.arrived:
+                if before.get(req) == box.received_count:
                     await box.put(Failed(req, "silent", True))
-            before = {req: box.arrived for req, box in streams.items()}
+            before = {req: box.received_count for req, box in streams.items()}
 
-    async def fail(self, link: Link) -> None:
+    async def fail_link(self, link: Link) -> None:
         """Tell every request that waits on *link* that it is gone."""
         for owner, box in list(self._boxes.values()):
             if owner is link:
                 await box.put(None)
 
 
-async def cancel_step(link: Link, box: Mailbox) -> None:
+async def cancel_step(link: Link, mailbox: Mailbox) -> None:
     """Tell an agent that nobody waits for a step any more; a lost link has told it already."""
-    await send_if_open(link, Cancel(box.req))
+    await send_if_open(link, Cancel(mailbox.req))
--- a/src/crankhinge/entry/_plain.py
+++ b/src/crankhinge/entry/_plain_calls.py
@@ -9,11 +9,11 @@
 from crankhinge.adapters.http_service import end_to_end
 from crankhinge.config import BundleView, Member, Service
 from crankhinge.decisions import Backend, RecordedResponse, RetryBudget, to_recorded_response
-from crankhinge.entry._ask import Terms
-from crankhinge.entry._calls import Calls, LinkLost, cancel_step
-from crankhinge.entry._fence import Fence, Leave, digest_of
-from crankhinge.entry._fleet import Fleet
-from crankhinge.entry._progress import Progress
+from crankhinge.entry._agent_links import AgentLinks
+from crankhinge.entry._fence_client import FenceClient, FencePermit, digest_request
+from crankhinge.entry._mailboxes import LinkLost, Mailboxes, cancel_step
+from crankhinge.entry._progress import RequestProgress
+from crankhinge.entry._requests import RequestOptions
 from crankhinge.errors import (
     BackendFailed,
     CrankhingeError,
@@ -23,24 +23,24 @@
 )
 from crankhinge.http import HttpRequest
 from crankhinge.runtime import Metrics
-from crankhinge.wire import Call, CallDone, Failed, Refused
+from crankhinge.wire import Failed, Refused, ServiceCall, ServiceResponse
 
 MAX_ATTEMPTS = 3
-REPLAYED = "x-answer-replayed"
-ANSWER_SLACK_S = 0.5
+REPLAYED_HEADER = "x-answer-replayed"
+RESPONSE_MARGIN_S = 0.5
 # When to come back where no agent tells, in seconds.
-RETRY_AFTER_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 PRIVATE_HEADERS = frozenset({"authorization", "x-deadline-ms", "x-priority", "x-repeatable"})
 
 
-class PlainCalls:
+class PlainCallRunner:
     """Passes calls to plain services on.
 
     Args:
-        fleet: the agents.
-        calls: the mailboxes.
-        budget: for retries.
-        fence: gives leave for calls that may not be repeated.
+        agent_links: the agents.
+        mailboxes: the mailboxes.
+        retry_budget: for retries.
+        fence_client: gives leave for calls that may not be repeated.
         log: for events.
         metrics: for counters.
     """
@@ -48,17 +48,17 @@
     def __init__(
         self,
         *,
-        fleet: Fleet,
-        calls: Calls,
-        budget: RetryBudget,
-        fence: Fence,
+        agent_links: AgentLinks,
+        mailboxes: Mailboxes,
+        retry_budget: RetryBudget,
+        fence_client: FenceClient,
         log: Any,
         metrics: Metrics,
     ) -> None:
-        self._fleet = fleet
-        self._calls = calls
-        self._budget = budget
-        self._fence = fence
+        self._fleet = agent_links
+        self._calls = mailboxes
+        self._budget = retry_budget
+        self._fence = fence_client
         self._log = log
         self._metrics = metrics
 
@@ -68,54 +68,58 @@
         member: Member,
         view: BundleView,
         service: Service,
-        terms: Terms,
-        progress: Progress,
-    ) -> CallDone:
+        options: RequestOptions,
+        progress: RequestProgress,
+    ) -> ServiceResponse:
         """Return the service's answer, with leave if the call may not be repeated.
 
         A call that has leave goes on when its caller is gone, so that its outcome is recorded for
-        the caller that comes back. Raises as :meth:`_send` and :meth:`Fence.ask` do.
+        the caller that comes back. Raises as :meth:`_send` and :meth:`FenceClient.ask` do.
         """
-        repeatable = terms.repeatable and req.method in service.repeatable
-        if repeatable or not terms.key:
-            progress.keyed = False
-            return await self._send(req, member, service, terms, repeatable, progress)
+        repeatable = options.is_repeatable and req.method in service.repeatable
+        if repeatable or not options.idempotency_key:
+            progress.earlier_may_have_run = False
+            return await self._send(req, member, service, options, repeatable, progress)
         pool = view.bundle.find_pool(service.pool)
         if pool is None:
             raise NoBackend(f"no pool {service.pool}")
-        digest = digest_of(req.method, req.target, req.body)
-        leave = await self._fence.ask(pool, member.name, terms.key, digest, progress.new_step())
+        digest = digest_request(req.method, req.target, req.body)
+        leave = await self._fence.request_permit(
+            pool, member.name, options.idempotency_key, digest, progress.new_step_id()
+        )
         if isinstance(leave, RecordedResponse):
             self._metrics.count("answers_replayed")
-            return CallDone(0, leave.status, {**leave.headers, REPLAYED: "yes"}, leave.body)
-        progress.keyed = False
+            return ServiceResponse(
+                0, leave.status, {**leave.headers, REPLAYED_HEADER: "yes"}, leave.body
+            )
+        progress.earlier_may_have_run = False
         task = await curio.spawn(
-            self._run_with_leave, leave, req, member, service, terms, progress, daemon=True
+            self._run_with_leave, leave, req, member, service, options, progress, daemon=True
         )
         await task.wait()
-        outcome: CallDone | CrankhingeError = task.result
+        outcome: ServiceResponse | CrankhingeError = task.result
         if isinstance(outcome, CrankhingeError):
             raise outcome
         return outcome
 
     async def _run_with_leave(
         self,
-        leave: Leave,
+        leave: FencePermit,
         req: HttpRequest,
         member: Member,
         service: Service,
-        terms: Terms,
-        progress: Progress,
-    ) -> CallDone | CrankhingeError:
+        terms: RequestOptions,
+        progress: RequestProgress,
+    ) -> ServiceResponse | CrankhingeError:
         """Return the answer, or the failure: nobody may be left to raise it to."""
         try:
             done = await self._send(req, member, service, terms, False, progress)
         except CrankhingeError as exc:
-            if not progress.touched:
+            if not progress.may_have_run:
                 await self._fence.release(leave)
             return exc
         answer = to_recorded_response(done.status, done.headers, done.body)
-        await self._fence.settle(leave, answer)
+        await self._fence.record_response(leave, answer)
         return done
 
     async def _send(
@@ -123,10 +127,10 @@
         req: HttpRequest,
         member: Member,
         service: Service,
-        terms: Terms,
+        terms: RequestOptions,
         repeatable: bool,
-        progress: Progress,
-    ) -> CallDone:
+        progress: RequestProgress,
+    ) -> ServiceResponse:
         """Return the service's answer.
 
         A call that may not be repeated is sent to a second backend server only when the first
@@ -148,17 +152,19 @@
             progress.attempts += 1
             tried.add(backend.name)
             answer = await self._call(req, member, backend, until, progress)
-            if isinstance(answer, CallDone):
+            if isinstance(answer, ServiceResponse):
                 return answer
             if isinstance(answer, Refused):
-                told_back += [answer.retry_after] if answer.retry_after else []
-            elif progress.touched and not (repeatable and self._budget.try_retry()):
+                told_back += [answer.retry_after_s] if answer.retry_after_s else []
+            elif progress.may_have_run and not (repeatable and self._budget.try_retry()):
                 raise BackendFailed(f"{backend.name} failed in mid-call")
-        if progress.touched:
+        if progress.may_have_run:
             raise BackendFailed("every attempt failed")
         if not progress.attempts:
-            raise NoBackend(f"no backend server for {service.name}", retry_after_s=RETRY_AFTER_S)
-        after_s = min(told_back, default=RETRY_AFTER_S)
+            raise NoBackend(
+                f"no backend server for {service.name}", retry_after_s=DEFAULT_RETRY_AFTER_S
+            )
+        after_s = min(told_back, default=DEFAULT_RETRY_AFTER_S)
         raise Overloaded("no backend server took the call", retry_after_s=after_s)
 
     async def _next(self, service: Service, tried: set[str]) -> Backend | None:
@@ -167,18 +173,25 @@
         return next((backend for backend in choices if backend.name not in tried), None)
 
     async def _call(
-        self, req: HttpRequest, member: Member, backend: Backend, until: float, progress: Progress
-    ) -> CallDone | Refused | Failed | None:
+        self,
+        req: HttpRequest,
+        member: Member,
+        backend: Backend,
+        until: float,
+        progress: RequestProgress,
+    ) -> ServiceResponse | Refused | Failed | None:
         """Send the call to one agent; sets ``progress.touched`` unless it certainly didn't run."""
         now = await curio.clock()
         within = max(0.001, until - now)
-        step = progress.new_step()
-        call = Call(step, req.method, req.target, _forwarded(req), req.body, within, member.name)
-        before = progress.touched
-        progress.touched = True
+        step = progress.new_step_id()
+        call = ServiceCall(
+            step, req.method, req.target, _forwarded(req), req.body, within, member.name
+        )
+        before = progress.may_have_run
+        progress.may_have_run = True
         backend.sent_since_report += 1
         backend.breaker.record_sent(now)
-        answer: CallDone | Refused | Failed | None = None
+        answer: ServiceResponse | Refused | Failed | None = None
         try:
             answer = await self._exchange(backend, call)
         except LinkClosed:
@@ -188,19 +201,21 @@
             pass
         return self._judge(answer, backend, before, progress, now)
 
-    async def _exchange(self, backend: Backend, call: Call) -> CallDone | Refused | Failed | None:
+    async def _exchange(
+        self, backend: Backend, call: ServiceCall
+    ) -> ServiceResponse | Refused | Failed | None:
         """Return the agent's answer, or None when none came in time.
 
         Raises:
             LinkClosed: nothing was sent.
             LinkLost: the call may have arrived.
         """
-        link = self._fleet.link(backend.name)
+        link = self._fleet.get_link(backend.name)
         box = self._calls.open(link, call.req)
-        answer: CallDone | Refused | Failed | None = None
+        answer: ServiceResponse | Refused | Failed | None = None
         try:
             await link.send(call)
-            answer = await curio.ignore_after(call.within + ANSWER_SLACK_S, box.get)
+            answer = await curio.ignore_after(call.timeout_s + RESPONSE_MARGIN_S, box.get)
         finally:
             self._calls.close(box)
             if answer is None:
@@ -209,22 +224,22 @@
 
     def _judge(
         self,
-        answer: CallDone | Refused | Failed | None,
+        answer: ServiceResponse | Refused | Failed | None,
         backend: Backend,
         before: bool,
-        progress: Progress,
+        progress: RequestProgress,
         now: float,
-    ) -> CallDone | Refused | Failed | None:
+    ) -> ServiceResponse | Refused | Failed | None:
         """Note what an answer says of the backend server and of whether the call ran."""
-        if isinstance(answer, CallDone):
+        if isinstance(answer, ServiceResponse):
             backend.breaker.record_success()
             return answer
         if isinstance(answer, Refused):
-            progress.touched = before
+            progress.may_have_run = before
             return answer
         backend.breaker.record_failure(now)
-        if answer is not None and not answer.ran:
-            progress.touched = before
+        if answer is not None and not answer.may_have_run:
+            progress.may_have_run = before
             return Refused(answer.req, answer.code)
         return answer
 
--- a/src/crankhinge/entry/_program.py
+++ b/src/crankhinge/entry/_program.py
@@ -13,12 +13,12 @@
 from crankhinge.adapters.consul import ConsulInstanceList, ConsulKeyValue
 from crankhinge.config import BundleKeeper
 from crankhinge.decisions import RetryBudget, Router, RoutingCosts, mechanisms_for
-from crankhinge.entry._calls import Calls
-from crankhinge.entry._completion import Completions
+from crankhinge.entry._agent_links import AgentLinks
+from crankhinge.entry._completion import CompletionRunner
 from crankhinge.entry._entry import Entry
-from crankhinge.entry._fence import Fence
-from crankhinge.entry._fleet import Fleet
-from crankhinge.entry._plain import PlainCalls
+from crankhinge.entry._fence_client import FenceClient
+from crankhinge.entry._mailboxes import Mailboxes
+from crankhinge.entry._plain_calls import PlainCallRunner
 from crankhinge.entry._progress import RequestIds
 from crankhinge.entry._settings import EntrySettings
 from crankhinge.peers import BundlePropagator, InstanceListCache, parse_endpoint
@@ -37,46 +37,47 @@
     kv = ConsulKeyValue(*parse_endpoint(settings.key_value))
     spread = BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
     ids = RequestIds(secrets.randbits(64))
-    calls = Calls(settings.buffer_tokens)
+    calls = Mailboxes(settings.buffer_tokens)
     weights = RoutingCosts(zone=settings.zone, report_interval_s=settings.beat_s)
-    fleet = Fleet(
+    fleet = AgentLinks(
         settings=settings,
-        roster=InstanceListCache(
+        instance_list=InstanceListCache(
             ConsulInstanceList(*parse_endpoint(settings.instances)),
             refresh_interval_s=settings.list_s,
             log=log,
             rng=rng,
         ),
         router=Router(costs=weights, rng=rng, mech=mech),
-        calls=calls,
-        spread=spread,
+        mailboxes=calls,
+        propagator=spread,
         keeper=keeper,
         incarnation=time.time_ns(),
         log=log,
         rng=rng,
     )
-    keeper.listeners.append(fleet.apply)
+    keeper.listeners.append(fleet.apply_bundle)
     budget = RetryBudget()
     keeper.listeners.append(lambda bundle: budget.set_ratio(bundle.policy.retry_ratio))
-    fence = Fence(fleet=fleet, calls=calls, metrics=metrics)
-    common: dict[str, Any] = {"fleet": fleet, "calls": calls, "budget": budget, "fence": fence}
+    fence = FenceClient(agent_links=fleet, mailboxes=calls, metrics=metrics)
+    common: dict[str, Any] = {"agent_links": fleet, "mailboxes": calls}
+    common.update(retry_budget=budget, fence_client=fence)
     common.update(log=log, metrics=metrics)
     entry = Entry(
         settings=settings,
         keeper=keeper,
-        fleet=fleet,
-        completions=Completions(**common, mech=mech),
-        plain=PlainCalls(**common),
-        ids=ids,
+        agent_links=fleet,
+        completions=CompletionRunner(**common, mech=mech),
+        plain_calls=PlainCallRunner(**common),
+        request_ids=ids,
         log=log,
         metrics=metrics,
     )
     supervisor = Supervisor(log)
     supervisor.add("listener", entry.listen)
-    supervisor.add("beats", fleet.beater.run)
+    supervisor.add("beats", fleet.heartbeat_sender.run)
     supervisor.add("fleet", fleet.run)
     supervisor.add("bundle", spread.watch)
-    supervisor.add("streams", calls.watch)
+    supervisor.add("streams", calls.watch_streams)
     log.info("started", port=settings.port)
     await run_until_first_ends(supervisor.run, partial(_drain_on, stopping, entry))
 
--- a/src/crankhinge/entry/_progress.py
+++ b/src/crankhinge/entry/_progress.py
@@ -10,8 +10,8 @@
 
 ID_BITS = 63
 COUNTER_BITS = 24
-STEP_BITS = 8
-STEP_MASK = (1 << STEP_BITS) - 1
+STEP_ID_BITS = 8
+STEP_ID_MASK = (1 << STEP_ID_BITS) - 1
 
 
 class RequestIds:
@@ -25,54 +25,56 @@
     """
 
     def __init__(self, nonce: int) -> None:
-        high_bits = ID_BITS - COUNTER_BITS - STEP_BITS
-        self._high = (nonce & ((1 << high_bits) - 1)) << (COUNTER_BITS + STEP_BITS)
+        high_bits = ID_BITS - COUNTER_BITS - STEP_ID_BITS
+        self._high = (nonce & ((1 << high_bits) - 1)) << (COUNTER_BITS + STEP_ID_BITS)
         self._counter = itertools.count(1)
 
-    def next(self) -> int:
+    def new_id(self) -> int:
         """Return the identity of a new request."""
         number = next(self._counter) & ((1 << COUNTER_BITS) - 1)
-        return self._high | (number << STEP_BITS)
+        return self._high | (number << STEP_ID_BITS)
 
 
 @dataclass
-class Progress:
+class RequestProgress:
     """How far a request has come.
 
     Attributes:
-        ident: its identity.
-        touched: whether a backend server may have worked for it.
+        request_id: its identity.
+        may_have_run: whether a backend server may have worked for it.
         attempts: how often it was tried.
-        computed: prompt tokens that engines computed for it.
-        unused: of these, not yet put to use.
-        wasted: of these, for nothing, as far as this entry knows.
-        reader: the backend server that read the prompt; None before.
-        slot: time of the lease.
-        read: time at which the prompt was read.
-        first: time of the first token.
-        last: time of the last token so far.
-        keyed: whether an earlier attempt with the same key may have run.
+        computed_tokens: prompt tokens that engines computed for it.
+        unused_tokens: of these, not yet put to use.
+        wasted_tokens: of these, for nothing, as far as this entry knows.
+        prefill_backend: the backend server that read the prompt; None before.
+        slot_granted_at: time of the lease.
+        prompt_read_at: time at which the prompt was read.
+        first_token_at: time of the first token.
+        last_token_at: time of the last token so far.
+        earlier_may_have_run: whether an earlier attempt with the same key may have run.
     """
 
-    ident: int = 0
-    touched: bool = False
-    keyed: bool = False
+    request_id: int = 0
+    may_have_run: bool = False
+    earlier_may_have_run: bool = False
     attempts: int = 0
-    computed: int = 0
-    unused: int = 0
-    wasted: int = 0
-    reader: Backend | None = None
-    slot: float = 0.0
-    read: float = 0.0
-    first: float = 0.0
-    last: float = 0.0
+    computed_tokens: int = 0
+    unused_tokens: int = 0
+    wasted_tokens: int = 0
+    prefill_backend: Backend | None = None
+    slot_granted_at: float = 0.0
+    prompt_read_at: float = 0.0
+    first_token_at: float = 0.0
+    last_token_at: float = 0.0
     _steps: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
-    def new_step(self) -> int:
+    def new_step_id(self) -> int:
         """Return the identity of a next step: a message to one agent and its answers."""
-        return self.ident | (next(self._steps) & STEP_MASK)
+        return self.request_id | (next(self._steps) & STEP_ID_MASK)
 
     @property
     def outcome(self) -> Outcome:
         """What may be told to the caller when the request fails now."""
-        return Outcome.UNKNOWN if self.touched or self.keyed else Outcome.NOT_RUN
+        return (
+            Outcome.UNKNOWN if self.may_have_run or self.earlier_may_have_run else Outcome.NOT_RUN
+        )
--- a/src/crankhinge/entry/_ask.py
+++ b/src/crankhinge/entry/_requests.py
@@ -14,13 +14,13 @@
 from crankhinge.http import HttpRequest
 
 CHAT_PATH = "/v1/chat/completions"
-TEXT_PATH = "/v1/completions"
-BLOCK_CHARS = 512
-MAX_BLOCKS = 64
-HIGHEST_RANK = 2
+COMPLETIONS_PATH = "/v1/completions"
+PREFIX_BLOCK_CHARS = 512
+MAX_PREFIX_BLOCKS = 64
+MAX_RANK = 2
 DEFAULT_RANK = 1
 MAX_DEADLINE_S = 3600.0
-BEARER = "bearer "
+BEARER_PREFIX = "bearer "
 
 
 class _Message(msgspec.Struct):
@@ -41,67 +41,72 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class RequestOptions:
     """What the headers say of a request.
 
     Attributes:
         rank: priority class, 0 most urgent.
         deadline_s: seconds after which the whole answer is of no more use; None for no limit.
-        key: idempotency key; empty for none.
-        repeatable: whether the request may be run again.
+        idempotency_key: idempotency key; empty for none.
+        is_repeatable: whether the request may be run again.
     """
 
     rank: int
     deadline_s: float | None
-    key: str
-    repeatable: bool
+    idempotency_key: str
+    is_repeatable: bool
 
 
 @dataclass(frozen=True)
-class CompletionAsk:
+class CompletionRequest:
     """A valid completion request.
 
     Attributes:
         member: who asks.
         model: the model that serves it.
-        terms: what its headers say.
+        options: what its headers say.
         path: of the engine's call.
         body: its JSON.
-        text: the prompt's text.
+        prompt_text: the prompt's text.
         max_tokens: most tokens of the answer.
         stream: whether the answer is streamed.
-        prefix: hashes of the prompt's leading blocks.
+        prefix_hashes: hashes of the prompt's leading blocks.
     """
 
     member: Member
     model: Model
-    terms: Terms
+    options: RequestOptions
     path: str
     body: dict[str, Any]
-    text: str
+    prompt_text: str
     max_tokens: int
     stream: bool
-    prefix: tuple[int, ...]
+    prefix_hashes: tuple[int, ...]
 
     @property
-    def chat(self) -> bool:
+    def is_chat(self) -> bool:
         """Whether the request has the chat shape."""
         return self.path == CHAT_PATH
 
-    def body_after(self, written: str, tokens: int) -> bytes:
-        """Return the JSON that asks for the rest of an answer of which *tokens* are written."""
+    def continuation_body(self, written_text: str, written_tokens: int) -> bytes:
+        """Return the JSON body that requests the rest of a partly written answer.
+
+        Args:
+            written_text: the part of the answer that has been written.
+            written_tokens: number of tokens in that part.
+        """
         body = dict(self.body)
-        body["max_tokens"] = self.max_tokens - tokens
+        body["max_tokens"] = self.max_tokens - written_tokens
         body.pop("max_completion_tokens", None)
         body.pop("stream_options", None)
-        if not tokens:
+        if not written_tokens:
             return msgspec.json.encode(body)
-        if self.chat:
-            body["messages"] = [*body["messages"], {"role": "assistant", "content": written}]
+        if self.is_chat:
+            body["messages"] = [*body["messages"], {"role": "assistant", "content": written_text}]
             body["continue_final_message"] = True
             body["add_generation_prompt"] = False
         else:
-            body["prompt"] = self.text + written
+            body["prompt"] = self.prompt_text + written_text
         return msgspec.json.encode(body)
 
 
@@ -112,27 +117,27 @@
         BadCredentials: when it carries none that is known.
     """
     value = headers.get("authorization", "")
-    if not value.lower().startswith(BEARER):
+    if not value.lower().startswith(BEARER_PREFIX):
         raise BadCredentials("no bearer credential")
-    member = view.find_member_by_credential(value[len(BEARER) :].strip())
+    member = view.find_member_by_credential(value[len(BEARER_PREFIX) :].strip())
     if member is None:
         raise BadCredentials("unknown credential")
     return member
 
 
-def read_terms(headers: Mapping[str, str], member: Member) -> Terms:
+def parse_options(headers: Mapping[str, str], member: Member) -> RequestOptions:
     """Return what the headers say.
 
     Raises:
         RequestError: when one of them is malformed.
     """
-    rank = _number(headers, "x-priority", DEFAULT_RANK, 0, HIGHEST_RANK)
+    rank = _number(headers, "x-priority", DEFAULT_RANK, 0, MAX_RANK)
     deadline_ms = _number(headers, "x-deadline-ms", None, 1, MAX_DEADLINE_S * 1000)
-    return Terms(
+    return RequestOptions(
         rank=max(int(rank or 0), member.max_rank),
         deadline_s=None if deadline_ms is None else deadline_ms / 1000.0,
-        key=headers.get("idempotency-key", "")[:200],
-        repeatable=headers.get("x-repeatable", "yes").lower() != "no",
+        idempotency_key=headers.get("idempotency-key", "")[:200],
+        is_repeatable=headers.get("x-repeatable", "yes").lower() != "no",
     )
 
 
@@ -151,13 +156,13 @@
     return value
 
 
-def read_completion(view: BundleView, req: HttpRequest, member: Member) -> CompletionAsk:
+def parse_completion(view: BundleView, req: HttpRequest, member: Member) -> CompletionRequest:
     """Return the valid request.
 
     Raises:
         RequestError: naming what is wrong.
     """
-    terms = read_terms(req.headers, member)
+    terms = parse_options(req.headers, member)
     try:
         whole = msgspec.json.decode(req.body)
         body = msgspec.convert(whole, _Body)
@@ -169,16 +174,16 @@
     if body.n != 1:
         raise RequestError("n: only 1 is served")
     text = _text_of(req.path, body)
-    return CompletionAsk(
+    return CompletionRequest(
         member=member,
         model=model,
-        terms=terms,
+        options=terms,
         path=req.path,
         body=whole,
-        text=text,
+        prompt_text=text,
         max_tokens=_max_tokens(body, model),
         stream=body.stream,
-        prefix=prefix_blocks(text),
+        prefix_hashes=hash_prefix_blocks(text),
     )
 
 
@@ -199,22 +204,22 @@
     return min(asked, model.max_output_tokens)
 
 
-def check_length(ask: CompletionAsk, tokens: int) -> None:
+def check_prompt_length(request: CompletionRequest, tokens: int) -> None:
     """Refuse a prompt that is over its model's limit.
 
     Raises:
         PromptTooLong: when the estimate of *tokens* is over the limit.
     """
-    if tokens > ask.model.max_prompt_tokens:
-        raise PromptTooLong(f"about {tokens} tokens, at most {ask.model.max_prompt_tokens}")
+    if tokens > request.model.max_prompt_tokens:
+        raise PromptTooLong(f"about {tokens} tokens, at most {request.model.max_prompt_tokens}")
 
 
-def prefix_blocks(text: str) -> tuple[int, ...]:
+def hash_prefix_blocks(text: str) -> tuple[int, ...]:
     """Return a hash of each leading block of *text*, each depending on all before it."""
-    data = text[: BLOCK_CHARS * MAX_BLOCKS].encode()
+    data = text[: PREFIX_BLOCK_CHARS * MAX_PREFIX_BLOCKS].encode()
     blocks = []
     state = 0
-    for start in range(0, len(data) - BLOCK_CHARS + 1, BLOCK_CHARS):
-        state = zlib.crc32(data[start : start + BLOCK_CHARS], state)
+    for start in range(0, len(data) - PREFIX_BLOCK_CHARS + 1, PREFIX_BLOCK_CHARS):
+        state = zlib.crc32(data[start : start + PREFIX_BLOCK_CHARS], state)
         blocks.append(state)
     return tuple(blocks)
--- a/src/crankhinge/entry/_answer.py
+++ b/src/crankhinge/entry/_responses.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from crankhinge.entry._ask import CompletionAsk
+from crankhinge.entry._requests import CompletionRequest
 from crankhinge.errors import CrankhingeError, Outcome
 from crankhinge.http import Exchange, encode_sse_event
 
-TEXT_MARK = "\u2063text\u2063"
+TEXT_PLACEHOLDER = "\u2063text\u2063"
 OUTCOME_HEADER = "x-request-outcome"
-SSE_HEAD = {
+SSE_HEADERS = {
     "content-type": "text/event-stream",
     "cache-control": "no-cache",
     "transfer-encoding": "chunked",
@@ -50,27 +50,29 @@
     await exchange.respond(exc.status, msgspec.json.encode(error_body(exc, known)), headers)
 
 
-class AnswerWriter:
+class CompletionWriter:
     """Writes one completion, streamed or whole. Nothing is sent before the first token.
 
     Args:
         exchange: the caller's.
-        ask: the request.
-        ident: its identity, shown to the caller.
+        request: the request.
+        request_id: its identity, shown to the caller.
         created: seconds since the epoch.
     """
 
-    def __init__(self, exchange: Exchange, ask: CompletionAsk, ident: str, created: int) -> None:
+    def __init__(
+        self, exchange: Exchange, request: CompletionRequest, request_id: str, created: int
+    ) -> None:
         self._exchange = exchange
-        self._ask = ask
-        self._ident = ident
+        self._ask = request
+        self._ident = request_id
         self._created = created
         self._texts: list[str] = []
         self._head, self._tail = self._frame()
         self._prompt_tokens = 0
 
     @property
-    def tokens(self) -> int:
+    def token_count(self) -> int:
         """Tokens written so far."""
         return len(self._texts)
 
@@ -80,11 +82,11 @@
         return "".join(self._texts)
 
     @property
-    def streaming(self) -> bool:
+    def has_started_stream(self) -> bool:
         """Whether the head of a streamed answer has been sent."""
         return self._exchange.response_started
 
-    def note_prompt(self, tokens: int) -> None:
+    def record_prompt_tokens(self, tokens: int) -> None:
         """Note the prompt's length, for the usage."""
         self._prompt_tokens = self._prompt_tokens or tokens
 
@@ -94,7 +96,7 @@
         if not self._ask.stream:
             return
         if not self._exchange.response_started:
-            await self._exchange.start(200, {**SSE_HEAD, "x-request-id": self._ident})
+            await self._exchange.start(200, {**SSE_HEADERS, "x-request-id": self._ident})
         head, tail = self._head, self._tail
         events = [head + msgspec.json.encode(text) + tail for text in texts]
         await self._exchange.write(b"".join(events))
@@ -110,7 +112,7 @@
         body = msgspec.json.encode(self._whole(reason))
         await self._exchange.respond(200, body, {"x-request-id": self._ident})
 
-    async def break_off(self, exc: CrankhingeError) -> None:
+    async def abort(self, exc: CrankhingeError) -> None:
         """Tell a streaming caller that its answer is not whole; no ``[DONE]`` follows."""
         body = msgspec.json.encode(error_body(exc, Outcome.UNKNOWN))
         await self._exchange.write(encode_sse_event(body))
@@ -118,30 +120,32 @@
 
     def _frame(self) -> tuple[bytes, bytes]:
         """Return what stands before and behind the text in the event of each token."""
-        event = encode_sse_event(self._chunk(TEXT_MARK, None))
-        head, _, tail = event.partition(msgspec.json.encode(TEXT_MARK))
+        event = encode_sse_event(self._chunk(TEXT_PLACEHOLDER, None))
+        head, _, tail = event.partition(msgspec.json.encode(TEXT_PLACEHOLDER))
         return head, tail
 
     def _chunk(self, text: str, reason: str | None) -> bytes:
         choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
-        if self._ask.chat:
+        if self._ask.is_chat:
             choice["delta"] = {"content": text} if text else {}
         else:
             choice["text"] = text
-        kind = "chat.completion.chunk" if self._ask.chat else "text_completion"
+        kind = "chat.completion.chunk" if self._ask.is_chat else "text_completion"
         return msgspec.json.encode(self._envelope(kind, choice))
 
     def _whole(self, reason: str) -> dict[str, Any]:
         choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
-        if self._ask.chat:
+        if self._ask.is_chat:
             choice["message"] = {"role": "assistant", "content": self.text}
         else:
             choice["text"] = self.text
-        whole = self._envelope("chat.completion" if self._ask.chat else "text_completion", choice)
+        whole = self._envelope(
+            "chat.completion" if self._ask.is_chat else "text_completion", choice
+        )
         whole["usage"] = {
             "prompt_tokens": self._prompt_tokens,
-            "completion_tokens": self.tokens,
-            "total_tokens": self._prompt_tokens + self.tokens,
+            "completion_tokens": self.token_count,
+            "total_tokens": self._prompt_tokens + self.token_count,
         }
         return whole
 
--- a/src/crankhinge/peers/_heartbeats.py
+++ b/src/crankhinge/peers/_heartbeats.py
@@ -7,7 +7,7 @@
 import curio
 
 from crankhinge.errors import LinkClosed
-from crankhinge.wire import Beat, Link, encode
+from crankhinge.wire import Heartbeat, Link, encode
 
 # A link is closed when nothing has arrived on it for this many heartbeat intervals.
 LINK_TIMEOUT_BEATS = 4.0
@@ -32,7 +32,7 @@
         links: the open links; the owner adds and removes them.
     """
 
-    def __init__(self, interval_s: float, make_heartbeat: Callable[[float], Beat]) -> None:
+    def __init__(self, interval_s: float, make_heartbeat: Callable[[float], Heartbeat]) -> None:
         self.links: set[Link] = set()
         self._interval_s = interval_s
         self._make_heartbeat = make_heartbeat
@@ -59,15 +59,15 @@
 
     def _reset_link_timers(self, now: float) -> None:
         for link in self.links:
-            link.heard = now
+            link.last_received_at = now
 
     async def _send_heartbeats(self, now: float) -> None:
         frame = encode(self._make_heartbeat(now))
         for link in list(self.links):
-            if now - link.heard > LINK_TIMEOUT_BEATS * self._interval_s:
+            if now - link.last_received_at > LINK_TIMEOUT_BEATS * self._interval_s:
                 await link.close()
                 continue
-            if link.congested:
+            if link.is_congested:
                 continue
             try:
                 await link.send_frame(frame)
--- a/src/crankhinge/peers/_propagation.py
+++ b/src/crankhinge/peers/_propagation.py
@@ -18,7 +18,7 @@
 from crankhinge.adapters import KeyValue
 from crankhinge.config import BUNDLE_KEY, BundleKeeper
 from crankhinge.errors import BundleError, KeyValueUnavailable
-from crankhinge.wire import Beat, BundleIs, GetBundle, Link, Message, send_if_open
+from crankhinge.wire import BundleUpdate, GetBundle, Heartbeat, Link, Message, send_if_open
 
 # Bounds of the delay between attempts while the key-value service is unavailable.
 INITIAL_RETRY_DELAY_S = 0.2
@@ -106,15 +106,15 @@
                 await self._send_bundle(link)
 
     async def _send_bundle(self, link: Link) -> None:
-        if link.bundle >= self.keeper.version:
+        if link.peer_bundle_version >= self.keeper.version:
             return
-        link.bundle = self.keeper.version
-        await send_if_open(link, BundleIs(self.keeper.envelope))
+        link.peer_bundle_version = self.keeper.version
+        await send_if_open(link, BundleUpdate(self.keeper.envelope))
 
     async def add_link(self, link: Link) -> None:
         """Add a link to a peer and compare bundle versions with that peer."""
         self.links.add(link)
-        await self._reconcile_versions(link, link.peer.bundle)
+        await self._reconcile_versions(link, link.peer.bundle_version)
 
     def remove_link(self, link: Link) -> None:
         """Remove a link that has ended."""
@@ -125,14 +125,14 @@
 
         The result for a heartbeat is False because it carries more than the bundle version.
         """
-        if isinstance(msg, Beat):
-            await self._reconcile_versions(link, msg.bundle)
+        if isinstance(msg, Heartbeat):
+            await self._reconcile_versions(link, msg.bundle_version)
             return False
-        if isinstance(msg, BundleIs):
+        if isinstance(msg, BundleUpdate):
             await self.receive_bundle(msg.envelope, source=link.peer.name)
             return True
         if isinstance(msg, GetBundle):
-            link.bundle = 0
+            link.peer_bundle_version = 0
             await self._send_bundle(link)
             return True
         return False
@@ -140,7 +140,7 @@
     async def _reconcile_versions(self, link: Link, peer_version: int) -> None:
         own_version = self.keeper.version
         if peer_version > own_version:
-            link.bundle = peer_version
+            link.peer_bundle_version = peer_version
             await link.send(GetBundle())
-        elif peer_version < own_version and link.bundle < own_version:
+        elif peer_version < own_version and link.peer_bundle_version < own_version:
             await self._send_bundle(link)
--- a/src/crankhinge/wire/_base.py
+++ b/src/crankhinge/wire/_base.py
@@ -15,17 +15,17 @@
     """What an agent says of its backend server.
 
     Attributes:
-        free: memory slots (or call places) not taken now.
+        free_slots: memory slots (or call places) not taken now.
         queued: requests that wait here.
         backlog_s: seconds of work queued before a new request would start.
         step_s: seconds between tokens at the present batch; 0 when unknown.
         draining: takes no new work.
-        rate: prompt tokens read per second; 0 when unknown.
+        tokens_per_s: prompt tokens read per second; 0 when unknown.
     """
 
-    free: int
+    free_slots: int
     queued: int
     backlog_s: float = 0.0
     step_s: float = 0.0
     draining: bool = False
-    rate: float = 0.0
+    tokens_per_s: float = 0.0
--- a/src/crankhinge/wire/_codec.py
+++ b/src/crankhinge/wire/_codec.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self._buf = bytearray()
 
-    def feed(self, chunk: bytes) -> list[Message]:
+    def read_messages(self, chunk: bytes) -> list[Message]:
         """Return the messages that *chunk* completes.
 
         Raises:
--- a/src/crankhinge/wire/_control.py
+++ b/src/crankhinge/wire/_control.py
@@ -17,7 +17,7 @@
         zone: availability zone.
         incarnation: differs each time the process starts; larger is newer.
         pool: pool of the backend server; empty for an entry.
-        bundle: version of the bundle in force; 0 without one.
+        bundle_version: version of the bundle in force; 0 without one.
     """
 
     version: int
@@ -26,18 +26,18 @@
     zone: str
     incarnation: int
     pool: str = ""
-    bundle: int = 0
+    bundle_version: int = 0
 
 
-class Beat(MessageBase, tag=2, frozen=True):
+class Heartbeat(MessageBase, tag=2, frozen=True):
     """Heartbeat of both ends; an agent's carries its load.
 
     Attributes:
-        bundle: version of the bundle in force.
+        bundle_version: version of the bundle in force.
         load: None from an entry.
     """
 
-    bundle: int
+    bundle_version: int
     load: Load | None = None
 
 
@@ -45,7 +45,7 @@
     """Asks the peer for its bundle."""
 
 
-class BundleIs(MessageBase, tag=4, frozen=True):
+class BundleUpdate(MessageBase, tag=4, frozen=True):
     """Carries a signed bundle. Sent when asked, and unasked to a peer that has an older one."""
 
     envelope: bytes
@@ -66,13 +66,13 @@
     """A newcomer that can't read the platform's list asks a peer for it."""
 
 
-class InstancesAre(MessageBase, tag=28, frozen=True):
+class InstanceListReply(MessageBase, tag=28, frozen=True):
     """The list, as the peer last read it."""
 
     rows: tuple[InstanceRow, ...]
 
 
-class Serves(MessageBase, tag=29, frozen=True):
+class LoadedAdapters(MessageBase, tag=29, frozen=True):
     """An agent's engine has these adapters loaded; replaces what was said before."""
 
-    names: tuple[str, ...]
+    adapters: tuple[str, ...]
--- a/src/crankhinge/wire/_link.py
+++ b/src/crankhinge/wire/_link.py
@@ -14,9 +14,9 @@
 from crankhinge.wire._control import Hello
 from crankhinge.wire._messages import Message
 
-RECV_BYTES = 262144
-SEND_BYTES = 262144
-QUEUE_LIMIT = 4096
+MAX_RECEIVE_BYTES = 262144
+MAX_SEND_BYTES = 262144
+MAX_QUEUED_FRAMES = 4096
 HELLO_TIMEOUT_S = 3.0
 CONNECT_TIMEOUT_S = 1.0
 SEND_TIMEOUT_S = 10.0
@@ -31,21 +31,23 @@
     Attributes:
         peer: the other end's Hello.
         closed: whether the connection is known to be gone.
-        heard: when something last arrived, seconds of the runtime's clock.
-        bundle: newest bundle version that the peer has or was sent.
+        last_received_at: when something last arrived, seconds of the runtime's clock.
+        peer_bundle_version: newest bundle version that the peer has or was sent.
     """
 
-    def __init__(self, sock: Any, peer: Hello, reader: FrameReader, early: list[Message]) -> None:
+    def __init__(
+        self, sock: Any, peer: Hello, reader: FrameReader, early_messages: list[Message]
+    ) -> None:
         self.peer = peer
         self.closed = False
-        self.bytes_out = 0
-        self.bytes_in = 0
-        self.heard = 0.0
-        self.bundle = peer.bundle
+        self.bytes_sent = 0
+        self.bytes_received = 0
+        self.last_received_at = 0.0
+        self.peer_bundle_version = peer.bundle_version
         self._sock = sock
         self._reader = reader
-        self._early = early
-        self._queue: curio.Queue = curio.Queue(QUEUE_LIMIT)
+        self._early = early_messages
+        self._queue: curio.Queue = curio.Queue(MAX_QUEUED_FRAMES)
 
     async def send(self, msg: Message) -> None:
         """Queue *msg*; waits while the queue is full.
@@ -62,7 +64,7 @@
         await self._queue.put(frame)
 
     @property
-    def congested(self) -> bool:
+    def is_congested(self) -> bool:
         """Whether a send would have to wait."""
         return bool(self._queue.full())
 
@@ -72,7 +74,7 @@
         Raises:
             WireError: when the peer sent something that is not a message.
         """
-        self.heard = await curio.clock()
+        self.last_received_at = await curio.clock()
         writer = await curio.spawn(self._write, daemon=True)
         try:
             for msg in self._early:
@@ -93,14 +95,14 @@
     async def _read(self, handle: Callable[[Link, Message], Awaitable[None]]) -> None:
         while True:
             try:
-                chunk = await self._sock.recv(RECV_BYTES)
+                chunk = await self._sock.recv(MAX_RECEIVE_BYTES)
             except OSError:
                 return
             if not chunk:
                 return
-            self.bytes_in += len(chunk)
-            self.heard = await curio.clock()
-            for msg in self._reader.feed(chunk):
+            self.bytes_received += len(chunk)
+            self.last_received_at = await curio.clock()
+            for msg in self._reader.read_messages(chunk):
                 await handle(self, msg)
 
     async def _write(self) -> None:
@@ -110,12 +112,12 @@
             if not queue.empty():
                 parts = [out]
                 size = len(out)
-                while not queue.empty() and size < SEND_BYTES:
+                while not queue.empty() and size < MAX_SEND_BYTES:
                     part = await queue.get()
                     parts.append(part)
                     size += len(part)
                 out = b"".join(parts)
-            self.bytes_out += len(out)
+            self.bytes_sent += len(out)
             try:
                 await send_all(self._sock, memoryview(out), SEND_TIMEOUT_S)
             except OSError:
@@ -155,10 +157,10 @@
     reader = FrameReader()
     msgs: list[Message] = []
     while not msgs:
-        chunk = await sock.recv(RECV_BYTES)
+        chunk = await sock.recv(MAX_RECEIVE_BYTES)
         if not chunk:
             raise LinkClosed("closed before hello")
-        msgs = reader.feed(chunk)
+        msgs = reader.read_messages(chunk)
     peer = msgs[0]
     if not isinstance(peer, Hello):
         raise WireError("no hello")
@@ -167,10 +169,10 @@
     return Link(sock, peer, reader, msgs[1:])
 
 
-async def accept_link(sock: Any, mine: Hello) -> Link:
+async def accept_link(sock: Any, own_hello: Hello) -> Link:
     """Return the link on an accepted socket. Raises as :func:`connect_link` does."""
     try:
-        link: Link = await curio.timeout_after(HELLO_TIMEOUT_S, _hello, sock, mine)
+        link: Link = await curio.timeout_after(HELLO_TIMEOUT_S, _hello, sock, own_hello)
     except curio.TaskTimeout as exc:
         raise LinkClosed("no hello in time") from exc
     except OSError as exc:
@@ -178,7 +180,7 @@
     return link
 
 
-async def connect_link(host: str, port: int, mine: Hello) -> Link:
+async def connect_link(host: str, port: int, own_hello: Hello) -> Link:
     """Connect to an agent.
 
     Raises:
@@ -190,7 +192,7 @@
     except OSError as exc:
         raise LinkClosed(f"{host}:{port}: {exc}") from exc
     try:
-        return await accept_link(sock, mine)
+        return await accept_link(sock, own_hello)
     except BaseException:
         await sock.close()
         raise
--- a/src/crankhinge/wire/_messages.py
+++ b/src/crankhinge/wire/_messages.py
@@ -25,17 +25,17 @@
 )
 from crankhinge.wire._base import Load, MessageBase
 from crankhinge.wire._control import (
-    Beat,
-    BundleIs,
+    BundleUpdate,
     GetBundle,
     GetInstances,
+    Heartbeat,
     Hello,
-    InstancesAre,
-    Serves,
+    InstanceListReply,
+    LoadedAdapters,
 )
 
 
-class Reserve(MessageBase, tag=5, frozen=True):
+class ReserveSlot(MessageBase, tag=5, frozen=True):
     """Asks a decode agent for a memory slot.
 
     Attributes:
@@ -43,8 +43,8 @@
         member: who asks; shares are kept per member.
         model: name of the model or adapter.
         rank: priority class; 0 is the most urgent.
-        within: seconds from now until the slot is of no more use.
-        lead: seconds from the grant until the slot would be used (reading and transfer).
+        timeout_s: seconds from now until the slot is of no more use.
+        lead_s: seconds from the grant until the slot would be used (reading and transfer).
         max_tokens: most tokens the answer may have.
         partner: partner of the member.
     """
@@ -53,25 +53,25 @@
     member: str
     model: str
     rank: int
-    within: float
-    lead: float
+    timeout_s: float
+    lead_s: float
     max_tokens: int
     partner: str = ""
 
 
-class Granted(MessageBase, tag=6, frozen=True):
+class SlotGranted(MessageBase, tag=6, frozen=True):
     """A slot is leased.
 
     Attributes:
         req: the request.
-        ready: seconds until the slot is expected to be free.
-        lease: seconds for which the slot is held unused.
+        ready_in_s: seconds until the slot is expected to be free.
+        lease_s: seconds for which the slot is held unused.
         load: the agent's load just after.
     """
 
     req: int
-    ready: float
-    lease: float
+    ready_in_s: float
+    lease_s: float
     load: Load | None = None
 
 
@@ -81,13 +81,13 @@
     Attributes:
         req: the request.
         code: class of failure.
-        retry_after: seconds after which it might be taken.
+        retry_after_s: seconds after which it might be taken.
         load: the agent's load just after.
     """
 
     req: int
     code: str
-    retry_after: float = 0.0
+    retry_after_s: float = 0.0
     load: Load | None = None
 
 
@@ -100,8 +100,8 @@
         body: the caller's JSON body.
         member: for the shares.
         rank: priority class.
-        within: seconds after which the result is of no more use.
-        tokens: estimated length of the prompt.
+        timeout_s: seconds after which the result is of no more use.
+        uncached_tokens: estimated length of the prompt.
     """
 
     req: int
@@ -109,8 +109,8 @@
     body: bytes
     member: str
     rank: int
-    within: float
-    tokens: int
+    timeout_s: float
+    uncached_tokens: int
 
 
 class PrefillDone(MessageBase, tag=9, frozen=True):
@@ -118,18 +118,18 @@
 
     Attributes:
         req: the request.
-        kv: JSON of the engine's transfer parameters.
-        cached: prompt tokens found in the prefix cache.
-        prompt: prompt tokens.
-        took: seconds the engine spent.
+        kv_handle: JSON of the engine's transfer parameters.
+        cached_tokens: prompt tokens found in the prefix cache.
+        prompt_tokens: prompt tokens.
+        duration_s: seconds the engine spent.
         load: the agent's load just after.
     """
 
     req: int
-    kv: bytes
-    cached: int
-    prompt: int
-    took: float
+    kv_handle: bytes
+    cached_tokens: int
+    prompt_tokens: int
+    duration_s: float
     load: Load | None = None
 
 
@@ -140,15 +140,16 @@
         req: the request.
         path: path of the engine's completion call.
         body: the caller's JSON body.
-        kv: from PrefillDone.
-        patience: seconds without a first piece after which the transfer counts as stalled.
+        kv_handle: from PrefillDone.
+        transfer_timeout_s: seconds without a first token after which the transfer counts as
+            stalled.
     """
 
     req: int
     path: str
     body: bytes
-    kv: bytes
-    patience: float = 2.0
+    kv_handle: bytes
+    transfer_timeout_s: float = 2.0
 
 
 class Tokens(MessageBase, tag=11, frozen=True):
@@ -156,12 +157,12 @@
 
     Attributes:
         req: the request.
-        seq: number of the first piece, from 0.
+        first_index: number of the first piece, from 0.
         texts: the pieces.
     """
 
     req: int
-    seq: int
+    first_index: int
     texts: tuple[str, ...]
 
 
@@ -170,13 +171,13 @@
 
     Attributes:
         req: the request.
-        count: number of pieces in the whole answer.
-        finish: the engine's finish reason.
+        token_count: number of pieces in the whole answer.
+        finish_reason: the engine's finish reason.
     """
 
     req: int
-    count: int
-    finish: str
+    token_count: int
+    finish_reason: str
 
 
 class Failed(MessageBase, tag=13, frozen=True):
@@ -185,12 +186,12 @@
     Attributes:
         req: the request.
         code: class of failure.
-        ran: False only when it is certain that nothing ran.
+        may_have_run: False only when it is certain that nothing ran.
     """
 
     req: int
     code: str
-    ran: bool
+    may_have_run: bool
 
 
 class Cancel(MessageBase, tag=14, frozen=True):
@@ -199,7 +200,7 @@
     req: int
 
 
-class Call(MessageBase, tag=15, frozen=True):
+class ServiceCall(MessageBase, tag=15, frozen=True):
     """A call to a plain service."""
 
     req: int
@@ -207,11 +208,11 @@
     target: str
     headers: dict[str, str]
     body: bytes
-    within: float
+    timeout_s: float
     member: str = ""
 
 
-class CallDone(MessageBase, tag=16, frozen=True):
+class ServiceResponse(MessageBase, tag=16, frozen=True):
     """A plain service's answer."""
 
     req: int
@@ -222,11 +223,11 @@
 
 Message = (
     Hello
-    | Beat
+    | Heartbeat
     | GetBundle
-    | BundleIs
-    | Reserve
-    | Granted
+    | BundleUpdate
+    | ReserveSlot
+    | SlotGranted
     | Refused
     | Prefill
     | PrefillDone
@@ -235,8 +236,8 @@
     | DecodeDone
     | Failed
     | Cancel
-    | Call
-    | CallDone
+    | ServiceCall
+    | ServiceResponse
     | FencePermitRequest
     | FencePermitted
     | FenceAlreadyTaken
@@ -248,6 +249,6 @@
     | FenceSync
     | FenceJoined
     | GetInstances
-    | InstancesAre
-    | Serves
+    | InstanceListReply
+    | LoadedAdapters
 )
--- a/src/crankhinge_bench/_fakes.py
+++ b/src/crankhinge_bench/_fakes.py
@@ -12,7 +12,7 @@
 from crankhinge.runtime import get_log, serve_tcp
 from crankhinge.wire import (
     WIRE_VERSION,
-    Beat,
+    Heartbeat,
     Hello,
     Link,
     Load,
@@ -64,18 +64,18 @@
         reader = await curio.spawn(link.run, _ignore, daemon=True)
         try:
             while not link.closed:
-                await link.send(Beat(1, load))
+                await link.send(Heartbeat(1, load))
                 await curio.sleep(self._beat_s)
         finally:
             await reader.cancel()
 
     def bytes_in(self) -> int:
         """Return the bytes that the real process has sent."""
-        return sum(link.bytes_in for link in self.links)
+        return sum(link.bytes_received for link in self.links)
 
     def bytes_out(self) -> int:
         """Return the bytes that it was sent."""
-        return sum(link.bytes_out for link in self.links)
+        return sum(link.bytes_sent for link in self.links)
 
 
 class FakeAgents(FakePeers):
@@ -128,6 +128,6 @@
                 await group.spawn(self._dial, number)
 
     async def _dial(self, number: int) -> None:
-        hello = Hello(WIRE_VERSION, f"fake-entry-{number}", "entry", "naas", 1, bundle=1)
+        hello = Hello(WIRE_VERSION, f"fake-entry-{number}", "entry", "naas", 1, bundle_version=1)
         link = await connect_link(HOST, self._port, hello)
         await self._beat(link, None)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -6,9 +6,9 @@
 
 from crankhinge.config import BundleView, hash_credential, parse_bundle
 from crankhinge.decisions import Breaker, MemberLimits, RetryBudget, WorkQueue, WorkRequest
-from crankhinge.entry._ask import authenticate, prefix_blocks, read_completion
-from crankhinge.entry._calls import Calls, LinkLost
-from crankhinge.entry._progress import Progress, RequestIds
+from crankhinge.entry._mailboxes import LinkLost, Mailboxes
+from crankhinge.entry._progress import RequestIds, RequestProgress
+from crankhinge.entry._requests import authenticate, hash_prefix_blocks, parse_completion
 from crankhinge.errors import BadCredentials, LinkClosed, RequestError, SlowCaller
 from crankhinge.http import HttpRequest
 from crankhinge.wire import Tokens
@@ -52,13 +52,13 @@
         view = make_view()
         req = make_req(body, **headers)
         with pytest.raises(RequestError, match=reason):
-            read_completion(view, req, authenticate(view, req.headers))
+            parse_completion(view, req, authenticate(view, req.headers))
 
     def test_priority_is_capped_by_the_member(self) -> None:
         """A member can't ask for a class above its own."""
         view = make_view()
         req = make_req({"model": "m1", "prompt": "x"}, x_priority="0")
-        assert read_completion(view, req, authenticate(view, req.headers)).terms.rank == 1
+        assert parse_completion(view, req, authenticate(view, req.headers)).options.rank == 1
 
     def test_credentials(self) -> None:
         """Only a known bearer credential is taken."""
@@ -71,8 +71,8 @@
         view = make_view()
         messages = [{"role": "user", "content": "hi"}]
         req = make_req({"model": "m1", "messages": messages}, "/v1/chat/completions")
-        ask = read_completion(view, req, authenticate(view, req.headers))
-        body = msgspec.json.decode(ask.body_after(" a b", 2))
+        ask = parse_completion(view, req, authenticate(view, req.headers))
+        body = msgspec.json.decode(ask.continuation_body(" a b", 2))
         assert body["messages"][-1] == {"role": "assistant", "content": " a b"}
         assert body["continue_final_message"] is True
         assert body["max_tokens"] == ask.max_tokens - 2
@@ -80,7 +80,7 @@
     def test_prefix_blocks_depend_on_all_before(self) -> None:
         """Two prompts share leading blocks exactly as far as they agree."""
         head = "x" * 1024
-        first, second = prefix_blocks(head + "a" * 512), prefix_blocks(head + "b" * 512)
+        first, second = hash_prefix_blocks(head + "a" * 512), hash_prefix_blocks(head + "b" * 512)
         assert first[:2] == second[:2]
         assert first[2] != second[2]
 
@@ -98,14 +98,14 @@
         """A message for a request of another link, or of none, reaches nobody."""
 
         async def scenario() -> int:
-            calls = Calls(100)
+            calls = Mailboxes(100)
             mine, other = FakeLink(), FakeLink()
             box = calls.open(mine, 7)  # type: ignore[arg-type]
             await calls.deliver(other, Tokens(box.req, 0, ("x",)))  # type: ignore[arg-type]
             await calls.deliver(mine, Tokens(box.req + 1, 0, ("x",)))  # type: ignore[arg-type]
             calls.close(box)
             await calls.deliver(mine, Tokens(box.req, 0, ("x",)))  # type: ignore[arg-type]
-            return calls.dropped
+            return calls.dropped_count
 
         assert run_virtual(scenario) == 3
 
@@ -113,10 +113,10 @@
         """Whoever waits on a link that ends is told so."""
 
         async def scenario() -> None:
-            calls = Calls(100)
+            calls = Mailboxes(100)
             link = FakeLink()
             box = calls.open(link, 7)  # type: ignore[arg-type]
-            await calls.fail(link)  # type: ignore[arg-type]
+            await calls.fail_link(link)  # type: ignore[arg-type]
             await curio.timeout_after(1, box.get)
 
         with pytest.raises(LinkLost):
@@ -126,7 +126,7 @@
         """Tokens beyond the buffer are a typed failure, not memory."""
 
         async def scenario() -> None:
-            calls = Calls(10)
+            calls = Mailboxes(10)
             link = FakeLink()
             box = calls.open(link, 7)  # type: ignore[arg-type]
             for seq in range(20):
@@ -142,7 +142,7 @@
         link.closed = True
         link.peer = type("Peer", (), {"name": "x"})  # type: ignore[attr-defined]
         with pytest.raises(LinkClosed):
-            Calls(10).open(link, 1)  # type: ignore[arg-type]
+            Mailboxes(10).open(link, 1)  # type: ignore[arg-type]
 
 
 class TestIdentities:
@@ -151,11 +151,11 @@
     def test_steps_share_all_but_two_digits(self) -> None:
         """A request's lines in all logs are found by the head of its identity."""
         ids = RequestIds(99)
-        progress = Progress(ids.next())
-        steps = [f"{progress.new_step():016x}" for _ in range(3)]
-        assert {step[:14] for step in steps} == {f"{progress.ident:016x}"[:14]}
+        progress = RequestProgress(ids.new_id())
+        steps = [f"{progress.new_step_id():016x}" for _ in range(3)]
+        assert {step[:14] for step in steps} == {f"{progress.request_id:016x}"[:14]}
         assert len(set(steps)) == 3
-        assert f"{ids.next():016x}"[:14] != steps[0][:14]
+        assert f"{ids.new_id():016x}"[:14] != steps[0][:14]
 
 
 class TestBudget:
--- a/tests/test_propagation.py
+++ b/tests/test_propagation.py
@@ -11,7 +11,7 @@
 from crankhinge.config import BUNDLE_KEY, BundleKeeper
 from crankhinge.peers import BundlePropagator
 from crankhinge.runtime import get_log
-from crankhinge.wire import Beat, Hello
+from crankhinge.wire import Heartbeat, Hello
 from test_config import MemoryKeyValue, Signers
 from virtual_time import run_virtual
 
@@ -35,8 +35,8 @@
     """One end of a link; the other end handles each sent message after 1 ms."""
 
     def __init__(self, receiver: Node, version: int) -> None:
-        self.peer = Hello(1, "peer", "entry", "z", 1, bundle=version)
-        self.bundle = version
+        self.peer = Hello(1, "peer", "entry", "z", 1, bundle_version=version)
+        self.peer_bundle_version = version
         self.closed = False
         self.back: Any = None
         self._receiver = receiver
@@ -159,8 +159,8 @@
             _, _, there, _ = network.links[0]
             network.nodes[1].keeper = BundleKeeper(signers.keys)
             network.nodes[1].propagator.keeper = network.nodes[1].keeper
-            there.bundle = 0
-            await network.nodes[0].propagator.handle_message(there, Beat(0))  # type: ignore[arg-type]
+            there.peer_bundle_version = 0
+            await network.nodes[0].propagator.handle_message(there, Heartbeat(0))  # type: ignore[arg-type]
             await curio.sleep(1)
             return network.versions({0, 1})
 
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -21,15 +21,15 @@
 from crankhinge.decisions import SlotTable, WorkQueue
 from crankhinge.runtime import Metrics, get_log
 from crankhinge.wire import (
-    Call,
-    CallDone,
     Cancel,
     Decode,
     DecodeDone,
     Failed,
-    Granted,
     Refused,
-    Reserve,
+    ReserveSlot,
+    ServiceCall,
+    ServiceResponse,
+    SlotGranted,
     Tokens,
 )
 from virtual_time import run_virtual
@@ -116,15 +116,15 @@
     )
 
 
-def reserve(req: int, within: float = 30.0) -> Reserve:
+def reserve(req: int, within: float = 30.0) -> ReserveSlot:
     """Return a request for a slot."""
-    return Reserve(req, "m", "m1", 1, within, 0.05, 5)
+    return ReserveSlot(req, "m", "m1", 1, within, 0.05, 5)
 
 
 async def serve(role: DecodeRole, link: Any, req: int) -> None:
     """Reserve and decode as an entry would."""
     await role.handle(link, reserve(req))
-    while not any(msg.req == req for msg in link.of(Granted)):
+    while not any(msg.req == req for msg in link.of(SlotGranted)):
         await curio.sleep(0.01)
     await role.handle(link, Decode(req, "/v1/completions", b"{}", b"{}", 0.5))
 
@@ -158,7 +158,7 @@
             await role.handle(link, reserve(2))  # type: ignore[arg-type]
             await curio.sleep(0.15)
             await role.handle(link, Cancel(1))  # type: ignore[arg-type]
-            return engine.running, [msg.req for msg in link.of(Granted)]
+            return engine.running, [msg.req for msg in link.of(SlotGranted)]
 
         assert run_virtual(scenario) == (0, [1, 2])
 
@@ -172,8 +172,8 @@
                 await serve(role, link, req)
             await role.handle(link, reserve(3))  # type: ignore[arg-type]
             await curio.sleep(0.15)
-            await role.forget(link)  # type: ignore[arg-type]
-            return engine.running, role.busy
+            await role.cancel_requests_of(link)  # type: ignore[arg-type]
+            return engine.running, role.is_busy
 
         assert run_virtual(scenario) == (0, False)
 
@@ -186,7 +186,7 @@
             role = make_role(engine)
             await serve(role, link, 1)
             await curio.sleep(0.6)
-            return [msg.code for msg in link.of(Failed)], role.busy
+            return [msg.code for msg in link.of(Failed)], role.is_busy
 
         assert run_virtual(scenario) == (["transfer-stalled"], False)
 
@@ -201,11 +201,11 @@
             await curio.sleep(0.1)
             await role.handle(link, reserve(1))  # type: ignore[arg-type]
             await curio.sleep(2)
-            before = len(link.of(Granted))
+            before = len(link.of(SlotGranted))
             engine.foreign = 0
             await curio.sleep(2)
             await runner.cancel()
-            return before, len(link.of(Granted))
+            return before, len(link.of(SlotGranted))
 
         assert run_virtual(scenario) == (0, 1)
 
@@ -225,7 +225,7 @@
             await curio.sleep(1)
             await role.handle(link, reserve(2))  # type: ignore[arg-type]
             await runner.cancel()
-            return [msg.code for msg in link.of(Refused)], down, len(link.of(Granted))
+            return [msg.code for msg in link.of(Refused)], down, len(link.of(SlotGranted))
 
         assert run_virtual(scenario) == (["backend-down"], True, 1)
 
@@ -251,7 +251,7 @@
             engine, link = FakeEngine(), FakeLink()
             role = make_role(engine)
             await serve(role, link, 1)
-            role.close()
+            role.stop_accepting()
             await role.handle(link, reserve(2))  # type: ignore[arg-type]
             await curio.sleep(2)
             return [msg.code for msg in link.of(Refused)], len(link.of(DecodeDone))
@@ -316,14 +316,14 @@
             service, link = RestingService(), FakeLink()
             role = plain_role(service)
             for req in range(4):
-                call = Call(req, "POST", "/x", {}, b"", 20.0)
+                call = ServiceCall(req, "POST", "/x", {}, b"", 20.0)
                 await role.handle(link, call)  # type: ignore[arg-type]
                 await curio.sleep(0.7)
-            left = [round(msg.retry_after, 1) for msg in link.of(Refused)]
+            left = [round(msg.retry_after_s, 1) for msg in link.of(Refused)]
             await curio.sleep(2.0)
-            await role.handle(link, Call(9, "POST", "/x", {}, b"", 20.0))  # type: ignore[arg-type]
+            await role.handle(link, ServiceCall(9, "POST", "/x", {}, b"", 20.0))  # type: ignore[arg-type]
             await curio.sleep(1.5)
-            return service.runs, left, link.of(CallDone)[-1].status
+            return service.runs, left, link.of(ServiceResponse)[-1].status
 
         runs, left, status = run_virtual(scenario)
         assert (runs, status) == (2, 200)
@@ -336,11 +336,11 @@
             service, link, other = SlowService(), FakeLink(), FakeLink()
             role = plain_role(service)
             for req, owner in ((1, link), (2, link), (3, other)):
-                call = Call(req, "POST", "/x", {}, b"", 20.0)
+                call = ServiceCall(req, "POST", "/x", {}, b"", 20.0)
                 await role.handle(owner, call)  # type: ignore[arg-type]
             await curio.sleep(0.1)
-            await role.forget(link)  # type: ignore[arg-type]
+            await role.cancel_requests_of(link)  # type: ignore[arg-type]
             await curio.sleep(5)
-            return service.runs, len(other.of(CallDone)), role.busy
+            return service.runs, len(other.of(ServiceResponse)), role.is_busy
 
         assert run_virtual(scenario) == (2, 1, False)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,7 +12,7 @@
     RoutingCosts,
     rank_by_key,
 )
-from crankhinge.entry._subset import subset
+from crankhinge.entry._agent_subset import choose_agents
 
 
 def make_router(seed: int = 1, **changes: object) -> Router:
@@ -132,15 +132,15 @@
         agents = [Instance(f"w{n}", "h", 1, "z", "write") for n in range(36)]
         links: Counter[str] = Counter()
         for entry in range(360):
-            links.update(list(subset(agents, entry=f"e{entry}", limit=8)))
+            links.update(list(choose_agents(agents, entry_name=f"e{entry}", max_per_pool=8)))
         assert min(links.values()) > 40
         assert max(links.values()) < 130
 
     def test_a_change_moves_few_links(self) -> None:
         """When one agent goes, an entry changes at most one link."""
         agents = [Instance(f"w{n}", "h", 1, "z", "write") for n in range(36)]
-        before = set(subset(agents, entry="e1", limit=8))
-        after = set(subset(agents[1:], entry="e1", limit=8))
+        before = set(choose_agents(agents, entry_name="e1", max_per_pool=8))
+        after = set(choose_agents(agents[1:], entry_name="e1", max_per_pool=8))
         assert len(before - after) <= 1
 
     def test_order_depends_on_the_key(self) -> None:
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -8,7 +8,7 @@
 
 from crankhinge.peers import HeartbeatSender
 from crankhinge.runtime import RestartLimitReached, Supervisor, get_log
-from crankhinge.wire import Beat
+from crankhinge.wire import Heartbeat
 from virtual_time import run_virtual
 
 
@@ -59,9 +59,9 @@
     """A link that records the frames it is given."""
 
     def __init__(self) -> None:
-        self.heard = 0.0
+        self.last_received_at = 0.0
         self.closed = False
-        self.congested = False
+        self.is_congested = False
         self.sent: list[bytes] = []
 
     async def send_frame(self, frame: bytes) -> None:
@@ -80,15 +80,15 @@
         """A peer that sends nothing for some heartbeats loses its link; a live peer keeps it."""
 
         async def scenario() -> tuple[bool, bool, int]:
-            beater = HeartbeatSender(1.0, lambda _now: Beat(1))
+            beater = HeartbeatSender(1.0, lambda _now: Heartbeat(1))
             silent: Any = FakeLink()
             lively: Any = FakeLink()
-            silent.heard = lively.heard = await curio.clock()
+            silent.last_received_at = lively.last_received_at = await curio.clock()
             beater.links |= {silent, lively}
             task = await curio.spawn(beater.run)
             for _ in range(10):
                 await curio.sleep(1.0)
-                lively.heard = await curio.clock()
+                lively.last_received_at = await curio.clock()
             await task.cancel()
             return silent.closed, lively.closed, len(lively.sent)
 
@@ -100,9 +100,9 @@
         """A process that was paused itself does not close links for the silence meanwhile."""
 
         async def scenario() -> bool:
-            beater = HeartbeatSender(1.0, lambda _now: Beat(1))
+            beater = HeartbeatSender(1.0, lambda _now: Heartbeat(1))
             link: Any = FakeLink()
-            link.heard = await curio.clock() - 30.0
+            link.last_received_at = await curio.clock() - 30.0
             beater.links.add(link)
             beater._reset_link_timers(await curio.clock())
             await beater._send_heartbeats(await curio.clock())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from crankhinge.errors import CrankhingeError, WireError
-from crankhinge.wire import Beat, FrameReader, Granted, Hello, Load, Tokens, encode
+from crankhinge.wire import FrameReader, Heartbeat, Hello, Load, SlotGranted, Tokens, encode
 from crankhinge.wire._codec import MAX_FRAME_BYTES, decode
 
 
@@ -22,7 +22,7 @@
         reader = FrameReader()
         out = []
         for size in [*sizes, len(stream)]:
-            out += reader.feed(stream[:size])
+            out += reader.read_messages(stream[:size])
             stream = stream[size:]
         assert out == msgs
 
@@ -31,14 +31,14 @@
     def test_garbage_is_a_typed_error(self, data: bytes) -> None:
         """Bytes that are no message raise our error and no other."""
         try:
-            FrameReader().feed(data)
+            FrameReader().read_messages(data)
         except CrankhingeError as exc:
             assert isinstance(exc, WireError)
 
     def test_a_huge_frame_is_refused_unread(self) -> None:
         """A length over the limit is refused before anything is kept for it."""
         with pytest.raises(WireError):
-            FrameReader().feed((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
+            FrameReader().read_messages((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
 
 
 class TestVersions:
@@ -47,13 +47,13 @@
     def test_a_newer_peer_may_add_a_field(self) -> None:
         """A field added at the end by a newer peer is passed over."""
         body = msgspec.msgpack.encode([6, 1, 0.0, 2.0, None, "new"])
-        assert decode(body) == Granted(1, 0.0, 2.0)
+        assert decode(body) == SlotGranted(1, 0.0, 2.0)
 
     def test_an_older_peer_may_leave_one_out(self) -> None:
         """A field that an older peer doesn't know has its default."""
-        assert decode(msgspec.msgpack.encode([6, 1, 0.0, 2.0])) == Granted(1, 0.0, 2.0)
+        assert decode(msgspec.msgpack.encode([6, 1, 0.0, 2.0])) == SlotGranted(1, 0.0, 2.0)
 
     def test_round_trip(self) -> None:
         """What is sent is what arrives."""
-        for msg in (Hello(1, "n", "entry", "z", 5), Beat(3, Load(1, 2, 0.5))):
-            assert FrameReader().feed(encode(msg)) == [msg]
+        for msg in (Hello(1, "n", "entry", "z", 5), Heartbeat(3, Load(1, 2, 0.5))):
+            assert FrameReader().read_messages(encode(msg)) == [msg]
