--- a/src/crankhinge/agent/_adapter_loader.py
+++ b/src/crankhinge/agent/_adapter_loader.py
@@ -49,14 +49,14 @@
         on_change: Callable[[tuple[str, ...]], Awaitable[None]],
         log: Any,
     ) -> None:
-        self._me = agent_name
-        self._pool = pool_name
+        self._agent_name = agent_name
+        self._pool_name = pool_name
         self._engine = engine
         self._kv = kv
-        self._changed = on_change
+        self._on_change = on_change
         self._log = log
         self._wanted: dict[str, Adapter] = {}
-        self._width = 1
+        self._max_concurrent = 1
         self._loaded: dict[str, int] = {}
         self._rng = random.Random(agent_name)
 
@@ -67,14 +67,14 @@
 
     def apply_bundle(self, bundle: Bundle) -> None:
         """Take over what the bundle wants of this engine."""
-        models = [m for m in bundle.models if self._pool in (*m.prefill, *m.decode)]
+        models = [m for m in bundle.models if self._pool_name in (*m.prefill, *m.decode)]
         self._wanted = {adapter.name: adapter for model in models for adapter in model.adapters}
-        pool = bundle.find_pool(self._pool)
-        self._width = pool.rolling if pool else 1
+        pool = bundle.find_pool(self._pool_name)
+        self._max_concurrent = pool.rolling if pool else 1
 
     async def run(self) -> None:
         """Load what is missing until cancelled."""
-        pause = INITIAL_RETRY_DELAY_S
+        delay_s = INITIAL_RETRY_DELAY_S
         while True:
             await self._drop_unwanted()
             versions = {name: adapter.version for name, adapter in self._wanted.items()}
@@ -83,34 +83,34 @@
                 await curio.sleep(CHECK_INTERVAL_S)
                 continue
             try:
-                done = await self._roll(missing)
+                is_done = await self._roll_out(missing)
             except KeyValueUnavailable as exc:
                 self._log.warning("roll_waits", why=exc.detail)
-                done = False
-            pause = INITIAL_RETRY_DELAY_S if done else min(MAX_RETRY_DELAY_S, pause * 1.5)
-            if not done:
-                await curio.sleep(pause * self._rng.uniform(0.5, 1.0))
+                is_done = False
+            delay_s = INITIAL_RETRY_DELAY_S if is_done else min(MAX_RETRY_DELAY_S, delay_s * 1.5)
+            if not is_done:
+                await curio.sleep(delay_s * self._rng.uniform(0.5, 1.0))
 
     async def _drop_unwanted(self) -> None:
-        gone = [name for name in self._loaded if name not in self._wanted]
-        for name in gone:
+        unwanted = [name for name in self._loaded if name not in self._wanted]
+        for name in unwanted:
             del self._loaded[name]
-        if gone:
-            await self._changed(self.loaded_names)
+        if unwanted:
+            await self._on_change(self.loaded_names)
 
-    async def _roll(self, missing: list[str]) -> bool:
+    async def _roll_out(self, missing: list[str]) -> bool:
         """Take a place, load, and give the place back; False when no place was free."""
-        lease = await self._acquire()
-        if lease is None:
+        acquired = await self._acquire_turn()
+        if acquired is None:
             return False
         try:
             for name in missing:
-                await self._load(name, lease.token)
+                await self._load_adapter(name, acquired.token)
         finally:
-            await self._give_back()
+            await self._release_turn()
         return True
 
-    async def _load(self, name: str, token: int) -> None:
+    async def _load_adapter(self, name: str, token: int) -> None:
         adapter = self._wanted.get(name)
         if adapter is None:
             return
@@ -122,10 +122,10 @@
             return
         self._loaded[name] = adapter.version
         self._log.info("adapter_loaded", adapter=name, version=adapter.version, token=token)
-        await self._changed(self.loaded_names)
+        await self._on_change(self.loaded_names)
 
-    async def _read(self) -> tuple[RolloutRecord, int]:
-        value = await self._kv.get(KEY_PREFIX + self._pool)
+    async def _read_record(self) -> tuple[RolloutRecord, int]:
+        value = await self._kv.get(KEY_PREFIX + self._pool_name)
         if value is None:
             return RolloutRecord(), 0
         try:
@@ -133,27 +133,29 @@
         except msgspec.DecodeError as exc:
             raise KeyValueUnavailable(f"unreadable roll record: {exc}") from exc
 
-    async def _acquire(self) -> AcquiredRollout | None:
-        record, index = await self._read()
-        lease = try_acquire_rollout(record, self._me, self._width, wall_ms())
-        if lease is None:
+    async def _acquire_turn(self) -> AcquiredRollout | None:
+        record, index = await self._read_record()
+        acquired = try_acquire_rollout(record, self._agent_name, self._max_concurrent, wall_ms())
+        if acquired is None:
             return None
-        data = msgspec.json.encode(lease.record)
+        data = msgspec.json.encode(acquired.record)
         try:
-            won = await self._kv.swap(KEY_PREFIX + self._pool, data, index)
+            swapped = await self._kv.swap(KEY_PREFIX + self._pool_name, data, index)
         except KeyValueUnavailable:
             # The answer is lost: the record itself says whether the place is ours.
-            won = (await self._read())[0] == lease.record
-        return lease if won else None
+            swapped = (await self._read_record())[0] == acquired.record
+        return acquired if swapped else None
 
-    async def _give_back(self) -> None:
+    async def _release_turn(self) -> None:
         """Free the place; if that fails, its end will."""
         for _ in range(5):
             try:
-                record, index = await self._read()
-                rest = release_rollout(record, self._me)
-                data = msgspec.json.encode(rest)
-                if rest == record or await self._kv.swap(KEY_PREFIX + self._pool, data, index):
+                record, index = await self._read_record()
+                remaining = release_rollout(record, self._agent_name)
+                data = msgspec.json.encode(remaining)
+                if remaining == record or await self._kv.swap(
+                    KEY_PREFIX + self._pool_name, data, index
+                ):
                     return
             except KeyValueUnavailable:
                 await curio.sleep(INITIAL_RETRY_DELAY_S)
--- a/src/crankhinge/agent/_agent.py
+++ b/src/crankhinge/agent/_agent.py
@@ -63,39 +63,39 @@
     ) -> None:
         self._settings = settings
         self._role = role
-        self._spread = propagator
+        self._propagator = propagator
         self._keeper = keeper
-        self._roster = instance_list
+        self._instance_list = instance_list
         self._incarnation = incarnation
         self._log = log
-        self._beater = HeartbeatSender(settings.beat_s, self._make_beat)
-        role.on_health_change = self._beater.send_now
-        self._fence = FenceService(
+        self._heartbeat_sender = HeartbeatSender(settings.beat_s, self._make_heartbeat)
+        role.on_health_change = self._heartbeat_sender.send_now
+        self._fence_service = FenceService(
             agent_name=settings.name,
             incarnation=incarnation,
             kv=kv,
             instance_list=instance_list,
-            make_hello=self._hello,
+            make_hello=self._make_hello,
             run_link=self._run_link,
             log=log,
         )
-        keeper.listeners.append(self._fence.apply_bundle)
-        self._adapters: AdapterLoader | None = None
+        keeper.listeners.append(self._fence_service.apply_bundle)
+        self._adapter_loader: AdapterLoader | None = None
         if engine is not None:
-            self._adapters = AdapterLoader(
+            self._adapter_loader = AdapterLoader(
                 agent_name=settings.name,
                 pool_name=settings.pool,
                 engine=engine,
                 kv=kv,
-                on_change=self._tell_served,
+                on_change=self._send_loaded_adapters,
                 log=log,
             )
-            keeper.listeners.append(self._adapters.apply_bundle)
+            keeper.listeners.append(self._adapter_loader.apply_bundle)
 
-    def _make_beat(self, now: float) -> Heartbeat:
+    def _make_heartbeat(self, now: float) -> Heartbeat:
         return Heartbeat(self._keeper.version, self._role.load(now))
 
-    def _hello(self) -> Hello:
+    def _make_hello(self) -> Hello:
         settings = self._settings
         return Hello(
             WIRE_VERSION,
@@ -111,19 +111,19 @@
         """Serve until cancelled."""
         supervisor = Supervisor(self._log)
         supervisor.add("listener", self._listen)
-        supervisor.add("beats", self._beater.run)
+        supervisor.add("beats", self._heartbeat_sender.run)
         supervisor.add("role", self._role.run)
         supervisor.add("backend", self._role.watch_backend)
-        supervisor.add("bundle", self._spread.watch)
-        supervisor.add("fence", self._fence.run)
-        supervisor.add("list", self._roster.run)
-        if self._adapters is not None:
-            supervisor.add("adapters", self._adapters.run)
+        supervisor.add("bundle", self._propagator.watch)
+        supervisor.add("fence", self._fence_service.run)
+        supervisor.add("list", self._instance_list.run)
+        if self._adapter_loader is not None:
+            supervisor.add("adapters", self._adapter_loader.run)
         await supervisor.run()
 
-    async def _tell_served(self, names: tuple[str, ...]) -> None:
+    async def _send_loaded_adapters(self, names: tuple[str, ...]) -> None:
         """Tell all entries which adapters the engine has."""
-        for link in list(self._beater.links):
+        for link in list(self._heartbeat_sender.links):
             await send_if_open(link, LoadedAdapters(names))
 
     async def _listen(self) -> None:
@@ -131,7 +131,7 @@
 
     async def _accept(self, sock: Any, addr: Any) -> None:
         try:
-            link = await accept_link(sock, self._hello())
+            link = await accept_link(sock, self._make_hello())
         except (WireError, LinkClosed) as exc:
             self._log.info("link_refused", peer=str(addr), code=exc.code, why=exc.detail)
             return
@@ -139,40 +139,42 @@
 
     async def _run_link(self, link: Link) -> None:
         """Serve a link until it ends, whichever side opened it."""
-        self._beater.links.add(link)
+        self._heartbeat_sender.links.add(link)
         is_agent = link.peer.role in AGENT_ROLES
         try:
             if is_agent:
-                await self._fence.add_link(link)
-            await self._spread.add_link(link)
-            if self._adapters is not None and not is_agent:
-                await link.send(LoadedAdapters(self._adapters.loaded_names))
-            await self._beater.send_now()
+                await self._fence_service.add_link(link)
+            await self._propagator.add_link(link)
+            if self._adapter_loader is not None and not is_agent:
+                await link.send(LoadedAdapters(self._adapter_loader.loaded_names))
+            await self._heartbeat_sender.send_now()
             await link.run(self._handle)
         except (WireError, LinkClosed) as exc:
             self._log.warning("link_broken", peer=link.peer.name, code=exc.code, why=exc.detail)
         finally:
             link.closed = True
-            self._beater.links.discard(link)
-            self._spread.remove_link(link)
+            self._heartbeat_sender.links.discard(link)
+            self._propagator.remove_link(link)
             if is_agent:
-                await self._fence.remove_link(link)
+                await self._fence_service.remove_link(link)
             await self._role.cancel_requests_of(link)
 
     async def _handle(self, link: Link, msg: Message) -> None:
-        if await self._spread.handle_message(link, msg):
+        if await self._propagator.handle_message(link, msg):
             return
         if isinstance(msg, GetInstances):
-            await link.send(InstanceListReply(tuple(_row_of(i) for i in self._roster.instances)))
+            await link.send(
+                InstanceListReply(tuple(_to_row(i) for i in self._instance_list.instances))
+            )
             return
-        if not await self._fence.handle_message(link, msg):
+        if not await self._fence_service.handle_message(link, msg):
             await self._role.handle(link, msg)
 
     async def drain(self) -> None:
         """Take no new work and return once nothing is in progress, or after ``drain_s``."""
         self._log.info("draining")
         self._role.stop_accepting()
-        await self._beater.send_now()
+        await self._heartbeat_sender.send_now()
         await curio.ignore_after(self._settings.drain_s, self._wait_idle)
         self._log.info("drained", open=self._role.open_requests)
 
@@ -183,7 +185,7 @@
             await curio.sleep(DRAIN_POLL_S)
 
 
-def _row_of(instance: Instance) -> InstanceRow:
+def _to_row(instance: Instance) -> InstanceRow:
     return InstanceRow(
         instance.name,
         instance.host,
--- a/src/crankhinge/agent/_decode.py
+++ b/src/crankhinge/agent/_decode.py
@@ -48,10 +48,10 @@
         super().__init__(**more)
         self._engine = engine
         self._table = table
-        self._ready: dict[int, Decode] = {}
+        self._waiting_decodes: dict[int, Decode] = {}
         self._wake = curio.Event()
         self._step_s = 0.0
-        self._settled = False
+        self._foreign_ended = False
 
     @property
     def is_busy(self) -> bool:
@@ -82,15 +82,15 @@
         """Let leases and waiting requests expire in time."""
         while True:
             now = await curio.clock()
-            until = self._table.next_tick_at()
-            pause = (
+            next_tick_at = self._table.next_tick_at()
+            delay_s = (
                 MAX_TICK_INTERVAL_S
-                if until is None
-                else min(MAX_TICK_INTERVAL_S, max(0.001, until - now))
+                if next_tick_at is None
+                else min(MAX_TICK_INTERVAL_S, max(0.001, next_tick_at - now))
             )
-            await curio.ignore_after(pause, self._wake.wait)
+            await curio.ignore_after(delay_s, self._wake.wait)
             self._wake.clear()
-            await self._apply(self._table.tick(await curio.clock()))
+            await self._apply_decisions(self._table.tick(await curio.clock()))
             self._drop_expired()
 
     async def probe(self) -> bool:
@@ -101,37 +101,37 @@
         """
         load = await probe_load(self._engine)
         if load is None:
-            self._settled = False
+            self._foreign_ended = False
             return False
-        if not self._settled:
+        if not self._foreign_ended:
             self._table.foreign_requests = max(0, load.running - self._table.running)
-            self._settled = not self._table.foreign_requests
-            await self._apply(self._table.tick(await curio.clock()))
+            self._foreign_ended = not self._table.foreign_requests
+            await self._apply_decisions(self._table.tick(await curio.clock()))
         return True
 
     def _drop_expired(self) -> None:
         """Forget the owners of leases that were never used."""
         for req in list(self._owners):
             if req not in self._tasks and not self._table.has_request(req):
-                self._ready.pop(req, None)
+                self._waiting_decodes.pop(req, None)
                 self.remove_owner(req)
 
     async def handle(self, link: Link, msg: Message) -> None:
         """Act on Reserve, Decode and Cancel."""
         if isinstance(msg, ReserveSlot):
-            await self._reserve(link, msg)
+            await self._handle_reserve(link, msg)
         elif isinstance(msg, Decode):
-            await self._decode(link, msg)
+            await self._handle_decode(link, msg)
         elif isinstance(msg, Cancel):
             await self.cancel(msg.req)
 
-    async def _reserve(self, link: Link, msg: ReserveSlot) -> None:
+    async def _handle_reserve(self, link: Link, msg: ReserveSlot) -> None:
         if self.is_unreachable:
             await self.refuse(link, msg.req, BACKEND_DOWN)
             return
         now = await curio.clock()
         weights = self.keeper.fair_share_weights(msg.member)
-        ask = SlotRequest(
+        request = SlotRequest(
             req=msg.req,
             partner=weights.partner,
             member=msg.member,
@@ -143,10 +143,10 @@
             partner_weight=weights.partner_weight,
         )
         self.set_owner(msg.req, link)
-        await self._apply(self._table.submit(ask, now))
+        await self._apply_decisions(self._table.submit(request, now))
         await self._wake.set()
 
-    async def _apply(self, decisions: list[SlotDecision]) -> None:
+    async def _apply_decisions(self, decisions: list[SlotDecision]) -> None:
         for decision in decisions:
             if isinstance(decision, SlotGrant):
                 req = decision.req
@@ -163,25 +163,25 @@
             await self.refuse(link, decision.req, decision.code, decision.retry_after_s)
         self.remove_owner(decision.req)
 
-    async def _decode(self, link: Link, msg: Decode) -> None:
+    async def _handle_decode(self, link: Link, msg: Decode) -> None:
         if self.find_owner(msg.req) is not link or not self._table.is_leased(msg.req):
             self.metrics.count("lease_expired")
             await link.send(Failed(msg.req, "lease-expired", False))
             return
-        self._ready[msg.req] = msg
-        await self._start_ready()
+        self._waiting_decodes[msg.req] = msg
+        await self._start_decodes()
 
-    async def _start_ready(self) -> None:
+    async def _start_decodes(self) -> None:
         """Start the answers whose slots are free by now."""
-        for req in list(self._ready):
+        for req in list(self._waiting_decodes):
             if self._table.start(req, await curio.clock()):
-                msg = self._ready.pop(req)
-                await self.start_task(req, self._write, msg)
+                msg = self._waiting_decodes.pop(req)
+                await self.start_task(req, self._run_decode, msg)
 
-    async def _write(self, msg: Decode) -> None:
+    async def _run_decode(self, msg: Decode) -> None:
         req = msg.req
         try:
-            stream = await self._open(msg)
+            stream = await self._open_stream(msg)
             try:
                 await self._relay(req, stream)
             finally:
@@ -196,7 +196,7 @@
             await self.release(req)
             self.remove_owner(req)
 
-    async def _open(self, msg: Decode) -> DecodeStream:
+    async def _open_stream(self, msg: Decode) -> DecodeStream:
         """Return the answer's stream once the engine has the result of the reading.
 
         Raises:
@@ -212,26 +212,26 @@
         return stream
 
     async def _relay(self, req: int, stream: DecodeStream) -> None:
-        seq = 0
+        token_count = 0
         last = 0.0
-        while pieces := await stream.next():
-            await self.send_to_owner(req, Tokens(req, seq, tuple(pieces)))
-            seq += len(pieces)
-            self._table.record_progress(req, seq)
+        while texts := await stream.next():
+            await self.send_to_owner(req, Tokens(req, token_count, tuple(texts)))
+            token_count += len(texts)
+            self._table.record_progress(req, token_count)
             now = await curio.clock()
             if last:
-                self._note_step((now - last) / len(pieces))
+                self._record_step((now - last) / len(texts))
             last = now
-        self.metrics.count("tokens", seq)
-        await self.send_to_owner(req, DecodeDone(req, seq, stream.finish))
+        self.metrics.count("tokens", token_count)
+        await self.send_to_owner(req, DecodeDone(req, token_count, stream.finish))
 
-    def _note_step(self, step_s: float) -> None:
-        gain = STEP_EWMA_WEIGHT if self._step_s else 1.0
-        self._step_s += gain * (step_s - self._step_s)
+    def _record_step(self, step_s: float) -> None:
+        weight = STEP_EWMA_WEIGHT if self._step_s else 1.0
+        self._step_s += weight * (step_s - self._step_s)
         self._table.step_s = self._step_s
 
     async def release(self, req: int) -> None:
         """Free the slot of *req* and give it to the next."""
-        self._ready.pop(req, None)
-        await self._apply(self._table.release(req, await curio.clock()))
-        await self._start_ready()
+        self._waiting_decodes.pop(req, None)
+        await self._apply_decisions(self._table.release(req, await curio.clock()))
+        await self._start_decodes()
--- a/src/crankhinge/agent/_fence_service.py
+++ b/src/crankhinge/agent/_fence_service.py
@@ -75,16 +75,16 @@
         run_link: LinkRunner,
         log: Any,
     ) -> None:
-        self._me = agent_name
-        self._writer = incarnation
+        self._agent_name = agent_name
+        self._incarnation = incarnation
         self._kv = kv
-        self._roster = instance_list
+        self._instance_list = instance_list
         self._make_hello = make_hello
         self._run_link = run_link
         self._log = log
         self._pairs: dict[str, FencePair] = {}
         self._links: dict[str, Link] = {}
-        self._askers: dict[int, Link] = {}
+        self._requesters: dict[int, Link] = {}
         self._rng = random.Random(agent_name)
 
     def apply_bundle(self, bundle: Bundle) -> None:
@@ -92,55 +92,59 @@
         wanted: dict[str, str] = {}
         for pool in bundle.pools:
             for number, (first, second) in enumerate(pool.fence):
-                if self._me in (first, second):
-                    other = second if self._me == first else first
+                if self._agent_name in (first, second):
+                    other = second if self._agent_name == first else first
                     wanted[fence_range_id(pool.name, number, (first, second))] = other
         for range_id in [known for known in self._pairs if known not in wanted]:
             del self._pairs[range_id]
         for range_id, other in wanted.items():
             if range_id not in self._pairs:
                 self._pairs[range_id] = FencePair(
-                    range_id=range_id, me=self._me, other=other, writer=self._writer
+                    range_id=range_id, me=self._agent_name, other=other, writer=self._incarnation
                 )
 
     async def run(self) -> None:
         """Tick and keep the links to the other holders until cancelled."""
-        dialers: dict[str, curio.Task] = {}
+        link_tasks: dict[str, curio.Task] = {}
         known: set[str] = set()
         while True:
             for pair in list(self._pairs.values()):
                 if pair.range_id not in known and pair.other in self._links:
-                    await self._act(pair, pair.on_linked())
+                    await self._apply_actions(pair, pair.on_linked())
                 known.add(pair.range_id)
-                if pair.other not in dialers and self._me < pair.other:
-                    dialers[pair.other] = await curio.spawn(self._dial, pair.other, daemon=True)
-                before = pair.role
-                await self._act(pair, pair.on_tick(await curio.clock()))
-                if pair.role is not before:
+                if pair.other not in link_tasks and self._agent_name < pair.other:
+                    link_tasks[pair.other] = await curio.spawn(
+                        self._keep_linked, pair.other, daemon=True
+                    )
+                role_before = pair.role
+                await self._apply_actions(pair, pair.on_tick(await curio.clock()))
+                if pair.role is not role_before:
                     self._log_role(pair)
             await curio.sleep(TICK_INTERVAL_S)
 
     def _log_role(self, pair: FencePair) -> None:
         self._log.info("fence_role", range=pair.range_id, role=pair.role.value, epoch=pair.epoch)
 
-    async def _dial(self, name: str) -> None:
+    async def _keep_linked(self, name: str) -> None:
         while True:
             try:
-                place = self._roster.find(name)
-                if place is not None and name not in self._links:
-                    link = await connect_link(place.host, place.port, self._make_hello())
+                instance = self._instance_list.find(name)
+                if instance is not None and name not in self._links:
+                    link = await connect_link(instance.host, instance.port, self._make_hello())
                     await self._run_link(link)
             except (LinkClosed, WireError) as exc:
                 self._log.info("fence_link_failed", agent=name, code=exc.code, why=exc.detail)
-            pause = RECONNECT_DELAY_S if self._roster.instances else INITIAL_RECONNECT_DELAY_S
-            await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
+            delay_s = (
+                RECONNECT_DELAY_S if self._instance_list.instances else INITIAL_RECONNECT_DELAY_S
+            )
+            await curio.sleep(delay_s * self._rng.uniform(0.5, 1.5))
 
     async def add_link(self, link: Link) -> None:
         """Note a link to another agent."""
         name = link.peer.name
         self._links[name] = link
-        for pair in self._with(name):
-            await self._act(pair, pair.on_linked())
+        for pair in self._pairs_with(name):
+            await self._apply_actions(pair, pair.on_linked())
 
     async def remove_link(self, link: Link) -> None:
         """Note the end of a link."""
@@ -148,16 +152,16 @@
         if self._links.get(name) is not link:
             return
         del self._links[name]
-        for pair in self._with(name):
-            await self._act(pair, pair.on_unlinked(await curio.clock()))
+        for pair in self._pairs_with(name):
+            await self._apply_actions(pair, pair.on_unlinked(await curio.clock()))
 
-    def _with(self, name: str) -> list[FencePair]:
+    def _pairs_with(self, name: str) -> list[FencePair]:
         return [pair for pair in self._pairs.values() if pair.other == name]
 
     async def handle_message(self, link: Link, msg: Message) -> bool:
         """Act on a message about a record; returns whether it was one."""
         if isinstance(msg, FencePermitRequest):
-            await self._permit(link, msg)
+            await self._handle_permit_request(link, msg)
             return True
         if not isinstance(
             msg,
@@ -173,29 +177,29 @@
         pair = self._pairs.get(msg.range_id)
         if pair is None:
             return True
-        before = pair.role
-        await self._act(pair, _decide(pair, msg, await curio.clock()))
-        if pair.role is not before:
+        role_before = pair.role
+        await self._apply_actions(pair, _apply_message(pair, msg, await curio.clock()))
+        if pair.role is not role_before:
             self._log_role(pair)
         return True
 
-    async def _permit(self, link: Link, msg: FencePermitRequest) -> None:
+    async def _handle_permit_request(self, link: Link, msg: FencePermitRequest) -> None:
         pair = self._pairs.get(msg.range_id)
-        self._askers[msg.req] = link
+        self._requesters[msg.req] = link
         if pair is None:
             await self._reply(Reply(msg.req, None))
             return
         now = await curio.clock()
-        await self._act(pair, pair.on_permit(msg, now, wall_ms()))
+        await self._apply_actions(pair, pair.on_permit(msg, now, wall_ms()))
 
-    async def _act(self, pair: FencePair, actions: list[FenceAction]) -> None:
+    async def _apply_actions(self, pair: FencePair, actions: list[FenceAction]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 await self._send(pair.other, action.msg)
             elif isinstance(action, Reply):
                 await self._reply(action)
             else:
-                await curio.spawn(self._call, pair, action, daemon=True)
+                await curio.spawn(self._call_store, pair, action, daemon=True)
 
     async def _send(self, name: str, msg: Message) -> None:
         link = self._links.get(name)
@@ -203,38 +207,38 @@
             await send_if_open(link, msg)
 
     async def _reply(self, action: Reply) -> None:
-        link = self._askers.pop(action.req, None)
+        link = self._requesters.pop(action.req, None)
         if link is None:
             return
-        answer = action.msg or Refused(action.req, "fence-unavailable", RETRY_AFTER_S)
-        await send_if_open(link, answer)
+        response = action.msg or Refused(action.req, "fence-unavailable", RETRY_AFTER_S)
+        await send_if_open(link, response)
 
-    async def _call(self, pair: FencePair, action: ReadRecord | SwapRecord) -> None:
+    async def _call_store(self, pair: FencePair, action: ReadRecord | SwapRecord) -> None:
         """Make one call to the key-value service and feed its answer back."""
-        before = pair.role
+        role_before = pair.role
         try:
             if isinstance(action, ReadRecord):
-                value = await self._kv.get(_key_of(pair.range_id))
-                record, index = _record_of(value)
+                value = await self._kv.get(_store_key(pair.range_id))
+                record, index = _parse_record(value)
                 now = await curio.clock()
-                out = pair.on_record(record, index, now, wall_ms())
+                actions = pair.on_record(record, index, now, wall_ms())
             else:
                 data = msgspec.json.encode(list(action.new))
-                won = await self._kv.swap(_key_of(pair.range_id), data, action.index)
-                out = pair.on_swapped(won, await curio.clock(), wall_ms())
+                swapped = await self._kv.swap(_store_key(pair.range_id), data, action.index)
+                actions = pair.on_swapped(swapped, await curio.clock(), wall_ms())
         except KeyValueUnavailable:
             if isinstance(action, ReadRecord):
-                out = pair.on_read_failed()
+                actions = pair.on_read_failed()
             else:
-                out = pair.on_swapped(None, await curio.clock(), wall_ms())
+                actions = pair.on_swapped(None, await curio.clock(), wall_ms())
         if self._pairs.get(pair.range_id) is not pair:
             return
-        if pair.role is not before:
+        if pair.role is not role_before:
             self._log_role(pair)
-        await self._act(pair, out)
+        await self._apply_actions(pair, actions)
 
 
-def _decide(
+def _apply_message(
     pair: FencePair,
     msg: FenceClaim
     | FenceClaimReply
@@ -260,12 +264,12 @@
     return pair.on_joined(msg, now)
 
 
-def _key_of(range_id: str) -> str:
+def _store_key(range_id: str) -> str:
     """Return the key of a record's head: the same when its holders are changed."""
     return KEY_PREFIX + range_id.rpartition("/")[0]
 
 
-def _record_of(value: Value | None) -> tuple[FenceRecord | None, int]:
+def _parse_record(value: Value | None) -> tuple[FenceRecord | None, int]:
     if value is None:
         return None, 0
     try:
--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -27,22 +27,22 @@
         super().__init__(**more)
         self._service = service
         # When the service wants calls again, on the runtime's clock.
-        self._rests_until = 0.0
+        self._backoff_until = 0.0
 
     async def handle(self, link: Link, msg: Message) -> None:
         """Act on Call and Cancel."""
         if not isinstance(msg, ServiceCall):
             await self.handle_cancel(msg)
-        elif not await self._refused_in_rest(link, msg.req):
+        elif not await self._refuse_in_backoff(link, msg.req):
             await self.enqueue(link, msg.req, msg.member, CALL_RANK, msg.timeout_s, CALL_UNITS, msg)
 
-    async def _refused_in_rest(self, link: Link, req: int) -> bool:
+    async def _refuse_in_backoff(self, link: Link, req: int) -> bool:
         """Refuse a call while the service wants none; returns whether it does not.
 
         Every call to the service comes through here: sent on, it would be refused there as well,
         and its entry would not know that it may go elsewhere.
         """
-        left_s = self._rests_until - await curio.clock()
+        left_s = self._backoff_until - await curio.clock()
         if left_s <= 0:
             return False
         await self.refuse(link, req, BACKEND_IN_BACKOFF, left_s)
@@ -65,34 +65,36 @@
         """Pass one call on."""
         req = msg.req
         link = self.find_owner(req)
-        if link is not None and await self._refused_in_rest(link, req):
+        if link is not None and await self._refuse_in_backoff(link, req):
             return 0
         try:
-            answer: ServiceAnswer = await curio.timeout_after(
+            response: ServiceAnswer = await curio.timeout_after(
                 msg.timeout_s, self._service.call, msg.method, msg.target, msg.headers, msg.body
             )
         except EngineFailed as exc:
             if not exc.ran:
                 await self.record_health(await self.probe())
-            await self._failed(req, exc.code, ran=exc.ran)
+            await self._send_failure(req, exc.code, ran=exc.ran)
             return 0
         except curio.TaskTimeout:
-            await self._failed(req, "deadline-passed", ran=True)
+            await self._send_failure(req, "deadline-passed", ran=True)
             return 0
-        if answer.rest_s is not None:
-            await self._note_rest(answer.rest_s)
+        if response.rest_s is not None:
+            await self._record_backoff(response.rest_s)
         self.metrics.count("calls")
         await self.send_to_owner(
-            req, ServiceResponse(req, answer.status, dict(answer.headers), answer.body)
+            req, ServiceResponse(req, response.status, dict(response.headers), response.body)
         )
         return CALL_UNITS
 
-    async def _note_rest(self, rest_s: float) -> None:
-        until = await curio.clock() + rest_s
-        self._rests_until = max(self._rests_until, until)
-        self.log.info("backend_rests", for_s=round(rest_s, 2), taken=until == self._rests_until)
+    async def _record_backoff(self, backoff_s: float) -> None:
+        backoff_until = await curio.clock() + backoff_s
+        self._backoff_until = max(self._backoff_until, backoff_until)
+        self.log.info(
+            "backend_rests", for_s=round(backoff_s, 2), taken=backoff_until == self._backoff_until
+        )
 
-    async def _failed(self, req: int, code: str, *, ran: bool) -> None:
+    async def _send_failure(self, req: int, code: str, *, ran: bool) -> None:
         self.log.warning("call_failed", req=f"{req:016x}", code=code, ran=ran)
         self.metrics.count(f"call_failed.{code}")
         await self.send_to_owner(req, Failed(req, code, ran))
--- a/src/crankhinge/agent/_prefill.py
+++ b/src/crankhinge/agent/_prefill.py
@@ -40,7 +40,7 @@
     async def process(self, msg: Any) -> int:
         """Read one prompt; returns the tokens that were computed."""
         req = msg.req
-        began = await curio.clock()
+        started_at = await curio.clock()
         try:
             result = await self._engine.prefill(msg.path, msg.body, req=req)
         except EngineFailed as exc:
@@ -51,11 +51,11 @@
             await self.send_to_owner(req, Failed(req, exc.code, exc.ran))
             return 0
         now = await curio.clock()
-        took = now - began
+        duration_s = now - started_at
         self.metrics.count("prompt_tokens", result.prompt)
         self.metrics.count("prompt_tokens_cached", result.cached)
         load = self.load(now)
         await self.send_to_owner(
-            req, PrefillDone(req, result.kv, result.cached, result.prompt, took, load)
+            req, PrefillDone(req, result.kv, result.cached, result.prompt, duration_s, load)
         )
         return result.prompt - result.cached
--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -29,14 +29,14 @@
 
 def make_role(settings: AgentSettings, engine: Engine | None, **common: Any) -> Role:
     """Return the role that the settings name, beside *engine* or else a plain service."""
-    mech = mechanisms_for(settings.policy)
+    mechanisms = mechanisms_for(settings.policy)
     slots = settings.slots if settings.policy != "naive" else UNBOUNDED
     if engine is not None and settings.role == "decode":
         table = SlotTable(
-            capacity=slots, step_s=settings.step_s, hold_s=settings.lease_s, mech=mech
+            capacity=slots, step_s=settings.step_s, hold_s=settings.lease_s, mech=mechanisms
         )
         return DecodeRole(engine=engine, table=table, **common)
-    queue = WorkQueue(width=slots, units_per_s=settings.rate, mech=mech)
+    queue = WorkQueue(width=slots, units_per_s=settings.rate, mech=mechanisms)
     if engine is not None:
         return PrefillRole(engine=engine, queue=queue, **common)
     service = HttpService(*parse_endpoint(settings.backend))
@@ -79,10 +79,10 @@
         log=log,
     )
     log.info("started", role=settings.role, pool=settings.pool, port=settings.port)
-    await run_until_first_ends(agent.run, partial(_drain_on, stopping, agent))
+    await run_until_first_ends(agent.run, partial(_drain_when_stopping, stopping, agent))
 
 
-async def _drain_on(stopping: curio.Event, agent: Agent) -> None:
+async def _drain_when_stopping(stopping: curio.Event, agent: Agent) -> None:
     await stopping.wait()
     await agent.drain()
 
--- a/src/crankhinge/agent/_queued_role.py
+++ b/src/crankhinge/agent/_queued_role.py
@@ -64,7 +64,7 @@
             return
         now = await curio.clock()
         weights = self.keeper.fair_share_weights(member)
-        ask = WorkRequest(
+        request = WorkRequest(
             req=req,
             partner=weights.partner,
             member=member,
@@ -74,42 +74,42 @@
             weight=weights.member_weight,
             partner_weight=weights.partner_weight,
         )
-        refusal = self._queue.submit(ask, now)
+        refusal = self._queue.submit(request, now)
         if refusal is not None:
             await self.refuse(link, req, refusal.code, refusal.retry_after_s)
             return
         self.set_owner(req, link)
         self._messages[req] = msg
-        await self._pump()
+        await self._start_next()
 
-    async def _pump(self) -> None:
-        starts, late = self._queue.take_next(await curio.clock())
-        for refusal in late:
-            await self._refuse_late(refusal)
-        for ask in starts:
-            await self.start_task(ask.req, self._work, self._messages.pop(ask.req))
+    async def _start_next(self) -> None:
+        starts, expired = self._queue.take_next(await curio.clock())
+        for refusal in expired:
+            await self._refuse_expired(refusal)
+        for request in starts:
+            await self.start_task(request.req, self._run_request, self._messages.pop(request.req))
 
-    async def _refuse_late(self, refusal: Refusal) -> None:
+    async def _refuse_expired(self, refusal: Refusal) -> None:
         link = self.find_owner(refusal.req)
         self._messages.pop(refusal.req, None)
         if link is not None:
             await self.refuse(link, refusal.req, refusal.code, refusal.retry_after_s)
         self.remove_owner(refusal.req)
 
-    async def _work(self, msg: Any) -> None:
-        done = 0
+    async def _run_request(self, msg: Any) -> None:
+        units_done = 0
         try:
-            done = await self.process(msg)
+            units_done = await self.process(msg)
         finally:
-            self._queue.record_end(msg.req, await curio.clock(), done=done)
+            self._queue.record_end(msg.req, await curio.clock(), done=units_done)
             self.remove_owner(msg.req)
-            await self._pump()
+            await self._start_next()
 
     async def release(self, req: int) -> None:
         """Take a request that nobody waits for out of the queue."""
         self._messages.pop(req, None)
         self._queue.record_end(req, await curio.clock())
-        await self._pump()
+        await self._start_next()
 
     async def handle_cancel(self, msg: Message) -> None:
         """Act on Cancel."""
--- a/src/crankhinge/agent/_role.py
+++ b/src/crankhinge/agent/_role.py
@@ -32,7 +32,7 @@
         self.metrics = metrics
         self._owners: dict[int, Link] = {}
         self._tasks: dict[int, curio.Task] = {}
-        self._held: dict[Link, set[int]] = {}
+        self._requests_of: dict[Link, set[int]] = {}
         self.is_unreachable = False
         self.on_health_change: Callable[[], Awaitable[None]] | None = None
 
@@ -97,7 +97,7 @@
     def set_owner(self, req: int, link: Link) -> None:
         """Note whose request *req* is."""
         self._owners[req] = link
-        self._held.setdefault(link, set()).add(req)
+        self._requests_of.setdefault(link, set()).add(req)
 
     def find_owner(self, req: int) -> Link | None:
         """Return whose request *req* is."""
@@ -106,14 +106,14 @@
     def remove_owner(self, req: int) -> None:
         """Forget *req*."""
         link = self._owners.pop(req, None)
-        if link in self._held:
-            self._held[link].discard(req)
+        if link in self._requests_of:
+            self._requests_of[link].discard(req)
 
     async def start_task(self, req: int, run: Callable[..., Awaitable[Any]], *args: Any) -> None:
         """Run a request's task; :meth:`cancel` ends it."""
-        self._tasks[req] = await curio.spawn(self._track, req, run, *args, daemon=True)
+        self._tasks[req] = await curio.spawn(self._run_task, req, run, *args, daemon=True)
 
-    async def _track(self, req: int, run: Callable[..., Awaitable[Any]], *args: Any) -> None:
+    async def _run_task(self, req: int, run: Callable[..., Awaitable[Any]], *args: Any) -> None:
         try:
             await run(*args)
         except Exception as exc:
@@ -132,13 +132,13 @@
 
     async def cancel_requests_of(self, link: Link) -> None:
         """End every request of an entry that is gone."""
-        reqs = list(self._held.get(link, ()))
+        reqs = list(self._requests_of.get(link, ()))
         if reqs:
             self.log.info("entry_gone", entry=link.peer.name, requests=len(reqs))
             self.metrics.count("requests_orphaned", len(reqs))
         for req in reqs:
             await self.cancel(req)
-        self._held.pop(link, None)
+        self._requests_of.pop(link, None)
 
     async def send_to_owner(self, req: int, msg: Message) -> None:
         """Send *msg* to the request's entry, if that is still there."""
--- a/src/crankhinge/entry/_agent_client.py
+++ b/src/crankhinge/entry/_agent_client.py
@@ -16,9 +16,9 @@
     """
 
     def __init__(self, *, agent_links: AgentLinks, mailboxes: Mailboxes) -> None:
-        self._fleet = agent_links
-        self._calls = mailboxes
+        self._agent_links = agent_links
+        self._mailboxes = mailboxes
 
     @property
     def _router(self) -> Router:
-        return self._fleet.router
+        return self._agent_links.router
--- a/src/crankhinge/entry/_agent_links.py
+++ b/src/crankhinge/entry/_agent_links.py
@@ -69,23 +69,23 @@
             settings.beat_s, lambda _now: Heartbeat(keeper.version)
         )
         self._settings = settings
-        self._roster = instance_list
-        self._calls = mailboxes
-        self._spread = propagator
+        self._instance_list = instance_list
+        self._mailboxes = mailboxes
+        self._propagator = propagator
         self._keeper = keeper
         self._incarnation = incarnation
         self._log = log
         self._rng = rng
         self._links: dict[str, Link] = {}
-        self._keepers: dict[str, curio.Task] = {}
-        self._places: dict[str, Instance] = {}
-        self._missing: dict[str, int] = {}
-        self._holders: frozenset[str] = frozenset()
+        self._link_tasks: dict[str, curio.Task] = {}
+        self._instances: dict[str, Instance] = {}
+        self._miss_counts: dict[str, int] = {}
+        self._fence_replicas: frozenset[str] = frozenset()
 
     @property
     def dropped_messages(self) -> int:
         """Messages that came for no request: late or crossed."""
-        return self._calls.dropped_count
+        return self._mailboxes.dropped_count
 
     @property
     def link_count(self) -> int:
@@ -95,7 +95,7 @@
     def apply_bundle(self, bundle: Bundle) -> None:
         """Take over the links' rates and who keeps records."""
         pairs = [pair for pool in bundle.pools for pair in pool.fence]
-        self._holders = frozenset(name for pair in pairs for name in pair)
+        self._fence_replicas = frozenset(name for pair in pairs for name in pair)
         transfer = bundle.transfer
         self.router.costs = replace(
             self.router.costs,
@@ -119,94 +119,96 @@
     async def run(self) -> None:
         """Follow the list until cancelled. While it can't be read, what is known stays."""
         while True:
-            if not await self._roster.refresh() and not self._roster.instances:
-                await self._ask_seeds()
-            if self._roster.instances:
-                await self._update(self._roster.instances)
-            await self._roster.sleep_until_refresh()
+            if not await self._instance_list.refresh() and not self._instance_list.instances:
+                await self._load_from_seeds()
+            if self._instance_list.instances:
+                await self._update_agents(self._instance_list.instances)
+            await self._instance_list.sleep_until_refresh()
 
-    async def _ask_seeds(self) -> None:
+    async def _load_from_seeds(self) -> None:
         """Have the list, and with it the bundle, from an agent that the settings name."""
         for seed in self._settings.seeds:
             try:
-                link = await connect_link(*parse_endpoint(seed), self._hello())
-                await self._spread.add_link(link)
+                link = await connect_link(*parse_endpoint(seed), self._make_hello())
+                await self._propagator.add_link(link)
                 await link.send(GetInstances())
-                await curio.ignore_after(SEED_TIMEOUT_S, link.run, self._handle_seed)
+                await curio.ignore_after(SEED_TIMEOUT_S, link.run, self._handle_seed_message)
             except (LinkClosed, WireError) as exc:
                 self._log.info("seed_failed", seed=seed, code=exc.code, why=exc.detail)
                 continue
             finally:
-                self._spread.links -= {link for link in self._spread.links if link.closed}
-            if self._roster.instances:
+                self._propagator.links -= {link for link in self._propagator.links if link.closed}
+            if self._instance_list.instances:
                 return
 
-    async def _handle_seed(self, link: Link, msg: Message) -> None:
+    async def _handle_seed_message(self, link: Link, msg: Message) -> None:
         if isinstance(msg, InstanceListReply):
-            self._roster.instances = [
+            self._instance_list.instances = [
                 Instance(r.name, r.host, r.port, r.zone, r.pool, r.leaving) for r in msg.rows
             ]
             if self._keeper.view is not None:
                 await link.close()
             return
-        await self._spread.handle_message(link, msg)
-        if self._roster.instances and self._keeper.view is not None:
+        await self._propagator.handle_message(link, msg)
+        if self._instance_list.instances and self._keeper.view is not None:
             await link.close()
 
-    async def _update(self, listed: list[Instance]) -> None:
+    async def _update_agents(self, instances: list[Instance]) -> None:
         chosen = choose_agents(
-            listed,
+            instances,
             entry_name=self._settings.name,
             max_per_pool=self._settings.subset,
-            required_names=self._holders,
+            required_names=self._fence_replicas,
         )
         for name, instance in chosen.items():
-            self._missing.pop(name, None)
-            await self._keep(name, instance)
-        for name in [name for name in self._places if name not in chosen]:
-            await self._miss(name)
+            self._miss_counts.pop(name, None)
+            await self._add_agent(name, instance)
+        for name in [name for name in self._instances if name not in chosen]:
+            await self._count_miss(name)
 
-    async def _keep(self, name: str, instance: Instance) -> None:
-        moved = name in self._places and _address(self._places[name]) != _address(instance)
-        if moved:
-            await self._drop(name)
-        self._places[name] = instance
+    async def _add_agent(self, name: str, instance: Instance) -> None:
+        has_moved = name in self._instances and _address(self._instances[name]) != _address(
+            instance
+        )
+        if has_moved:
+            await self._remove_agent(name)
+        self._instances[name] = instance
         backend = self.router.backends.get(name)
         if backend is None:
             backend = Backend(name, "", instance.pool, instance.zone)
             self.router.add_backend(backend)
         backend.leaving = instance.leaving
-        if name not in self._keepers:
-            self._keepers[name] = await curio.spawn(self._stay_linked, name, daemon=True)
+        if name not in self._link_tasks:
+            self._link_tasks[name] = await curio.spawn(self._keep_linked, name, daemon=True)
 
-    async def _miss(self, name: str) -> None:
+    async def _count_miss(self, name: str) -> None:
         """Drop an agent that several readings of the list don't show and that isn't linked."""
-        self._missing[name] = self._missing.get(name, 0) + 1
-        if self._missing[name] >= MISSES_BEFORE_REMOVAL and name not in self._links:
-            await self._drop(name)
+        self._miss_counts[name] = self._miss_counts.get(name, 0) + 1
+        if self._miss_counts[name] >= MISSES_BEFORE_REMOVAL and name not in self._links:
+            await self._remove_agent(name)
 
-    async def _drop(self, name: str) -> None:
-        task = self._keepers.pop(name, None)
+    async def _remove_agent(self, name: str) -> None:
+        task = self._link_tasks.pop(name, None)
         if task is not None:
             await task.cancel()
-        self._places.pop(name, None)
-        self._missing.pop(name, None)
+        self._instances.pop(name, None)
+        self._miss_counts.pop(name, None)
         self.router.remove_backend(name)
 
-    async def _stay_linked(self, name: str) -> None:
-        pause = INITIAL_RECONNECT_DELAY_S
+    async def _keep_linked(self, name: str) -> None:
+        delay_s = INITIAL_RECONNECT_DELAY_S
         while True:
             try:
-                began = await curio.clock()
-                await self._link_once(name)
-                if await curio.clock() - began > MAX_RECONNECT_DELAY_S:
-                    pause = INITIAL_RECONNECT_DELAY_S
+                started_at = await curio.clock()
+                await self._run_link(name)
+                if await curio.clock() - started_at > MAX_RECONNECT_DELAY_S:
+                    delay_s = INITIAL_RECONNECT_DELAY_S
             except (LinkClosed, WireError) as exc:
                 self._log.info("link_failed", agent=name, code=exc.code, why=exc.detail)
-            await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
-            pause = min(MAX_RECONNECT_DELAY_S, pause * 2)
+            await curio.sleep(delay_s * self._rng.uniform(0.5, 1.5))
+            delay_s = min(MAX_RECONNECT_DELAY_S, delay_s * 2)
 
-    def _hello(self) -> Hello:
+    def _make_hello(self) -> Hello:
         settings = self._settings
         return Hello(
             WIRE_VERSION,
@@ -217,23 +219,23 @@
             bundle_version=self._keeper.version,
         )
 
-    async def _link_once(self, name: str) -> None:
-        place = self._places[name]
-        link = await connect_link(place.host, place.port, self._hello())
+    async def _run_link(self, name: str) -> None:
+        instance = self._instances[name]
+        link = await connect_link(instance.host, instance.port, self._make_hello())
         if link.peer.name != name:
             await link.close()
             raise WireError(f"{link.peer.name} answers at the address of {name}")
-        self._introduce(name, link)
+        self._apply_hello(name, link)
         self._links[name] = link
         self.heartbeat_sender.links.add(link)
         try:
-            await self._spread.add_link(link)
+            await self._propagator.add_link(link)
             await link.run(self._handle)
         finally:
             link.closed = True
-            await self._unlink(name, link)
+            await self._remove_link(name, link)
 
-    def _introduce(self, name: str, link: Link) -> None:
+    def _apply_hello(self, name: str, link: Link) -> None:
         backend = self.router.backends[name]
         peer = link.peer
         if peer.incarnation != backend.incarnation:
@@ -251,31 +253,31 @@
             backend.pool = peer.pool
             self.router.add_backend(backend)
 
-    async def _unlink(self, name: str, link: Link) -> None:
+    async def _remove_link(self, name: str, link: Link) -> None:
         self.heartbeat_sender.links.discard(link)
-        self._spread.remove_link(link)
+        self._propagator.remove_link(link)
         if self._links.get(name) is link:
             del self._links[name]
         backend = self.router.backends.get(name)
         if backend is not None:
             backend.linked = False
         self._log.info("link_ended", agent=name)
-        await self._calls.fail_link(link)
+        await self._mailboxes.fail_link(link)
 
     async def _handle(self, link: Link, msg: Message) -> None:
-        if await self._spread.handle_message(link, msg):
+        if await self._propagator.handle_message(link, msg):
             return
         if isinstance(msg, LoadedAdapters):
             self.router.backends[link.peer.name].adapters = frozenset(msg.adapters)
             return
         load = getattr(msg, "load", None)
         if load is not None:
-            await self._note_load(link, load)
+            await self._record_load(link, load)
         if isinstance(msg, Heartbeat):
             return
-        await self._calls.deliver(link, msg)
+        await self._mailboxes.deliver(link, msg)
 
-    async def _note_load(self, link: Link, load: Load) -> None:
+    async def _record_load(self, link: Link, load: Load) -> None:
         self.router.record_report(
             link.peer.name,
             await curio.clock(),
--- a/src/crankhinge/entry/_agent_subset.py
+++ b/src/crankhinge/entry/_agent_subset.py
@@ -24,8 +24,8 @@
     for instance in instances:
         pools.setdefault(instance.pool, []).append(instance)
     chosen: dict[str, Instance] = {}
-    for members in pools.values():
-        by_name = {instance.name: instance for instance in members}
+    for pool_instances in pools.values():
+        by_name = {instance.name: instance for instance in pool_instances}
         for name in rank_by_key(entry_name.encode(), by_name)[:max_per_pool]:
             chosen[name] = by_name[name]
     chosen.update({i.name: i for i in instances if i.name in required_names})
--- a/src/crankhinge/entry/_completion.py
+++ b/src/crankhinge/entry/_completion.py
@@ -64,14 +64,14 @@
     ) -> None:
         self.estimator = RequestEstimator(agent_links.router, mech)
         self._router = agent_links.router
-        self._slots = SlotClient(agent_links=agent_links, mailboxes=mailboxes)
-        self._reader = PrefillClient(agent_links=agent_links, mailboxes=mailboxes)
-        self._calls = mailboxes
-        self._budget = retry_budget
-        self._fence = fence_client
+        self._slot_client = SlotClient(agent_links=agent_links, mailboxes=mailboxes)
+        self._prefill_client = PrefillClient(agent_links=agent_links, mailboxes=mailboxes)
+        self._mailboxes = mailboxes
+        self._retry_budget = retry_budget
+        self._fence_client = fence_client
         self._log = log
         self._metrics = metrics
-        self._mech = mech
+        self._mechanisms = mech
 
     async def run(
         self,
@@ -85,29 +85,29 @@
         pool = view.bundle.find_pool(request.model.decode[0])
         if request.options.is_repeatable or not request.options.idempotency_key or pool is None:
             progress.earlier_may_have_run = False
-            await self._serve(request, policy, writer, progress)
+            await self._run_attempts(request, policy, writer, progress)
             return
         digest = digest_request("POST", request.path, msgspec.json.encode(request.body))
-        leave = await self._fence.request_permit(
+        permit = await self._fence_client.request_permit(
             pool,
             request.member.name,
             request.options.idempotency_key,
             digest,
             progress.new_step_id(),
         )
-        if isinstance(leave, RecordedResponse):
+        if isinstance(permit, RecordedResponse):
             raise AlreadyTaken("this request was answered before")
         progress.earlier_may_have_run = False
         try:
-            await self._serve(request, policy, writer, progress)
-            await self._fence.record_response(leave, RecordedResponse(200, cut=True))
+            await self._run_attempts(request, policy, writer, progress)
+            await self._fence_client.record_response(permit, RecordedResponse(200, cut=True))
         finally:
             if not progress.may_have_run:
-                await self._fence.release(leave)
+                await self._fence_client.release(permit)
 
-    async def _serve(
+    async def _run_attempts(
         self,
-        ask: CompletionRequest,
+        request: CompletionRequest,
         policy: Policy,
         writer: CompletionWriter,
         progress: RequestProgress,
@@ -120,30 +120,36 @@
             BackendFailed: every attempt failed.
             DeadlinePassed: the caller's deadline went by.
         """
-        began = await curio.clock()
-        until = began + self.estimator.first_token_timeout_s(ask, policy, began)
-        limit = ask.options.deadline_s
-        self._budget.record_first_attempt()
+        started_at = await curio.clock()
+        first_token_deadline = started_at + self.estimator.first_token_timeout_s(
+            request, policy, started_at
+        )
+        time_limit_s = request.options.deadline_s
+        self._retry_budget.record_first_attempt()
         while True:
             progress.attempts += 1
             try:
-                if limit is None:
-                    await self._attempt(ask, writer, progress, until)
+                if time_limit_s is None:
+                    await self._attempt(request, writer, progress, first_token_deadline)
                 else:
-                    left = max(0.001, began + limit - await curio.clock())
-                    await curio.timeout_after(left, self._attempt, ask, writer, progress, until)
+                    remaining_s = max(0.001, started_at + time_limit_s - await curio.clock())
+                    await curio.timeout_after(
+                        remaining_s, self._attempt, request, writer, progress, first_token_deadline
+                    )
                 return
             except curio.TaskTimeout as exc:
-                raise DeadlinePassed(f"{limit} s") from exc
+                raise DeadlinePassed(f"{time_limit_s} s") from exc
             except (AttemptFailed, LinkLost, LinkClosed) as exc:
-                self._consider_retry(exc, ask, progress, writer)
+                self._check_retry_allowed(exc, request, progress, writer)
                 # An answer that is under way is worth finishing late.
-                until = max(until, await curio.clock() + ask.model.first_token_s)
+                first_token_deadline = max(
+                    first_token_deadline, await curio.clock() + request.model.first_token_s
+                )
 
-    def _consider_retry(
+    def _check_retry_allowed(
         self,
         exc: CrankhingeError,
-        ask: CompletionRequest,
+        request: CompletionRequest,
         progress: RequestProgress,
         writer: CompletionWriter,
     ) -> None:
@@ -153,10 +159,10 @@
             BackendFailed: when not.
         """
         self._metrics.count("attempts_failed")
-        spent = progress.attempts >= MAX_ATTEMPTS
-        spent = spent or (progress.may_have_run and not ask.options.is_repeatable)
-        spent = spent or (self._mech.budget and not self._budget.try_retry())
-        spent = spent or (writer.token_count > 0 and not self._mech.resume)
+        is_refused = progress.attempts >= MAX_ATTEMPTS
+        is_refused = is_refused or (progress.may_have_run and not request.options.is_repeatable)
+        is_refused = is_refused or (self._mechanisms.budget and not self._retry_budget.try_retry())
+        is_refused = is_refused or (writer.token_count > 0 and not self._mechanisms.resume)
         self._log.warning(
             "attempt_failed",
             request=f"req-{progress.request_id:016x}",
@@ -164,58 +170,70 @@
             why=exc.detail,
             attempt=progress.attempts,
             written=writer.token_count,
-            retry=not spent,
+            retry=not is_refused,
         )
-        if spent:
+        if is_refused:
             raise BackendFailed(exc.detail) from exc
 
     async def _attempt(
         self,
-        ask: CompletionRequest,
+        request: CompletionRequest,
         writer: CompletionWriter,
         progress: RequestProgress,
-        until: float,
+        first_token_deadline: float,
     ) -> None:
-        body = ask.continuation_body(writer.text, writer.token_count)
-        route = self.estimator.make_route_request(ask, writer.token_count)
-        need = SlotRequirements(ask, route, until, ask.max_tokens - writer.token_count)
-        early: PrefillDone | None = None
-        if not self._mech.reserve:
-            early = await self._read(PrefillTask(ask, route, body, "", until), writer, progress)
-        slot = await self._slots.lease_slot(need, progress)
+        body = request.continuation_body(writer.text, writer.token_count)
+        route_request = self.estimator.make_route_request(request, writer.token_count)
+        requirements = SlotRequirements(
+            request, route_request, first_token_deadline, request.max_tokens - writer.token_count
+        )
+        early_prefill: PrefillDone | None = None
+        if not self._mechanisms.reserve:
+            early_prefill = await self._prefill(
+                PrefillTask(request, route_request, body, "", first_token_deadline),
+                writer,
+                progress,
+            )
+        slot = await self._slot_client.lease_slot(requirements, progress)
         progress.slot_granted_at = progress.slot_granted_at or await curio.clock()
-        done = False
+        is_complete = False
         try:
-            prompt = PrefillTask(ask, route, body, slot.backend.zone, until)
-            read = early or await self._read(prompt, writer, progress)
+            task = PrefillTask(
+                request, route_request, body, slot.backend.zone, first_token_deadline
+            )
+            prefill_done = early_prefill or await self._prefill(task, writer, progress)
             progress.may_have_run = True
             progress.prompt_read_at = progress.prompt_read_at or await curio.clock()
-            patience = self._transfer_patience_s(route.tokens, slot)
-            await slot.link.send(Decode(slot.mailbox.req, ask.path, body, read.kv_handle, patience))
+            transfer_timeout_s = self._transfer_timeout_s(route_request.tokens, slot)
+            await slot.link.send(
+                Decode(
+                    slot.mailbox.req, request.path, body, prefill_done.kv_handle, transfer_timeout_s
+                )
+            )
             await self._relay(slot, writer, progress)
-            done = True
+            is_complete = True
         finally:
-            self._note_waste(progress)
+            self._record_waste(progress)
             slot.backend.open_requests -= 1
-            self._calls.close(slot.mailbox)
-            if not done:
+            self._mailboxes.close(slot.mailbox)
+            if not is_complete:
                 await cancel_step(slot.link, slot.mailbox)
 
-    async def _read(
-        self, prompt: PrefillTask, writer: CompletionWriter, progress: RequestProgress
+    async def _prefill(
+        self, task: PrefillTask, writer: CompletionWriter, progress: RequestProgress
     ) -> PrefillDone:
-        done = await self._reader.prefill(prompt, progress)
-        self.estimator.record_prompt_tokens(prompt.request, writer.text, done.prompt_tokens)
-        writer.record_prompt_tokens(done.prompt_tokens)
-        return done
+        prefill_done = await self._prefill_client.prefill(task, progress)
+        self.estimator.record_prompt_tokens(task.request, writer.text, prefill_done.prompt_tokens)
+        writer.record_prompt_tokens(prefill_done.prompt_tokens)
+        return prefill_done
 
-    def _transfer_patience_s(self, tokens: int, slot: LeasedSlot) -> float:
+    def _transfer_timeout_s(self, tokens: int, slot: LeasedSlot) -> float:
         """Return the seconds after which a transfer that has brought nothing is given up."""
         zone = slot.backend.zone
-        usual = self._router.transfer_s(tokens, zone, zone) + slot.backend.step_s
-        return max(MIN_TRANSFER_TIMEOUT_S, TRANSFER_TIMEOUT_FACTOR * usual)
+        expected_s = self._router.transfer_s(tokens, zone, zone) + slot.backend.step_s
+        return max(MIN_TRANSFER_TIMEOUT_S, TRANSFER_TIMEOUT_FACTOR * expected_s)
 
-    def _note_waste(self, progress: RequestProgress) -> None:
+    def _record_waste(self, progress: RequestProgress) -> None:
         if progress.unused_tokens:
             self._metrics.count("prompt_tokens_wasted", progress.unused_tokens)
             progress.wasted_tokens += progress.unused_tokens
@@ -225,33 +243,33 @@
         self, slot: LeasedSlot, writer: CompletionWriter, progress: RequestProgress
     ) -> None:
         """Pass tokens on in order until the answer is complete."""
-        expected = 0
+        next_index = 0
         slot.mailbox.is_streaming = True
         while True:
             msg = await slot.mailbox.get()
             if isinstance(msg, Tokens):
-                if msg.first_index > expected:
-                    raise AttemptFailed(f"tokens {expected} to {msg.first_index} are missing")
-                fresh = msg.texts[expected - msg.first_index :]
-                if not expected:
+                if msg.first_index > next_index:
+                    raise AttemptFailed(f"tokens {next_index} to {msg.first_index} are missing")
+                new_texts = msg.texts[next_index - msg.first_index :]
+                if not next_index:
                     progress.first_token_at = progress.first_token_at or await curio.clock()
                     progress.unused_tokens = 0
-                expected += len(fresh)
-                if fresh:
-                    await writer.write(fresh)
+                next_index += len(new_texts)
+                if new_texts:
+                    await writer.write(new_texts)
             elif isinstance(msg, DecodeDone):
-                if msg.token_count != expected:
-                    raise AttemptFailed(f"{expected} of {msg.token_count} tokens arrived")
+                if msg.token_count != next_index:
+                    raise AttemptFailed(f"{next_index} of {msg.token_count} tokens arrived")
                 slot.backend.breaker.record_success()
                 progress.last_token_at = await curio.clock()
                 await writer.finish(msg.finish_reason or "stop")
                 return
             else:
                 code = msg.code if isinstance(msg, Failed) else "no answer"
-                await self._blame(code, slot, progress)
+                await self._record_failure(code, slot, progress)
                 raise AttemptFailed(code)
 
-    async def _blame(self, code: str, slot: LeasedSlot, progress: RequestProgress) -> None:
+    async def _record_failure(self, code: str, slot: LeasedSlot, progress: RequestProgress) -> None:
         """Count a failure against the engine that is likely at fault."""
         now = await curio.clock()
         if code in TRANSFER_FAILURE_CODES and progress.prefill_backend is not None:
--- a/src/crankhinge/entry/_entry.py
+++ b/src/crankhinge/entry/_entry.py
@@ -67,14 +67,14 @@
     ) -> None:
         self._settings = settings
         self._keeper = keeper
-        self._fleet = agent_links
+        self._agent_links = agent_links
         self._completions = completions
-        self._plain = plain_calls
-        self._ids = request_ids
+        self._plain_calls = plain_calls
+        self._request_ids = request_ids
         self._log = log
         self._metrics = metrics
-        self._limits = MemberLimits()
-        self._open = 0
+        self._member_limits = MemberLimits()
+        self._open_requests = 0
         self._draining = False
 
     async def listen(self) -> None:
@@ -84,24 +84,24 @@
             settings.host,
             settings.port,
             self._handle,
-            on_malformed=self._on_bad,
+            on_malformed=self._on_malformed,
             log=self._log,
             limits=HttpLimits(max_body_bytes=settings.body_bytes),
         )
 
     async def drain(self) -> None:
         """Report unready, so that the balancer turns away, then wait for what is in progress."""
-        self._log.info("draining", open=self._open)
+        self._log.info("draining", open=self._open_requests)
         self._draining = True
         await curio.sleep(UNREADY_NOTICE_S)
         await curio.ignore_after(self._settings.drain_s, self._wait_idle)
-        self._log.info("drained", open=self._open)
+        self._log.info("drained", open=self._open_requests)
 
     async def _wait_idle(self) -> None:
-        while self._open:
+        while self._open_requests:
             await curio.sleep(DRAIN_POLL_S)
 
-    async def _on_bad(self, exchange: Exchange, exc: BadHttp) -> None:
+    async def _on_malformed(self, exchange: Exchange, exc: BadHttp) -> None:
         self._metrics.count("bad_http")
         await send_error(exchange, exc)
 
@@ -112,7 +112,7 @@
         elif path == "/readyz":
             await self._readyz(exchange)
         else:
-            await self._serve(exchange)
+            await self._serve_request(exchange)
 
     async def _readyz(self, exchange: Exchange) -> None:
         ready = self._keeper.view is not None and not self._draining
@@ -120,52 +120,52 @@
             "ready": ready,
             "draining": self._draining,
             "bundle": self._keeper.version,
-            "open": self._open,
-            "linked": self._fleet.link_count,
-            "dropped": self._fleet.dropped_messages,
+            "open": self._open_requests,
+            "linked": self._agent_links.link_count,
+            "dropped": self._agent_links.dropped_messages,
         }
         await exchange.respond(200 if ready else 503, msgspec.json.encode(state))
 
-    async def _serve(self, exchange: Exchange) -> None:
+    async def _serve_request(self, exchange: Exchange) -> None:
         """Answer one request; a caller that goes ends its work."""
-        number = self._ids.new_id()
-        ident = f"req-{number:016x}"
-        self._open += 1
+        request_id = self._request_ids.new_id()
+        public_id = f"req-{request_id:016x}"
+        self._open_requests += 1
         try:
             async with curio.TaskGroup(wait=any) as group:
-                work = await group.spawn(self._answer, exchange, number, ident)
+                work = await group.spawn(self._answer, exchange, request_id, public_id)
                 await group.spawn(exchange.wait_for_disconnect)
             if group.completed is not work or work.exception is not None:
-                self._note_unanswered(ident, work.exception)
+                self._log_unanswered(public_id, work.exception)
                 raise HttpClosed("not answered")
         finally:
-            self._open -= 1
+            self._open_requests -= 1
 
-    def _note_unanswered(self, ident: str, failure: BaseException | None) -> None:
+    def _log_unanswered(self, public_id: str, failure: BaseException | None) -> None:
         """Log why a request had no answer: its caller went, or this program has a fault."""
         if failure is None or isinstance(failure, HttpClosed | curio.CancelledError):
             self._metrics.count("callers_gone")
-            self._log.info("caller_gone", request=ident)
+            self._log.info("caller_gone", request=public_id)
             return
         self._metrics.count("crashed")
         kind = type(failure).__name__
-        self._log.error("request_crashed", request=ident, kind=kind, why=str(failure))
+        self._log.error("request_crashed", request=public_id, kind=kind, why=str(failure))
 
-    async def _answer(self, exchange: Exchange, number: int, ident: str) -> None:
+    async def _answer(self, exchange: Exchange, request_id: int, public_id: str) -> None:
         progress = RequestProgress(
-            number, earlier_may_have_run="idempotency-key" in exchange.req.headers
+            request_id, earlier_may_have_run="idempotency-key" in exchange.req.headers
         )
         # Filled in as it becomes known, for whichever line ends the request.
-        about: dict[str, Any] = {"request": ident}
+        log_fields: dict[str, Any] = {"request": public_id}
         try:
-            await self._route(exchange, about, progress)
+            await self._dispatch(exchange, log_fields, progress)
         except HttpClosed:
             raise
         except CrankhingeError as exc:
             self._metrics.count(f"failed.{exc.code}")
             self._log.info(
                 "request_failed",
-                **about,
+                **log_fields,
                 code=exc.code,
                 why=exc.detail,
                 outcome=progress.outcome.value,
@@ -174,76 +174,76 @@
                 wasted_tokens=progress.wasted_tokens,
             )
             if not exchange.response_started:
-                await send_error(exchange, exc, outcome=progress.outcome, request_id=ident)
+                await send_error(exchange, exc, outcome=progress.outcome, request_id=public_id)
 
-    async def _route(
-        self, exchange: Exchange, about: dict[str, Any], progress: RequestProgress
+    async def _dispatch(
+        self, exchange: Exchange, log_fields: dict[str, Any], progress: RequestProgress
     ) -> None:
         view = self._keeper.require_view()
-        if self._open > self._settings.max_requests:
+        if self._open_requests > self._settings.max_requests:
             raise Overloaded("this entry is at its limit", retry_after_s=1.0)
         member = authenticate(view, exchange.req.headers)
-        about["member"] = member.name
-        self._enter(member, await curio.clock())
+        log_fields["member"] = member.name
+        self._admit(member, await curio.clock())
         try:
             if exchange.req.path in (CHAT_PATH, COMPLETIONS_PATH) and exchange.req.method == "POST":
-                await self._complete(exchange, about, view, member, progress)
+                await self._handle_completion(exchange, log_fields, view, member, progress)
             else:
-                await self._call(exchange, about, view, member, progress)
+                await self._handle_call(exchange, log_fields, view, member, progress)
         finally:
-            self._limits.record_end(member.name)
+            self._member_limits.record_end(member.name)
 
-    def _enter(self, member: Member, now: float) -> None:
-        wait = self._limits.admit(
+    def _admit(self, member: Member, now: float) -> None:
+        retry_after_s = self._member_limits.admit(
             member.name, now, max_concurrent=member.max_concurrent, max_per_s=member.max_per_s
         )
-        if wait is not None:
-            raise LimitReached(f"{member.name} is at its limit", retry_after_s=wait)
+        if retry_after_s is not None:
+            raise LimitReached(f"{member.name} is at its limit", retry_after_s=retry_after_s)
 
-    async def _complete(
+    async def _handle_completion(
         self,
         exchange: Exchange,
-        about: dict[str, Any],
+        log_fields: dict[str, Any],
         view: BundleView,
         member: Member,
         progress: RequestProgress,
     ) -> None:
-        began = await curio.clock()
-        ask = parse_completion(view, exchange.req, member)
-        about.update(model=ask.body["model"], rank=ask.options.rank)
-        check_prompt_length(ask, self._completions.estimator.prompt_tokens(ask))
-        writer = CompletionWriter(exchange, ask, about["request"], int(time.time()))
+        started_at = await curio.clock()
+        request = parse_completion(view, exchange.req, member)
+        log_fields.update(model=request.body["model"], rank=request.options.rank)
+        check_prompt_length(request, self._completions.estimator.prompt_tokens(request))
+        writer = CompletionWriter(exchange, request, log_fields["request"], int(time.time()))
         try:
-            await self._completions.run(ask, view, writer, progress)
+            await self._completions.run(request, view, writer, progress)
         except HttpClosed:
             raise
         except CrankhingeError as exc:
             if writer.has_started_stream:
                 await writer.abort(exc)
             raise
-        took = await curio.clock() - began
-        first = progress.first_token_at - began
-        gaps = max(1, writer.token_count - 1)
+        total_s = await curio.clock() - started_at
+        first_token_s = progress.first_token_at - started_at
+        gap_count = max(1, writer.token_count - 1)
         self._metrics.count("answered")
-        self._metrics.timing("first_token", first)
+        self._metrics.timing("first_token", first_token_s)
         self._log.info(
             "answered",
-            **about,
+            **log_fields,
             tokens=writer.token_count,
-            slot_ms=round((progress.slot_granted_at - began) * 1000, 1),
-            read_ms=round((progress.prompt_read_at - began) * 1000, 1),
-            first_ms=round(first * 1000, 1),
-            gap_ms=round((progress.last_token_at - progress.first_token_at) / gaps * 1000, 1),
+            slot_ms=round((progress.slot_granted_at - started_at) * 1000, 1),
+            read_ms=round((progress.prompt_read_at - started_at) * 1000, 1),
+            first_ms=round(first_token_s * 1000, 1),
+            gap_ms=round((progress.last_token_at - progress.first_token_at) / gap_count * 1000, 1),
             read_tokens=progress.computed_tokens,
             wasted_tokens=progress.wasted_tokens,
-            total_ms=round(took * 1000, 1),
+            total_ms=round(total_s * 1000, 1),
             attempts=progress.attempts,
         )
 
-    async def _call(
+    async def _handle_call(
         self,
         exchange: Exchange,
-        about: dict[str, Any],
+        log_fields: dict[str, Any],
         view: BundleView,
         member: Member,
         progress: RequestProgress,
@@ -252,10 +252,10 @@
         service = view.bundle.find_service(req.path)
         if service is None:
             raise UnknownRoute(f"no service takes {req.path}")
-        terms = parse_options(req.headers, member)
-        done = await self._plain.run(req, member, view, service, terms, progress)
+        options = parse_options(req.headers, member)
+        response = await self._plain_calls.run(req, member, view, service, options, progress)
         self._metrics.count("calls_answered")
-        headers = {"content-type": "application/octet-stream", **done.headers}
-        headers["x-request-id"] = about["request"]
+        headers = {"content-type": "application/octet-stream", **response.headers}
+        headers["x-request-id"] = log_fields["request"]
         headers.pop(OUTCOME_HEADER, None)
-        await exchange.respond(done.status, done.body, headers)
+        await exchange.respond(response.status, response.body, headers)
--- a/src/crankhinge/entry/_estimates.py
+++ b/src/crankhinge/entry/_estimates.py
@@ -24,15 +24,15 @@
 
     def __init__(self, router: Router, mech: Mechanisms = FULL) -> None:
         self._router = router
-        self._mech = mech
+        self._mechanisms = mech
         self._chars_per_token: dict[str, float] = {}
 
-    def _ratio(self, ask: CompletionRequest) -> float:
+    def _get_chars_per_token(self, ask: CompletionRequest) -> float:
         return self._chars_per_token.get(ask.model.name, DEFAULT_CHARS_PER_TOKEN)
 
     def prompt_tokens(self, request: CompletionRequest) -> int:
         """Return the likely number of prompt tokens, by what engines counted before."""
-        return max(1, int(len(request.prompt_text) / self._ratio(request)))
+        return max(1, int(len(request.prompt_text) / self._get_chars_per_token(request)))
 
     def record_prompt_tokens(
         self, request: CompletionRequest, written_text: str, prompt_tokens: int
@@ -41,13 +41,13 @@
         if prompt_tokens <= 0:
             return
         name = request.model.name
-        seen = (len(request.prompt_text) + len(written_text)) / prompt_tokens
-        before = self._chars_per_token.get(name, seen)
-        self._chars_per_token[name] = before + CHARS_EWMA_WEIGHT * (seen - before)
+        measured = (len(request.prompt_text) + len(written_text)) / prompt_tokens
+        previous = self._chars_per_token.get(name, measured)
+        self._chars_per_token[name] = previous + CHARS_EWMA_WEIGHT * (measured - previous)
 
     def make_route_request(self, request: CompletionRequest, written_tokens: int) -> RouteRequest:
         """Return what routing needs to know, with *written_tokens* tokens of the answer there."""
-        block_tokens = int(PREFIX_BLOCK_CHARS / self._ratio(request))
+        block_tokens = int(PREFIX_BLOCK_CHARS / self._get_chars_per_token(request))
         name = request.body["model"]
         adapter = "" if name == request.model.name else name
         return RouteRequest(
@@ -65,11 +65,11 @@
         A prompt so long that even an idle engine reads it later than the target allows is given
         the time that it needs: it can't be in time, but it can be answered.
         """
-        if not self._mech.refuse_early:
+        if not self._mechanisms.refuse_early:
             return FIXED_TIMEOUT_S
-        aim = 1.0 - TARGET_MARGIN - TARGET_MARGIN_PER_WASTE_WEIGHT * policy.waste_weight
-        target = request.model.first_token_s * policy.patience * aim
-        idle = self._router.idle_prefill_s(
+        target_share = 1.0 - TARGET_MARGIN - TARGET_MARGIN_PER_WASTE_WEIGHT * policy.waste_weight
+        target_s = request.model.first_token_s * policy.patience * target_share
+        idle_prefill_s = self._router.idle_prefill_s(
             request.model.prefill, self.make_route_request(request, 0), now
         )
-        return max(target, LONG_PROMPT_FACTOR * idle)
+        return max(target_s, LONG_PROMPT_FACTOR * idle_prefill_s)
--- a/src/crankhinge/entry/_fence_client.py
+++ b/src/crankhinge/entry/_fence_client.py
@@ -68,8 +68,8 @@
     """
 
     def __init__(self, *, agent_links: AgentLinks, mailboxes: Mailboxes, metrics: Metrics) -> None:
-        self._fleet = agent_links
-        self._calls = mailboxes
+        self._agent_links = agent_links
+        self._mailboxes = mailboxes
         self._metrics = metrics
 
     async def request_permit(
@@ -86,75 +86,77 @@
         """
         if not pool.fence:
             raise FenceUnavailable(f"pool {pool.name} keeps no record (fence)")
-        number = zlib.crc32(key.encode()) % len(pool.fence)
-        holders = pool.fence[number]
-        leave = FencePermit(
+        range_number = zlib.crc32(key.encode()) % len(pool.fence)
+        replicas = pool.fence[range_number]
+        permit = FencePermit(
             req,
-            fence_range_id(pool.name, number, holders),
+            fence_range_id(pool.name, range_number, replicas),
             f"{member}/{key}",
-            holders,
+            replicas,
         )
-        settled = False
+        is_decided = False
         try:
-            for name in self._order(leave):
-                answer = await self._ask_one(name, leave, digest)
-                if isinstance(answer, FencePermitted):
-                    settled = True
-                    return leave
-                if isinstance(answer, FenceAlreadyTaken):
-                    settled = True
-                    return _before(answer)
+            for name in self._order_replicas(permit):
+                response = await self._request_from(name, permit, digest)
+                if isinstance(response, FencePermitted):
+                    is_decided = True
+                    return permit
+                if isinstance(response, FenceAlreadyTaken):
+                    is_decided = True
+                    return _to_recorded_response(response)
         finally:
-            if not settled:
-                await self.release(leave)
+            if not is_decided:
+                await self.release(permit)
         self._metrics.count("fence_unavailable")
         raise FenceUnavailable("its record can't be consulted", retry_after_s=1.0)
 
-    def _order(self, leave: FencePermit) -> tuple[str, ...]:
+    def _order_replicas(self, permit: FencePermit) -> tuple[str, ...]:
         """Return the holders, spread over the keys."""
-        first, second = leave.replicas
-        return (first, second) if leave.req % 2 else (second, first)
+        first, second = permit.replicas
+        return (first, second) if permit.req % 2 else (second, first)
 
-    async def _ask_one(self, name: str, leave: FencePermit, digest: bytes) -> Any:
+    async def _request_from(self, name: str, permit: FencePermit, digest: bytes) -> Any:
         """Return one holder's answer; None when it gives none."""
         try:
-            link = self._fleet.get_link(name)
-            box = self._calls.open(link, leave.req)
+            link = self._agent_links.get_link(name)
+            mailbox = self._mailboxes.open(link, permit.req)
         except LinkClosed:
             return None
         try:
-            await link.send(FencePermitRequest(leave.req, leave.range_id, leave.key, digest))
-            return await curio.ignore_after(REPLICA_RESPONSE_TIMEOUT_S, box.get)
+            await link.send(FencePermitRequest(permit.req, permit.range_id, permit.key, digest))
+            return await curio.ignore_after(REPLICA_RESPONSE_TIMEOUT_S, mailbox.get)
         except (LinkClosed, LinkLost):
             return None
         finally:
-            self._calls.close(box)
+            self._mailboxes.close(mailbox)
 
     async def record_response(self, permit: FencePermit, response: RecordedResponse) -> None:
         """Record how the attempt ended, for callers that repeat it."""
-        await self._tell(permit, FenceSettle(permit.req, permit.range_id, permit.key, response))
+        await self._send_to_replicas(
+            permit, FenceSettle(permit.req, permit.range_id, permit.key, response)
+        )
 
     async def release(self, permit: FencePermit) -> None:
         """Give the key back: the attempt has not run and never will."""
-        await self._tell(permit, FenceRelease(permit.req, permit.range_id, permit.key))
+        await self._send_to_replicas(permit, FenceRelease(permit.req, permit.range_id, permit.key))
 
-    async def _tell(self, leave: FencePermit, msg: Message) -> None:
-        for name in leave.replicas:
+    async def _send_to_replicas(self, permit: FencePermit, msg: Message) -> None:
+        for name in permit.replicas:
             try:
-                link: Link = self._fleet.get_link(name)
+                link: Link = self._agent_links.get_link(name)
                 await link.send(msg)
             except LinkClosed:
                 continue
 
 
-def _before(answer: FenceAlreadyTaken) -> RecordedResponse:
+def _to_recorded_response(response: FenceAlreadyTaken) -> RecordedResponse:
     """Return the recorded answer, or say why there is none."""
-    if answer.cause == "bad-key":
+    if response.cause == "bad-key":
         raise BadKey("the idempotency key must be a UUID of version 7, born now")
-    if answer.cause == "key-too-old":
+    if response.cause == "key-too-old":
         raise KeyTooOld("whether this key was used before is no longer known")
-    if not answer.same:
+    if not response.same:
         raise KeyReused("this key was used for another request")
-    if answer.answer is None or answer.answer.cut:
+    if response.answer is None or response.answer.cut:
         raise AlreadyTaken("a request with this key was taken before")
-    return answer.answer
+    return response.answer
--- a/src/crankhinge/entry/_mailboxes.py
+++ b/src/crankhinge/entry/_mailboxes.py
@@ -38,17 +38,17 @@
 
     def __init__(self, req: int, max_unread_tokens: int) -> None:
         self.req = req
-        self._limit = max_unread_tokens
+        self._max_unread_tokens = max_unread_tokens
         self.received_count = 0
         self.is_streaming = False
         self._queue: curio.Queue = curio.Queue()
-        self._tokens = 0
+        self._unread_tokens = 0
 
     async def put(self, msg: Message | None) -> None:
         """Add a message; None says that the link is gone."""
         self.received_count += 1
         if isinstance(msg, Tokens):
-            self._tokens += len(msg.texts)
+            self._unread_tokens += len(msg.texts)
         await self._queue.put(msg)
 
     async def get(self) -> Any:
@@ -62,9 +62,9 @@
         if msg is None:
             raise LinkLost("the agent's link ended")
         if isinstance(msg, Tokens):
-            if self._tokens > self._limit:
-                raise SlowCaller(f"{self._tokens} tokens unread")
-            self._tokens -= len(msg.texts)
+            if self._unread_tokens > self._max_unread_tokens:
+                raise SlowCaller(f"{self._unread_tokens} tokens unread")
+            self._unread_tokens -= len(msg.texts)
         return msg
 
 
@@ -77,8 +77,8 @@
 
     def __init__(self, max_unread_tokens: int) -> None:
         self.dropped_count = 0
-        self._limit = max_unread_tokens
-        self._boxes: dict[int, tuple[Link, Mailbox]] = {}
+        self._max_unread_tokens = max_unread_tokens
+        self._mailboxes: dict[int, tuple[Link, Mailbox]] = {}
 
     def open(self, link: Link, req: int) -> Mailbox:
         """Return a mailbox for the step *req* of a request, to the agent behind *link*.
@@ -88,41 +88,45 @@
         """
         if link.closed:
             raise LinkClosed(link.peer.name)
-        box = Mailbox(req, self._limit)
-        self._boxes[box.req] = (link, box)
-        return box
+        mailbox = Mailbox(req, self._max_unread_tokens)
+        self._mailboxes[mailbox.req] = (link, mailbox)
+        return mailbox
 
     def close(self, mailbox: Mailbox) -> None:
         """Forget a mailbox; what still arrives for it is dropped and counted."""
-        self._boxes.pop(mailbox.req, None)
+        self._mailboxes.pop(mailbox.req, None)
 
     async def deliver(self, link: Link, msg: Any) -> None:
         """Pass *msg* to the request it names, if that is one sent over *link*."""
-        entry = self._boxes.get(getattr(msg, "req", 0))
-        if entry is None or entry[0] is not link:
+        found = self._mailboxes.get(getattr(msg, "req", 0))
+        if found is None or found[0] is not link:
             self.dropped_count += 1
             return
-        await entry[1].put(msg)
+        await found[1].put(msg)
 
     async def watch_streams(self) -> None:
         """End the streams that have fallen silent, until cancelled.
 
         One look at all streams now and then takes the place of a timer for each token.
         """
-        before: dict[int, int] = {}
+        counts_before: dict[int, int] = {}
         while True:
             await curio.sleep(STREAM_CHECK_INTERVAL_S)
-            streams = {req: box for req, (_, box) in self._boxes.items() if box.is_streaming}
-            for req, box in streams.items():
-                if before.get(req) == box.received_count:
-                    await box.put(Failed(req, "silent", True))
-            before = {req: box.received_count for req, box in streams.items()}
+            streams = {
+                req: mailbox
+                for req, (_, mailbox) in self._mailboxes.items()
+                if mailbox.is_streaming
+            }
+            for req, mailbox in streams.items():
+                if counts_before.get(req) == mailbox.received_count:
+                    await mailbox.put(Failed(req, "silent", True))
+            counts_before = {req: mailbox.received_count for req, mailbox in streams.items()}
 
     async def fail_link(self, link: Link) -> None:
         """Tell every request that waits on *link* that it is gone."""
-        for owner, box in list(self._boxes.values()):
+        for owner, mailbox in list(self._mailboxes.values()):
             if owner is link:
-                await box.put(None)
+                await mailbox.put(None)
 
 
 async def cancel_step(link: Link, mailbox: Mailbox) -> None:
--- a/src/crankhinge/entry/_plain_calls.py
+++ b/src/crankhinge/entry/_plain_calls.py
@@ -55,10 +55,10 @@
         log: Any,
         metrics: Metrics,
     ) -> None:
-        self._fleet = agent_links
-        self._calls = mailboxes
-        self._budget = retry_budget
-        self._fence = fence_client
+        self._agent_links = agent_links
+        self._mailboxes = mailboxes
+        self._retry_budget = retry_budget
+        self._fence_client = fence_client
         self._log = log
         self._metrics = metrics
 
@@ -84,17 +84,17 @@
         if pool is None:
             raise NoBackend(f"no pool {service.pool}")
         digest = digest_request(req.method, req.target, req.body)
-        leave = await self._fence.request_permit(
+        permit = await self._fence_client.request_permit(
             pool, member.name, options.idempotency_key, digest, progress.new_step_id()
         )
-        if isinstance(leave, RecordedResponse):
+        if isinstance(permit, RecordedResponse):
             self._metrics.count("answers_replayed")
             return ServiceResponse(
-                0, leave.status, {**leave.headers, REPLAYED_HEADER: "yes"}, leave.body
+                0, permit.status, {**permit.headers, REPLAYED_HEADER: "yes"}, permit.body
             )
         progress.earlier_may_have_run = False
         task = await curio.spawn(
-            self._run_with_leave, leave, req, member, service, options, progress, daemon=True
+            self._run_with_permit, permit, req, member, service, options, progress, daemon=True
         )
         await task.wait()
         outcome: ServiceResponse | CrankhingeError = task.result
@@ -102,32 +102,32 @@
             raise outcome
         return outcome
 
-    async def _run_with_leave(
+    async def _run_with_permit(
         self,
-        leave: FencePermit,
+        permit: FencePermit,
         req: HttpRequest,
         member: Member,
         service: Service,
-        terms: RequestOptions,
+        options: RequestOptions,
         progress: RequestProgress,
     ) -> ServiceResponse | CrankhingeError:
         """Return the answer, or the failure: nobody may be left to raise it to."""
         try:
-            done = await self._send(req, member, service, terms, False, progress)
+            response = await self._send(req, member, service, options, False, progress)
         except CrankhingeError as exc:
             if not progress.may_have_run:
-                await self._fence.release(leave)
+                await self._fence_client.release(permit)
             return exc
-        answer = to_recorded_response(done.status, done.headers, done.body)
-        await self._fence.record_response(leave, answer)
-        return done
+        recorded = to_recorded_response(response.status, response.headers, response.body)
+        await self._fence_client.record_response(permit, recorded)
+        return response
 
     async def _send(
         self,
         req: HttpRequest,
         member: Member,
         service: Service,
-        terms: RequestOptions,
+        options: RequestOptions,
         repeatable: bool,
         progress: RequestProgress,
     ) -> ServiceResponse:
@@ -141,22 +141,24 @@
             Overloaded: every one tried refused it unstarted.
             BackendFailed: it may have run.
         """
-        until = await curio.clock() + min(service.timeout_s, terms.deadline_s or service.timeout_s)
-        self._budget.record_first_attempt()
-        told_back: list[float] = []
+        deadline = await curio.clock() + min(
+            service.timeout_s, options.deadline_s or service.timeout_s
+        )
+        self._retry_budget.record_first_attempt()
+        retry_delays_s: list[float] = []
         tried: set[str] = set()
         for _ in range(MAX_ATTEMPTS):
-            backend = await self._next(service, tried)
+            backend = await self._choose_backend(service, tried)
             if backend is None:
                 break
             progress.attempts += 1
             tried.add(backend.name)
-            answer = await self._call(req, member, backend, until, progress)
-            if isinstance(answer, ServiceResponse):
-                return answer
-            if isinstance(answer, Refused):
-                told_back += [answer.retry_after_s] if answer.retry_after_s else []
-            elif progress.may_have_run and not (repeatable and self._budget.try_retry()):
+            response = await self._call_agent(req, member, backend, deadline, progress)
+            if isinstance(response, ServiceResponse):
+                return response
+            if isinstance(response, Refused):
+                retry_delays_s += [response.retry_after_s] if response.retry_after_s else []
+            elif progress.may_have_run and not (repeatable and self._retry_budget.try_retry()):
                 raise BackendFailed(f"{backend.name} failed in mid-call")
         if progress.may_have_run:
             raise BackendFailed("every attempt failed")
@@ -164,44 +166,50 @@
             raise NoBackend(
                 f"no backend server for {service.name}", retry_after_s=DEFAULT_RETRY_AFTER_S
             )
-        after_s = min(told_back, default=DEFAULT_RETRY_AFTER_S)
+        after_s = min(retry_delays_s, default=DEFAULT_RETRY_AFTER_S)
         raise Overloaded("no backend server took the call", retry_after_s=after_s)
 
-    async def _next(self, service: Service, tried: set[str]) -> Backend | None:
+    async def _choose_backend(self, service: Service, tried: set[str]) -> Backend | None:
         """Return the next backend server to try."""
-        choices = self._fleet.router.choose_backends((service.pool,), await curio.clock())
+        choices = self._agent_links.router.choose_backends((service.pool,), await curio.clock())
         return next((backend for backend in choices if backend.name not in tried), None)
 
-    async def _call(
+    async def _call_agent(
         self,
         req: HttpRequest,
         member: Member,
         backend: Backend,
-        until: float,
+        deadline: float,
         progress: RequestProgress,
     ) -> ServiceResponse | Refused | Failed | None:
         """Send the call to one agent; sets ``progress.touched`` unless it certainly didn't run."""
         now = await curio.clock()
-        within = max(0.001, until - now)
-        step = progress.new_step_id()
+        timeout_s = max(0.001, deadline - now)
+        step_id = progress.new_step_id()
         call = ServiceCall(
-            step, req.method, req.target, _forwarded(req), req.body, within, member.name
+            step_id,
+            req.method,
+            req.target,
+            _forwarded_headers(req),
+            req.body,
+            timeout_s,
+            member.name,
         )
-        before = progress.may_have_run
+        may_have_run_before = progress.may_have_run
         progress.may_have_run = True
         backend.sent_since_report += 1
         backend.breaker.record_sent(now)
-        answer: ServiceResponse | Refused | Failed | None = None
+        response: ServiceResponse | Refused | Failed | None = None
         try:
-            answer = await self._exchange(backend, call)
+            response = await self._send_and_wait(backend, call)
         except LinkClosed:
             # The link was gone before the call was queued on it.
-            answer = Refused(step, "link-closed")
+            response = Refused(step_id, "link-closed")
         except LinkLost:
             pass
-        return self._judge(answer, backend, before, progress, now)
+        return self._record_outcome(response, backend, may_have_run_before, progress, now)
 
-    async def _exchange(
+    async def _send_and_wait(
         self, backend: Backend, call: ServiceCall
     ) -> ServiceResponse | Refused | Failed | None:
         """Return the agent's answer, or None when none came in time.
@@ -210,40 +218,40 @@
             LinkClosed: nothing was sent.
             LinkLost: the call may have arrived.
         """
-        link = self._fleet.get_link(backend.name)
-        box = self._calls.open(link, call.req)
-        answer: ServiceResponse | Refused | Failed | None = None
+        link = self._agent_links.get_link(backend.name)
+        mailbox = self._mailboxes.open(link, call.req)
+        response: ServiceResponse | Refused | Failed | None = None
         try:
             await link.send(call)
-            answer = await curio.ignore_after(call.timeout_s + RESPONSE_MARGIN_S, box.get)
+            response = await curio.ignore_after(call.timeout_s + RESPONSE_MARGIN_S, mailbox.get)
         finally:
-            self._calls.close(box)
-            if answer is None:
-                await cancel_step(link, box)
-        return answer
+            self._mailboxes.close(mailbox)
+            if response is None:
+                await cancel_step(link, mailbox)
+        return response
 
-    def _judge(
+    def _record_outcome(
         self,
-        answer: ServiceResponse | Refused | Failed | None,
+        response: ServiceResponse | Refused | Failed | None,
         backend: Backend,
-        before: bool,
+        may_have_run_before: bool,
         progress: RequestProgress,
         now: float,
     ) -> ServiceResponse | Refused | Failed | None:
         """Note what an answer says of the backend server and of whether the call ran."""
-        if isinstance(answer, ServiceResponse):
+        if isinstance(response, ServiceResponse):
             backend.breaker.record_success()
-            return answer
-        if isinstance(answer, Refused):
-            progress.may_have_run = before
-            return answer
+            return response
+        if isinstance(response, Refused):
+            progress.may_have_run = may_have_run_before
+            return response
         backend.breaker.record_failure(now)
-        if answer is not None and not answer.may_have_run:
-            progress.may_have_run = before
-            return Refused(answer.req, answer.code)
-        return answer
+        if response is not None and not response.may_have_run:
+            progress.may_have_run = may_have_run_before
+            return Refused(response.req, response.code)
+        return response
 
 
-def _forwarded(req: HttpRequest) -> dict[str, str]:
+def _forwarded_headers(req: HttpRequest) -> dict[str, str]:
     headers = end_to_end(req.headers)
     return {name: value for name, value in headers.items() if name not in PRIVATE_HEADERS}
--- a/src/crankhinge/entry/_prefill_client.py
+++ b/src/crankhinge/entry/_prefill_client.py
@@ -47,63 +47,71 @@
             Overloaded: no engine can read it in time; none has worked for the request.
             AttemptFailed: no engine has read it, but one may have tried.
         """
-        ask = task.request
+        request = task.request
         now = await curio.clock()
         retry_after = 1.0
-        pools = ask.model.prefill
+        pools = request.model.prefill
         for backend in self._router.choose_prefill(pools, task.route, task.decode_zone, now):
             try:
-                answer = await self._read_at(backend, task, progress)
+                response = await self._prefill_at(backend, task, progress)
             except (LinkClosed, LinkLost):
                 continue
-            if isinstance(answer, PrefillDone):
+            if isinstance(response, PrefillDone):
                 self._router.prefixes.record_cached(backend.name, task.route.prefix)
-                progress.computed_tokens += answer.prompt_tokens - answer.cached_tokens
-                progress.unused_tokens = answer.prompt_tokens - answer.cached_tokens
+                progress.computed_tokens += response.prompt_tokens - response.cached_tokens
+                progress.unused_tokens = response.prompt_tokens - response.cached_tokens
                 progress.prefill_backend = backend
-                return answer
-            if isinstance(answer, Refused):
-                retry_after = min(retry_after, answer.retry_after_s or retry_after)
-            if progress.may_have_run and not ask.options.is_repeatable:
+                return response
+            if isinstance(response, Refused):
+                retry_after = min(retry_after, response.retry_after_s or retry_after)
+            if progress.may_have_run and not request.options.is_repeatable:
                 break
         if progress.may_have_run:
             raise AttemptFailed("no prefill engine read the prompt")
         raise Overloaded("no prefill engine in time", retry_after_s=retry_after)
 
-    async def _read_at(
-        self, backend: Backend, prompt: PrefillTask, progress: RequestProgress
+    async def _prefill_at(
+        self, backend: Backend, task: PrefillTask, progress: RequestProgress
     ) -> PrefillDone | Refused | Failed | None:
         """Return one agent's answer, or None for none; notes whether its engine may have run."""
         now = await curio.clock()
-        zone = prompt.decode_zone or backend.zone
-        transfer = self._router.transfer_s(prompt.route.tokens, backend.zone, zone)
-        within = prompt.deadline - now - transfer
-        link = self._fleet.get_link(backend.name)
-        box = self._calls.open(link, progress.new_step_id())
-        todo = self._router.uncached_tokens(backend, prompt.route)
-        self._note_sent(backend, todo, now)
-        before = progress.may_have_run
+        decode_zone = task.decode_zone or backend.zone
+        transfer_s = self._router.transfer_s(task.route.tokens, backend.zone, decode_zone)
+        timeout_s = task.deadline - now - transfer_s
+        link = self._agent_links.get_link(backend.name)
+        mailbox = self._mailboxes.open(link, progress.new_step_id())
+        uncached_tokens = self._router.uncached_tokens(backend, task.route)
+        self._record_sent(backend, uncached_tokens, now)
+        may_have_run_before = progress.may_have_run
         progress.may_have_run = True
-        answer: PrefillDone | Refused | Failed | None = None
+        response: PrefillDone | Refused | Failed | None = None
         try:
-            ask = prompt.request
-            member, rank = ask.member.name, ask.options.rank
-            await link.send(Prefill(box.req, ask.path, prompt.body, member, rank, within, todo))
-            answer = await curio.ignore_after(max(within, 0.0) + RESPONSE_MARGIN_S, box.get)
+            request = task.request
+            member, rank = request.member.name, request.options.rank
+            await link.send(
+                Prefill(
+                    mailbox.req, request.path, task.body, member, rank, timeout_s, uncached_tokens
+                )
+            )
+            response = await curio.ignore_after(
+                max(timeout_s, 0.0) + RESPONSE_MARGIN_S, mailbox.get
+            )
         finally:
-            self._calls.close(box)
-            if answer is None:
-                await cancel_step(link, box)
+            self._mailboxes.close(mailbox)
+            if response is None:
+                await cancel_step(link, mailbox)
                 backend.breaker.record_failure(now)
-        if isinstance(answer, Refused) or (isinstance(answer, Failed) and not answer.may_have_run):
-            progress.may_have_run = before
-        if isinstance(answer, Failed):
+        if isinstance(response, Refused) or (
+            isinstance(response, Failed) and not response.may_have_run
+        ):
+            progress.may_have_run = may_have_run_before
+        if isinstance(response, Failed):
             backend.breaker.record_failure(await curio.clock())
-        elif isinstance(answer, PrefillDone):
+        elif isinstance(response, PrefillDone):
             backend.breaker.record_success()
-        return answer
+        return response
 
-    def _note_sent(self, backend: Backend, todo: int, now: float) -> None:
+    def _record_sent(self, backend: Backend, uncached_tokens: int, now: float) -> None:
         backend.sent_since_report += 1
-        backend.sent_work_s += todo / (backend.tokens_per_s or DEFAULT_TOKENS_PER_S)
+        backend.sent_work_s += uncached_tokens / (backend.tokens_per_s or DEFAULT_TOKENS_PER_S)
         backend.breaker.record_sent(now)
--- a/src/crankhinge/entry/_program.py
+++ b/src/crankhinge/entry/_program.py
@@ -31,15 +31,15 @@
     """Run the entry until *stopping*, then drain."""
     log = log.bind(name=settings.name)
     rng = random.Random(secrets.randbits(64))
-    mech = mechanisms_for(settings.policy)
+    mechanisms = mechanisms_for(settings.policy)
     keeper = BundleKeeper(settings.keys)
     metrics = Metrics(prefix=f"crankhinge.entry.{settings.name}", address=settings.statsd)
     kv = ConsulKeyValue(*parse_endpoint(settings.key_value))
-    spread = BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
-    ids = RequestIds(secrets.randbits(64))
-    calls = Mailboxes(settings.buffer_tokens)
-    weights = RoutingCosts(zone=settings.zone, report_interval_s=settings.beat_s)
-    fleet = AgentLinks(
+    propagator = BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
+    request_ids = RequestIds(secrets.randbits(64))
+    mailboxes = Mailboxes(settings.buffer_tokens)
+    costs = RoutingCosts(zone=settings.zone, report_interval_s=settings.beat_s)
+    agent_links = AgentLinks(
         settings=settings,
         instance_list=InstanceListCache(
             ConsulInstanceList(*parse_endpoint(settings.instances)),
@@ -47,42 +47,46 @@
             log=log,
             rng=rng,
         ),
-        router=Router(costs=weights, rng=rng, mech=mech),
-        mailboxes=calls,
-        propagator=spread,
+        router=Router(costs=costs, rng=rng, mech=mechanisms),
+        mailboxes=mailboxes,
+        propagator=propagator,
         keeper=keeper,
         incarnation=time.time_ns(),
         log=log,
         rng=rng,
     )
-    keeper.listeners.append(fleet.apply_bundle)
-    budget = RetryBudget()
-    keeper.listeners.append(lambda bundle: budget.set_ratio(bundle.policy.retry_ratio))
-    fence = FenceClient(agent_links=fleet, mailboxes=calls, metrics=metrics)
-    common: dict[str, Any] = {"agent_links": fleet, "mailboxes": calls}
-    common.update(retry_budget=budget, fence_client=fence)
+    keeper.listeners.append(agent_links.apply_bundle)
+    retry_budget = RetryBudget()
+    keeper.listeners.append(lambda bundle: retry_budget.set_ratio(bundle.policy.retry_ratio))
+    fence_client = FenceClient(agent_links=agent_links, mailboxes=mailboxes, metrics=metrics)
+    common: dict[str, Any] = {
+        "agent_links": agent_links,
+        "mailboxes": mailboxes,
+        "retry_budget": retry_budget,
+        "fence_client": fence_client,
+    }
     common.update(log=log, metrics=metrics)
     entry = Entry(
         settings=settings,
         keeper=keeper,
-        agent_links=fleet,
-        completions=CompletionRunner(**common, mech=mech),
+        agent_links=agent_links,
+        completions=CompletionRunner(**common, mech=mechanisms),
         plain_calls=PlainCallRunner(**common),
-        request_ids=ids,
+        request_ids=request_ids,
         log=log,
         metrics=metrics,
     )
     supervisor = Supervisor(log)
     supervisor.add("listener", entry.listen)
-    supervisor.add("beats", fleet.heartbeat_sender.run)
-    supervisor.add("fleet", fleet.run)
-    supervisor.add("bundle", spread.watch)
-    supervisor.add("streams", calls.watch_streams)
+    supervisor.add("beats", agent_links.heartbeat_sender.run)
+    supervisor.add("fleet", agent_links.run)
+    supervisor.add("bundle", propagator.watch)
+    supervisor.add("streams", mailboxes.watch_streams)
     log.info("started", port=settings.port)
-    await run_until_first_ends(supervisor.run, partial(_drain_on, stopping, entry))
+    await run_until_first_ends(supervisor.run, partial(_drain_when_stopping, stopping, entry))
 
 
-async def _drain_on(stopping: curio.Event, entry: Entry) -> None:
+async def _drain_when_stopping(stopping: curio.Event, entry: Entry) -> None:
     await stopping.wait()
     await entry.drain()
 
--- a/src/crankhinge/entry/_requests.py
+++ b/src/crankhinge/entry/_requests.py
@@ -23,17 +23,17 @@
 BEARER_PREFIX = "bearer "
 
 
-class _Message(msgspec.Struct):
+class _ChatMessage(msgspec.Struct):
     role: str
     content: str = ""
 
 
-class _Body(msgspec.Struct):
+class _CompletionBody(msgspec.Struct):
     """The members of a completion request that are looked at; the rest is passed on."""
 
     model: str
     prompt: str | None = None
-    messages: list[_Message] | None = None
+    messages: list[_ChatMessage] | None = None
     max_tokens: int | None = None
     max_completion_tokens: int | None = None
     stream: bool = False
@@ -131,8 +131,8 @@
     Raises:
         RequestError: when one of them is malformed.
     """
-    rank = _number(headers, "x-priority", DEFAULT_RANK, 0, MAX_RANK)
-    deadline_ms = _number(headers, "x-deadline-ms", None, 1, MAX_DEADLINE_S * 1000)
+    rank = _parse_number(headers, "x-priority", DEFAULT_RANK, 0, MAX_RANK)
+    deadline_ms = _parse_number(headers, "x-deadline-ms", None, 1, MAX_DEADLINE_S * 1000)
     return RequestOptions(
         rank=max(int(rank or 0), member.max_rank),
         deadline_s=None if deadline_ms is None else deadline_ms / 1000.0,
@@ -141,7 +141,7 @@
     )
 
 
-def _number(
+def _parse_number(
     headers: Mapping[str, str], name: str, default: float | None, low: float, high: float
 ) -> float | None:
     text = headers.get(name)
@@ -162,10 +162,10 @@
     Raises:
         RequestError: naming what is wrong.
     """
-    terms = parse_options(req.headers, member)
+    options = parse_options(req.headers, member)
     try:
-        whole = msgspec.json.decode(req.body)
-        body = msgspec.convert(whole, _Body)
+        raw_body = msgspec.json.decode(req.body)
+        body = msgspec.convert(raw_body, _CompletionBody)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise RequestError(f"body: {exc}") from exc
     model = view.bundle.find_model(body.model)
@@ -173,13 +173,13 @@
         raise UnknownModel(f"no model {body.model!r}")
     if body.n != 1:
         raise RequestError("n: only 1 is served")
-    text = _text_of(req.path, body)
+    text = _extract_prompt_text(req.path, body)
     return CompletionRequest(
         member=member,
         model=model,
-        options=terms,
+        options=options,
         path=req.path,
-        body=whole,
+        body=raw_body,
         prompt_text=text,
         max_tokens=_max_tokens(body, model),
         stream=body.stream,
@@ -187,7 +187,7 @@
     )
 
 
-def _text_of(path: str, body: _Body) -> str:
+def _extract_prompt_text(path: str, body: _CompletionBody) -> str:
     if path == CHAT_PATH:
         if not body.messages:
             raise RequestError("messages: at least one is needed")
@@ -197,11 +197,11 @@
     return body.prompt
 
 
-def _max_tokens(body: _Body, model: Model) -> int:
-    asked = body.max_completion_tokens or body.max_tokens or model.max_output_tokens
-    if asked < 1:
+def _max_tokens(body: _CompletionBody, model: Model) -> int:
+    requested = body.max_completion_tokens or body.max_tokens or model.max_output_tokens
+    if requested < 1:
         raise RequestError("max_tokens: must be at least 1")
-    return min(asked, model.max_output_tokens)
+    return min(requested, model.max_output_tokens)
 
 
 def check_prompt_length(request: CompletionRequest, tokens: int) -> None:
@@ -217,9 +217,9 @@
 def hash_prefix_blocks(text: str) -> tuple[int, ...]:
     """Return a hash of each leading block of *text*, each depending on all before it."""
     data = text[: PREFIX_BLOCK_CHARS * MAX_PREFIX_BLOCKS].encode()
-    blocks = []
-    state = 0
+    hashes = []
+    checksum = 0
     for start in range(0, len(data) - PREFIX_BLOCK_CHARS + 1, PREFIX_BLOCK_CHARS):
-        state = zlib.crc32(data[start : start + PREFIX_BLOCK_CHARS], state)
-        blocks.append(state)
-    return tuple(blocks)
+        checksum = zlib.crc32(data[start : start + PREFIX_BLOCK_CHARS], checksum)
+        hashes.append(checksum)
+    return tuple(hashes)
--- a/src/crankhinge/entry/_responses.py
+++ b/src/crankhinge/entry/_responses.py
@@ -41,13 +41,13 @@
     request_id: str = "",
 ) -> None:
     """Answer with a failure, at once; ``Retry-After`` says when to come back."""
-    known = outcome or exc.outcome
-    headers = {OUTCOME_HEADER: known.value}
+    known_outcome = outcome or exc.outcome
+    headers = {OUTCOME_HEADER: known_outcome.value}
     if request_id:
         headers["x-request-id"] = request_id
     if exc.retry_after_s is not None:
         headers["retry-after"] = str(max(1, math.ceil(exc.retry_after_s)))
-    await exchange.respond(exc.status, msgspec.json.encode(error_body(exc, known)), headers)
+    await exchange.respond(exc.status, msgspec.json.encode(error_body(exc, known_outcome)), headers)
 
 
 class CompletionWriter:
@@ -64,11 +64,11 @@
         self, exchange: Exchange, request: CompletionRequest, request_id: str, created: int
     ) -> None:
         self._exchange = exchange
-        self._ask = request
-        self._ident = request_id
+        self._request = request
+        self._request_id = request_id
         self._created = created
         self._texts: list[str] = []
-        self._head, self._tail = self._frame()
+        self._event_head, self._event_tail = self._split_event()
         self._prompt_tokens = 0
 
     @property
@@ -93,24 +93,25 @@
     async def write(self, texts: tuple[str, ...]) -> None:
         """Add tokens to the answer."""
         self._texts.extend(texts)
-        if not self._ask.stream:
+        if not self._request.stream:
             return
         if not self._exchange.response_started:
-            await self._exchange.start(200, {**SSE_HEADERS, "x-request-id": self._ident})
-        head, tail = self._head, self._tail
+            await self._exchange.start(200, {**SSE_HEADERS, "x-request-id": self._request_id})
+        head, tail = self._event_head, self._event_tail
         events = [head + msgspec.json.encode(text) + tail for text in texts]
         await self._exchange.write(b"".join(events))
 
-    async def finish(self, reason: str) -> None:
+    async def finish(self, finish_reason: str) -> None:
         """End the answer."""
-        if self._ask.stream:
+        if self._request.stream:
             await self._exchange.write(
-                encode_sse_event(self._chunk("", reason)) + encode_sse_event(b"[DONE]")
+                encode_sse_event(self._encode_chunk("", finish_reason))
+                + encode_sse_event(b"[DONE]")
             )
             await self._exchange.finish()
             return
-        body = msgspec.json.encode(self._whole(reason))
-        await self._exchange.respond(200, body, {"x-request-id": self._ident})
+        body = msgspec.json.encode(self._make_body(finish_reason))
+        await self._exchange.respond(200, body, {"x-request-id": self._request_id})
 
     async def abort(self, exc: CrankhingeError) -> None:
         """Tell a streaming caller that its answer is not whole; no ``[DONE]`` follows."""
@@ -118,42 +119,42 @@
         await self._exchange.write(encode_sse_event(body))
         await self._exchange.finish()
 
-    def _frame(self) -> tuple[bytes, bytes]:
+    def _split_event(self) -> tuple[bytes, bytes]:
         """Return what stands before and behind the text in the event of each token."""
-        event = encode_sse_event(self._chunk(TEXT_PLACEHOLDER, None))
+        event = encode_sse_event(self._encode_chunk(TEXT_PLACEHOLDER, None))
         head, _, tail = event.partition(msgspec.json.encode(TEXT_PLACEHOLDER))
         return head, tail
 
-    def _chunk(self, text: str, reason: str | None) -> bytes:
-        choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
-        if self._ask.is_chat:
+    def _encode_chunk(self, text: str, finish_reason: str | None) -> bytes:
+        choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason}
+        if self._request.is_chat:
             choice["delta"] = {"content": text} if text else {}
         else:
             choice["text"] = text
-        kind = "chat.completion.chunk" if self._ask.is_chat else "text_completion"
-        return msgspec.json.encode(self._envelope(kind, choice))
+        kind = "chat.completion.chunk" if self._request.is_chat else "text_completion"
+        return msgspec.json.encode(self._wrap_choice(kind, choice))
 
-    def _whole(self, reason: str) -> dict[str, Any]:
-        choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
-        if self._ask.is_chat:
+    def _make_body(self, finish_reason: str) -> dict[str, Any]:
+        choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason}
+        if self._request.is_chat:
             choice["message"] = {"role": "assistant", "content": self.text}
         else:
             choice["text"] = self.text
-        whole = self._envelope(
-            "chat.completion" if self._ask.is_chat else "text_completion", choice
+        body = self._wrap_choice(
+            "chat.completion" if self._request.is_chat else "text_completion", choice
         )
-        whole["usage"] = {
+        body["usage"] = {
             "prompt_tokens": self._prompt_tokens,
             "completion_tokens": self.token_count,
             "total_tokens": self._prompt_tokens + self.token_count,
         }
-        return whole
+        return body
 
-    def _envelope(self, kind: str, choice: dict[str, Any]) -> dict[str, Any]:
+    def _wrap_choice(self, kind: str, choice: dict[str, Any]) -> dict[str, Any]:
         return {
-            "id": self._ident,
+            "id": self._request_id,
             "object": kind,
             "created": self._created,
-            "model": self._ask.body["model"],
+            "model": self._request.body["model"],
             "choices": [choice],
         }
--- a/src/crankhinge/entry/_slot_client.py
+++ b/src/crankhinge/entry/_slot_client.py
@@ -69,60 +69,68 @@
         if not candidates:
             raise NoBackend(f"no decode engine for {model.name}", retry_after_s=1.0)
         # First whoever has room now; only when nobody has is it worth waiting somewhere.
-        rounds = [(b, False) for b in candidates if b.has_free_slot or len(candidates) == 1]
-        rounds += [(b, True) for b in candidates]
+        tries = [(b, False) for b in candidates if b.has_free_slot or len(candidates) == 1]
+        tries += [(b, True) for b in candidates]
         retry_after = MAX_RETRY_AFTER_S
-        for backend, may_wait in rounds:
+        for backend, may_wait in tries:
             try:
-                answer = await self._ask(requirements, backend, progress, may_wait)
+                response = await self._request_slot(requirements, backend, progress, may_wait)
             except (LinkClosed, LinkLost):
                 continue
-            if isinstance(answer, LeasedSlot):
-                return answer
-            retry_after = min(retry_after, answer.retry_after_s or retry_after)
+            if isinstance(response, LeasedSlot):
+                return response
+            retry_after = min(retry_after, response.retry_after_s or retry_after)
         raise Overloaded("no slot in time", retry_after_s=retry_after)
 
-    async def _ask(
-        self, need: SlotRequirements, backend: Backend, progress: RequestProgress, may_wait: bool
+    async def _request_slot(
+        self,
+        requirements: SlotRequirements,
+        backend: Backend,
+        progress: RequestProgress,
+        may_wait: bool,
     ) -> LeasedSlot | Refused:
         now = await curio.clock()
-        lead = self._lead_s(need, backend, now)
-        within = need.deadline - now - lead if may_wait else 0.0
-        link = self._fleet.get_link(backend.name)
-        box = self._calls.open(link, progress.new_step_id())
+        lead_s = self._lead_s(requirements, backend, now)
+        timeout_s = requirements.deadline - now - lead_s if may_wait else 0.0
+        link = self._agent_links.get_link(backend.name)
+        mailbox = self._mailboxes.open(link, progress.new_step_id())
         backend.sent_since_report += 1
-        answer = None
+        response = None
         try:
-            await link.send(_reserve(need, box.req, within, lead))
-            answer = await curio.ignore_after(max(within, 0.0) + RESPONSE_MARGIN_S, box.get)
+            await link.send(_make_reserve_slot(requirements, mailbox.req, timeout_s, lead_s))
+            response = await curio.ignore_after(
+                max(timeout_s, 0.0) + RESPONSE_MARGIN_S, mailbox.get
+            )
         finally:
-            if not isinstance(answer, SlotGranted):
-                self._calls.close(box)
-                await cancel_step(link, box)
-        if isinstance(answer, SlotGranted):
+            if not isinstance(response, SlotGranted):
+                self._mailboxes.close(mailbox)
+                await cancel_step(link, mailbox)
+        if isinstance(response, SlotGranted):
             backend.open_requests += 1
-            return LeasedSlot(backend, link, box)
-        return answer if isinstance(answer, Refused) else Refused(box.req, "no-answer")
+            return LeasedSlot(backend, link, mailbox)
+        return response if isinstance(response, Refused) else Refused(mailbox.req, "no-answer")
 
-    def _lead_s(self, need: SlotRequirements, backend: Backend, now: float) -> float:
+    def _lead_s(self, requirements: SlotRequirements, backend: Backend, now: float) -> float:
         """Return the seconds from the grant of a slot until its first token."""
-        model = need.request.model
-        best = self._router.choose_prefill(model.prefill, need.route, backend.zone, now)
-        if not best:
+        model = requirements.request.model
+        engines = self._router.choose_prefill(model.prefill, requirements.route, backend.zone, now)
+        if not engines:
             raise NoBackend(f"no prefill engine for {model.name}", retry_after_s=1.0)
-        read = self._router.prefill_cost_s(best[0], need.route, backend.zone, now)
-        return read + backend.step_s
+        prefill_s = self._router.prefill_cost_s(engines[0], requirements.route, backend.zone, now)
+        return prefill_s + backend.step_s
 
 
-def _reserve(need: SlotRequirements, req: int, within: float, lead: float) -> ReserveSlot:
-    ask = need.request
+def _make_reserve_slot(
+    requirements: SlotRequirements, req: int, timeout_s: float, lead_s: float
+) -> ReserveSlot:
+    request = requirements.request
     return ReserveSlot(
         req,
-        ask.member.name,
-        ask.model.name,
-        ask.options.rank,
-        within,
-        lead,
-        need.max_tokens,
-        ask.member.partner,
+        request.member.name,
+        request.model.name,
+        request.options.rank,
+        timeout_s,
+        lead_s,
+        requirements.max_tokens,
+        request.member.partner,
     )
--- a/src/crankhinge/wire/_codec.py
+++ b/src/crankhinge/wire/_codec.py
@@ -10,7 +10,7 @@
 from crankhinge.wire._messages import Message
 
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-_LENGTH = struct.Struct(">I")
+_LENGTH_PREFIX = struct.Struct(">I")
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
@@ -19,7 +19,7 @@
 def encode(msg: Message) -> bytes:
     """Return the frame of *msg*."""
     body = _encoder.encode(msg)
-    return _LENGTH.pack(len(body)) + body
+    return _LENGTH_PREFIX.pack(len(body)) + body
 
 
 def decode(body: bytes) -> Message:
@@ -50,14 +50,14 @@
         buf += chunk
         msgs = []
         start = 0
-        while len(buf) - start >= _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(buf, start)
+        while len(buf) - start >= _LENGTH_PREFIX.size:
+            (length,) = _LENGTH_PREFIX.unpack_from(buf, start)
             if length > MAX_FRAME_BYTES:
                 raise WireError(f"frame of {length} bytes")
-            end = start + _LENGTH.size + length
+            end = start + _LENGTH_PREFIX.size + length
             if len(buf) < end:
                 break
-            msgs.append(decode(bytes(buf[start + _LENGTH.size : end])))
+            msgs.append(decode(bytes(buf[start + _LENGTH_PREFIX.size : end])))
             start = end
         del buf[:start]
         return msgs
--- a/src/crankhinge/wire/_link.py
+++ b/src/crankhinge/wire/_link.py
@@ -46,7 +46,7 @@
         self.peer_bundle_version = peer.bundle_version
         self._sock = sock
         self._reader = reader
-        self._early = early_messages
+        self._early_messages = early_messages
         self._queue: curio.Queue = curio.Queue(MAX_QUEUED_FRAMES)
 
     async def send(self, msg: Message) -> None:
@@ -75,11 +75,11 @@
             WireError: when the peer sent something that is not a message.
         """
         self.last_received_at = await curio.clock()
-        writer = await curio.spawn(self._write, daemon=True)
+        writer = await curio.spawn(self._send_queued_frames, daemon=True)
         try:
-            for msg in self._early:
+            for msg in self._early_messages:
                 await handle(self, msg)
-            await self._read(handle)
+            await self._receive_messages(handle)
         finally:
             self.closed = True
             await writer.cancel()
@@ -92,7 +92,7 @@
             await self._queue.get()
             await curio.sleep(0)
 
-    async def _read(self, handle: Callable[[Link, Message], Awaitable[None]]) -> None:
+    async def _receive_messages(self, handle: Callable[[Link, Message], Awaitable[None]]) -> None:
         while True:
             try:
                 chunk = await self._sock.recv(MAX_RECEIVE_BYTES)
@@ -105,7 +105,7 @@
             for msg in self._reader.read_messages(chunk):
                 await handle(self, msg)
 
-    async def _write(self) -> None:
+    async def _send_queued_frames(self) -> None:
         queue = self._queue
         while True:
             out = await queue.get()
@@ -122,10 +122,10 @@
                 await send_all(self._sock, memoryview(out), SEND_TIMEOUT_S)
             except OSError:
                 self.closed = True
-                await self._shut()
+                await self._shut_down_socket()
                 return
 
-    async def _shut(self) -> None:
+    async def _shut_down_socket(self) -> None:
         """Wake the reader, which then closes the connection."""
         try:
             await self._sock.shutdown(2)
@@ -135,7 +135,7 @@
     async def close(self) -> None:
         """End the connection; :meth:`run` returns."""
         self.closed = True
-        await self._shut()
+        await self._shut_down_socket()
 
 
 async def send_if_open(link: Link, msg: Message) -> None:
@@ -146,14 +146,14 @@
         return
 
 
-async def _hello(sock: Any, mine: Hello) -> Link:
+async def _exchange_hellos(sock: Any, own_hello: Hello) -> Link:
     """Exchange Hellos.
 
     Raises:
         WireError: when the peer speaks another version or not our protocol.
         LinkClosed: when it closes.
     """
-    await sock.sendall(encode(mine))
+    await sock.sendall(encode(own_hello))
     reader = FrameReader()
     msgs: list[Message] = []
     while not msgs:
@@ -172,7 +172,7 @@
 async def accept_link(sock: Any, own_hello: Hello) -> Link:
     """Return the link on an accepted socket. Raises as :func:`connect_link` does."""
     try:
-        link: Link = await curio.timeout_after(HELLO_TIMEOUT_S, _hello, sock, own_hello)
+        link: Link = await curio.timeout_after(HELLO_TIMEOUT_S, _exchange_hellos, sock, own_hello)
     except curio.TaskTimeout as exc:
         raise LinkClosed("no hello in time") from exc
     except OSError as exc:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -71,11 +71,11 @@
         view = make_view()
         messages = [{"role": "user", "content": "hi"}]
         req = make_req({"model": "m1", "messages": messages}, "/v1/chat/completions")
-        ask = parse_completion(view, req, authenticate(view, req.headers))
-        body = msgspec.json.decode(ask.continuation_body(" a b", 2))
+        request = parse_completion(view, req, authenticate(view, req.headers))
+        body = msgspec.json.decode(request.continuation_body(" a b", 2))
         assert body["messages"][-1] == {"role": "assistant", "content": " a b"}
         assert body["continue_final_message"] is True
-        assert body["max_tokens"] == ask.max_tokens - 2
+        assert body["max_tokens"] == request.max_tokens - 2
 
     def test_prefix_blocks_depend_on_all_before(self) -> None:
         """Two prompts share leading blocks exactly as far as they agree."""
@@ -98,14 +98,14 @@
         """A message for a request of another link, or of none, reaches nobody."""
 
         async def scenario() -> int:
-            calls = Mailboxes(100)
+            mailboxes = Mailboxes(100)
             mine, other = FakeLink(), FakeLink()
-            box = calls.open(mine, 7)  # type: ignore[arg-type]
-            await calls.deliver(other, Tokens(box.req, 0, ("x",)))  # type: ignore[arg-type]
-            await calls.deliver(mine, Tokens(box.req + 1, 0, ("x",)))  # type: ignore[arg-type]
-            calls.close(box)
-            await calls.deliver(mine, Tokens(box.req, 0, ("x",)))  # type: ignore[arg-type]
-            return calls.dropped_count
+            mailbox = mailboxes.open(mine, 7)  # type: ignore[arg-type]
+            await mailboxes.deliver(other, Tokens(mailbox.req, 0, ("x",)))  # type: ignore[arg-type]
+            await mailboxes.deliver(mine, Tokens(mailbox.req + 1, 0, ("x",)))  # type: ignore[arg-type]
+            mailboxes.close(mailbox)
+            await mailboxes.deliver(mine, Tokens(mailbox.req, 0, ("x",)))  # type: ignore[arg-type]
+            return mailboxes.dropped_count
 
         assert run_virtual(scenario) == 3
 
@@ -113,11 +113,11 @@
         """Whoever waits on a link that ends is told so."""
 
         async def scenario() -> None:
-            calls = Mailboxes(100)
+            mailboxes = Mailboxes(100)
             link = FakeLink()
-            box = calls.open(link, 7)  # type: ignore[arg-type]
-            await calls.fail_link(link)  # type: ignore[arg-type]
-            await curio.timeout_after(1, box.get)
+            mailbox = mailboxes.open(link, 7)  # type: ignore[arg-type]
+            await mailboxes.fail_link(link)  # type: ignore[arg-type]
+            await curio.timeout_after(1, mailbox.get)
 
         with pytest.raises(LinkLost):
             run_virtual(scenario)
@@ -126,12 +126,12 @@
         """Tokens beyond the buffer are a typed failure, not memory."""
 
         async def scenario() -> None:
-            calls = Mailboxes(10)
+            mailboxes = Mailboxes(10)
             link = FakeLink()
-            box = calls.open(link, 7)  # type: ignore[arg-type]
+            mailbox = mailboxes.open(link, 7)  # type: ignore[arg-type]
             for seq in range(20):
-                await calls.deliver(link, Tokens(box.req, seq, ("x",)))  # type: ignore[arg-type]
-            await box.get()
+                await mailboxes.deliver(link, Tokens(mailbox.req, seq, ("x",)))  # type: ignore[arg-type]
+            await mailbox.get()
 
         with pytest.raises(SlowCaller):
             run_virtual(scenario)
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -80,32 +80,32 @@
         """A peer that sends nothing for some heartbeats loses its link; a live peer keeps it."""
 
         async def scenario() -> tuple[bool, bool, int]:
-            beater = HeartbeatSender(1.0, lambda _now: Heartbeat(1))
-            silent: Any = FakeLink()
-            lively: Any = FakeLink()
-            silent.last_received_at = lively.last_received_at = await curio.clock()
-            beater.links |= {silent, lively}
-            task = await curio.spawn(beater.run)
+            sender = HeartbeatSender(1.0, lambda _now: Heartbeat(1))
+            unresponsive: Any = FakeLink()
+            live: Any = FakeLink()
+            unresponsive.last_received_at = live.last_received_at = await curio.clock()
+            sender.links |= {unresponsive, live}
+            task = await curio.spawn(sender.run)
             for _ in range(10):
                 await curio.sleep(1.0)
-                lively.last_received_at = await curio.clock()
+                live.last_received_at = await curio.clock()
             await task.cancel()
-            return silent.closed, lively.closed, len(lively.sent)
+            return unresponsive.closed, live.closed, len(live.sent)
 
-        silent, lively, beats = run_virtual(scenario)
-        assert silent and not lively
-        assert beats in (9, 10)
+        unresponsive, live, heartbeat_count = run_virtual(scenario)
+        assert unresponsive and not live
+        assert heartbeat_count in (9, 10)
 
     def test_links_survive_a_pause_of_this_process(self) -> None:
         """A process that was paused itself does not close links for the silence meanwhile."""
 
         async def scenario() -> bool:
-            beater = HeartbeatSender(1.0, lambda _now: Heartbeat(1))
+            sender = HeartbeatSender(1.0, lambda _now: Heartbeat(1))
             link: Any = FakeLink()
             link.last_received_at = await curio.clock() - 30.0
-            beater.links.add(link)
-            beater._reset_link_timers(await curio.clock())
-            await beater._send_heartbeats(await curio.clock())
+            sender.links.add(link)
+            sender._reset_link_timers(await curio.clock())
+            await sender._send_heartbeats(await curio.clock())
             return bool(link.closed)
 
         assert run_virtual(scenario) is False
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -20,11 +20,11 @@
         msgs = [Tokens(n, n, (f"t{n}",)) for n in range(10)]
         stream = b"".join(encode(msg) for msg in msgs)
         reader = FrameReader()
-        out = []
+        received = []
         for size in [*sizes, len(stream)]:
-            out += reader.read_messages(stream[:size])
+            received += reader.read_messages(stream[:size])
             stream = stream[size:]
-        assert out == msgs
+        assert received == msgs
 
     @given(st.binary(min_size=1, max_size=300))
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
