--- a/src/crankhinge/agent/__init__.py
+++ b/src/crankhinge/agent/__init__.py
@@ -1,4 +1,5 @@
-"""The process in the slot beside a backend server.
+"""The agent: the process that runs beside a backend server and forwards requests to it.
 
-It alone gives its server orders, owns the queue before it and the truth about its memory slots.
+Only the agent sends requests to its server. It keeps the queue of waiting requests and decides who
+may use the server's memory slots.
 """
--- a/src/crankhinge/agent/_adapter_loader.py
+++ b/src/crankhinge/agent/_adapter_loader.py
@@ -1,4 +1,4 @@
-"""Keeps an engine's adapters as the bundle wants them, a few engines of a pool at a time."""
+"""Loads the adapters that the bundle requires into an engine, a few engines of a pool at a time."""
 
 from __future__ import annotations
 
@@ -21,22 +21,26 @@
 from crankhinge.errors import KeyValueUnavailable
 from crankhinge.runtime import wall_ms
 
+# Prefix of the keys of rollout records in the key-value service.
 KEY_PREFIX = "crankhinge/roll/"
+# Interval at which the loaded adapters are compared with the bundle.
 CHECK_INTERVAL_S = 0.5
+# Bounds of the delay before the next attempt, such as while other engines load adapters.
 INITIAL_RETRY_DELAY_S = 1.0
 MAX_RETRY_DELAY_S = 20.0
 
 
 class AdapterLoader:
-    """Loads what the bundle wants into one engine.
+    """Loads the adapters that the bundle requires into one engine.
 
     Args:
-        agent_name: this agent's name.
-        pool_name: of its engine.
+        agent_name: name of this agent.
+        pool_name: name of the engine's pool.
         engine: the engine.
-        kv: the key-value service, which paces the loading of a pool.
-        on_change: told the names that the engine serves, after each change.
-        log: for events.
+        kv: client of the key-value service, whose rollout record limits how many engines of a pool
+            load adapters at the same time.
+        on_change: called with the names of all loaded adapters after each change.
+        log: logger for events.
     """
 
     def __init__(
@@ -62,18 +66,18 @@
 
     @property
     def loaded_names(self) -> tuple[str, ...]:
-        """Names of the adapters that are loaded in some version that was wanted."""
+        """Names of the loaded adapters; their versions may be older than the bundle requires."""
         return tuple(sorted(self._loaded))
 
     def apply_bundle(self, bundle: Bundle) -> None:
-        """Take over what the bundle wants of this engine."""
+        """Apply the adapters and the rollout limit that a bundle requires for this engine."""
         models = [m for m in bundle.models if self._pool_name in (*m.prefill, *m.decode)]
         self._wanted = {adapter.name: adapter for model in models for adapter in model.adapters}
         pool = bundle.find_pool(self._pool_name)
         self._max_concurrent = pool.rolling if pool else 1
 
     async def run(self) -> None:
-        """Load what is missing until cancelled."""
+        """Load missing adapters until cancelled."""
         delay_s = INITIAL_RETRY_DELAY_S
         while True:
             await self._drop_unwanted()
@@ -99,7 +103,11 @@
             await self._on_change(self.loaded_names)
 
     async def _roll_out(self, missing: list[str]) -> bool:
-        """Take a place, load, and give the place back; False when no place was free."""
+        """Load the missing adapters during one turn of the pool's rollout.
+
+        Returns:
+            False if too many engines of the pool are loading adapters now.
+        """
         acquired = await self._acquire_turn()
         if acquired is None:
             return False
@@ -131,7 +139,7 @@
         try:
             return msgspec.json.decode(value.data, type=RolloutRecord), value.index
         except msgspec.DecodeError as exc:
-            raise KeyValueUnavailable(f"unreadable roll record: {exc}") from exc
+            raise KeyValueUnavailable(f"invalid rollout record: {exc}") from exc
 
     async def _acquire_turn(self) -> AcquiredRollout | None:
         record, index = await self._read_record()
@@ -142,12 +150,12 @@
         try:
             swapped = await self._kv.swap(KEY_PREFIX + self._pool_name, data, index)
         except KeyValueUnavailable:
-            # The answer is lost: the record itself says whether the place is ours.
+            # The response is lost. The record shows whether the write succeeded.
             swapped = (await self._read_record())[0] == acquired.record
         return acquired if swapped else None
 
     async def _release_turn(self) -> None:
-        """Free the place; if that fails, its end will."""
+        """End this agent's turn. If that fails, the turn ends when its lease expires."""
         for _ in range(5):
             try:
                 record, index = await self._read_record()
--- a/src/crankhinge/agent/_agent.py
+++ b/src/crankhinge/agent/_agent.py
@@ -1,4 +1,4 @@
-"""The agent: links from entries on one side, a backend server on the other."""
+"""The agent: accepts links and passes their messages to the components of the process."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
 
 
 class Agent:
-    """Owns the listener, the links and the role.
+    """Accepts links from entries and other agents, and runs the components of the agent.
 
     Args:
-        settings: its settings.
-        role: what it does for its backend server.
-        kv: the key-value service.
-        instance_list: the platform's list.
-        propagator: keeps its bundle.
-        keeper: holds its bundle.
-        incarnation: larger each time it starts.
-        log: for events.
-        engine: its engine, for the adapters; None beside a plain service.
+        settings: settings of this agent.
+        role: sends requests to the backend server.
+        kv: client of the key-value service.
+        instance_list: local copy of the platform's list of agents.
+        propagator: exchanges bundles over the links.
+        keeper: holds the bundle in force.
+        incarnation: incarnation id of this agent. It increases each time the agent starts.
+        log: logger for events.
+        engine: the engine to load adapters into; None if the server is a plain service.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         await supervisor.run()
 
     async def _send_loaded_adapters(self, names: tuple[str, ...]) -> None:
-        """Tell all entries which adapters the engine has."""
+        """Send the names of the loaded adapters on all links."""
         for link in list(self._heartbeat_sender.links):
             await send_if_open(link, LoadedAdapters(names))
 
@@ -138,7 +138,7 @@
         await self._run_link(link)
 
     async def _run_link(self, link: Link) -> None:
-        """Serve a link until it ends, whichever side opened it."""
+        """Handle the messages of a link until it ends; either end may have opened it."""
         self._heartbeat_sender.links.add(link)
         is_agent = link.peer.role in AGENT_ROLES
         try:
@@ -171,7 +171,7 @@
             await self._role.handle(link, msg)
 
     async def drain(self) -> None:
-        """Take no new work and return once nothing is in progress, or after ``drain_s``."""
+        """Refuse new requests and wait for the open ones to end, for at most ``drain_s``."""
         self._log.info("draining")
         self._role.stop_accepting()
         await self._heartbeat_sender.send_now()
@@ -179,7 +179,8 @@
         self._log.info("drained", open=self._role.open_requests)
 
     async def _wait_idle(self) -> None:
-        # One more heartbeat, for requests that were on their way when the first one left.
+        # Two heartbeat intervals let requests arrive that were sent before the entries learned
+        # of the drain.
         await curio.sleep(2 * self._settings.beat_s)
         while self._role.is_busy:
             await curio.sleep(DRAIN_POLL_S)
--- a/src/crankhinge/agent/_decode.py
+++ b/src/crankhinge/agent/_decode.py
@@ -1,4 +1,4 @@
-"""The agent beside a decode engine: leases its memory slots and relays its answers."""
+"""The role of a decode engine's agent: leases memory slots and relays answers."""
 
 from __future__ import annotations
 
@@ -25,22 +25,24 @@
     Tokens,
 )
 
+# Weight of the newest measurement in the moving average of the time between tokens.
 STEP_EWMA_WEIGHT = 0.2
+# Longest time between two checks for expired leases and requests.
 MAX_TICK_INTERVAL_S = 0.5
 
 
 class TransferStalled(EngineFailed):
-    """The result of the reading doesn't arrive in the engine's memory."""
+    """The KV cache of the prompt did not arrive at the decode engine in time."""
 
     code = "transfer-stalled"
 
 
 class DecodeRole(Role):
-    """Grants slots by :class:`SlotTable` and writes answers.
+    """Leases the slots of a :class:`SlotTable` and relays answers from the engine.
 
     Args:
-        engine: the decode engine.
-        table: its slots.
+        engine: client of the decode engine.
+        table: decides which requests get the memory slots of the engine.
         more: arguments of :class:`Role`.
     """
 
@@ -55,20 +57,20 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether any slot is held or awaited."""
+        """Whether any request holds a slot or waits for one."""
         return self._table.is_busy
 
     def stop_accepting(self) -> None:
-        """Refuse new requests; leases already given are honoured."""
+        """Refuse new requests. Slots that are already leased can still be used."""
         self._table.is_closed = True
 
     def apply_pool(self, pool: Pool) -> None:
-        """Take over the number of slots."""
+        """Apply the pool's number of slots, unless the agent runs without a limit."""
         if self._table.capacity < UNBOUNDED:
             self._table.capacity = pool.slots
 
     def load(self, now: float) -> Load:
-        """Return the load to report."""
+        """Return the load of the engine for heartbeats and responses."""
         table = self._table
         return Load(
             free_slots=max(0, table.free_slots),
@@ -79,7 +81,7 @@
         )
 
     async def run(self) -> None:
-        """Let leases and waiting requests expire in time."""
+        """Expire leases and waiting requests at their deadlines until cancelled."""
         while True:
             now = await curio.clock()
             next_tick_at = self._table.next_tick_at()
@@ -94,10 +96,11 @@
             self._drop_expired()
 
     async def probe(self) -> bool:
-        """Ask the engine for its load, and count out the slots that an earlier start still holds.
+        """Return whether the engine responds, and exclude slots held by a previous incarnation.
 
-        An engine frees what a dead agent asked for when it notices the closed connection. Until
-        it has been seen with no more than our own requests, the difference isn't ours to give.
+        The engine frees the slots of a dead agent once it notices the closed connections. Until
+        the engine reports no more requests than this agent has sent, the remaining requests count
+        as foreign, and their slots are not leased.
         """
         load = await probe_load(self._engine)
         if load is None:
@@ -110,14 +113,14 @@
         return True
 
     def _drop_expired(self) -> None:
-        """Forget the owners of leases that were never used."""
+        """Remove the owners of leases that expired unused."""
         for req in list(self._owners):
             if req not in self._tasks and not self._table.has_request(req):
                 self._waiting_decodes.pop(req, None)
                 self.remove_owner(req)
 
     async def handle(self, link: Link, msg: Message) -> None:
-        """Act on Reserve, Decode and Cancel."""
+        """Handle ``ReserveSlot``, ``Decode`` and ``Cancel``."""
         if isinstance(msg, ReserveSlot):
             await self._handle_reserve(link, msg)
         elif isinstance(msg, Decode):
@@ -172,7 +175,7 @@
         await self._start_decodes()
 
     async def _start_decodes(self) -> None:
-        """Start the answers whose slots are free by now."""
+        """Start the waiting decodes whose slots have become free."""
         for req in list(self._waiting_decodes):
             if self._table.start(req, await curio.clock()):
                 msg = self._waiting_decodes.pop(req)
@@ -197,10 +200,10 @@
             self.remove_owner(req)
 
     async def _open_stream(self, msg: Decode) -> DecodeStream:
-        """Return the answer's stream once the engine has the result of the reading.
+        """Start a decode and return its stream, once the engine has the KV cache of the prompt.
 
         Raises:
-            TransferStalled: when it doesn't have it in time.
+            TransferStalled: the engine did not start within ``transfer_timeout_s``.
         """
         try:
             stream: DecodeStream = await curio.timeout_after(
@@ -208,7 +211,7 @@
                 partial(self._engine.decode, msg.path, msg.body, msg.kv_handle, req=msg.req),
             )
         except curio.TaskTimeout as exc:
-            raise TransferStalled(f"nothing in {msg.transfer_timeout_s:.2f} s") from exc
+            raise TransferStalled(f"no first token within {msg.transfer_timeout_s:.2f} s") from exc
         return stream
 
     async def _relay(self, req: int, stream: DecodeStream) -> None:
@@ -231,7 +234,7 @@
         self._table.step_s = self._step_s
 
     async def release(self, req: int) -> None:
-        """Free the slot of *req* and give it to the next."""
+        """Free the slot of *req* and grant it to the next waiting request."""
         self._waiting_decodes.pop(req, None)
         await self._apply_decisions(self._table.release(req, await curio.clock()))
         await self._start_decodes()
--- a/src/crankhinge/agent/_fence_service.py
+++ b/src/crankhinge/agent/_fence_service.py
@@ -1,6 +1,6 @@
-"""The agent's share in the records of non-repeatable requests: links, clock and key-value calls.
+"""Runs the fence replicas of an agent: their messages, timers and key-value requests.
 
-Every decision is made by :class:`crankhinge.decisions.FencePair`.
+:class:`crankhinge.decisions.FencePair` makes all decisions and returns the actions to perform.
 """
 
 from __future__ import annotations
@@ -42,26 +42,30 @@
     send_if_open,
 )
 
+# Interval of the calls of :meth:`FencePair.on_tick`.
 TICK_INTERVAL_S = 0.5
 RECONNECT_DELAY_S = 1.0
+# Delay between attempts to connect while the list of agents is still empty after the start.
 INITIAL_RECONNECT_DELAY_S = 0.1
+# Prefix of the keys of fence records in the key-value service.
 KEY_PREFIX = "crankhinge/fence/"
+# Retry delay that entries are given while no replica can decide.
 RETRY_AFTER_S = 1.0
 
 LinkRunner = Callable[[Link], Awaitable[None]]
 
 
 class FenceService:
-    """Keeps one :class:`FencePair` for each range that names this agent.
+    """Keeps one :class:`FencePair` for each key range that the bundle assigns to this agent.
 
     Args:
-        agent_name: this agent's name.
-        incarnation: identity of this start.
-        kv: the key-value service.
-        instance_list: the platform's list, to find the other holders.
-        make_hello: makes the Hello of a link to another agent.
-        run_link: runs such a link, as if it had been accepted.
-        log: for events.
+        agent_name: name of this agent.
+        incarnation: incarnation id of this agent.
+        kv: client of the key-value service.
+        instance_list: local copy of the platform's list, used to find the other replicas.
+        make_hello: returns the Hello for a link to another agent.
+        run_link: runs a link that this agent opened, in the same way as an accepted one.
+        log: logger for events.
     """
 
     def __init__(
@@ -88,7 +92,7 @@
         self._rng = random.Random(agent_name)
 
     def apply_bundle(self, bundle: Bundle) -> None:
-        """Take over which records this agent holds."""
+        """Apply the key ranges that a bundle assigns to this agent."""
         wanted: dict[str, str] = {}
         for pool in bundle.pools:
             for number, (first, second) in enumerate(pool.fence):
@@ -104,7 +108,10 @@
                 )
 
     async def run(self) -> None:
-        """Tick and keep the links to the other holders until cancelled."""
+        """Run the timers of all replicas and keep links to their peers until cancelled.
+
+        Of two agents that share a range, the one whose name sorts first opens the link.
+        """
         link_tasks: dict[str, curio.Task] = {}
         known: set[str] = set()
         while True:
@@ -140,14 +147,14 @@
             await curio.sleep(delay_s * self._rng.uniform(0.5, 1.5))
 
     async def add_link(self, link: Link) -> None:
-        """Note a link to another agent."""
+        """Add a link to another agent."""
         name = link.peer.name
         self._links[name] = link
         for pair in self._pairs_with(name):
             await self._apply_actions(pair, pair.on_linked())
 
     async def remove_link(self, link: Link) -> None:
-        """Note the end of a link."""
+        """Remove a link that has ended."""
         name = link.peer.name
         if self._links.get(name) is not link:
             return
@@ -159,7 +166,7 @@
         return [pair for pair in self._pairs.values() if pair.other == name]
 
     async def handle_message(self, link: Link, msg: Message) -> bool:
-        """Act on a message about a record; returns whether it was one."""
+        """Handle a message and return whether it concerns a fence record."""
         if isinstance(msg, FencePermitRequest):
             await self._handle_permit_request(link, msg)
             return True
@@ -214,7 +221,7 @@
         await send_if_open(link, response)
 
     async def _call_store(self, pair: FencePair, action: ReadRecord | SwapRecord) -> None:
-        """Make one call to the key-value service and feed its answer back."""
+        """Make one request to the key-value service and pass the result to the pair."""
         role_before = pair.role
         try:
             if isinstance(action, ReadRecord):
@@ -265,7 +272,7 @@
 
 
 def _store_key(range_id: str) -> str:
-    """Return the key of a record's head: the same when its holders are changed."""
+    """Return the store key of a range, which stays the same if its replicas change."""
     return KEY_PREFIX + range_id.rpartition("/")[0]
 
 
@@ -275,5 +282,5 @@
     try:
         epoch, holder, writer = msgspec.json.decode(value.data, type=tuple[int, str, int])
     except msgspec.DecodeError as exc:
-        raise KeyValueUnavailable(f"unreadable fence record: {exc}") from exc
+        raise KeyValueUnavailable(f"invalid fence record: {exc}") from exc
     return FenceRecord(epoch, holder, writer), value.index
--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -1,4 +1,4 @@
-"""The agent beside a plain service: passes calls on, each once."""
+"""The role of a plain service's agent: forwards each call once."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 from crankhinge.agent._queued_role import QueuedRole
 from crankhinge.wire import Failed, Link, Message, ServiceCall, ServiceResponse
 
+# Work of one call in the units of the queue, and the priority class of all calls.
 CALL_UNITS = 1
 CALL_RANK = 0
 BACKEND_IN_BACKOFF = "backend-rests"
 
 
 class PlainRole(QueuedRole):
-    """Passes calls on in the order of its queue.
+    """Forwards calls in the order of its queue.
 
     Args:
-        service: the plain service.
+        service: client of the plain service.
         more: arguments of :class:`QueuedRole`.
     """
 
     def __init__(self, *, service: PlainService, **more: Any) -> None:
         super().__init__(**more)
         self._service = service
-        # When the service wants calls again, on the runtime's clock.
+        # Time until which the service accepts no calls, in seconds of the runtime's clock.
         self._backoff_until = 0.0
 
     async def handle(self, link: Link, msg: Message) -> None:
-        """Act on Call and Cancel."""
+        """Handle ``ServiceCall`` and ``Cancel``."""
         if not isinstance(msg, ServiceCall):
             await self.handle_cancel(msg)
         elif not await self._refuse_in_backoff(link, msg.req):
             await self.enqueue(link, msg.req, msg.member, CALL_RANK, msg.timeout_s, CALL_UNITS, msg)
 
     async def _refuse_in_backoff(self, link: Link, req: int) -> bool:
-        """Refuse a call while the service wants none; returns whether it does not.
+        """Refuse a call if the service is in backoff, and return whether it was refused.
 
-        Every call to the service comes through here: sent on, it would be refused there as well,
-        and its entry would not know that it may go elsewhere.
+        All calls to the service pass through this agent. If it forwarded the call, the service
+        would refuse it, and the entry would not know that it may try another backend server.
         """
         left_s = self._backoff_until - await curio.clock()
         if left_s <= 0:
@@ -49,20 +50,20 @@
         return True
 
     async def cancel(self, req: int) -> None:
-        """End a request that nobody waits for, unless it is a call that has begun.
+        """Cancel a call that has not started.
 
-        A call that is cut off in the middle may have half an effect; it is let run to its end,
-        which its own time-out bounds.
+        A call that is interrupted may have a partial effect. A started call therefore continues
+        until it ends or its timeout passes.
         """
         if req not in self._tasks:
             await super().cancel(req)
 
     async def probe(self) -> bool:
-        """Whether the service takes connections."""
+        """Return whether the service accepts connections."""
         return await self._service.alive()
 
     async def process(self, msg: Any) -> int:
-        """Pass one call on."""
+        """Forward one call and send the response to its entry."""
         req = msg.req
         link = self.find_owner(req)
         if link is not None and await self._refuse_in_backoff(link, req):
--- a/src/crankhinge/agent/_prefill.py
+++ b/src/crankhinge/agent/_prefill.py
@@ -1,4 +1,4 @@
-"""The agent beside a prefill engine: orders what it reads."""
+"""The role of a prefill engine's agent: queues prompts and runs prefills."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class PrefillRole(QueuedRole):
-    """Reads prompts in the order of its queue.
+    """Runs prefills in the order of its queue.
 
     Args:
-        engine: the prefill engine.
+        engine: client of the prefill engine.
         more: arguments of :class:`QueuedRole`.
     """
 
@@ -25,7 +25,7 @@
         self._engine = engine
 
     async def handle(self, link: Link, msg: Message) -> None:
-        """Act on Prefill and Cancel."""
+        """Handle ``Prefill`` and ``Cancel``."""
         if isinstance(msg, Prefill):
             await self.enqueue(
                 link, msg.req, msg.member, msg.rank, msg.timeout_s, msg.uncached_tokens, msg
@@ -34,11 +34,11 @@
             await self.handle_cancel(msg)
 
     async def probe(self) -> bool:
-        """Whether the engine answers."""
+        """Return whether the engine responds."""
         return await probe_load(self._engine) is not None
 
     async def process(self, msg: Any) -> int:
-        """Read one prompt; returns the tokens that were computed."""
+        """Run one prefill and return the number of prompt tokens that the engine computed."""
         req = msg.req
         started_at = await curio.clock()
         try:
--- a/src/crankhinge/agent/_probe.py
+++ b/src/crankhinge/agent/_probe.py
@@ -1,4 +1,4 @@
-"""One question to an engine, answered in time or not at all."""
+"""Probes an engine with a timeout."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def probe_load(engine: Engine) -> EngineLoad | None:
-    """Return the engine's load; None when it can't be reached or doesn't answer in time."""
+    """Return the load of the engine, or None if it does not respond in time."""
     try:
         load: EngineLoad = await curio.timeout_after(PROBE_TIMEOUT_S, engine.load)
     except (EngineFailed, curio.TaskTimeout):
--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -1,4 +1,4 @@
-"""The parts of ``crankhinge-agent``, put together."""
+"""Builds and runs the components of ``crankhinge-agent``."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_role(settings: AgentSettings, engine: Engine | None, **common: Any) -> Role:
-    """Return the role that the settings name, beside *engine* or else a plain service."""
+    """Return the role for *engine*, or for a plain service if *engine* is None."""
     mechanisms = mechanisms_for(settings.policy)
     slots = settings.slots if settings.policy != "naive" else UNBOUNDED
     if engine is not None and settings.role == "decode":
@@ -44,14 +44,14 @@
 
 
 def apply_bundle(role: Role, pool_name: str, bundle: Bundle) -> None:
-    """Pass what a new bundle says of the agent's pool to its role."""
+    """Apply the settings that a bundle has for the agent's pool to its role."""
     pool = bundle.find_pool(pool_name)
     if pool is not None:
         role.apply_pool(pool)
 
 
 async def serve(settings: AgentSettings, log: Any, stopping: curio.Event) -> None:
-    """Run the agent until *stopping*, then drain."""
+    """Run the agent until *stopping* is set, then drain it."""
     log = log.bind(name=settings.name)
     keeper = BundleKeeper(settings.keys)
     metrics = Metrics(prefix=f"crankhinge.agent.{settings.name}", address=settings.statsd)
@@ -88,10 +88,10 @@
 
 
 def run(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     return run_process(
         program=PROGRAM,
-        description="the process beside a backend server",
+        description="forward requests to one backend server",
         settings_type=AgentSettings,
         serve=serve,
         argv=argv,
--- a/src/crankhinge/agent/_queued_role.py
+++ b/src/crankhinge/agent/_queued_role.py
@@ -1,4 +1,4 @@
-"""What the agents of prefill engines and plain services share: a queue and a width."""
+"""The base class of the roles that queue requests: those of prefill engines and plain services."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class QueuedRole(Role):
-    """Starts requests in the order of a :class:`WorkQueue`.
+    """Runs requests in the order of a :class:`WorkQueue`.
 
     Args:
-        queue: the order of work.
+        queue: decides which requests wait, start, or are refused.
         more: arguments of :class:`Role`.
     """
 
@@ -28,7 +28,10 @@
 
     @abc.abstractmethod
     async def process(self, msg: Any) -> int:
-        """Do one request and answer it; returns the units of work that were done."""
+        """Run one request, send the response to its entry, and return the work that was done.
+
+        The unit of the result is that of *units* in :meth:`enqueue`.
+        """
 
     @property
     def is_busy(self) -> bool:
@@ -36,16 +39,16 @@
         return self._queue.is_busy
 
     def stop_accepting(self) -> None:
-        """Refuse new requests; those that wait are still done."""
+        """Refuse new requests. Waiting requests are still run."""
         self._queue.is_closed = True
 
     def apply_pool(self, pool: Pool) -> None:
-        """Take over the number of requests that are run at once."""
+        """Apply the pool's number of concurrent requests, unless the agent runs without a limit."""
         if self._queue.width < UNBOUNDED:
             self._queue.width = pool.slots
 
     def load(self, now: float) -> Load:
-        """Return the load to report."""
+        """Return the load of the server for heartbeats and responses."""
         queue = self._queue
         return Load(
             free_slots=queue.free_slots,
@@ -58,7 +61,17 @@
     async def enqueue(
         self, link: Link, req: int, member: str, rank: int, timeout_s: float, units: int, msg: Any
     ) -> None:
-        """Queue a request, or refuse it."""
+        """Queue a request, or refuse it if the queue cannot run it in time.
+
+        Args:
+            link: link to the entry that sent the request.
+            req: id of the request.
+            member: client account of the caller.
+            rank: priority class; 0 is the most urgent.
+            timeout_s: seconds within which the request must be complete.
+            units: expected work, in tokens for a prompt and in calls for a plain service.
+            msg: message to pass to :meth:`process`.
+        """
         if self.is_unreachable:
             await self.refuse(link, req, BACKEND_DOWN)
             return
@@ -106,12 +119,12 @@
             await self._start_next()
 
     async def release(self, req: int) -> None:
-        """Take a request that nobody waits for out of the queue."""
+        """Remove a request from the queue and start the next one."""
         self._messages.pop(req, None)
         self._queue.record_end(req, await curio.clock())
         await self._start_next()
 
     async def handle_cancel(self, msg: Message) -> None:
-        """Act on Cancel."""
+        """Handle ``Cancel`` and ignore all other messages."""
         if isinstance(msg, Cancel):
             await self.cancel(msg.req)
--- a/src/crankhinge/agent/_role.py
+++ b/src/crankhinge/agent/_role.py
@@ -1,4 +1,4 @@
-"""What an agent does for one kind of backend server."""
+"""The base class of an agent's roles, one for each kind of backend server."""
 
 from __future__ import annotations
 
@@ -12,18 +12,24 @@
 from crankhinge.runtime import Metrics
 from crankhinge.wire import Failed, Link, Load, Message, Refused, send_if_open
 
+# Number of slots that stands for no limit.
 UNBOUNDED = 1_000_000
+# Interval at which the backend server is probed.
 PROBE_INTERVAL_S = 0.5
 BACKEND_DOWN = "backend-down"
 
 
 class Role(abc.ABC):
-    """Owns the requests that were sent to this agent.
+    """Handles the requests that entries send to this agent.
 
     Args:
-        keeper: holds the bundle.
-        log: for events.
-        metrics: for counters.
+        keeper: holds the bundle in force.
+        log: logger for events.
+        metrics: counters of this agent.
+
+    Attributes:
+        is_unreachable: whether the last probe could not reach the backend server.
+        on_health_change: called when ``is_unreachable`` changes.
     """
 
     def __init__(self, *, keeper: BundleKeeper, log: Any, metrics: Metrics) -> None:
@@ -38,20 +44,20 @@
 
     @abc.abstractmethod
     async def probe(self) -> bool:
-        """Whether the backend server can be reached."""
+        """Return whether the backend server can be reached."""
 
     async def watch_backend(self) -> None:
         """Probe the backend server until cancelled.
 
-        While it can't be reached nothing is granted or queued: a slot of a dead engine looks free,
-        and every prompt read for it would be wasted.
+        While the server cannot be reached, no request is granted or queued. The slots of a dead
+        engine would otherwise look free, and every prefill for them would be wasted.
         """
         while True:
             await self.record_health(await self.probe())
             await curio.sleep(PROBE_INTERVAL_S)
 
     async def record_health(self, reachable: bool) -> None:
-        """Note what was seen of the backend server, and tell the entries when it changes."""
+        """Record whether the backend server was reachable, and notify entries of a change."""
         if self.is_unreachable is not reachable:
             return
         self.is_unreachable = not reachable
@@ -62,23 +68,23 @@
 
     @abc.abstractmethod
     async def handle(self, link: Link, msg: Message) -> None:
-        """Act on a message of an entry."""
+        """Handle a message from an entry."""
 
     @abc.abstractmethod
     async def release(self, req: int) -> None:
-        """Free whatever *req* holds or waits for here."""
+        """Free the slot or queue position of *req*."""
 
     @abc.abstractmethod
     def load(self, now: float) -> Load:
-        """Return the load to report."""
+        """Return the load of the server for heartbeats and responses, at time *now*."""
 
     @abc.abstractmethod
     def stop_accepting(self) -> None:
-        """Take no new work from now on."""
+        """Refuse new requests from now on."""
 
     @abc.abstractmethod
     def apply_pool(self, pool: Pool) -> None:
-        """Take over what the bundle says of this agent's pool."""
+        """Apply the settings that the bundle has for this agent's pool."""
 
     @property
     @abc.abstractmethod
@@ -87,30 +93,30 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that hold or await something here."""
+        """Number of requests that run, wait, or hold a lease at this agent."""
         return len(self._owners)
 
     async def run(self) -> None:
-        """Do what has to be done by time, until cancelled."""
+        """Run periodic work until cancelled; the base class has none."""
         await curio.sleep(float("inf"))
 
     def set_owner(self, req: int, link: Link) -> None:
-        """Note whose request *req* is."""
+        """Record that the request *req* came over *link*."""
         self._owners[req] = link
         self._requests_of.setdefault(link, set()).add(req)
 
     def find_owner(self, req: int) -> Link | None:
-        """Return whose request *req* is."""
+        """Return the link that the request *req* came over, or None if *req* is unknown."""
         return self._owners.get(req)
 
     def remove_owner(self, req: int) -> None:
-        """Forget *req*."""
+        """Remove the record of the link that *req* came over."""
         link = self._owners.pop(req, None)
         if link in self._requests_of:
             self._requests_of[link].discard(req)
 
     async def start_task(self, req: int, run: Callable[..., Awaitable[Any]], *args: Any) -> None:
-        """Run a request's task; :meth:`cancel` ends it."""
+        """Start the task of a request, which :meth:`cancel` can end."""
         self._tasks[req] = await curio.spawn(self._run_task, req, run, *args, daemon=True)
 
     async def _run_task(self, req: int, run: Callable[..., Awaitable[Any]], *args: Any) -> None:
@@ -123,7 +129,7 @@
             self._tasks.pop(req, None)
 
     async def cancel(self, req: int) -> None:
-        """End a request that nobody waits for any more."""
+        """Cancel a request and free its resources."""
         task = self._tasks.pop(req, None)
         if task is not None:
             await task.cancel()
@@ -131,7 +137,7 @@
         self.remove_owner(req)
 
     async def cancel_requests_of(self, link: Link) -> None:
-        """End every request of an entry that is gone."""
+        """Cancel all requests that came over a link that has ended."""
         reqs = list(self._requests_of.get(link, ()))
         if reqs:
             self.log.info("entry_gone", entry=link.peer.name, requests=len(reqs))
@@ -141,13 +147,13 @@
         self._requests_of.pop(link, None)
 
     async def send_to_owner(self, req: int, msg: Message) -> None:
-        """Send *msg* to the request's entry, if that is still there."""
+        """Send *msg* to the entry that sent the request, if its link is still open."""
         link = self._owners.get(req)
         if link is not None:
             await send_if_open(link, msg)
 
     async def refuse(self, link: Link, req: int, code: str, retry_after_s: float = 0.0) -> None:
-        """Tell an entry that *req* was not started."""
+        """Refuse the request *req*, which has not started, and log and count the refusal."""
         self.metrics.count(f"refused.{code}")
         self.log.info("refused", req=f"{req:016x}", code=code, retry_after=round(retry_after_s, 3))
         load = self.load(await curio.clock())
--- a/src/crankhinge/agent/_settings.py
+++ b/src/crankhinge/agent/_settings.py
@@ -14,13 +14,15 @@
     """Settings of an agent.
 
     Attributes:
-        role: what its backend server does.
-        pool: its pool in the bundle.
+        role: kind of the backend server: a prefill engine, a decode engine or a plain service.
+        pool: pool of the bundle that the backend server belongs to.
         backend: ``host:port`` of the backend server.
-        slots: requests the backend server takes at once, until the bundle says otherwise.
-        step_s: seconds between tokens, before any was measured.
-        rate: prompt tokens (or calls) per second, before any was measured.
-        lease_s: seconds a slot is held beyond the time at which it was to be used.
+        slots: number of requests that the backend server runs at the same time. It applies until
+            the bundle sets another number.
+        step_s: assumed seconds between two tokens of an answer, until the agent has measured them.
+        rate: assumed prompt tokens per second (for a plain service, calls per second), until the
+            agent has measured them.
+        lease_s: seconds for which a leased slot stays reserved after its expected first use.
     """
 
     role: Literal["prefill", "decode", "plain"]
--- a/src/crankhinge/agent/main.py
+++ b/src/crankhinge/agent/main.py
@@ -1,4 +1,4 @@
-"""``crankhinge-agent``: the process beside a backend server."""
+"""The program ``crankhinge-agent``: forwards requests to one backend server."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     ignore_sighup()
     keep_out_unused_modules()
-    # Only now: importing the program imports the libraries.
+    # The import loads all libraries, so it must come after the calls above.
     from crankhinge.agent._program import run
 
     return run(argv)
--- a/src/crankhinge/entry/__init__.py
+++ b/src/crankhinge/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The thin instance that callers reach: it knows who asks, and chooses where a request goes."""
+"""The entry: authenticates callers and chooses the backend servers for their requests."""
--- a/src/crankhinge/entry/_agent_client.py
+++ b/src/crankhinge/entry/_agent_client.py
@@ -1,4 +1,4 @@
-"""What all steps of a request share: links to agents, mailboxes and the router."""
+"""The base class of clients that send one kind of request to agents."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class AgentClient:
-    """Sends one kind of step to agents.
+    """Base class of clients that send one kind of request to agents.
 
     Args:
-        agent_links: the agents.
-        mailboxes: the mailboxes.
+        agent_links: links to the agents.
+        mailboxes: mailboxes for the responses of agents.
     """
 
     def __init__(self, *, agent_links: AgentLinks, mailboxes: Mailboxes) -> None:
--- a/src/crankhinge/entry/_agent_links.py
+++ b/src/crankhinge/entry/_agent_links.py
@@ -1,4 +1,4 @@
-"""The agents this entry knows: found in the platform's list, judged by what it sees of them."""
+"""Keeps links to the agents of the platform's list and reports their load to the router."""
 
 from __future__ import annotations
 
@@ -29,26 +29,33 @@
     connect_link,
 )
 
+# Bounds of the delay before the next attempt to open a link. The delay doubles with each attempt.
 INITIAL_RECONNECT_DELAY_S = 0.1
 MAX_RECONNECT_DELAY_S = 5.0
+# Consecutive readings of the list without an agent after which the agent is removed.
 MISSES_BEFORE_REMOVAL = 3
+# Time that one seed has to send the list and the bundle.
 SEED_TIMEOUT_S = 2.0
 
 
 class AgentLinks:
-    """Keeps the links to the agents and the router's view of them.
+    """Keeps a link to each chosen agent and updates the router from the agents' messages.
 
     Args:
-        settings: of this entry.
-        instance_list: the platform's list.
-        router: told what is seen.
-        mailboxes: told what arrives.
-        propagator: told of links and bundles.
-        keeper: holds the bundle.
+        settings: settings of this entry.
+        instance_list: local copy of the platform's list of agents.
+        router: router whose backend servers are updated.
+        mailboxes: receives the responses of agents.
+        propagator: exchanges bundles over the links.
+        keeper: holds the bundle in force.
         heartbeat_sender: sends heartbeats.
-        incarnation: of this entry.
-        log: for events.
-        rng: for pauses.
+        incarnation: incarnation id of this entry.
+        log: logger for events.
+        rng: source of the jitter of the reconnect delays.
+
+    Attributes:
+        router: the router.
+        heartbeat_sender: sends heartbeats on all links.
     """
 
     def __init__(
@@ -84,16 +91,16 @@
 
     @property
     def dropped_messages(self) -> int:
-        """Messages that came for no request: late or crossed."""
+        """Number of received messages that no request was waiting for."""
         return self._mailboxes.dropped_count
 
     @property
     def link_count(self) -> int:
-        """Agents that this entry has a link to."""
+        """Number of agents that this entry has a link to."""
         return len(self._links)
 
     def apply_bundle(self, bundle: Bundle) -> None:
-        """Take over the links' rates and who keeps records."""
+        """Apply the transfer costs of a bundle and the agents that keep its fence records."""
         pairs = [pair for pool in bundle.pools for pair in pool.fence]
         self._fence_replicas = frozenset(name for pair in pairs for name in pair)
         transfer = bundle.transfer
@@ -109,7 +116,7 @@
         """Return the link to an agent.
 
         Raises:
-            LinkClosed: when there is none now.
+            LinkClosed: there is no link to this agent at present.
         """
         link = self._links.get(name)
         if link is None:
@@ -117,7 +124,11 @@
         return link
 
     async def run(self) -> None:
-        """Follow the list until cancelled. While it can't be read, what is known stays."""
+        """Follow changes of the platform's list until cancelled.
+
+        While the list is unavailable, the known agents stay. If none are known, the list is
+        requested from the seeds.
+        """
         while True:
             if not await self._instance_list.refresh() and not self._instance_list.instances:
                 await self._load_from_seeds()
@@ -126,7 +137,7 @@
             await self._instance_list.sleep_until_refresh()
 
     async def _load_from_seeds(self) -> None:
-        """Have the list, and with it the bundle, from an agent that the settings name."""
+        """Read the list and the bundle from the first agent in ``seeds`` that provides the list."""
         for seed in self._settings.seeds:
             try:
                 link = await connect_link(*parse_endpoint(seed), self._make_hello())
@@ -182,7 +193,11 @@
             self._link_tasks[name] = await curio.spawn(self._keep_linked, name, daemon=True)
 
     async def _count_miss(self, name: str) -> None:
-        """Drop an agent that several readings of the list don't show and that isn't linked."""
+        """Count a reading of the list without an agent.
+
+        After ``MISSES_BEFORE_REMOVAL`` consecutive readings, the agent is removed unless it is
+        still linked.
+        """
         self._miss_counts[name] = self._miss_counts.get(name, 0) + 1
         if self._miss_counts[name] >= MISSES_BEFORE_REMOVAL and name not in self._links:
             await self._remove_agent(name)
@@ -224,7 +239,7 @@
         link = await connect_link(instance.host, instance.port, self._make_hello())
         if link.peer.name != name:
             await link.close()
-            raise WireError(f"{link.peer.name} answers at the address of {name}")
+            raise WireError(f"{link.peer.name} responds at the address of {name}")
         self._apply_hello(name, link)
         self._links[name] = link
         self.heartbeat_sender.links.add(link)
@@ -239,7 +254,7 @@
         backend = self.router.backends[name]
         peer = link.peer
         if peer.incarnation != backend.incarnation:
-            # A new process knows nothing of what the old one held.
+            # A new incarnation of the agent has no record of requests of the previous one.
             backend.sent_since_report = 0
             backend.sent_work_s = 0.0
             backend.open_requests = 0
--- a/src/crankhinge/entry/_agent_subset.py
+++ b/src/crankhinge/entry/_agent_subset.py
@@ -1,4 +1,4 @@
-"""Which agents an entry links to."""
+"""Chooses the agents that an entry opens links to."""
 
 from __future__ import annotations
 
--- a/src/crankhinge/entry/_completion.py
+++ b/src/crankhinge/entry/_completion.py
@@ -1,7 +1,8 @@
-"""One completion, from the caller's request to its last token.
+"""Runs completions, from the caller's request to the last token.
 
-First a slot in a decode engine's memory is leased, then the prompt is read, then the answer is
-written where the slot is. A refusal before the reading has cost nothing and is "not run".
+A completion first leases a memory slot of a decode engine. A prefill engine then processes the
+prompt, and the decode engine generates the answer. A request that is refused before the prefill has
+caused no work, and its outcome is "not-run".
 """
 
 from __future__ import annotations
@@ -33,8 +34,11 @@
 from crankhinge.wire import Decode, DecodeDone, Failed, PrefillDone, Tokens
 
 MAX_ATTEMPTS = 4
+# Bounds of the time that a decode engine waits for the KV cache of a prompt: a minimum, and a
+# multiple of the expected duration.
 MIN_TRANSFER_TIMEOUT_S = 0.4
 TRANSFER_TIMEOUT_FACTOR = 5.0
+# Failures of a decode attempt for which the prefill engine is responsible.
 TRANSFER_FAILURE_CODES = frozenset({"transfer-stalled", "kv-expired"})
 
 
@@ -42,13 +46,16 @@
     """Runs completions.
 
     Args:
-        agent_links: the agents.
-        mailboxes: the mailboxes.
-        retry_budget: for retries.
-        fence_client: gives leave for non-repeatable requests.
-        log: for events.
-        metrics: for counters.
-        mech: which mechanisms are at work.
+        agent_links: links to the agents.
+        mailboxes: mailboxes for the responses of agents.
+        retry_budget: limits the retries of this entry.
+        fence_client: obtains permits for non-repeatable requests.
+        log: logger for events.
+        metrics: counters of this entry.
+        mech: the mechanisms that are enabled.
+
+    Attributes:
+        estimator: estimates prompt lengths and timeouts.
     """
 
     def __init__(
@@ -80,7 +87,19 @@
         writer: CompletionWriter,
         progress: RequestProgress,
     ) -> None:
-        """Answer *request*, with leave if it may not be repeated. Raises as :meth:`_serve` does."""
+        """Run *request* and write its answer.
+
+        A request that is not repeatable and has an idempotency key runs only with a permit from the
+        fence.
+
+        Raises:
+            AlreadyTaken: an earlier request with the same key was answered or may have run.
+            Overloaded: no engine can meet the target now; nothing was run.
+            NoBackend: no engine is known to be alive; nothing was run.
+            BackendFailed: every attempt failed.
+            DeadlinePassed: the deadline of the caller passed.
+            CrankhingeError: other errors of :meth:`FenceClient.request_permit`.
+        """
         policy = view.bundle.policy
         pool = view.bundle.find_pool(request.model.decode[0])
         if request.options.is_repeatable or not request.options.idempotency_key or pool is None:
@@ -96,7 +115,7 @@
             progress.new_step_id(),
         )
         if isinstance(permit, RecordedResponse):
-            raise AlreadyTaken("this request was answered before")
+            raise AlreadyTaken("an earlier request with this idempotency key was answered")
         progress.earlier_may_have_run = False
         try:
             await self._run_attempts(request, policy, writer, progress)
@@ -112,13 +131,13 @@
         writer: CompletionWriter,
         progress: RequestProgress,
     ) -> None:
-        """Answer *ask*; retries within the budget.
+        """Attempt *request* until an attempt succeeds or no retry is allowed.
 
         Raises:
             Overloaded: no engine can meet the target now; nothing was run.
             NoBackend: no engine is known to be alive; nothing was run.
             BackendFailed: every attempt failed.
-            DeadlinePassed: the caller's deadline went by.
+            DeadlinePassed: the deadline of the caller passed.
         """
         started_at = await curio.clock()
         first_token_deadline = started_at + self.estimator.first_token_timeout_s(
@@ -138,10 +157,11 @@
                     )
                 return
             except curio.TaskTimeout as exc:
-                raise DeadlinePassed(f"{time_limit_s} s") from exc
+                raise DeadlinePassed(f"{time_limit_s} s passed without a complete answer") from exc
             except (AttemptFailed, LinkLost, LinkClosed) as exc:
                 self._check_retry_allowed(exc, request, progress, writer)
-                # An answer that is under way is worth finishing late.
+                # A partly written answer is worth completing even if it is late, so the retry
+                # gets at least the model's target time to its first token.
                 first_token_deadline = max(
                     first_token_deadline, await curio.clock() + request.model.first_token_s
                 )
@@ -153,10 +173,10 @@
         progress: RequestProgress,
         writer: CompletionWriter,
     ) -> None:
-        """Return if another attempt may be made.
+        """Return if the request may be retried, and charge the retry to the budget.
 
         Raises:
-            BackendFailed: when not.
+            BackendFailed: the request may not be retried.
         """
         self._metrics.count("attempts_failed")
         is_refused = progress.attempts >= MAX_ATTEMPTS
@@ -228,7 +248,7 @@
         return prefill_done
 
     def _transfer_timeout_s(self, tokens: int, slot: LeasedSlot) -> float:
-        """Return the seconds after which a transfer that has brought nothing is given up."""
+        """Return the seconds without a first token after which a KV transfer has stalled."""
         zone = slot.backend.zone
         expected_s = self._router.transfer_s(tokens, zone, zone) + slot.backend.step_s
         return max(MIN_TRANSFER_TIMEOUT_S, TRANSFER_TIMEOUT_FACTOR * expected_s)
@@ -242,7 +262,11 @@
     async def _relay(
         self, slot: LeasedSlot, writer: CompletionWriter, progress: RequestProgress
     ) -> None:
-        """Pass tokens on in order until the answer is complete."""
+        """Write the tokens from the decode engine in order until the answer is complete.
+
+        Raises:
+            AttemptFailed: tokens are missing, or the engine failed.
+        """
         next_index = 0
         slot.mailbox.is_streaming = True
         while True:
@@ -270,7 +294,10 @@
                 raise AttemptFailed(code)
 
     async def _record_failure(self, code: str, slot: LeasedSlot, progress: RequestProgress) -> None:
-        """Count a failure against the engine that is likely at fault."""
+        """Record a failure in the breaker of the engine that probably caused it.
+
+        An expired lease is not a failure of an engine.
+        """
         now = await curio.clock()
         if code in TRANSFER_FAILURE_CODES and progress.prefill_backend is not None:
             progress.prefill_backend.breaker.record_failure(now)
--- a/src/crankhinge/entry/_entry.py
+++ b/src/crankhinge/entry/_entry.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP face: who asks, what for, and what the caller is told."""
+"""The HTTP server of an entry: authentication, limits, dispatch and responses."""
 
 from __future__ import annotations
 
@@ -36,21 +36,22 @@
 from crankhinge.runtime import Metrics
 
 DRAIN_POLL_S = 0.05
+# Time between reporting unready and the drain, in which the load balancer stops sending requests.
 UNREADY_NOTICE_S = 2.0
 
 
 class Entry:
-    """Answers callers.
+    """Serves the HTTP requests of callers.
 
     Args:
-        settings: its settings.
-        keeper: holds the bundle.
-        agent_links: the agents.
+        settings: settings of this entry.
+        keeper: holds the bundle in force.
+        agent_links: links to the agents.
         completions: runs completions.
         plain_calls: runs calls to plain services.
-        request_ids: source of identities.
-        log: for events.
-        metrics: for counters.
+        request_ids: creates the ids of requests.
+        log: logger for events.
+        metrics: counters and timings of this entry.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         self._draining = False
 
     async def listen(self) -> None:
-        """Serve callers until cancelled."""
+        """Accept and serve connections until cancelled."""
         settings = self._settings
         await serve_http(
             settings.host,
@@ -90,7 +91,11 @@
         )
 
     async def drain(self) -> None:
-        """Report unready, so that the balancer turns away, then wait for what is in progress."""
+        """Report unready, then wait for the open requests to end.
+
+        The load balancer stops sending requests when it sees that this entry is not ready. The
+        wait for open requests is limited to ``drain_s``.
+        """
         self._log.info("draining", open=self._open_requests)
         self._draining = True
         await curio.sleep(UNREADY_NOTICE_S)
@@ -127,7 +132,7 @@
         await exchange.respond(200 if ready else 503, msgspec.json.encode(state))
 
     async def _serve_request(self, exchange: Exchange) -> None:
-        """Answer one request; a caller that goes ends its work."""
+        """Serve one request, and cancel its work if the caller disconnects."""
         request_id = self._request_ids.new_id()
         public_id = f"req-{request_id:016x}"
         self._open_requests += 1
@@ -137,12 +142,15 @@
                 await group.spawn(exchange.wait_for_disconnect)
             if group.completed is not work or work.exception is not None:
                 self._log_unanswered(public_id, work.exception)
-                raise HttpClosed("not answered")
+                raise HttpClosed("request was not answered")
         finally:
             self._open_requests -= 1
 
     def _log_unanswered(self, public_id: str, failure: BaseException | None) -> None:
-        """Log why a request had no answer: its caller went, or this program has a fault."""
+        """Log why a request got no response.
+
+        Either the caller disconnected, or an unexpected exception shows a fault of this program.
+        """
         if failure is None or isinstance(failure, HttpClosed | curio.CancelledError):
             self._metrics.count("callers_gone")
             self._log.info("caller_gone", request=public_id)
@@ -155,7 +163,7 @@
         progress = RequestProgress(
             request_id, earlier_may_have_run="idempotency-key" in exchange.req.headers
         )
-        # Filled in as it becomes known, for whichever line ends the request.
+        # Fields for the final log line of the request, added as they become known.
         log_fields: dict[str, Any] = {"request": public_id}
         try:
             await self._dispatch(exchange, log_fields, progress)
@@ -181,7 +189,7 @@
     ) -> None:
         view = self._keeper.require_view()
         if self._open_requests > self._settings.max_requests:
-            raise Overloaded("this entry is at its limit", retry_after_s=1.0)
+            raise Overloaded("this entry has too many open requests", retry_after_s=1.0)
         member = authenticate(view, exchange.req.headers)
         log_fields["member"] = member.name
         self._admit(member, await curio.clock())
@@ -198,7 +206,7 @@
             member.name, now, max_concurrent=member.max_concurrent, max_per_s=member.max_per_s
         )
         if retry_after_s is not None:
-            raise LimitReached(f"{member.name} is at its limit", retry_after_s=retry_after_s)
+            raise LimitReached(f"{member.name} has reached its limit", retry_after_s=retry_after_s)
 
     async def _handle_completion(
         self,
@@ -251,7 +259,7 @@
         req = exchange.req
         service = view.bundle.find_service(req.path)
         if service is None:
-            raise UnknownRoute(f"no service takes {req.path}")
+            raise UnknownRoute(f"no service has the path {req.path}")
         options = parse_options(req.headers, member)
         response = await self._plain_calls.run(req, member, view, service, options, progress)
         self._metrics.count("calls_answered")
--- a/src/crankhinge/entry/_estimates.py
+++ b/src/crankhinge/entry/_estimates.py
@@ -1,4 +1,4 @@
-"""What an entry expects of a request: tokens, times, and until when it is worth trying."""
+"""Estimates the prompt length and the timeout of requests before they run."""
 
 from __future__ import annotations
 
@@ -6,20 +6,25 @@
 from crankhinge.decisions import FULL, Mechanisms, Router, RouteRequest
 from crankhinge.entry._requests import PREFIX_BLOCK_CHARS, CompletionRequest
 
+# Used for a model until an engine has counted the tokens of a prompt.
 DEFAULT_CHARS_PER_TOKEN = 4.0
+# Weight of the newest prompt in the moving average of characters per token.
 CHARS_EWMA_WEIGHT = 0.05
+# Timeout to the first token if early refusal is disabled.
 FIXED_TIMEOUT_S = 60.0
+# A long prompt gets at least this multiple of the time that an idle engine needs for it.
 LONG_PROMPT_FACTOR = 1.5
+# Share of the target that is kept as a margin, and the share that the waste weight adds to it.
 TARGET_MARGIN = 0.05
 TARGET_MARGIN_PER_WASTE_WEIGHT = 0.1
 
 
 class RequestEstimator:
-    """Learns how many characters a token has, model by model.
+    """Estimates prompt lengths from the characters per token that it measures for each model.
 
     Args:
-        router: knows the engines.
-        mech: which mechanisms are at work.
+        router: provides the estimated prefill times of engines.
+        mech: the mechanisms that are enabled.
     """
 
     def __init__(self, router: Router, mech: Mechanisms = FULL) -> None:
@@ -27,17 +32,23 @@
         self._mechanisms = mech
         self._chars_per_token: dict[str, float] = {}
 
-    def _get_chars_per_token(self, ask: CompletionRequest) -> float:
-        return self._chars_per_token.get(ask.model.name, DEFAULT_CHARS_PER_TOKEN)
+    def _get_chars_per_token(self, request: CompletionRequest) -> float:
+        return self._chars_per_token.get(request.model.name, DEFAULT_CHARS_PER_TOKEN)
 
     def prompt_tokens(self, request: CompletionRequest) -> int:
-        """Return the likely number of prompt tokens, by what engines counted before."""
+        """Return the estimated number of prompt tokens, based on counts from engines."""
         return max(1, int(len(request.prompt_text) / self._get_chars_per_token(request)))
 
     def record_prompt_tokens(
         self, request: CompletionRequest, written_text: str, prompt_tokens: int
     ) -> None:
-        """Take in how many tokens the prompt, with what was written of the answer, has."""
+        """Update the characters per token of a model from the count of an engine.
+
+        Args:
+            request: the request.
+            written_text: the part of the answer that was sent to the engine with the prompt.
+            prompt_tokens: number of tokens that the engine counted in the prompt and that part.
+        """
         if prompt_tokens <= 0:
             return
         name = request.model.name
@@ -46,7 +57,13 @@
         self._chars_per_token[name] = previous + CHARS_EWMA_WEIGHT * (measured - previous)
 
     def make_route_request(self, request: CompletionRequest, written_tokens: int) -> RouteRequest:
-        """Return what routing needs to know, with *written_tokens* tokens of the answer there."""
+        """Return the description of the prompt for the router.
+
+        Args:
+            request: the completion request.
+            written_tokens: number of tokens of the answer that earlier attempts have written. The
+                engine must process them with the prompt.
+        """
         block_tokens = int(PREFIX_BLOCK_CHARS / self._get_chars_per_token(request))
         name = request.body["model"]
         adapter = "" if name == request.model.name else name
@@ -60,10 +77,10 @@
     def first_token_timeout_s(
         self, request: CompletionRequest, policy: Policy, now: float
     ) -> float:
-        """Return the seconds until the first token after which the request is given up.
+        """Return the seconds to wait for the first token before the request is refused.
 
-        A prompt so long that even an idle engine reads it later than the target allows is given
-        the time that it needs: it can't be in time, but it can be answered.
+        If a prompt is so long that even an idle engine cannot process it within the target, it gets
+        the time that it needs. It will miss the target, but it will be answered.
         """
         if not self._mechanisms.refuse_early:
             return FIXED_TIMEOUT_S
--- a/src/crankhinge/entry/_fence_client.py
+++ b/src/crankhinge/entry/_fence_client.py
@@ -1,4 +1,8 @@
-"""Leave to run a non-repeatable request, asked of the agents that keep its record."""
+"""Requests permits for non-repeatable requests from the agents that keep the fence records.
+
+A fence record lets a request with an idempotency key run at most once. Two agents keep each record,
+one replica each.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,7 @@
 
 
 def digest_request(method: str, target: str, body: bytes) -> bytes:
-    """Return what tells two requests with one key apart."""
+    """Return a digest that shows whether two requests with the same key are identical."""
     return hashlib.blake2b(
         b"\0".join((method.encode(), target.encode(), body)), digest_size=16
     ).digest()
@@ -43,13 +47,13 @@
 
 @dataclass
 class FencePermit:
-    """Leave for one attempt.
+    """A permit to run a request once.
 
     Attributes:
-        req: identity of the attempt.
-        range_id: the record.
-        key: of the request.
-        replicas: names of the agents that keep the record.
+        req: id of the step that requested the permit.
+        range_id: id of the range of keys that the record belongs to.
+        key: name of the member and idempotency key of the request.
+        replicas: names of the two agents that keep the record.
     """
 
     req: int
@@ -59,12 +63,12 @@
 
 
 class FenceClient:
-    """Asks for leave and reports how it ended.
+    """Requests permits and reports the outcome of permitted requests.
 
     Args:
-        agent_links: the agents.
-        mailboxes: the mailboxes.
-        metrics: for counters.
+        agent_links: links to the agents.
+        mailboxes: mailboxes for the responses of agents.
+        metrics: counters of this entry.
     """
 
     def __init__(self, *, agent_links: AgentLinks, mailboxes: Mailboxes, metrics: Metrics) -> None:
@@ -75,17 +79,24 @@
     async def request_permit(
         self, pool: Pool, member: str, key: str, digest: bytes, req: int
     ) -> FencePermit | RecordedResponse:
-        """Return leave for the attempt *req*, or the recorded answer of an earlier one.
+        """Return a permit, or the recorded response to an earlier request with the same key.
+
+        Args:
+            pool: pool that the request is sent to.
+            member: name of the caller's client account.
+            key: idempotency key of the request.
+            digest: result of :func:`digest_request`.
+            req: id of this step.
 
         Raises:
-            AlreadyTaken: another attempt had leave and its outcome isn't known.
-            KeyReused: the key stands for another request.
-            KeyTooOld: the key is so old that nobody remembers whether it was used.
-            BadKey: the key is no UUID of version 7, or from the future.
-            FenceUnavailable: the record can't be consulted now.
+            AlreadyTaken: an earlier request has the permit, and its response is not recorded.
+            KeyReused: the key was used for a different request.
+            KeyTooOld: the key is so old that its record may have been deleted.
+            BadKey: the key is not a UUID of version 7, or its time is in the future.
+            FenceUnavailable: no replica can decide now.
         """
         if not pool.fence:
-            raise FenceUnavailable(f"pool {pool.name} keeps no record (fence)")
+            raise FenceUnavailable(f"pool {pool.name} has no fence")
         range_number = zlib.crc32(key.encode()) % len(pool.fence)
         replicas = pool.fence[range_number]
         permit = FencePermit(
@@ -108,15 +119,15 @@
             if not is_decided:
                 await self.release(permit)
         self._metrics.count("fence_unavailable")
-        raise FenceUnavailable("its record can't be consulted", retry_after_s=1.0)
+        raise FenceUnavailable("no replica of the fence record can decide", retry_after_s=1.0)
 
     def _order_replicas(self, permit: FencePermit) -> tuple[str, ...]:
-        """Return the holders, spread over the keys."""
+        """Return the replicas in the order of requests, which depends on the id of the step."""
         first, second = permit.replicas
         return (first, second) if permit.req % 2 else (second, first)
 
     async def _request_from(self, name: str, permit: FencePermit, digest: bytes) -> Any:
-        """Return one holder's answer; None when it gives none."""
+        """Return the response of one replica, or None if it does not respond in time."""
         try:
             link = self._agent_links.get_link(name)
             mailbox = self._mailboxes.open(link, permit.req)
@@ -131,13 +142,13 @@
             self._mailboxes.close(mailbox)
 
     async def record_response(self, permit: FencePermit, response: RecordedResponse) -> None:
-        """Record how the attempt ended, for callers that repeat it."""
+        """Record the response to a permitted request, for callers that retry it."""
         await self._send_to_replicas(
             permit, FenceSettle(permit.req, permit.range_id, permit.key, response)
         )
 
     async def release(self, permit: FencePermit) -> None:
-        """Give the key back: the attempt has not run and never will."""
+        """Return the permit of a request that has not run and will not run."""
         await self._send_to_replicas(permit, FenceRelease(permit.req, permit.range_id, permit.key))
 
     async def _send_to_replicas(self, permit: FencePermit, msg: Message) -> None:
@@ -150,13 +161,20 @@
 
 
 def _to_recorded_response(response: FenceAlreadyTaken) -> RecordedResponse:
-    """Return the recorded answer, or say why there is none."""
+    """Return the response that a replica recorded.
+
+    Raises:
+        BadKey: the key is not a UUID of version 7, or its time is in the future.
+        KeyTooOld: the key is so old that its record may have been deleted.
+        KeyReused: the key was used for a different request.
+        AlreadyTaken: the response is not recorded, or only a part of it is.
+    """
     if response.cause == "bad-key":
-        raise BadKey("the idempotency key must be a UUID of version 7, born now")
+        raise BadKey("the idempotency key must be a UUID of version 7 with the current time")
     if response.cause == "key-too-old":
-        raise KeyTooOld("whether this key was used before is no longer known")
+        raise KeyTooOld("the key is too old to determine whether it was used before")
     if not response.same:
-        raise KeyReused("this key was used for another request")
+        raise KeyReused("the key was used for a different request")
     if response.answer is None or response.answer.cut:
-        raise AlreadyTaken("a request with this key was taken before")
+        raise AlreadyTaken("an earlier request with this key was permitted to run")
     return response.answer
--- a/src/crankhinge/entry/_mailboxes.py
+++ b/src/crankhinge/entry/_mailboxes.py
@@ -1,4 +1,4 @@
-"""Answers of agents, matched to the requests that wait for them."""
+"""Delivers the messages of agents to the requests that wait for them."""
 
 from __future__ import annotations
 
@@ -9,31 +9,33 @@
 from crankhinge.errors import BackendFailed, LinkClosed, SlowCaller
 from crankhinge.wire import Cancel, Failed, Link, Message, Tokens, send_if_open
 
+# A stream that receives no message between two checks has failed.
 STREAM_CHECK_INTERVAL_S = 3.0
 
 
 class LinkLost(BackendFailed):
-    """The link to the agent ended while an answer was awaited."""
+    """The link to the agent ended while a request waited for its response."""
 
     code = "link-lost"
 
 
 class AttemptFailed(BackendFailed):
-    """One attempt failed; another may be made."""
+    """One attempt of a request failed; it may be retried."""
 
     code = "attempt-failed"
 
 
 class Mailbox:
-    """What arrives for one request from one agent, in order and bounded.
+    """A bounded queue of the messages from one agent for one step of a request.
 
     Args:
-        req: identity of the request.
-        max_unread_tokens: tokens kept for a caller that reads slowly.
+        req: id of the step.
+        max_unread_tokens: largest number of unread tokens. A caller that reads too slowly exceeds
+            it, and its request fails.
 
     Attributes:
-        received_count: messages so far.
-        is_streaming: whether messages are expected without a pause.
+        received_count: number of messages received so far.
+        is_streaming: whether tokens are being received, so that a long pause means a failure.
     """
 
     def __init__(self, req: int, max_unread_tokens: int) -> None:
@@ -45,34 +47,37 @@
         self._unread_tokens = 0
 
     async def put(self, msg: Message | None) -> None:
-        """Add a message; None says that the link is gone."""
+        """Add a message, or None if the link to the agent has ended."""
         self.received_count += 1
         if isinstance(msg, Tokens):
             self._unread_tokens += len(msg.texts)
         await self._queue.put(msg)
 
     async def get(self) -> Any:
-        """Return the next message.
+        """Wait for the next message and return it.
 
         Raises:
-            LinkLost: when the link to the agent is gone.
-            SlowCaller: when more tokens have piled up than are kept.
+            LinkLost: the link to the agent has ended.
+            SlowCaller: there are more unread tokens than ``max_unread_tokens``.
         """
         msg = await self._queue.get()
         if msg is None:
-            raise LinkLost("the agent's link ended")
+            raise LinkLost("the link to the agent ended")
         if isinstance(msg, Tokens):
             if self._unread_tokens > self._max_unread_tokens:
-                raise SlowCaller(f"{self._unread_tokens} tokens unread")
+                raise SlowCaller(f"{self._unread_tokens} tokens are unread by the caller")
             self._unread_tokens -= len(msg.texts)
         return msg
 
 
 class Mailboxes:
-    """The mailboxes of this entry.
+    """The open mailboxes of an entry.
 
     Args:
-        max_unread_tokens: tokens kept per mailbox.
+        max_unread_tokens: largest number of unread tokens in one mailbox.
+
+    Attributes:
+        dropped_count: number of received messages that had no open mailbox.
     """
 
     def __init__(self, max_unread_tokens: int) -> None:
@@ -81,10 +86,10 @@
         self._mailboxes: dict[int, tuple[Link, Mailbox]] = {}
 
     def open(self, link: Link, req: int) -> Mailbox:
-        """Return a mailbox for the step *req* of a request, to the agent behind *link*.
+        """Open a mailbox for the responses to the step *req*, which is sent over *link*.
 
         Raises:
-            LinkClosed: when the link is gone already.
+            LinkClosed: the link has ended.
         """
         if link.closed:
             raise LinkClosed(link.peer.name)
@@ -93,11 +98,14 @@
         return mailbox
 
     def close(self, mailbox: Mailbox) -> None:
-        """Forget a mailbox; what still arrives for it is dropped and counted."""
+        """Close a mailbox. Messages that arrive for it later are dropped and counted."""
         self._mailboxes.pop(mailbox.req, None)
 
     async def deliver(self, link: Link, msg: Any) -> None:
-        """Pass *msg* to the request it names, if that is one sent over *link*."""
+        """Put *msg* into the mailbox of its request, or drop and count it.
+
+        A message is dropped if the request has no open mailbox or was sent over another link.
+        """
         found = self._mailboxes.get(getattr(msg, "req", 0))
         if found is None or found[0] is not link:
             self.dropped_count += 1
@@ -105,9 +113,9 @@
         await found[1].put(msg)
 
     async def watch_streams(self) -> None:
-        """End the streams that have fallen silent, until cancelled.
+        """Fail streams that have stopped receiving messages, until cancelled.
 
-        One look at all streams now and then takes the place of a timer for each token.
+        One periodic check of all streams is cheaper than a timer for each token.
         """
         counts_before: dict[int, int] = {}
         while True:
@@ -123,12 +131,15 @@
             counts_before = {req: mailbox.received_count for req, mailbox in streams.items()}
 
     async def fail_link(self, link: Link) -> None:
-        """Tell every request that waits on *link* that it is gone."""
+        """Notify all requests that wait for a message on *link* that the link has ended."""
         for owner, mailbox in list(self._mailboxes.values()):
             if owner is link:
                 await mailbox.put(None)
 
 
 async def cancel_step(link: Link, mailbox: Mailbox) -> None:
-    """Tell an agent that nobody waits for a step any more; a lost link has told it already."""
+    """Cancel a step at its agent.
+
+    Nothing is sent on a closed link: the agent cancels all steps of a link that ends.
+    """
     await send_if_open(link, Cancel(mailbox.req))
--- a/src/crankhinge/entry/_plain_calls.py
+++ b/src/crankhinge/entry/_plain_calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services."""
+"""Runs calls to plain services."""
 
 from __future__ import annotations
 
@@ -26,23 +26,26 @@
 from crankhinge.wire import Failed, Refused, ServiceCall, ServiceResponse
 
 MAX_ATTEMPTS = 3
+# Marks a response that was recorded for an earlier request with the same idempotency key.
 REPLAYED_HEADER = "x-answer-replayed"
+# Time that the response of an agent may take beyond the timeout of the call.
 RESPONSE_MARGIN_S = 0.5
-# When to come back where no agent tells, in seconds.
+# Retry delay that callers are given if no agent suggests one.
 DEFAULT_RETRY_AFTER_S = 1.0
+# Headers for the entry itself, which are not forwarded to the service.
 PRIVATE_HEADERS = frozenset({"authorization", "x-deadline-ms", "x-priority", "x-repeatable"})
 
 
 class PlainCallRunner:
-    """Passes calls to plain services on.
+    """Forwards calls to plain services.
 
     Args:
-        agent_links: the agents.
-        mailboxes: the mailboxes.
-        retry_budget: for retries.
-        fence_client: gives leave for calls that may not be repeated.
-        log: for events.
-        metrics: for counters.
+        agent_links: links to the agents.
+        mailboxes: mailboxes for the responses of agents.
+        retry_budget: limits the retries of this entry.
+        fence_client: obtains permits for non-repeatable calls.
+        log: logger for events.
+        metrics: counters of this entry.
     """
 
     def __init__(
@@ -71,10 +74,17 @@
         options: RequestOptions,
         progress: RequestProgress,
     ) -> ServiceResponse:
-        """Return the service's answer, with leave if the call may not be repeated.
+        """Run a call and return the response of the service.
 
-        A call that has leave goes on when its caller is gone, so that its outcome is recorded for
-        the caller that comes back. Raises as :meth:`_send` and :meth:`FenceClient.ask` do.
+        A call that is not repeatable and has an idempotency key runs only with a permit from the
+        fence. It continues if its caller disconnects, so that its outcome is recorded for a caller
+        that retries it.
+
+        Raises:
+            NoBackend: no backend server is known to be alive; nothing was run.
+            Overloaded: every backend server that was tried refused the call.
+            BackendFailed: the call may have run.
+            CrankhingeError: errors of :meth:`FenceClient.request_permit`.
         """
         repeatable = options.is_repeatable and req.method in service.repeatable
         if repeatable or not options.idempotency_key:
@@ -82,7 +92,7 @@
             return await self._send(req, member, service, options, repeatable, progress)
         pool = view.bundle.find_pool(service.pool)
         if pool is None:
-            raise NoBackend(f"no pool {service.pool}")
+            raise NoBackend(f"the bundle has no pool {service.pool}")
         digest = digest_request(req.method, req.target, req.body)
         permit = await self._fence_client.request_permit(
             pool, member.name, options.idempotency_key, digest, progress.new_step_id()
@@ -111,7 +121,11 @@
         options: RequestOptions,
         progress: RequestProgress,
     ) -> ServiceResponse | CrankhingeError:
-        """Return the answer, or the failure: nobody may be left to raise it to."""
+        """Return the response, or the error if the call fails.
+
+        The error is returned instead of raised because the caller may have disconnected, and then
+        no task waits for the result.
+        """
         try:
             response = await self._send(req, member, service, options, False, progress)
         except CrankhingeError as exc:
@@ -131,15 +145,15 @@
         repeatable: bool,
         progress: RequestProgress,
     ) -> ServiceResponse:
-        """Return the service's answer.
+        """Send the call to one backend server after another and return the response.
 
-        A call that may not be repeated is sent to a second backend server only when the first
+        A call that is not repeatable is sent to a second backend server only if the first one
         certainly did not run it.
 
         Raises:
             NoBackend: no backend server is known to be alive; nothing was run.
-            Overloaded: every one tried refused it unstarted.
-            BackendFailed: it may have run.
+            Overloaded: every backend server that was tried refused the call.
+            BackendFailed: the call may have run.
         """
         deadline = await curio.clock() + min(
             service.timeout_s, options.deadline_s or service.timeout_s
@@ -159,7 +173,7 @@
             if isinstance(response, Refused):
                 retry_delays_s += [response.retry_after_s] if response.retry_after_s else []
             elif progress.may_have_run and not (repeatable and self._retry_budget.try_retry()):
-                raise BackendFailed(f"{backend.name} failed in mid-call")
+                raise BackendFailed(f"{backend.name} failed during the call")
         if progress.may_have_run:
             raise BackendFailed("every attempt failed")
         if not progress.attempts:
@@ -167,10 +181,10 @@
                 f"no backend server for {service.name}", retry_after_s=DEFAULT_RETRY_AFTER_S
             )
         after_s = min(retry_delays_s, default=DEFAULT_RETRY_AFTER_S)
-        raise Overloaded("no backend server took the call", retry_after_s=after_s)
+        raise Overloaded("no backend server accepted the call", retry_after_s=after_s)
 
     async def _choose_backend(self, service: Service, tried: set[str]) -> Backend | None:
-        """Return the next backend server to try."""
+        """Return the best backend server that has not been tried, or None."""
         choices = self._agent_links.router.choose_backends((service.pool,), await curio.clock())
         return next((backend for backend in choices if backend.name not in tried), None)
 
@@ -182,7 +196,10 @@
         deadline: float,
         progress: RequestProgress,
     ) -> ServiceResponse | Refused | Failed | None:
-        """Send the call to one agent; sets ``progress.touched`` unless it certainly didn't run."""
+        """Send the call to one agent and return its response, or None if there is none.
+
+        Sets ``progress.may_have_run`` unless the call certainly did not run.
+        """
         now = await curio.clock()
         timeout_s = max(0.001, deadline - now)
         step_id = progress.new_step_id()
@@ -203,7 +220,7 @@
         try:
             response = await self._send_and_wait(backend, call)
         except LinkClosed:
-            # The link was gone before the call was queued on it.
+            # The link was closed before the call was queued, so the call was not sent.
             response = Refused(step_id, "link-closed")
         except LinkLost:
             pass
@@ -212,11 +229,11 @@
     async def _send_and_wait(
         self, backend: Backend, call: ServiceCall
     ) -> ServiceResponse | Refused | Failed | None:
-        """Return the agent's answer, or None when none came in time.
+        """Send the call and return the agent's response, or None if it does not arrive in time.
 
         Raises:
-            LinkClosed: nothing was sent.
-            LinkLost: the call may have arrived.
+            LinkClosed: the call was not sent.
+            LinkLost: the link ended, and the agent may have received the call.
         """
         link = self._agent_links.get_link(backend.name)
         mailbox = self._mailboxes.open(link, call.req)
@@ -238,7 +255,7 @@
         progress: RequestProgress,
         now: float,
     ) -> ServiceResponse | Refused | Failed | None:
-        """Note what an answer says of the backend server and of whether the call ran."""
+        """Update the breaker and ``progress.may_have_run`` from a response."""
         if isinstance(response, ServiceResponse):
             backend.breaker.record_success()
             return response
--- a/src/crankhinge/entry/_prefill_client.py
+++ b/src/crankhinge/entry/_prefill_client.py
@@ -1,4 +1,4 @@
-"""Has a prompt read by a prefill engine."""
+"""Sends prompts to prefill engines."""
 
 from __future__ import annotations
 
@@ -14,20 +14,22 @@
 from crankhinge.errors import LinkClosed, Overloaded
 from crankhinge.wire import Failed, Prefill, PrefillDone, Refused
 
+# Time that the response of an agent may take beyond the timeout of the prefill.
 RESPONSE_MARGIN_S = 0.25
+# Prefill rate that is assumed for an engine that has not reported one.
 DEFAULT_TOKENS_PER_S = 10_000.0
 
 
 @dataclass(frozen=True)
 class PrefillTask:
-    """What is to be read.
+    """A prompt to process.
 
     Attributes:
-        request: the request.
-        route: its length and prefix.
-        body: JSON for the engine.
-        decode_zone: where the answer is written; empty when that isn't decided.
-        deadline: when the first token is of no more use, seconds of the runtime's clock.
+        request: the completion request.
+        route: length and prefix of the prompt, for the router.
+        body: JSON body for the engine.
+        decode_zone: availability zone of the decode engine; empty if that is not yet chosen.
+        deadline: time by which the first token is needed, in seconds of the runtime's clock.
     """
 
     request: CompletionRequest
@@ -38,14 +40,14 @@
 
 
 class PrefillClient(AgentClient):
-    """Sends prompts to prefill agents."""
+    """Sends prompts to the agents of prefill engines."""
 
     async def prefill(self, task: PrefillTask, progress: RequestProgress) -> PrefillDone:
-        """Return the handle on the result.
+        """Process a prompt on one of the prefill engines and return the result.
 
         Raises:
-            Overloaded: no engine can read it in time; none has worked for the request.
-            AttemptFailed: no engine has read it, but one may have tried.
+            Overloaded: no engine can process the prompt in time; nothing was run.
+            AttemptFailed: no engine returned a result, but one may have computed a part of it.
         """
         request = task.request
         now = await curio.clock()
@@ -67,13 +69,18 @@
             if progress.may_have_run and not request.options.is_repeatable:
                 break
         if progress.may_have_run:
-            raise AttemptFailed("no prefill engine read the prompt")
-        raise Overloaded("no prefill engine in time", retry_after_s=retry_after)
+            raise AttemptFailed("no prefill engine processed the prompt")
+        raise Overloaded(
+            "no prefill engine can process the prompt in time", retry_after_s=retry_after
+        )
 
     async def _prefill_at(
         self, backend: Backend, task: PrefillTask, progress: RequestProgress
     ) -> PrefillDone | Refused | Failed | None:
-        """Return one agent's answer, or None for none; notes whether its engine may have run."""
+        """Return the response of one agent, or None if it does not arrive in time.
+
+        Updates ``progress.may_have_run`` and the breaker of the engine.
+        """
         now = await curio.clock()
         decode_zone = task.decode_zone or backend.zone
         transfer_s = self._router.transfer_s(task.route.tokens, backend.zone, decode_zone)
--- a/src/crankhinge/entry/_program.py
+++ b/src/crankhinge/entry/_program.py
@@ -1,4 +1,4 @@
-"""The parts of ``crankhinge-entry``, put together."""
+"""Builds and runs the components of ``crankhinge-entry``."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def serve(settings: EntrySettings, log: Any, stopping: curio.Event) -> None:
-    """Run the entry until *stopping*, then drain."""
+    """Run the entry until *stopping* is set, then drain it."""
     log = log.bind(name=settings.name)
     rng = random.Random(secrets.randbits(64))
     mechanisms = mechanisms_for(settings.policy)
@@ -92,10 +92,10 @@
 
 
 def run(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     return run_process(
         program=PROGRAM,
-        description="a thin entry instance for callers",
+        description="serve callers and route their requests to agents",
         settings_type=EntrySettings,
         serve=serve,
         argv=argv,
--- a/src/crankhinge/entry/_progress.py
+++ b/src/crankhinge/entry/_progress.py
@@ -1,4 +1,4 @@
-"""How far one request has come at its entry."""
+"""The state of one request at its entry, and the ids of requests."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from crankhinge.decisions import Backend
 from crankhinge.errors import Outcome
 
+# An id consists of a random number, a counter of requests, and a counter of the steps of a request.
 ID_BITS = 63
 COUNTER_BITS = 24
 STEP_ID_BITS = 8
@@ -15,13 +16,13 @@
 
 
 class RequestIds:
-    """Identities that no other entry and no earlier start of this one uses.
+    """Creates request ids that other entries and earlier incarnations of this entry do not use.
 
-    The low eight bits are left for the steps of a request, so that its lines in the logs of all
-    processes share all but the last two hex digits.
+    The lowest eight bits number the steps of a request. The log lines of a request in all processes
+    therefore have ids that differ only in the last two hex digits.
 
     Args:
-        nonce: random, new at each start.
+        nonce: a random number, new at each start of the process.
     """
 
     def __init__(self, nonce: int) -> None:
@@ -30,28 +31,30 @@
         self._counter = itertools.count(1)
 
     def new_id(self) -> int:
-        """Return the identity of a new request."""
+        """Return the id of a new request."""
         number = next(self._counter) & ((1 << COUNTER_BITS) - 1)
         return self._high | (number << STEP_ID_BITS)
 
 
 @dataclass
 class RequestProgress:
-    """How far a request has come.
+    """The state of one request.
+
+    All times are in seconds of the runtime's clock, and 0 until the event occurs.
 
     Attributes:
-        request_id: its identity.
-        may_have_run: whether a backend server may have worked for it.
-        attempts: how often it was tried.
-        computed_tokens: prompt tokens that engines computed for it.
-        unused_tokens: of these, not yet put to use.
-        wasted_tokens: of these, for nothing, as far as this entry knows.
-        prefill_backend: the backend server that read the prompt; None before.
-        slot_granted_at: time of the lease.
-        prompt_read_at: time at which the prompt was read.
+        request_id: id of the request.
+        may_have_run: whether a backend server may have executed a part of the request.
+        attempts: number of attempts so far.
+        computed_tokens: number of prompt tokens that engines computed for the request.
+        unused_tokens: computed tokens of the current attempt that have not led to a first token.
+        wasted_tokens: computed tokens of attempts that failed, as far as this entry knows.
+        prefill_backend: the backend server that processed the prompt; None before that.
+        slot_granted_at: time at which the first slot was leased.
+        prompt_read_at: time at which the prompt was first processed.
         first_token_at: time of the first token.
-        last_token_at: time of the last token so far.
-        earlier_may_have_run: whether an earlier attempt with the same key may have run.
+        last_token_at: time at which the last token arrived.
+        earlier_may_have_run: whether an earlier request with the same idempotency key may have run.
     """
 
     request_id: int = 0
@@ -69,12 +72,12 @@
     _steps: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     def new_step_id(self) -> int:
-        """Return the identity of a next step: a message to one agent and its answers."""
+        """Return the id of a new step, which is a message to one agent and the responses to it."""
         return self.request_id | (next(self._steps) & STEP_ID_MASK)
 
     @property
     def outcome(self) -> Outcome:
-        """What may be told to the caller when the request fails now."""
+        """The outcome to report to the caller if the request fails now."""
         return (
             Outcome.UNKNOWN if self.may_have_run or self.earlier_may_have_run else Outcome.NOT_RUN
         )
--- a/src/crankhinge/entry/_requests.py
+++ b/src/crankhinge/entry/_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, checked against the bundle before anything is done for it."""
+"""Parses and validates the requests of callers against the bundle."""
 
 from __future__ import annotations
 
@@ -15,8 +15,10 @@
 
 CHAT_PATH = "/v1/chat/completions"
 COMPLETIONS_PATH = "/v1/completions"
+# Length of the blocks of a prompt that are hashed, and the number of leading blocks.
 PREFIX_BLOCK_CHARS = 512
 MAX_PREFIX_BLOCKS = 64
+# Priority classes: 0 is the most urgent, MAX_RANK the least.
 MAX_RANK = 2
 DEFAULT_RANK = 1
 MAX_DEADLINE_S = 3600.0
@@ -29,7 +31,7 @@
 
 
 class _CompletionBody(msgspec.Struct):
-    """The members of a completion request that are looked at; the rest is passed on."""
+    """The fields of a completion request that the entry reads; it forwards all fields."""
 
     model: str
     prompt: str | None = None
@@ -42,13 +44,13 @@
 
 @dataclass(frozen=True)
 class RequestOptions:
-    """What the headers say of a request.
+    """Options that a caller sets in the headers of a request.
 
     Attributes:
-        rank: priority class, 0 most urgent.
-        deadline_s: seconds after which the whole answer is of no more use; None for no limit.
-        idempotency_key: idempotency key; empty for none.
-        is_repeatable: whether the request may be run again.
+        rank: priority class; 0 is the most urgent.
+        deadline_s: seconds within which the whole response must be complete; None for no limit.
+        idempotency_key: key by which a retry of the request is recognized; empty for none.
+        is_repeatable: whether the request may be executed more than once.
     """
 
     rank: int
@@ -62,15 +64,15 @@
     """A valid completion request.
 
     Attributes:
-        member: who asks.
-        model: the model that serves it.
-        options: what its headers say.
-        path: of the engine's call.
-        body: its JSON.
-        prompt_text: the prompt's text.
-        max_tokens: most tokens of the answer.
-        stream: whether the answer is streamed.
-        prefix_hashes: hashes of the prompt's leading blocks.
+        member: client account of the caller.
+        model: the model that serves the request.
+        options: the options from the headers.
+        path: path of the completion endpoint, for the caller and the engine alike.
+        body: the decoded JSON body.
+        prompt_text: text of the prompt.
+        max_tokens: largest number of tokens in the answer.
+        stream: whether the response is streamed.
+        prefix_hashes: hashes of the leading blocks of the prompt.
     """
 
     member: Member
@@ -85,7 +87,7 @@
 
     @property
     def is_chat(self) -> bool:
-        """Whether the request has the chat shape."""
+        """Whether the request is a chat completion."""
         return self.path == CHAT_PATH
 
     def continuation_body(self, written_text: str, written_tokens: int) -> bytes:
@@ -111,25 +113,27 @@
 
 
 def authenticate(view: BundleView, headers: Mapping[str, str]) -> Member:
-    """Return the member whose bearer credential the request carries.
+    """Return the member that the bearer credential of a request belongs to.
 
     Raises:
-        BadCredentials: when it carries none that is known.
+        BadCredentials: the credential is missing or unknown.
     """
     value = headers.get("authorization", "")
     if not value.lower().startswith(BEARER_PREFIX):
-        raise BadCredentials("no bearer credential")
+        raise BadCredentials("the authorization header has no bearer credential")
     member = view.find_member_by_credential(value[len(BEARER_PREFIX) :].strip())
     if member is None:
-        raise BadCredentials("unknown credential")
+        raise BadCredentials("the bearer credential is unknown")
     return member
 
 
 def parse_options(headers: Mapping[str, str], member: Member) -> RequestOptions:
-    """Return what the headers say.
+    """Return the options from the headers of a request.
+
+    A member cannot use a more urgent priority class than its ``max_rank``.
 
     Raises:
-        RequestError: when one of them is malformed.
+        RequestError: a header is malformed.
     """
     rank = _parse_number(headers, "x-priority", DEFAULT_RANK, 0, MAX_RANK)
     deadline_ms = _parse_number(headers, "x-deadline-ms", None, 1, MAX_DEADLINE_S * 1000)
@@ -152,15 +156,16 @@
     except ValueError as exc:
         raise RequestError(f"{name}: not a number") from exc
     if not low <= value <= high:
-        raise RequestError(f"{name}: must be from {low:g} to {high:g}")
+        raise RequestError(f"{name}: must be between {low:g} and {high:g}")
     return value
 
 
 def parse_completion(view: BundleView, req: HttpRequest, member: Member) -> CompletionRequest:
-    """Return the valid request.
+    """Parse and validate a completion request.
 
     Raises:
-        RequestError: naming what is wrong.
+        RequestError: a header or field is invalid; the message names it.
+        UnknownModel: the bundle has no such model.
     """
     options = parse_options(req.headers, member)
     try:
@@ -170,9 +175,9 @@
         raise RequestError(f"body: {exc}") from exc
     model = view.bundle.find_model(body.model)
     if model is None:
-        raise UnknownModel(f"no model {body.model!r}")
+        raise UnknownModel(f"unknown model {body.model!r}")
     if body.n != 1:
-        raise RequestError("n: only 1 is served")
+        raise RequestError("n: only 1 is supported")
     text = _extract_prompt_text(req.path, body)
     return CompletionRequest(
         member=member,
@@ -205,17 +210,23 @@
 
 
 def check_prompt_length(request: CompletionRequest, tokens: int) -> None:
-    """Refuse a prompt that is over its model's limit.
+    """Check an estimated prompt length against the limit of the model.
 
     Raises:
-        PromptTooLong: when the estimate of *tokens* is over the limit.
+        PromptTooLong: *tokens* is over the limit.
     """
     if tokens > request.model.max_prompt_tokens:
-        raise PromptTooLong(f"about {tokens} tokens, at most {request.model.max_prompt_tokens}")
+        raise PromptTooLong(
+            f"about {tokens} tokens; the limit is {request.model.max_prompt_tokens}"
+        )
 
 
 def hash_prefix_blocks(text: str) -> tuple[int, ...]:
-    """Return a hash of each leading block of *text*, each depending on all before it."""
+    """Return one hash for each leading block of *text*.
+
+    Each hash depends on the block and all blocks before it. Two prompts therefore have the same
+    hashes exactly up to the first block in which they differ.
+    """
     data = text[: PREFIX_BLOCK_CHARS * MAX_PREFIX_BLOCKS].encode()
     hashes = []
     checksum = 0
--- a/src/crankhinge/entry/_responses.py
+++ b/src/crankhinge/entry/_responses.py
@@ -1,4 +1,4 @@
-"""How answers and failures are written to a caller."""
+"""Writes completions and errors to a caller over HTTP."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 from crankhinge.errors import CrankhingeError, Outcome
 from crankhinge.http import Exchange, encode_sse_event
 
+# Stands for the text of a token in the event template. Invisible separators (U+2063) keep it from
+# occurring in the rest of the event.
 TEXT_PLACEHOLDER = "\u2063text\u2063"
 OUTCOME_HEADER = "x-request-outcome"
 SSE_HEADERS = {
@@ -21,7 +23,7 @@
 
 
 def error_body(exc: CrankhingeError, outcome: Outcome) -> dict[str, Any]:
-    """Return the machine-readable body of a failure."""
+    """Return the JSON body of an error response."""
     return {
         "error": {
             "type": exc.code,
@@ -40,7 +42,14 @@
     outcome: Outcome | None = None,
     request_id: str = "",
 ) -> None:
-    """Answer with a failure, at once; ``Retry-After`` says when to come back."""
+    """Send an error response.
+
+    Args:
+        exchange: the HTTP exchange with the caller.
+        exc: the error. Its ``retry_after_s`` is rounded up to whole seconds for ``Retry-After``.
+        outcome: whether the request may have run; by default, the outcome of *exc*.
+        request_id: id of the request for the ``x-request-id`` header; empty to omit the header.
+    """
     known_outcome = outcome or exc.outcome
     headers = {OUTCOME_HEADER: known_outcome.value}
     if request_id:
@@ -51,13 +60,16 @@
 
 
 class CompletionWriter:
-    """Writes one completion, streamed or whole. Nothing is sent before the first token.
+    """Writes one completion to the caller, as a stream of events or as one JSON body.
+
+    Nothing is sent before the first token, so that an earlier failure can still be reported with
+    its own HTTP status.
 
     Args:
-        exchange: the caller's.
-        request: the request.
-        request_id: its identity, shown to the caller.
-        created: seconds since the epoch.
+        exchange: the HTTP exchange with the caller.
+        request: the completion request.
+        request_id: id of the request, as shown to the caller.
+        created: creation time of the completion, in seconds since the epoch.
     """
 
     def __init__(
@@ -73,25 +85,28 @@
 
     @property
     def token_count(self) -> int:
-        """Tokens written so far."""
+        """Number of tokens written so far."""
         return len(self._texts)
 
     @property
     def text(self) -> str:
-        """The answer so far."""
+        """Text of the answer so far."""
         return "".join(self._texts)
 
     @property
     def has_started_stream(self) -> bool:
-        """Whether the head of a streamed answer has been sent."""
+        """Whether the HTTP head of the response has been sent."""
         return self._exchange.response_started
 
     def record_prompt_tokens(self, tokens: int) -> None:
-        """Note the prompt's length, for the usage."""
+        """Record the number of prompt tokens for the ``usage`` field.
+
+        Later calls have no effect: a retry's prompt includes a part of the answer.
+        """
         self._prompt_tokens = self._prompt_tokens or tokens
 
     async def write(self, texts: tuple[str, ...]) -> None:
-        """Add tokens to the answer."""
+        """Add the texts of tokens to the answer; if it is streamed, send them to the caller."""
         self._texts.extend(texts)
         if not self._request.stream:
             return
@@ -102,7 +117,7 @@
         await self._exchange.write(b"".join(events))
 
     async def finish(self, finish_reason: str) -> None:
-        """End the answer."""
+        """Complete the response."""
         if self._request.stream:
             await self._exchange.write(
                 encode_sse_event(self._encode_chunk("", finish_reason))
@@ -114,13 +129,16 @@
         await self._exchange.respond(200, body, {"x-request-id": self._request_id})
 
     async def abort(self, exc: CrankhingeError) -> None:
-        """Tell a streaming caller that its answer is not whole; no ``[DONE]`` follows."""
+        """End a streamed response with an error event and without ``[DONE]``."""
         body = msgspec.json.encode(error_body(exc, Outcome.UNKNOWN))
         await self._exchange.write(encode_sse_event(body))
         await self._exchange.finish()
 
     def _split_event(self) -> tuple[bytes, bytes]:
-        """Return what stands before and behind the text in the event of each token."""
+        """Return the bytes before and after the text in the event of a token.
+
+        Only the text differs between the events, so the rest is encoded once.
+        """
         event = encode_sse_event(self._encode_chunk(TEXT_PLACEHOLDER, None))
         head, _, tail = event.partition(msgspec.json.encode(TEXT_PLACEHOLDER))
         return head, tail
--- a/src/crankhinge/entry/_settings.py
+++ b/src/crankhinge/entry/_settings.py
@@ -13,10 +13,11 @@
     """Settings of an entry.
 
     Attributes:
-        subset: most agents of one pool that this entry keeps a link to.
-        body_bytes: largest body of a request.
-        buffer_tokens: tokens of one answer kept for a caller that reads slowly.
-        max_requests: requests in progress at one time.
+        subset: largest number of agents of one pool that this entry keeps links to.
+        body_bytes: largest size of a request body, in bytes.
+        buffer_tokens: largest number of unread tokens of one answer. A caller that reads too
+            slowly exceeds it, and its request fails.
+        max_requests: largest number of open requests.
     """
 
     subset: Annotated[int, msgspec.Meta(ge=1)] = 8
--- a/src/crankhinge/entry/_slot_client.py
+++ b/src/crankhinge/entry/_slot_client.py
@@ -1,4 +1,4 @@
-"""Leases a slot in a decode engine's memory."""
+"""Leases memory slots of decode engines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 from crankhinge.errors import LinkClosed, NoBackend, Overloaded
 from crankhinge.wire import Link, Refused, ReserveSlot, SlotGranted
 
+# Retry delay that callers are given if no agent suggests a shorter one.
 MAX_RETRY_AFTER_S = 30.0
+# Time that the response of an agent may take beyond the timeout of the request.
 RESPONSE_MARGIN_S = 0.25
 
 
@@ -23,9 +25,9 @@
     """A leased slot.
 
     Attributes:
-        backend: whose memory.
-        link: to its agent.
-        mailbox: where the answer will arrive.
+        backend: the decode engine that the slot belongs to.
+        link: link to the agent of the engine.
+        mailbox: mailbox in which the answer will arrive.
     """
 
     backend: Backend
@@ -35,13 +37,13 @@
 
 @dataclass(frozen=True)
 class SlotRequirements:
-    """What a slot is needed for.
+    """The purpose of a slot.
 
     Attributes:
-        request: the request.
-        route: its length and prefix.
-        deadline: when the first token is of no more use, seconds of the runtime's clock.
-        max_tokens: most tokens that are still to be written.
+        request: the completion request.
+        route: length and prefix of the prompt, for the router.
+        deadline: time by which the first token is needed, in seconds of the runtime's clock.
+        max_tokens: largest number of tokens that are still to be generated.
     """
 
     request: CompletionRequest
@@ -51,7 +53,7 @@
 
 
 class SlotClient(AgentClient):
-    """Asks decode agents for a slot."""
+    """Requests slots from the agents of decode engines."""
 
     async def lease_slot(
         self, requirements: SlotRequirements, progress: RequestProgress
@@ -59,8 +61,8 @@
         """Lease a slot.
 
         Raises:
-            NoBackend: no engine is known to be alive.
-            Overloaded: no slot comes free in time.
+            NoBackend: no decode engine, or no prefill engine, is known to be alive.
+            Overloaded: no slot becomes free in time.
         """
         model = requirements.request.model
         candidates = self._router.choose_backends(
@@ -68,7 +70,7 @@
         )
         if not candidates:
             raise NoBackend(f"no decode engine for {model.name}", retry_after_s=1.0)
-        # First whoever has room now; only when nobody has is it worth waiting somewhere.
+        # Try all engines with a free slot first. Wait for a slot only if none of them grants one.
         tries = [(b, False) for b in candidates if b.has_free_slot or len(candidates) == 1]
         tries += [(b, True) for b in candidates]
         retry_after = MAX_RETRY_AFTER_S
@@ -80,7 +82,7 @@
             if isinstance(response, LeasedSlot):
                 return response
             retry_after = min(retry_after, response.retry_after_s or retry_after)
-        raise Overloaded("no slot in time", retry_after_s=retry_after)
+        raise Overloaded("no decode engine has a free slot in time", retry_after_s=retry_after)
 
     async def _request_slot(
         self,
@@ -111,7 +113,7 @@
         return response if isinstance(response, Refused) else Refused(mailbox.req, "no-answer")
 
     def _lead_s(self, requirements: SlotRequirements, backend: Backend, now: float) -> float:
-        """Return the seconds from the grant of a slot until its first token."""
+        """Return the estimated seconds from the grant of a slot to the first token."""
         model = requirements.request.model
         engines = self._router.choose_prefill(model.prefill, requirements.route, backend.zone, now)
         if not engines:
--- a/src/crankhinge/entry/main.py
+++ b/src/crankhinge/entry/main.py
@@ -1,4 +1,4 @@
-"""``crankhinge-entry``: a thin entry instance."""
+"""The program ``crankhinge-entry``: serves callers and routes their requests to agents."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     ignore_sighup()
     keep_out_unused_modules()
-    # Only now: importing the program imports the libraries.
+    # The import loads all libraries, so it must come after the calls above.
     from crankhinge.entry._program import run
 
     return run(argv)
--- a/src/crankhinge/wire/__init__.py
+++ b/src/crankhinge/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The streams between this project's own processes: typed msgpack messages over TCP."""
+"""The protocol between entries and agents: typed msgpack messages over TCP connections."""
 
 from crankhinge.decisions._fence_messages import (
     FenceAlreadyTaken,
--- a/src/crankhinge/wire/_codec.py
+++ b/src/crankhinge/wire/_codec.py
@@ -1,4 +1,8 @@
-"""Frames: four bytes of length, then one msgpack message."""
+"""Encodes and decodes frames.
+
+A frame is the length of its body, as four bytes in big-endian order, and the body: one message in
+msgpack.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +13,7 @@
 from crankhinge.errors import WireError
 from crankhinge.wire._messages import Message
 
+# Longest body of a frame. A longer one is rejected before memory is allocated for it.
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 _LENGTH_PREFIX = struct.Struct(">I")
 
@@ -17,16 +22,16 @@
 
 
 def encode(msg: Message) -> bytes:
-    """Return the frame of *msg*."""
+    """Return the frame that carries *msg*."""
     body = _encoder.encode(msg)
     return _LENGTH_PREFIX.pack(len(body)) + body
 
 
 def decode(body: bytes) -> Message:
-    """Return the message in the body of a frame.
+    """Decode the body of a frame.
 
     Raises:
-        WireError: when it is not one of ours.
+        WireError: the body is not a valid message of this protocol.
     """
     try:
         return _decoder.decode(body)
@@ -35,16 +40,16 @@
 
 
 class FrameReader:
-    """Splits a byte stream into messages."""
+    """Splits a byte stream into messages, keeping incomplete frames until the rest arrives."""
 
     def __init__(self) -> None:
         self._buf = bytearray()
 
     def read_messages(self, chunk: bytes) -> list[Message]:
-        """Return the messages that *chunk* completes.
+        """Add the received bytes *chunk* and return the messages that are now complete.
 
         Raises:
-            WireError: on a frame that is over the limit or not a message.
+            WireError: a frame is longer than ``MAX_FRAME_BYTES`` or is not a valid message.
         """
         buf = self._buf
         buf += chunk
@@ -53,7 +58,7 @@
         while len(buf) - start >= _LENGTH_PREFIX.size:
             (length,) = _LENGTH_PREFIX.unpack_from(buf, start)
             if length > MAX_FRAME_BYTES:
-                raise WireError(f"frame of {length} bytes")
+                raise WireError(f"frame of {length} bytes is too long")
             end = start + _LENGTH_PREFIX.size + length
             if len(buf) < end:
                 break
--- a/src/crankhinge/wire/_control.py
+++ b/src/crankhinge/wire/_control.py
@@ -1,4 +1,7 @@
-"""Messages about the processes themselves: who they are, their load, bundles, the list."""
+"""Messages about the processes themselves.
+
+They carry the identity and load of a process, the bundle, and the list of agents.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +11,16 @@
 
 
 class Hello(MessageBase, tag=1, frozen=True):
-    """First message of both ends.
+    """The first message on a connection, sent by both ends.
 
     Attributes:
-        version: wire version.
-        name: the process's name, unique within the fleet.
+        version: ``WIRE_VERSION`` of the sender.
+        name: name of the process, unique within the fleet.
         role: ``entry``, ``prefill``, ``decode`` or ``plain``.
-        zone: availability zone.
-        incarnation: differs each time the process starts; larger is newer.
-        pool: pool of the backend server; empty for an entry.
-        bundle_version: version of the bundle in force; 0 without one.
+        zone: availability zone of the process.
+        incarnation: incarnation id of the process. It increases each time the process starts.
+        pool: pool of the agent's backend server; empty for an entry.
+        bundle_version: version of the bundle in force; 0 if the process has none.
     """
 
     version: int
@@ -30,11 +33,11 @@
 
 
 class Heartbeat(MessageBase, tag=2, frozen=True):
-    """Heartbeat of both ends; an agent's carries its load.
+    """A heartbeat, sent by both ends.
 
     Attributes:
         bundle_version: version of the bundle in force.
-        load: None from an entry.
+        load: load of the agent's backend server; None from an entry.
     """
 
     bundle_version: int
@@ -42,17 +45,29 @@
 
 
 class GetBundle(MessageBase, tag=3, frozen=True):
-    """Asks the peer for its bundle."""
+    """Requests the bundle of the peer."""
 
 
 class BundleUpdate(MessageBase, tag=4, frozen=True):
-    """Carries a signed bundle. Sent when asked, and unasked to a peer that has an older one."""
+    """Carries a signed bundle.
+
+    Sent as the reply to ``GetBundle``, and without a request to a peer that has an older bundle.
+    """
 
     envelope: bytes
 
 
 class InstanceRow(msgspec.Struct, array_like=True, frozen=True):
-    """An agent's instance, as the platform's list showed it."""
+    """One agent in the platform's list of instances.
+
+    Attributes:
+        name: name of the agent, unique within the fleet.
+        host: address that the agent listens on.
+        port: TCP port that the agent listens on.
+        zone: availability zone of the agent.
+        pool: pool of the agent's backend server.
+        leaving: whether the agent has announced its shutdown.
+    """
 
     name: str
     host: str
@@ -63,16 +78,19 @@
 
 
 class GetInstances(MessageBase, tag=27, frozen=True):
-    """A newcomer that can't read the platform's list asks a peer for it."""
+    """Requests the list of agents from a peer.
+
+    Sent by a process that has just started and cannot read the list from the platform.
+    """
 
 
 class InstanceListReply(MessageBase, tag=28, frozen=True):
-    """The list, as the peer last read it."""
+    """The list of agents, as the sender last read it from the platform."""
 
     rows: tuple[InstanceRow, ...]
 
 
 class LoadedAdapters(MessageBase, tag=29, frozen=True):
-    """An agent's engine has these adapters loaded; replaces what was said before."""
+    """Names all adapters that the agent's engine has loaded, replacing any earlier report."""
 
     adapters: tuple[str, ...]
--- a/src/crankhinge/wire/_link.py
+++ b/src/crankhinge/wire/_link.py
@@ -1,4 +1,4 @@
-"""One connection between two of this project's processes, shared by all their requests."""
+"""A connection between two processes, which all of their requests share."""
 
 from __future__ import annotations
 
@@ -14,8 +14,11 @@
 from crankhinge.wire._control import Hello
 from crankhinge.wire._messages import Message
 
+# Most bytes that one system call receives.
 MAX_RECEIVE_BYTES = 262144
+# Once this many bytes are joined for one system call, no further frame is added.
 MAX_SEND_BYTES = 262144
+# Frames that may wait to be sent on one link. Further senders wait until the queue has room.
 MAX_QUEUED_FRAMES = 4096
 HELLO_TIMEOUT_S = 3.0
 CONNECT_TIMEOUT_S = 1.0
@@ -25,13 +28,16 @@
 class Link:
     """A connection that sends and receives messages.
 
-    Frames queued within one pass of the scheduler leave in one system call. The queue is bounded:
-    a peer that doesn't read for ``SEND_TIMEOUT_S`` loses the connection, not our memory.
+    Frames that are queued within one pass of the scheduler are sent in one system call. The queue
+    is bounded, and the connection is closed if the peer reads nothing for ``SEND_TIMEOUT_S``. A
+    peer that stops reading therefore cannot use up the memory of this process.
 
     Attributes:
-        peer: the other end's Hello.
-        closed: whether the connection is known to be gone.
-        last_received_at: when something last arrived, seconds of the runtime's clock.
+        peer: the Hello that the other end sent.
+        closed: whether the connection is known to have ended.
+        bytes_sent: total number of bytes sent.
+        bytes_received: total number of bytes received.
+        last_received_at: time at which bytes last arrived, in seconds of the runtime's clock.
         peer_bundle_version: newest bundle version that the peer has or was sent.
     """
 
@@ -50,29 +56,33 @@
         self._queue: curio.Queue = curio.Queue(MAX_QUEUED_FRAMES)
 
     async def send(self, msg: Message) -> None:
-        """Queue *msg*; waits while the queue is full.
+        """Queue *msg* for sending, waiting while the queue is full.
 
         Raises:
-            LinkClosed: when the connection is known to be gone.
+            LinkClosed: the connection is known to have ended.
         """
         await self.send_frame(encode(msg))
 
     async def send_frame(self, frame: bytes) -> None:
-        """Queue a message that is encoded already. Raises as :meth:`send` does."""
+        """Queue an encoded message, waiting while the queue is full.
+
+        Raises:
+            LinkClosed: the connection is known to have ended.
+        """
         if self.closed:
             raise LinkClosed(self.peer.name)
         await self._queue.put(frame)
 
     @property
     def is_congested(self) -> bool:
-        """Whether a send would have to wait."""
+        """Whether the queue is full, so that :meth:`send` would have to wait."""
         return bool(self._queue.full())
 
     async def run(self, handle: Callable[[Link, Message], Awaitable[None]]) -> None:
-        """Pass each message to *handle* until the connection ends.
+        """Pass each received message to *handle* until the connection ends.
 
         Raises:
-            WireError: when the peer sent something that is not a message.
+            WireError: the peer sent bytes that are not a valid message.
         """
         self.last_received_at = await curio.clock()
         writer = await curio.spawn(self._send_queued_frames, daemon=True)
@@ -87,7 +97,7 @@
             await self._drop_queued()
 
     async def _drop_queued(self) -> None:
-        """Empty the queue, so that senders that wait for room in it wake up."""
+        """Empty the queue to wake up senders that wait for room in it."""
         while not self._queue.empty():
             await self._queue.get()
             await curio.sleep(0)
@@ -126,20 +136,20 @@
                 return
 
     async def _shut_down_socket(self) -> None:
-        """Wake the reader, which then closes the connection."""
+        """Shut the socket down, so that :meth:`run` stops reading and closes it."""
         try:
             await self._sock.shutdown(2)
         except OSError:
             pass
 
     async def close(self) -> None:
-        """End the connection; :meth:`run` returns."""
+        """End the connection, so that :meth:`run` returns."""
         self.closed = True
         await self._shut_down_socket()
 
 
 async def send_if_open(link: Link, msg: Message) -> None:
-    """Send *msg*, for which nobody is to be told when the peer has gone meanwhile."""
+    """Send *msg*, or drop it if the link is closed."""
     try:
         await link.send(msg)
     except LinkClosed:
@@ -147,11 +157,11 @@
 
 
 async def _exchange_hellos(sock: Any, own_hello: Hello) -> Link:
-    """Exchange Hellos.
+    """Send *own_hello*, wait for the peer's Hello, and return the link.
 
     Raises:
-        WireError: when the peer speaks another version or not our protocol.
-        LinkClosed: when it closes.
+        WireError: the peer uses another protocol or another version of this one.
+        LinkClosed: the peer closed the connection before its Hello arrived.
     """
     await sock.sendall(encode(own_hello))
     reader = FrameReader()
@@ -159,33 +169,38 @@
     while not msgs:
         chunk = await sock.recv(MAX_RECEIVE_BYTES)
         if not chunk:
-            raise LinkClosed("closed before hello")
+            raise LinkClosed("the peer closed the connection before its Hello")
         msgs = reader.read_messages(chunk)
     peer = msgs[0]
     if not isinstance(peer, Hello):
-        raise WireError("no hello")
+        raise WireError("the first message of the peer is not a Hello")
     if peer.version != WIRE_VERSION:
-        raise WireError(f"wire version {peer.version}")
+        raise WireError(f"unsupported wire version {peer.version}")
     return Link(sock, peer, reader, msgs[1:])
 
 
 async def accept_link(sock: Any, own_hello: Hello) -> Link:
-    """Return the link on an accepted socket. Raises as :func:`connect_link` does."""
+    """Exchange Hellos on a connected socket and return the link.
+
+    Raises:
+        LinkClosed: the connection failed, or no Hello arrived within ``HELLO_TIMEOUT_S``.
+        WireError: the peer uses another protocol or another version of this one.
+    """
     try:
         link: Link = await curio.timeout_after(HELLO_TIMEOUT_S, _exchange_hellos, sock, own_hello)
     except curio.TaskTimeout as exc:
-        raise LinkClosed("no hello in time") from exc
+        raise LinkClosed("no Hello arrived in time") from exc
     except OSError as exc:
         raise LinkClosed(str(exc)) from exc
     return link
 
 
 async def connect_link(host: str, port: int, own_hello: Hello) -> Link:
-    """Connect to an agent.
+    """Connect to an agent and return the link.
 
     Raises:
-        LinkClosed: when no connection can be made.
-        WireError: when the other end doesn't speak our protocol.
+        LinkClosed: the connection failed, or no Hello arrived within ``HELLO_TIMEOUT_S``.
+        WireError: the peer uses another protocol or another version of this one.
     """
     try:
         sock = await open_tcp(host, port, CONNECT_TIMEOUT_S)
--- a/src/crankhinge/wire/_messages.py
+++ b/src/crankhinge/wire/_messages.py
@@ -1,12 +1,12 @@
 """The messages between entries and agents.
 
-Each is written as a msgpack array: its tag, then its fields in order. A field may be added at the
-end with a default: an older reader passes over it and a newer one fills it in, so that old and
-new processes run side by side during a roll. A change that this does not cover raises
-``WIRE_VERSION``.
+A message is encoded as a msgpack array of its tag and its fields in order. A new field may be added
+at the end with a default: an older process ignores it, and a newer process uses the default if it
+is missing. Processes of both versions can therefore run together during a rolling upgrade. Any
+other change requires a new ``WIRE_VERSION``.
 
-Durations are seconds. No message carries a wall-clock time, since clocks of two instances differ,
-but the fence's ``since_ms``, which allows for a skew.
+All durations are in seconds. Messages contain no wall-clock times because the clocks of instances
+differ. The one exception is ``FenceSync.since_ms``, whose use allows for clock skew.
 """
 
 from __future__ import annotations
@@ -36,17 +36,18 @@
 
 
 class ReserveSlot(MessageBase, tag=5, frozen=True):
-    """Asks a decode agent for a memory slot.
+    """Requests a memory slot from the agent of a decode engine.
 
     Attributes:
-        req: identity of the request, unique per attempt.
-        member: who asks; shares are kept per member.
+        req: id of the request, unique per attempt.
+        member: client account of the caller. Capacity is shared fairly between members.
         model: name of the model or adapter.
         rank: priority class; 0 is the most urgent.
-        timeout_s: seconds from now until the slot is of no more use.
-        lead_s: seconds from the grant until the slot would be used (reading and transfer).
-        max_tokens: most tokens the answer may have.
-        partner: partner of the member.
+        timeout_s: seconds after which the request can no longer use the slot.
+        lead_s: seconds from the grant until the slot is used, for the prefill and the transfer of
+            the KV cache.
+        max_tokens: largest number of tokens in the answer.
+        partner: partner that the member belongs to.
     """
 
     req: int
@@ -60,13 +61,13 @@
 
 
 class SlotGranted(MessageBase, tag=6, frozen=True):
-    """A slot is leased.
+    """Grants a lease of a memory slot.
 
     Attributes:
-        req: the request.
+        req: id of the request.
         ready_in_s: seconds until the slot is expected to be free.
-        lease_s: seconds for which the slot is held unused.
-        load: the agent's load just after.
+        lease_s: seconds after which the lease ends if the slot has not been used.
+        load: load of the agent's server after the grant.
     """
 
     req: int
@@ -76,13 +77,13 @@
 
 
 class Refused(MessageBase, tag=7, frozen=True):
-    """The request was not started here.
+    """Refuses a request. The backend server has not started it.
 
     Attributes:
-        req: the request.
-        code: class of failure.
-        retry_after_s: seconds after which it might be taken.
-        load: the agent's load just after.
+        req: id of the request.
+        code: reason of the refusal.
+        retry_after_s: seconds after which the agent may accept the request; 0 if unknown.
+        load: load of the agent's server after the refusal.
     """
 
     req: int
@@ -92,16 +93,16 @@
 
 
 class Prefill(MessageBase, tag=8, frozen=True):
-    """Asks a prefill agent to read a prompt.
+    """Requests the prefill of a prompt from the agent of a prefill engine.
 
     Attributes:
-        req: the request.
-        path: path of the engine's completion call.
+        req: id of the request.
+        path: path of the engine's completion endpoint.
         body: the caller's JSON body.
-        member: for the shares.
-        rank: priority class.
-        timeout_s: seconds after which the result is of no more use.
-        uncached_tokens: estimated length of the prompt.
+        member: client account of the caller. Capacity is shared fairly between members.
+        rank: priority class; 0 is the most urgent.
+        timeout_s: seconds after which the result can no longer be used.
+        uncached_tokens: estimated number of prompt tokens that the engine must compute.
     """
 
     req: int
@@ -114,15 +115,16 @@
 
 
 class PrefillDone(MessageBase, tag=9, frozen=True):
-    """The prompt is read; ``kv`` is the engine's opaque handle on the result.
+    """Reports a completed prefill.
 
     Attributes:
-        req: the request.
-        kv_handle: JSON of the engine's transfer parameters.
-        cached_tokens: prompt tokens found in the prefix cache.
-        prompt_tokens: prompt tokens.
-        duration_s: seconds the engine spent.
-        load: the agent's load just after.
+        req: id of the request.
+        kv_handle: opaque handle of the KV cache of the prompt: the engine's transfer parameters,
+            in JSON.
+        cached_tokens: number of prompt tokens that were in the engine's prefix cache.
+        prompt_tokens: number of all prompt tokens.
+        duration_s: seconds that the engine took.
+        load: load of the agent's server after the prefill.
     """
 
     req: int
@@ -134,15 +136,15 @@
 
 
 class Decode(MessageBase, tag=10, frozen=True):
-    """Asks a decode agent to write the answer in the slot leased to ``req``.
+    """Requests the answer from a decode engine, in the slot that is leased to ``req``.
 
     Attributes:
-        req: the request.
-        path: path of the engine's completion call.
+        req: id of the request.
+        path: path of the engine's completion endpoint.
         body: the caller's JSON body.
-        kv_handle: from PrefillDone.
-        transfer_timeout_s: seconds without a first token after which the transfer counts as
-            stalled.
+        kv_handle: the handle from ``PrefillDone``.
+        transfer_timeout_s: seconds without a first token after which the transfer of the KV cache
+            counts as stalled.
     """
 
     req: int
@@ -153,12 +155,12 @@
 
 
 class Tokens(MessageBase, tag=11, frozen=True):
-    """Pieces of an answer, one per token.
+    """Carries consecutive tokens of an answer.
 
     Attributes:
-        req: the request.
-        first_index: number of the first piece, from 0.
-        texts: the pieces.
+        req: id of the request.
+        first_index: position of the first token in the answer, counted from 0.
+        texts: the text of each token.
     """
 
     req: int
@@ -167,11 +169,11 @@
 
 
 class DecodeDone(MessageBase, tag=12, frozen=True):
-    """The answer is complete.
+    """Reports that the answer is complete.
 
     Attributes:
-        req: the request.
-        token_count: number of pieces in the whole answer.
+        req: id of the request.
+        token_count: number of tokens in the whole answer.
         finish_reason: the engine's finish reason.
     """
 
@@ -181,12 +183,12 @@
 
 
 class Failed(MessageBase, tag=13, frozen=True):
-    """The backend server failed the request.
+    """Reports that a request failed at the backend server.
 
     Attributes:
-        req: the request.
-        code: class of failure.
-        may_have_run: False only when it is certain that nothing ran.
+        req: id of the request.
+        code: reason of the failure.
+        may_have_run: False only if the server has certainly not executed any part of the request.
     """
 
     req: int
@@ -195,13 +197,23 @@
 
 
 class Cancel(MessageBase, tag=14, frozen=True):
-    """Nobody waits for this request any more; whatever it holds is to be freed."""
+    """Cancels a request; the agent frees all that is reserved for it."""
 
     req: int
 
 
 class ServiceCall(MessageBase, tag=15, frozen=True):
-    """A call to a plain service."""
+    """Requests a call to a plain service.
+
+    Attributes:
+        req: id of the request.
+        method: HTTP method.
+        target: HTTP request target.
+        headers: HTTP headers to forward.
+        body: HTTP body.
+        timeout_s: seconds after which the response can no longer be used.
+        member: client account of the caller.
+    """
 
     req: int
     method: str
@@ -213,7 +225,7 @@
 
 
 class ServiceResponse(MessageBase, tag=16, frozen=True):
-    """A plain service's answer."""
+    """Carries the HTTP response of a plain service."""
 
     req: int
     status: int
