--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry makes of a request."""
+"""Tests of the components of an entry, and of some decisions that it relies on."""
 
 import curio
 import msgspec
@@ -17,21 +17,21 @@
 
 
 def make_view() -> BundleView:
-    """Return a bundle with one member."""
+    """Return a view of a bundle with one member."""
     digest = hash_credential("secret")
     member = f'[[members]]\nname = "m"\npartner = "timbook"\ncredential_sha256 = "{digest}"\n'
     return BundleView(parse_bundle(BUNDLE_TEMPLATE.format(version=1) + member + "max_rank = 1\n"))
 
 
 def make_req(body: object, path: str = "/v1/completions", **headers: str) -> HttpRequest:
-    """Return a request of the member."""
+    """Return an HTTP request with the credential of the member."""
     data = body if isinstance(body, bytes) else msgspec.json.encode(body)
     fields = {name.replace("_", "-"): value for name, value in headers.items()}
     return HttpRequest("POST", path, {"authorization": "Bearer secret", **fields}, data)
 
 
-class TestAsk:
-    """Requests are checked before anything is done for them."""
+class TestRequests:
+    """Parsing and validation of requests."""
 
     @pytest.mark.parametrize(
         ("body", "headers", "reason"),
@@ -45,29 +45,29 @@
             ({"model": "m1", "prompt": "x"}, {"x_deadline_ms": "0"}, "x-deadline-ms"),
         ],
     )
-    def test_bad_requests_name_what_is_wrong(
+    def test_invalid_request_error_names_the_field(
         self, body: object, headers: dict[str, str], reason: str
     ) -> None:
-        """Each fault is a typed error that names the field."""
+        """Each invalid header or field raises a RequestError whose message names it."""
         view = make_view()
         req = make_req(body, **headers)
         with pytest.raises(RequestError, match=reason):
             parse_completion(view, req, authenticate(view, req.headers))
 
-    def test_priority_is_capped_by_the_member(self) -> None:
-        """A member can't ask for a class above its own."""
+    def test_priority_is_limited_to_that_of_the_member(self) -> None:
+        """A request cannot have a more urgent priority class than its member allows."""
         view = make_view()
         req = make_req({"model": "m1", "prompt": "x"}, x_priority="0")
         assert parse_completion(view, req, authenticate(view, req.headers)).options.rank == 1
 
-    def test_credentials(self) -> None:
-        """Only a known bearer credential is taken."""
+    def test_invalid_credentials_are_rejected(self) -> None:
+        """A missing or unknown credential and one of another scheme are rejected."""
         for value in ("", "Bearer wrong", "Basic secret"):
             with pytest.raises(BadCredentials):
                 authenticate(make_view(), {"authorization": value})
 
-    def test_a_chat_goes_on_from_its_text(self) -> None:
-        """The rest of a cut chat answer is asked for with what is already written."""
+    def test_chat_continuation_contains_the_written_text(self) -> None:
+        """The request for the rest of a chat answer contains the text that is already written."""
         view = make_view()
         messages = [{"role": "user", "content": "hi"}]
         req = make_req({"model": "m1", "messages": messages}, "/v1/chat/completions")
@@ -77,8 +77,8 @@
         assert body["continue_final_message"] is True
         assert body["max_tokens"] == request.max_tokens - 2
 
-    def test_prefix_blocks_depend_on_all_before(self) -> None:
-        """Two prompts share leading blocks exactly as far as they agree."""
+    def test_prefix_hashes_depend_on_all_earlier_blocks(self) -> None:
+        """Two prompts have the same hashes up to the first block in which they differ."""
         head = "x" * 1024
         first, second = hash_prefix_blocks(head + "a" * 512), hash_prefix_blocks(head + "b" * 512)
         assert first[:2] == second[:2]
@@ -86,16 +86,16 @@
 
 
 class FakeLink:
-    """A link that is never used."""
+    """A link over which nothing is sent."""
 
     closed = False
 
 
-class TestCalls:
-    """Answers are matched to requests."""
+class TestMailboxes:
+    """Delivery of messages to the requests that wait for them."""
 
-    def test_crossed_answers_are_dropped_and_counted(self) -> None:
-        """A message for a request of another link, or of none, reaches nobody."""
+    def test_messages_without_a_mailbox_are_dropped_and_counted(self) -> None:
+        """A message for an unknown or closed request, or from another link, is dropped."""
 
         async def scenario() -> int:
             mailboxes = Mailboxes(100)
@@ -109,8 +109,8 @@
 
         assert run_virtual(scenario) == 3
 
-    def test_a_lost_link_ends_its_requests(self) -> None:
-        """Whoever waits on a link that ends is told so."""
+    def test_lost_link_fails_its_requests(self) -> None:
+        """A request that waits for a message on a link that ends gets LinkLost."""
 
         async def scenario() -> None:
             mailboxes = Mailboxes(100)
@@ -122,8 +122,8 @@
         with pytest.raises(LinkLost):
             run_virtual(scenario)
 
-    def test_a_slow_caller_is_cut_off(self) -> None:
-        """Tokens beyond the buffer are a typed failure, not memory."""
+    def test_slow_caller_gets_an_error(self) -> None:
+        """More unread tokens than the limit raise SlowCaller instead of using more memory."""
 
         async def scenario() -> None:
             mailboxes = Mailboxes(10)
@@ -136,8 +136,8 @@
         with pytest.raises(SlowCaller):
             run_virtual(scenario)
 
-    def test_a_closed_link_takes_no_request(self) -> None:
-        """A mailbox can't be opened on a link that is gone."""
+    def test_mailbox_cannot_be_opened_on_a_closed_link(self) -> None:
+        """Opening a mailbox on a closed link raises LinkClosed."""
         link = FakeLink()
         link.closed = True
         link.peer = type("Peer", (), {"name": "x"})  # type: ignore[attr-defined]
@@ -145,11 +145,11 @@
             Mailboxes(10).open(link, 1)  # type: ignore[arg-type]
 
 
-class TestIdentities:
-    """One identity from caller to engine."""
+class TestRequestIds:
+    """Ids of requests and their steps."""
 
-    def test_steps_share_all_but_two_digits(self) -> None:
-        """A request's lines in all logs are found by the head of its identity."""
+    def test_step_ids_differ_only_in_the_last_two_digits(self) -> None:
+        """The first 14 hex digits are common to all steps of a request and to no other request."""
         ids = RequestIds(99)
         progress = RequestProgress(ids.new_id())
         steps = [f"{progress.new_step_id():016x}" for _ in range(3)]
@@ -159,10 +159,10 @@
 
 
 class TestBudget:
-    """Retries can't amplify an outage."""
+    """The retry budget, which keeps retries from amplifying an outage."""
 
-    def test_retries_are_a_part_of_first_attempts(self) -> None:
-        """When everything fails, a tenth of the requests is retried, beyond the burst."""
+    def test_retries_are_limited_to_a_share_of_first_attempts(self) -> None:
+        """If all requests fail, a tenth of them is retried in addition to the burst."""
         budget = RetryBudget(ratio=0.1, burst=10.0)
         retries = 0
         for _ in range(1000):
@@ -172,10 +172,10 @@
 
 
 class TestBreaker:
-    """A failing backend server is left alone."""
+    """The breaker, which stops requests to a failing backend server."""
 
-    def test_opens_and_lets_one_trial_through(self) -> None:
-        """After three failures nothing passes for a second, then one request does."""
+    def test_open_breaker_allows_one_trial_request(self) -> None:
+        """After three failures no request is allowed for one second, and then one trial request."""
         breaker = Breaker()
         for _ in range(3):
             breaker.record_failure(0.0)
@@ -190,8 +190,8 @@
         breaker.record_success()
         assert breaker.allows_request(3.8)
 
-    def test_a_refused_trial_is_not_the_last(self) -> None:
-        """A trial whose outcome says nothing of the server is followed by another."""
+    def test_trial_without_an_outcome_is_followed_by_another(self) -> None:
+        """After a trial that neither succeeds nor fails, such as a refusal, another is allowed."""
         breaker = Breaker()
         for _ in range(3):
             breaker.record_failure(0.0)
@@ -201,10 +201,10 @@
 
 
 class TestLimits:
-    """A member's limits at one entry."""
+    """Limits of a member at one entry."""
 
-    def test_rate_and_concurrency(self) -> None:
-        """Requests over a limit are told when to come back."""
+    def test_requests_over_a_limit_get_a_retry_delay(self) -> None:
+        """A request over the concurrency or rate limit is refused with a retry delay."""
         limits = MemberLimits()
         assert limits.admit("m", 0.0, max_concurrent=1, max_per_s=0) is None
         assert limits.admit("m", 0.0, max_concurrent=1, max_per_s=0) is not None
@@ -217,15 +217,15 @@
 
 
 def work(req: int, deadline: float, units: int) -> WorkRequest:
-    """Return a request for work."""
+    """Return a request for *units* of work."""
     return WorkRequest(req=req, partner="p", member="m", rank=1, deadline=deadline, units=units)
 
 
 class TestWorkQueue:
-    """What a backend server is given."""
+    """The queue of requests to one backend server."""
 
-    def test_refuses_what_cannot_be_done_in_time(self) -> None:
-        """A prompt behind too much work is refused unread, and one that fits is taken."""
+    def test_request_that_cannot_meet_its_deadline_is_refused(self) -> None:
+        """A prompt behind too much queued work is refused, and a short enough one is accepted."""
         queue = WorkQueue(width=1, units_per_s=1000.0)
         assert queue.submit(work(1, 1.0, 800), 0.0) is None
         starts, late = queue.take_next(0.0)
@@ -234,8 +234,8 @@
         assert refusal is not None and refusal.retry_after_s > 1.0
         assert queue.submit(work(3, 1.0, 100), 0.0) is None
 
-    def test_what_has_waited_too_long_is_not_started(self) -> None:
-        """A prompt whose time ran out in the queue is refused, not read."""
+    def test_request_that_has_waited_too_long_is_not_started(self) -> None:
+        """A prompt that can no longer meet its deadline is refused instead of started."""
         queue = WorkQueue(width=1, units_per_s=1000.0)
         queue.submit(work(1, 9.0, 100), 0.0)
         queue.take_next(0.0)
@@ -244,8 +244,8 @@
         starts, late = queue.take_next(0.9)
         assert starts == [] and [refusal.req for refusal in late] == [2]
 
-    def test_learns_the_rate(self) -> None:
-        """The rate follows what was measured."""
+    def test_rate_follows_measurements(self) -> None:
+        """The rate of the queue approaches the measured rate."""
         queue = WorkQueue(width=1, units_per_s=1000.0)
         for req in range(1, 30):
             queue.submit(work(req, 1e9, 100), float(req))
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""Tests of the agents' roles, with fake backend servers and the clock advanced."""
+"""Tests of the agents' roles with fake backend servers and virtual time."""
 
 import io
 from collections.abc import Mapping
@@ -36,7 +36,7 @@
 
 
 class FakeStream(DecodeStream):
-    """An answer of some tokens, one every tenth of a second."""
+    """An answer of some tokens, one every 0.1 seconds."""
 
     def __init__(self, engine: "FakeEngine", tokens: int) -> None:
         self._engine = engine
@@ -52,16 +52,16 @@
         return ["t"]
 
     async def close(self) -> None:
-        """Free the memory."""
+        """Free the slot of the engine."""
         self._engine.running -= 1
 
 
 class FakeEngine(Engine):
-    """An engine whose memory and transfers can be looked at and held up."""
+    """An engine that counts running requests, and whose transfers can be stalled."""
 
     def __init__(self) -> None:
         self.running = 0
-        self.most = 0
+        self.max_running = 0
         self.foreign = 0
         self.stalled = False
         self.dead = False
@@ -71,11 +71,11 @@
         raise NotImplementedError
 
     async def decode(self, path: str, body: bytes, kv: bytes, *, req: int) -> DecodeStream:
-        """Write five tokens."""
+        """Return a stream of five tokens, once transfers are not stalled."""
         while self.stalled:
             await curio.sleep(0.1)
         self.running += 1
-        self.most = max(self.most, self.running)
+        self.max_running = max(self.max_running, self.running)
         return FakeStream(self, 5)
 
     async def load_adapter(self, name: str, path: str, version: int, *, token: int) -> None:
@@ -83,30 +83,30 @@
         raise NotImplementedError
 
     async def load(self) -> EngineLoad:
-        """Return what is in memory."""
+        """Return the number of running requests, or fail if the engine is dead."""
         if self.dead:
             raise EngineFailed("dead", ran=False)
         return EngineLoad(self.running + self.foreign, 0)
 
 
 class FakeLink:
-    """An entry's link that keeps what is sent."""
+    """A link to an entry that records sent messages."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
         self.peer = type("Peer", (), {"name": "entry"})
 
     async def send(self, msg: Any) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.sent.append(msg)
 
     def of(self, kind: type) -> list[Any]:
-        """Return the messages of one kind."""
+        """Return the recorded messages of one class."""
         return [msg for msg in self.sent if isinstance(msg, kind)]
 
 
 def make_role(engine: FakeEngine, capacity: int = 2) -> DecodeRole:
-    """Return the role with a silent log."""
+    """Return a decode role whose log is discarded."""
     return DecodeRole(
         engine=engine,
         table=SlotTable(capacity=capacity, step_s=0.1, hold_s=1.0),
@@ -117,12 +117,12 @@
 
 
 def reserve(req: int, within: float = 30.0) -> ReserveSlot:
-    """Return a request for a slot."""
+    """Return a message that requests a slot."""
     return ReserveSlot(req, "m", "m1", 1, within, 0.05, 5)
 
 
 async def serve(role: DecodeRole, link: Any, req: int) -> None:
-    """Reserve and decode as an entry would."""
+    """Lease a slot and start a decode, as an entry does."""
     await role.handle(link, reserve(req))
     while not any(msg.req == req for msg in link.of(SlotGranted)):
         await curio.sleep(0.01)
@@ -130,10 +130,10 @@
 
 
 class TestDecodeRole:
-    """Leases, answers and the memory they hold."""
+    """Leases of slots and answers of a decode engine."""
 
-    def test_answers_come_whole_and_never_over_capacity(self) -> None:
-        """Six requests on two slots are all answered, two at a time."""
+    def test_running_requests_never_exceed_the_capacity(self) -> None:
+        """Six requests for two slots are all answered, and at most two run at a time."""
 
         async def scenario() -> tuple[int, int, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -144,12 +144,12 @@
                     await group.spawn(serve, role, link, req)
             await curio.sleep(10)
             await runner.cancel()
-            return engine.most, len(link.of(DecodeDone)), len(link.of(Tokens))
+            return engine.max_running, len(link.of(DecodeDone)), len(link.of(Tokens))
 
         assert run_virtual(scenario) == (2, 6, 30)
 
-    def test_a_cancel_frees_the_slot_for_the_next(self) -> None:
-        """When the caller goes, the engine's memory is free and the next is granted."""
+    def test_cancelled_request_frees_its_slot_for_the_next(self) -> None:
+        """After a cancel, the engine has no running request and the waiting one gets the slot."""
 
         async def scenario() -> tuple[int, list[int]]:
             engine, link = FakeEngine(), FakeLink()
@@ -162,8 +162,8 @@
 
         assert run_virtual(scenario) == (0, [1, 2])
 
-    def test_an_entry_that_is_gone_holds_nothing(self) -> None:
-        """All that an entry asked for ends with its link: running, leased and waiting."""
+    def test_ended_link_frees_all_requests_of_its_entry(self) -> None:
+        """The running, leased and waiting requests of an entry end with its link."""
 
         async def scenario() -> tuple[int, bool]:
             engine, link = FakeEngine(), FakeLink()
@@ -177,8 +177,8 @@
 
         assert run_virtual(scenario) == (0, False)
 
-    def test_a_stalled_transfer_is_noticed(self) -> None:
-        """A transfer that brings nothing in time is a typed failure and frees the slot."""
+    def test_stalled_transfer_fails_the_request(self) -> None:
+        """If no token arrives in time, the request fails as transfer-stalled and frees its slot."""
 
         async def scenario() -> tuple[list[str], bool]:
             engine, link = FakeEngine(), FakeLink()
@@ -190,8 +190,8 @@
 
         assert run_virtual(scenario) == (["transfer-stalled"], False)
 
-    def test_slots_of_an_earlier_start_are_counted_out(self) -> None:
-        """Beside an engine still full of others' requests, nothing is granted until they end."""
+    def test_slots_of_a_previous_incarnation_are_not_granted(self) -> None:
+        """No slot is granted while the engine is full of requests that this agent did not send."""
 
         async def scenario() -> tuple[int, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -209,8 +209,8 @@
 
         assert run_virtual(scenario) == (0, 1)
 
-    def test_a_dead_engine_grants_nothing(self) -> None:
-        """While the engine can't be reached its slots aren't given out, and the load says so."""
+    def test_slots_of_an_unreachable_engine_are_not_granted(self) -> None:
+        """While the engine is unreachable, requests are refused and the load shows draining."""
 
         async def scenario() -> tuple[list[str], bool, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -229,8 +229,8 @@
 
         assert run_virtual(scenario) == (["backend-down"], True, 1)
 
-    def test_an_expired_lease_is_not_run(self) -> None:
-        """A Decode that comes after its lease ended is told that nothing ran."""
+    def test_decode_after_the_lease_expired_fails(self) -> None:
+        """A Decode that arrives after its lease expired fails with ``may_have_run`` false."""
 
         async def scenario() -> list[Failed]:
             engine, link = FakeEngine(), FakeLink()
@@ -244,8 +244,8 @@
 
         assert run_virtual(scenario) == [Failed(1, "lease-expired", False)]
 
-    def test_a_draining_agent_refuses_new_work(self) -> None:
-        """After close nothing new is taken, and what runs goes on to its end."""
+    def test_draining_agent_refuses_new_requests(self) -> None:
+        """After stop_accepting, new requests are refused and the running one completes."""
 
         async def scenario() -> tuple[list[str], int]:
             engine, link = FakeEngine(), FakeLink()
@@ -260,31 +260,31 @@
 
 
 class SlowService(PlainService):
-    """A service that takes a second."""
+    """A service whose calls take one second."""
 
     def __init__(self) -> None:
         self.runs = 0
 
     async def alive(self) -> bool:
-        """Say yes."""
+        """Return True."""
         return True
 
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
     ) -> ServiceAnswer:
-        """Run once."""
+        """Count the call and respond after one second."""
         self.runs += 1
         await curio.sleep(1.0)
         return ServiceAnswer(200, {}, b"")
 
 
-class RestingService(SlowService):
-    """A service that refuses the first call and wants none for three seconds."""
+class BackoffService(SlowService):
+    """A service that refuses the first call and asks for no calls for three seconds."""
 
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
     ) -> ServiceAnswer:
-        """Refuse, then run."""
+        """Refuse the first call and run the others."""
         answer = await super().call(method, target, headers, body)
         if self.runs > 1:
             return answer
@@ -292,7 +292,7 @@
 
 
 def plain_role(service: PlainService) -> PlainRole:
-    """Return the role with a silent log; it passes one call on at a time."""
+    """Return a plain role whose log is discarded and that forwards one call at a time."""
     return PlainRole(
         service=service,
         queue=WorkQueue(width=1, units_per_s=10.0),
@@ -305,15 +305,15 @@
 class TestPlainRole:
     """Calls to a plain service."""
 
-    def test_a_service_that_rests_gets_no_call(self) -> None:
-        """Whoever comes, or waits already, is refused with the time that is left.
+    def test_service_in_backoff_gets_no_call(self) -> None:
+        """Waiting and new calls are refused with the remaining time of the backoff.
 
-        Callers saw calls refused by a service that had asked for none for a while: its word went to
-        the caller that was refused, and the next call was sent at once.
+        Guards against a fault in which only the refused caller received the service's request for
+        a backoff, and the agent sent the next call to the service immediately.
         """
 
         async def scenario() -> tuple[int, list[float], int]:
-            service, link = RestingService(), FakeLink()
+            service, link = BackoffService(), FakeLink()
             role = plain_role(service)
             for req in range(4):
                 call = ServiceCall(req, "POST", "/x", {}, b"", 20.0)
@@ -329,8 +329,11 @@
         assert (runs, status) == (2, 200)
         assert left == [3.0, 2.6, 1.9]
 
-    def test_a_begun_call_outlives_its_entry(self) -> None:
-        """When the entry dies, the begun call ends, the waiting one is dropped, others go on."""
+    def test_started_call_continues_after_its_link_ends(self) -> None:
+        """When an entry's link ends, its started call completes and its waiting call is dropped.
+
+        Calls of other entries are not affected.
+        """
 
         async def scenario() -> tuple[int, int, bool]:
             service, link, other = SlowService(), FakeLink(), FakeLink()
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -73,8 +73,8 @@
         self.closed = True
 
 
-class TestBeater:
-    """Heartbeats."""
+class TestHeartbeatSender:
+    """Heartbeats on links, and the closing of unresponsive links."""
 
     def test_unresponsive_link_is_closed(self) -> None:
         """A peer that sends nothing for some heartbeats loses its link; a live peer keeps it."""
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the streams between our processes."""
+"""Tests of the protocol between entries and agents."""
 
 import msgspec
 import pytest
@@ -11,12 +11,12 @@
 
 
 class TestFrames:
-    """Frames survive any cutting of the stream."""
+    """Decoding of frames from a byte stream."""
 
     @given(st.lists(st.integers(1, 7), max_size=40))
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
-    def test_any_cutting(self, sizes: list[int]) -> None:
-        """Messages come out whole and in order however the bytes arrive."""
+    def test_frames_are_decoded_from_chunks_of_any_size(self, sizes: list[int]) -> None:
+        """All messages are decoded in order, whatever the sizes of the received chunks."""
         msgs = [Tokens(n, n, (f"t{n}",)) for n in range(10)]
         stream = b"".join(encode(msg) for msg in msgs)
         reader = FrameReader()
@@ -28,32 +28,32 @@
 
     @given(st.binary(min_size=1, max_size=300))
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
-    def test_garbage_is_a_typed_error(self, data: bytes) -> None:
-        """Bytes that are no message raise our error and no other."""
+    def test_random_bytes_raise_only_wire_error(self, data: bytes) -> None:
+        """Bytes that are not a valid message raise WireError and no other exception."""
         try:
             FrameReader().read_messages(data)
         except CrankhingeError as exc:
             assert isinstance(exc, WireError)
 
-    def test_a_huge_frame_is_refused_unread(self) -> None:
-        """A length over the limit is refused before anything is kept for it."""
+    def test_oversized_frame_is_rejected_by_its_length(self) -> None:
+        """A frame whose length exceeds the limit is rejected before its body is received."""
         with pytest.raises(WireError):
             FrameReader().read_messages((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
 
 
 class TestVersions:
-    """Old and new processes run side by side."""
+    """Compatibility of messages between old and new processes."""
 
-    def test_a_newer_peer_may_add_a_field(self) -> None:
-        """A field added at the end by a newer peer is passed over."""
+    def test_unknown_last_field_is_ignored(self) -> None:
+        """A field that a newer peer adds at the end of a message is ignored."""
         body = msgspec.msgpack.encode([6, 1, 0.0, 2.0, None, "new"])
         assert decode(body) == SlotGranted(1, 0.0, 2.0)
 
-    def test_an_older_peer_may_leave_one_out(self) -> None:
-        """A field that an older peer doesn't know has its default."""
+    def test_missing_last_field_has_its_default(self) -> None:
+        """A field that an older peer does not send has its default value."""
         assert decode(msgspec.msgpack.encode([6, 1, 0.0, 2.0])) == SlotGranted(1, 0.0, 2.0)
 
-    def test_round_trip(self) -> None:
-        """What is sent is what arrives."""
+    def test_encoded_message_decodes_to_itself(self) -> None:
+        """A message is unchanged after it is encoded and decoded."""
         for msg in (Hello(1, "n", "entry", "z", 5), Heartbeat(3, Load(1, 2, 0.5))):
             assert FrameReader().read_messages(encode(msg)) == [msg]
