--- a/src/crankhinge/entry/_agent_links.py
+++ b/src/crankhinge/entry/_agent_links.py
@@ -48,7 +48,6 @@
         mailboxes: receives the responses of agents.
         propagator: exchanges bundles over the links.
         keeper: holds the bundle in force.
-        heartbeat_sender: sends heartbeats.
         incarnation: incarnation id of this entry.
         log: logger for events.
         rng: source of the jitter of the reconnect delays.
