--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -8,7 +8,7 @@
 
 from crankhinge.adapters import EngineFailed, PlainService, ServiceAnswer
 from crankhinge.agent._queued_role import QueuedRole
-from crankhinge.wire import Failed, Link, Message, ServiceCall, ServiceResponse
+from crankhinge.wire import Failed, Link, Message, ServiceCall, ServiceCallDone
 
 # Work of one call in the units of the queue, and the priority class of all calls.
 CALL_UNITS = 1
@@ -84,7 +84,7 @@
             await self._record_backoff(response.rest_s)
         self.metrics.count("calls")
         await self.send_to_owner(
-            req, ServiceResponse(req, response.status, dict(response.headers), response.body)
+            req, ServiceCallDone(req, response.status, dict(response.headers), response.body)
         )
         return CALL_UNITS
 
--- a/src/crankhinge/entry/_plain_calls.py
+++ b/src/crankhinge/entry/_plain_calls.py
@@ -23,7 +23,7 @@
 )
 from crankhinge.http import HttpRequest
 from crankhinge.runtime import Metrics
-from crankhinge.wire import Failed, Refused, ServiceCall, ServiceResponse
+from crankhinge.wire import Failed, Refused, ServiceCall, ServiceCallDone
 
 MAX_ATTEMPTS = 3
 # Marks a response that was recorded for an earlier request with the same idempotency key.
@@ -73,7 +73,7 @@
         service: Service,
         options: RequestOptions,
         progress: RequestProgress,
-    ) -> ServiceResponse:
+    ) -> ServiceCallDone:
         """Run a call and return the response of the service.
 
         A call that is not repeatable and has an idempotency key runs only with a permit from the
@@ -99,7 +99,7 @@
         )
         if isinstance(permit, RecordedResponse):
             self._metrics.count("answers_replayed")
-            return ServiceResponse(
+            return ServiceCallDone(
                 0, permit.status, {**permit.headers, REPLAYED_HEADER: "yes"}, permit.body
             )
         progress.earlier_may_have_run = False
@@ -107,7 +107,7 @@
             self._run_with_permit, permit, req, member, service, options, progress, daemon=True
         )
         await task.wait()
-        outcome: ServiceResponse | CrankhingeError = task.result
+        outcome: ServiceCallDone | CrankhingeError = task.result
         if isinstance(outcome, CrankhingeError):
             raise outcome
         return outcome
@@ -120,7 +120,7 @@
         service: Service,
         options: RequestOptions,
         progress: RequestProgress,
-    ) -> ServiceResponse | CrankhingeError:
+    ) -> ServiceCallDone | CrankhingeError:
         """Return the response, or the error if the call fails.
 
         The error is returned instead of raised because the caller may have disconnected, and then
@@ -144,7 +144,7 @@
         options: RequestOptions,
         repeatable: bool,
         progress: RequestProgress,
-    ) -> ServiceResponse:
+    ) -> ServiceCallDone:
         """Send the call to one backend server after another and return the response.
 
         A call that is not repeatable is sent to a second backend server only if the first one
@@ -168,7 +168,7 @@
             progress.attempts += 1
             tried.add(backend.name)
             response = await self._call_agent(req, member, backend, deadline, progress)
-            if isinstance(response, ServiceResponse):
+            if isinstance(response, ServiceCallDone):
                 return response
             if isinstance(response, Refused):
                 retry_delays_s += [response.retry_after_s] if response.retry_after_s else []
@@ -195,7 +195,7 @@
         backend: Backend,
         deadline: float,
         progress: RequestProgress,
-    ) -> ServiceResponse | Refused | Failed | None:
+    ) -> ServiceCallDone | Refused | Failed | None:
         """Send the call to one agent and return its response, or None if there is none.
 
         Sets ``progress.may_have_run`` unless the call certainly did not run.
@@ -216,7 +216,7 @@
         progress.may_have_run = True
         backend.sent_since_report += 1
         backend.breaker.record_sent(now)
-        response: ServiceResponse | Refused | Failed | None = None
+        response: ServiceCallDone | Refused | Failed | None = None
         try:
             response = await self._send_and_wait(backend, call)
         except LinkClosed:
@@ -228,7 +228,7 @@
 
     async def _send_and_wait(
         self, backend: Backend, call: ServiceCall
-    ) -> ServiceResponse | Refused | Failed | None:
+    ) -> ServiceCallDone | Refused | Failed | None:
         """Send the call and return the agent's response, or None if it does not arrive in time.
 
         Raises:
@@ -237,7 +237,7 @@
         """
         link = self._agent_links.get_link(backend.name)
         mailbox = self._mailboxes.open(link, call.req)
-        response: ServiceResponse | Refused | Failed | None = None
+        response: ServiceCallDone | Refused | Failed | None = None
         try:
             await link.send(call)
             response = await curio.ignore_after(call.timeout_s + RESPONSE_MARGIN_S, mailbox.get)
@@ -249,14 +249,14 @@
 
     def _record_outcome(
         self,
-        response: ServiceResponse | Refused | Failed | None,
+        response: ServiceCallDone | Refused | Failed | None,
         backend: Backend,
         may_have_run_before: bool,
         progress: RequestProgress,
         now: float,
-    ) -> ServiceResponse | Refused | Failed | None:
+    ) -> ServiceCallDone | Refused | Failed | None:
         """Update the breaker and ``progress.may_have_run`` from a response."""
-        if isinstance(response, ServiceResponse):
+        if isinstance(response, ServiceCallDone):
             backend.breaker.record_success()
             return response
         if isinstance(response, Refused):
--- a/src/crankhinge/wire/__init__.py
+++ b/src/crankhinge/wire/__init__.py
@@ -36,7 +36,7 @@
     Refused,
     ReserveSlot,
     ServiceCall,
-    ServiceResponse,
+    ServiceCallDone,
     SlotGranted,
     Tokens,
 )
@@ -74,7 +74,7 @@
     "Refused",
     "ReserveSlot",
     "ServiceCall",
-    "ServiceResponse",
+    "ServiceCallDone",
     "SlotGranted",
     "Tokens",
     "accept_link",
--- a/src/crankhinge/wire/_messages.py
+++ b/src/crankhinge/wire/_messages.py
@@ -224,7 +224,7 @@
     member: str = ""
 
 
-class ServiceResponse(MessageBase, tag=16, frozen=True):
+class ServiceCallDone(MessageBase, tag=16, frozen=True):
     """Carries the HTTP response of a plain service."""
 
     req: int
@@ -249,7 +249,7 @@
     | Failed
     | Cancel
     | ServiceCall
-    | ServiceResponse
+    | ServiceCallDone
     | FencePermitRequest
     | FencePermitted
     | FenceAlreadyTaken
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -28,7 +28,7 @@
     Refused,
     ReserveSlot,
     ServiceCall,
-    ServiceResponse,
+    ServiceCallDone,
     SlotGranted,
     Tokens,
 )
@@ -323,7 +323,7 @@
             await curio.sleep(2.0)
             await role.handle(link, ServiceCall(9, "POST", "/x", {}, b"", 20.0))  # type: ignore[arg-type]
             await curio.sleep(1.5)
-            return service.runs, left, link.of(ServiceResponse)[-1].status
+            return service.runs, left, link.of(ServiceCallDone)[-1].status
 
         runs, left, status = run_virtual(scenario)
         assert (runs, status) == (2, 200)
@@ -344,6 +344,6 @@
             await curio.sleep(0.1)
             await role.cancel_requests_of(link)  # type: ignore[arg-type]
             await curio.sleep(5)
-            return service.runs, len(other.of(ServiceResponse)), role.is_busy
+            return service.runs, len(other.of(ServiceCallDone)), role.is_busy
 
         assert run_virtual(scenario) == (2, 1, False)
