--- a/src/crankhinge/agent/_probe.py
+++ b/src/crankhinge/agent/_probe.py
@@ -1,4 +1,4 @@
-"""One question to an engine, answered in time or not at all."""
+"""Probes an engine with a timeout."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 PROBE_TIMEOUT_S = 2.0
 
 
-async def engine_load(engine: Engine) -> EngineLoad | None:
-    """Return the engine's load; None when it can't be reached or doesn't answer in time."""
+async def probe_load(engine: Engine) -> EngineLoad | None:
+    """Return the load of the engine, or None if it does not respond in time."""
     try:
         load: EngineLoad = await curio.timeout_after(PROBE_TIMEOUT_S, engine.get_load)
     except (EngineFailed, curio.TaskTimeout):
--- a/src/crankhinge/agent/_program.py
+++ b/src/crankhinge/agent/_program.py
@@ -1,4 +1,4 @@
-"""The parts of ``crankhinge-agent``, put together."""
+"""Builds and runs the components of ``crankhinge-agent``."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 def make_role(settings: AgentSettings, engine: Engine | None, **common: Any) -> Role:
-    """Return the role that the settings name, beside *engine* or else a plain service."""
-    mech = mechanisms_for(settings.policy)
+    """Return the role for *engine*, or for a plain service if *engine* is None."""
+    mechanisms = mechanisms_for(settings.policy)
     slots = settings.slots if settings.policy != "naive" else UNBOUNDED
     if engine is not None and settings.role == "decode":
         table = SlotTable(
-            capacity=slots, step_s=settings.step_s, lease_margin_s=settings.lease_s, mech=mech
+            capacity=slots, step_s=settings.step_s, lease_margin_s=settings.lease_s, mech=mechanisms
         )
         return DecodeRole(engine=engine, table=table, **common)
-    queue = WorkQueue(width=slots, units_per_s=settings.rate, mech=mech)
+    queue = WorkQueue(width=slots, units_per_s=settings.rate, mech=mechanisms)
     if engine is not None:
         return PrefillRole(engine=engine, queue=queue, **common)
     service = HttpService(*parse_endpoint(settings.backend))
@@ -44,14 +44,14 @@
 
 
 def apply_bundle(role: Role, pool_name: str, bundle: Bundle) -> None:
-    """Pass what a new bundle says of the agent's pool to its role."""
+    """Apply the settings that a bundle has for the agent's pool to its role."""
     pool = bundle.find_pool(pool_name)
     if pool is not None:
-        role.apply(pool)
+        role.apply_pool(pool)
 
 
 async def serve(settings: AgentSettings, log: Any, stopping: curio.Event) -> None:
-    """Run the agent until *stopping*, then drain."""
+    """Run the agent until *stopping* is set, then drain it."""
     log = log.bind(name=settings.name)
     keeper = BundleKeeper(settings.keys)
     metrics = Metrics(prefix=f"crankhinge.agent.{settings.name}", address=settings.statsd)
@@ -67,31 +67,31 @@
         role=role,
         engine=engine,
         kv=kv,
-        roster=InstanceListCache(
+        instance_list=InstanceListCache(
             ConsulInstanceList(*parse_endpoint(settings.instances)),
             refresh_interval_s=settings.list_s,
             log=log,
             rng=rng,
         ),
-        spread=BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng),
+        propagator=BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng),
         keeper=keeper,
         incarnation=time.time_ns(),
         log=log,
     )
     log.info("started", role=settings.role, pool=settings.pool, port=settings.port)
-    await run_until_first_ends(agent.run, partial(_drain_on, stopping, agent))
+    await run_until_first_ends(agent.run, partial(_drain_when_stopping, stopping, agent))
 
 
-async def _drain_on(stopping: curio.Event, agent: Agent) -> None:
+async def _drain_when_stopping(stopping: curio.Event, agent: Agent) -> None:
     await stopping.wait()
     await agent.drain()
 
 
 def run(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     return run_process(
         program=PROGRAM,
-        description="the process beside a backend server",
+        description="forward requests to one backend server",
         settings_type=AgentSettings,
         serve=serve,
         argv=argv,
--- a/src/crankhinge/entry/_completion.py
+++ b/src/crankhinge/entry/_completion.py
@@ -1,7 +1,8 @@
-"""One completion, from the caller's request to its last token.
+"""Runs completions, from the caller's request to the last token.
 
-First a slot in a decode engine's memory is leased, then the prompt is read, then the answer is
-written where the slot is. A refusal before the reading has cost nothing and is "not run".
+A completion first leases a memory slot of a decode engine. A prefill engine then processes the
+prompt, and the decode engine generates the answer. A request that is refused before the prefill has
+caused no work, and its outcome is "not-run".
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 
 from crankhinge.config import BundleView, Policy
 from crankhinge.decisions import FULL, Mechanisms, RecordedResponse, RetryBudget
-from crankhinge.entry._answer import AnswerWriter
-from crankhinge.entry._ask import CompletionAsk
-from crankhinge.entry._calls import AttemptFailed, Calls, LinkLost, cancel_step
-from crankhinge.entry._estimates import Estimates
-from crankhinge.entry._fence import Fence, digest_of
-from crankhinge.entry._fleet import Fleet
-from crankhinge.entry._progress import Progress
-from crankhinge.entry._reading import Prompt, PromptReader
-from crankhinge.entry._slots import Slot, SlotFinder, SlotNeed
+from crankhinge.entry._agent_links import AgentLinks
+from crankhinge.entry._estimates import RequestEstimator
+from crankhinge.entry._fence_client import FenceClient, digest_request
+from crankhinge.entry._mailboxes import AttemptFailed, LinkLost, Mailboxes, cancel_step
+from crankhinge.entry._prefill_client import PrefillClient, PrefillTask
+from crankhinge.entry._progress import RequestProgress
+from crankhinge.entry._requests import CompletionRequest
+from crankhinge.entry._responses import CompletionWriter
+from crankhinge.entry._slot_client import LeasedSlot, SlotClient, SlotRequirements
 from crankhinge.errors import (
     AlreadyTaken,
     BackendFailed,
@@ -33,204 +34,272 @@
 from crankhinge.wire import Decode, DecodeDone, Failed, PrefillDone, Tokens
 
 MAX_ATTEMPTS = 4
-LEAST_PATIENCE_S = 0.4
-PATIENCE_FACTOR = 5.0
-TRANSFER_FAULTS = frozenset({"transfer-stalled", "kv-expired"})
+# Bounds of the time that a decode engine waits for the KV cache of a prompt: a minimum, and a
+# multiple of the expected duration.
+MIN_TRANSFER_TIMEOUT_S = 0.4
+TRANSFER_TIMEOUT_FACTOR = 5.0
+# Failures of a decode attempt for which the prefill engine is responsible.
+TRANSFER_FAILURE_CODES = frozenset({"transfer-stalled", "kv-expired"})
 
 
-class Completions:
+class CompletionRunner:
     """Runs completions.
 
     Args:
-        fleet: the agents.
-        calls: the mailboxes.
-        budget: for retries.
-        fence: gives leave for non-repeatable requests.
-        log: for events.
-        metrics: for counters.
-        mech: which mechanisms are at work.
+        agent_links: links to the agents.
+        mailboxes: mailboxes for the responses of agents.
+        retry_budget: limits the retries of this entry.
+        fence_client: obtains permits for non-repeatable requests.
+        log: logger for events.
+        metrics: counters of this entry.
+        mech: the mechanisms that are enabled.
+
+    Attributes:
+        estimator: estimates prompt lengths and timeouts.
     """
 
     def __init__(
         self,
         *,
-        fleet: Fleet,
-        calls: Calls,
-        budget: RetryBudget,
-        fence: Fence,
+        agent_links: AgentLinks,
+        mailboxes: Mailboxes,
+        retry_budget: RetryBudget,
+        fence_client: FenceClient,
         log: Any,
         metrics: Metrics,
         mech: Mechanisms = FULL,
     ) -> None:
-        self.estimates = Estimates(fleet.router, mech)
-        self._router = fleet.router
-        self._slots = SlotFinder(fleet=fleet, calls=calls)
-        self._reader = PromptReader(fleet=fleet, calls=calls)
-        self._calls = calls
-        self._budget = budget
-        self._fence = fence
+        self.estimator = RequestEstimator(agent_links.router, mech)
+        self._router = agent_links.router
+        self._slot_client = SlotClient(agent_links=agent_links, mailboxes=mailboxes)
+        self._prefill_client = PrefillClient(agent_links=agent_links, mailboxes=mailboxes)
+        self._mailboxes = mailboxes
+        self._retry_budget = retry_budget
+        self._fence_client = fence_client
         self._log = log
         self._metrics = metrics
-        self._mech = mech
+        self._mechanisms = mech
 
     async def run(
-        self, ask: CompletionAsk, view: BundleView, writer: AnswerWriter, progress: Progress
+        self,
+        request: CompletionRequest,
+        view: BundleView,
+        writer: CompletionWriter,
+        progress: RequestProgress,
     ) -> None:
-        """Answer *ask*, with leave if it may not be repeated. Raises as :meth:`_serve` does."""
+        """Run *request* and write its answer.
+
+        A request that is not repeatable and has an idempotency key runs only with a permit from the
+        fence.
+
+        Raises:
+            AlreadyTaken: an earlier request with the same key was answered or may have run.
+            Overloaded: no engine can meet the target now; nothing was run.
+            NoBackend: no engine is known to be alive; nothing was run.
+            BackendFailed: every attempt failed.
+            DeadlinePassed: the deadline of the caller passed.
+            CrankhingeError: other errors of :meth:`FenceClient.request_permit`.
+        """
         policy = view.bundle.policy
-        pool = view.bundle.find_pool(ask.model.decode[0])
-        if ask.terms.repeatable or not ask.terms.key or pool is None:
-            progress.keyed = False
-            await self._serve(ask, policy, writer, progress)
+        pool = view.bundle.find_pool(request.model.decode[0])
+        if request.options.is_repeatable or not request.options.idempotency_key or pool is None:
+            progress.earlier_may_have_run = False
+            await self._run_attempts(request, policy, writer, progress)
             return
-        digest = digest_of("POST", ask.path, msgspec.json.encode(ask.body))
-        leave = await self._fence.ask(
-            pool, ask.member.name, ask.terms.key, digest, progress.new_step()
+        digest = digest_request("POST", request.path, msgspec.json.encode(request.body))
+        permit = await self._fence_client.request_permit(
+            pool,
+            request.member.name,
+            request.options.idempotency_key,
+            digest,
+            progress.new_step_id(),
         )
-        if isinstance(leave, RecordedResponse):
-            raise AlreadyTaken("this request was answered before")
-        progress.keyed = False
+        if isinstance(permit, RecordedResponse):
+            raise AlreadyTaken("an earlier request with this idempotency key was answered")
+        progress.earlier_may_have_run = False
         try:
-            await self._serve(ask, policy, writer, progress)
-            await self._fence.settle(leave, RecordedResponse(200, cut=True))
+            await self._run_attempts(request, policy, writer, progress)
+            await self._fence_client.record_response(permit, RecordedResponse(200, cut=True))
         finally:
-            if not progress.touched:
-                await self._fence.release(leave)
+            if not progress.may_have_run:
+                await self._fence_client.release(permit)
 
-    async def _serve(
-        self, ask: CompletionAsk, policy: Policy, writer: AnswerWriter, progress: Progress
+    async def _run_attempts(
+        self,
+        request: CompletionRequest,
+        policy: Policy,
+        writer: CompletionWriter,
+        progress: RequestProgress,
     ) -> None:
-        """Answer *ask*; retries within the budget.
+        """Attempt *request* until an attempt succeeds or no retry is allowed.
 
         Raises:
             Overloaded: no engine can meet the target now; nothing was run.
             NoBackend: no engine is known to be alive; nothing was run.
             BackendFailed: every attempt failed.
-            DeadlinePassed: the caller's deadline went by.
+            DeadlinePassed: the deadline of the caller passed.
         """
-        began = await curio.clock()
-        until = began + self.estimates.patience_s(ask, policy, began)
-        limit = ask.terms.deadline_s
-        self._budget.record_first_attempt()
+        started_at = await curio.clock()
+        first_token_deadline = started_at + self.estimator.first_token_timeout_s(
+            request, policy, started_at
+        )
+        time_limit_s = request.options.deadline_s
+        self._retry_budget.record_first_attempt()
         while True:
             progress.attempts += 1
             try:
-                if limit is None:
-                    await self._attempt(ask, writer, progress, until)
+                if time_limit_s is None:
+                    await self._attempt(request, writer, progress, first_token_deadline)
                 else:
-                    left = max(0.001, began + limit - await curio.clock())
-                    await curio.timeout_after(left, self._attempt, ask, writer, progress, until)
+                    remaining_s = max(0.001, started_at + time_limit_s - await curio.clock())
+                    await curio.timeout_after(
+                        remaining_s, self._attempt, request, writer, progress, first_token_deadline
+                    )
                 return
             except curio.TaskTimeout as exc:
-                raise DeadlinePassed(f"{limit} s") from exc
+                raise DeadlinePassed(f"{time_limit_s} s passed without a complete answer") from exc
             except (AttemptFailed, LinkLost, LinkClosed) as exc:
-                self._consider_retry(exc, ask, progress, writer)
-                # An answer that is under way is worth finishing late.
-                until = max(until, await curio.clock() + ask.model.first_token_s)
+                self._check_retry_allowed(exc, request, progress, writer)
+                # A partly written answer is worth completing even if it is late, so the retry
+                # gets at least the model's target time to its first token.
+                first_token_deadline = max(
+                    first_token_deadline, await curio.clock() + request.model.first_token_s
+                )
 
-    def _consider_retry(
-        self, exc: CrankhingeError, ask: CompletionAsk, progress: Progress, writer: AnswerWriter
+    def _check_retry_allowed(
+        self,
+        exc: CrankhingeError,
+        request: CompletionRequest,
+        progress: RequestProgress,
+        writer: CompletionWriter,
     ) -> None:
-        """Return if another attempt may be made.
+        """Return if the request may be retried, and charge the retry to the budget.
 
         Raises:
-            BackendFailed: when not.
+            BackendFailed: the request may not be retried.
         """
         self._metrics.count("attempts_failed")
-        spent = progress.attempts >= MAX_ATTEMPTS
-        spent = spent or (progress.touched and not ask.terms.repeatable)
-        spent = spent or (self._mech.budget and not self._budget.try_retry())
-        spent = spent or (writer.tokens > 0 and not self._mech.resume)
+        is_refused = progress.attempts >= MAX_ATTEMPTS
+        is_refused = is_refused or (progress.may_have_run and not request.options.is_repeatable)
+        is_refused = is_refused or (self._mechanisms.budget and not self._retry_budget.try_retry())
+        is_refused = is_refused or (writer.token_count > 0 and not self._mechanisms.resume)
         self._log.warning(
             "attempt_failed",
-            request=f"req-{progress.ident:016x}",
+            request=f"req-{progress.request_id:016x}",
             code=exc.code,
             why=exc.detail,
             attempt=progress.attempts,
-            written=writer.tokens,
-            retry=not spent,
+            written=writer.token_count,
+            retry=not is_refused,
         )
-        if spent:
+        if is_refused:
             raise BackendFailed(exc.detail) from exc
 
     async def _attempt(
-        self, ask: CompletionAsk, writer: AnswerWriter, progress: Progress, until: float
+        self,
+        request: CompletionRequest,
+        writer: CompletionWriter,
+        progress: RequestProgress,
+        first_token_deadline: float,
     ) -> None:
-        body = ask.body_after(writer.text, writer.tokens)
-        route = self.estimates.route(ask, writer.tokens)
-        need = SlotNeed(ask, route, until, ask.max_tokens - writer.tokens)
-        early: PrefillDone | None = None
-        if not self._mech.reserve:
-            early = await self._read(Prompt(ask, route, body, "", until), writer, progress)
-        slot = await self._slots.find(need, progress)
-        progress.slot = progress.slot or await curio.clock()
-        done = False
+        body = request.continuation_body(writer.text, writer.token_count)
+        route_request = self.estimator.make_route_request(request, writer.token_count)
+        requirements = SlotRequirements(
+            request, route_request, first_token_deadline, request.max_tokens - writer.token_count
+        )
+        early_prefill: PrefillDone | None = None
+        if not self._mechanisms.reserve:
+            early_prefill = await self._prefill(
+                PrefillTask(request, route_request, body, "", first_token_deadline),
+                writer,
+                progress,
+            )
+        slot = await self._slot_client.lease_slot(requirements, progress)
+        progress.slot_granted_at = progress.slot_granted_at or await curio.clock()
+        is_complete = False
         try:
-            prompt = Prompt(ask, route, body, slot.backend.zone, until)
-            read = early or await self._read(prompt, writer, progress)
-            progress.touched = True
-            progress.read = progress.read or await curio.clock()
-            patience = self._transfer_patience_s(route.tokens, slot)
-            await slot.link.send(Decode(slot.box.req, ask.path, body, read.kv, patience))
+            task = PrefillTask(
+                request, route_request, body, slot.backend.zone, first_token_deadline
+            )
+            prefill_done = early_prefill or await self._prefill(task, writer, progress)
+            progress.may_have_run = True
+            progress.prompt_read_at = progress.prompt_read_at or await curio.clock()
+            transfer_timeout_s = self._transfer_timeout_s(route_request.tokens, slot)
+            await slot.link.send(
+                Decode(
+                    slot.mailbox.req, request.path, body, prefill_done.kv_handle, transfer_timeout_s
+                )
+            )
             await self._relay(slot, writer, progress)
-            done = True
+            is_complete = True
         finally:
-            self._note_waste(progress)
+            self._record_waste(progress)
             slot.backend.open_requests -= 1
-            self._calls.close(slot.box)
-            if not done:
-                await cancel_step(slot.link, slot.box)
-
-    async def _read(self, prompt: Prompt, writer: AnswerWriter, progress: Progress) -> PrefillDone:
-        done = await self._reader.read(prompt, progress)
-        self.estimates.learn(prompt.ask, writer.text, done.prompt)
-        writer.note_prompt(done.prompt)
-        return done
-
-    def _transfer_patience_s(self, tokens: int, slot: Slot) -> float:
-        """Return the seconds after which a transfer that has brought nothing is given up."""
+            self._mailboxes.close(slot.mailbox)
+            if not is_complete:
+                await cancel_step(slot.link, slot.mailbox)
+
+    async def _prefill(
+        self, task: PrefillTask, writer: CompletionWriter, progress: RequestProgress
+    ) -> PrefillDone:
+        prefill_done = await self._prefill_client.prefill(task, progress)
+        self.estimator.record_prompt_tokens(task.request, writer.text, prefill_done.prompt_tokens)
+        writer.record_prompt_tokens(prefill_done.prompt_tokens)
+        return prefill_done
+
+    def _transfer_timeout_s(self, tokens: int, slot: LeasedSlot) -> float:
+        """Return the seconds without a first token after which a KV transfer has stalled."""
         zone = slot.backend.zone
-        usual = self._router.transfer_s(tokens, zone, zone) + slot.backend.step_s
-        return max(LEAST_PATIENCE_S, PATIENCE_FACTOR * usual)
-
-    def _note_waste(self, progress: Progress) -> None:
-        if progress.unused:
-            self._metrics.count("prompt_tokens_wasted", progress.unused)
-            progress.wasted += progress.unused
-            progress.unused = 0
-
-    async def _relay(self, slot: Slot, writer: AnswerWriter, progress: Progress) -> None:
-        """Pass tokens on in order until the answer is complete."""
-        expected = 0
-        slot.box.streaming = True
+        expected_s = self._router.transfer_s(tokens, zone, zone) + slot.backend.step_s
+        return max(MIN_TRANSFER_TIMEOUT_S, TRANSFER_TIMEOUT_FACTOR * expected_s)
+
+    def _record_waste(self, progress: RequestProgress) -> None:
+        if progress.unused_tokens:
+            self._metrics.count("prompt_tokens_wasted", progress.unused_tokens)
+            progress.wasted_tokens += progress.unused_tokens
+            progress.unused_tokens = 0
+
+    async def _relay(
+        self, slot: LeasedSlot, writer: CompletionWriter, progress: RequestProgress
+    ) -> None:
+        """Write the tokens from the decode engine in order until the answer is complete.
+
+        Raises:
+            AttemptFailed: tokens are missing, or the engine failed.
+        """
+        next_index = 0
+        slot.mailbox.is_streaming = True
         while True:
-            msg = await slot.box.get()
+            msg = await slot.mailbox.get()
             if isinstance(msg, Tokens):
-                if msg.seq > expected:
-                    raise AttemptFailed(f"tokens {expected} to {msg.seq} are missing")
-                fresh = msg.texts[expected - msg.seq :]
-                if not expected:
-                    progress.first = progress.first or await curio.clock()
-                    progress.unused = 0
-                expected += len(fresh)
-                if fresh:
-                    await writer.write(fresh)
+                if msg.first_index > next_index:
+                    raise AttemptFailed(f"tokens {next_index} to {msg.first_index} are missing")
+                new_texts = msg.texts[next_index - msg.first_index :]
+                if not next_index:
+                    progress.first_token_at = progress.first_token_at or await curio.clock()
+                    progress.unused_tokens = 0
+                next_index += len(new_texts)
+                if new_texts:
+                    await writer.write(new_texts)
             elif isinstance(msg, DecodeDone):
-                if msg.count != expected:
-                    raise AttemptFailed(f"{expected} of {msg.count} tokens arrived")
+                if msg.token_count != next_index:
+                    raise AttemptFailed(f"{next_index} of {msg.token_count} tokens arrived")
                 slot.backend.breaker.record_success()
-                progress.last = await curio.clock()
-                await writer.finish(msg.finish or "stop")
+                progress.last_token_at = await curio.clock()
+                await writer.finish(msg.finish_reason or "stop")
                 return
             else:
                 code = msg.code if isinstance(msg, Failed) else "no answer"
-                await self._blame(code, slot, progress)
+                await self._record_failure(code, slot, progress)
                 raise AttemptFailed(code)
 
-    async def _blame(self, code: str, slot: Slot, progress: Progress) -> None:
-        """Count a failure against the engine that is likely at fault."""
+    async def _record_failure(self, code: str, slot: LeasedSlot, progress: RequestProgress) -> None:
+        """Record a failure in the breaker of the engine that probably caused it.
+
+        An expired lease is not a failure of an engine.
+        """
         now = await curio.clock()
-        if code in TRANSFER_FAULTS and progress.reader is not None:
-            progress.reader.breaker.record_failure(now)
+        if code in TRANSFER_FAILURE_CODES and progress.prefill_backend is not None:
+            progress.prefill_backend.breaker.record_failure(now)
         elif code != "lease-expired":
             slot.backend.breaker.record_failure(now)
