--- a/src/crankhinge/gateway/_admission.py
+++ b/src/crankhinge/gateway/_admission.py
@@ -32,10 +32,10 @@
     def __init__(
         self, *, discovery: Discovery, authenticator: Authenticator, rng: random.Random
     ) -> None:
-        self._directory = discovery
+        self._discovery = discovery
         self._authenticator = authenticator
         self._rng = rng
-        self._first_tries = CallerRetryDetector()
+        self._retry_detector = CallerRetryDetector()
 
     async def admit(self, exchange: Exchange, request: RelayRequest) -> Relay:
         """Return the relay of a request.
@@ -45,23 +45,23 @@
             UnknownRoute: the configuration has no route for it.
             BadCredentials, ConfigTooOld: as :meth:`Authenticator.identify` does.
         """
-        table = self._directory.table
-        if table is None or not self._directory.has_server_list:
+        table = self._discovery.table
+        if table is None or not self._discovery.has_server_list:
             raise NotReady(
                 "no configuration or no list of servers yet", retry_after_s=NOT_READY_RETRY_S
             )
         route, service = self._match(table, exchange.req)
-        began = await curio.clock()
-        account = self._authenticator.identify(table, route, request, began)
-        caller_s = DEFAULT_TIMEOUT_S if request.timeout_s is None else request.timeout_s
-        until = began + min(route.timeout_s, caller_s)
-        relay = Relay(exchange, request, route, service, table.version, began, until)
+        started_at = await curio.clock()
+        account = self._authenticator.identify(table, route, request, started_at)
+        caller_timeout_s = DEFAULT_TIMEOUT_S if request.timeout_s is None else request.timeout_s
+        deadline = started_at + min(route.timeout_s, caller_timeout_s)
+        relay = Relay(exchange, request, route, service, table.version, started_at, deadline)
         relay.has_accounts, relay.account = table.accounts is not None, account
         relay.fingerprint = _fingerprint(relay, exchange.req)
-        relay.is_retry = self._first_tries.record_request(
-            route.name, caller_s, connection_reused=exchange.connection_reused
+        relay.is_retry = self._retry_detector.record_request(
+            route.name, caller_timeout_s, connection_reused=exchange.connection_reused
         )
-        self._note_facts(relay, caller_s)
+        self._record_log_fields(relay, caller_timeout_s)
         return relay
 
     def _match(self, table: RouteTable, req: HttpRequest) -> tuple[Route, Service]:
@@ -73,17 +73,17 @@
             raise NotReady(f"route {route.name} names a service that is not there")
         return route, service
 
-    def _note_facts(self, relay: Relay, caller_s: float) -> None:
+    def _record_log_fields(self, relay: Relay, caller_timeout_s: float) -> None:
         """Note what decided the request's course, for the line about its end."""
         if relay.account is not None:
             relay.log_fields["account"] = relay.account.name
-            relay.log_fields["keys_age_s"] = round(self._directory.keys_age_s(relay.started_at), 2)
+            relay.log_fields["keys_age_s"] = round(self._discovery.keys_age_s(relay.started_at), 2)
         relay.log_fields.update(
             fingerprint=relay.fingerprint,
             service=relay.service.name,
             kind=relay.route.kind.value,
             target_ms=round(relay.route.target_s * 1000),
-            within_ms=round(caller_s * 1000),
+            within_ms=round(caller_timeout_s * 1000),
             returned=relay.is_retry,
             kept=relay.exchange.connection_reused,
         )
@@ -92,7 +92,7 @@
         # How long ago the list of servers was last heard of, in seconds: what is believed of
         # servers is at least that old, unless the list is watched and did not change.
         relay.log_fields["list_age_s"] = round(
-            relay.started_at - (self._directory.server_list_watcher.received_at or 0.0), 1
+            relay.started_at - (self._discovery.server_list_watcher.received_at or 0.0), 1
         )
 
 
--- a/src/crankhinge/gateway/_attempts.py
+++ b/src/crankhinge/gateway/_attempts.py
@@ -66,58 +66,60 @@
             BadHttp: it may have run; what came back is no answer.
         """
         dialect = self._backends.dialect
-        standing = self._backends.stats(server.incarnation_id)
+        stats = self._backends.stats(server.incarnation_id)
         req = relay.exchange.req
-        began = await curio.clock()
-        self._authenticator.recheck(relay, began)
-        work = relay.work_key(prompt_only=params.prompt_only)
-        await self._quarantine.admit(relay, work, began)
+        started_at = await curio.clock()
+        self._authenticator.recheck(relay, started_at)
+        work_key = relay.work_key(prompt_only=params.prompt_only)
+        await self._quarantine.admit(relay, work_key, started_at)
         # Its place may have been taken seconds ago, while its prompt was read elsewhere.
-        bar = self._backends.exclusion_reason(server, began)
-        if bar is not None:
-            raise ServerBarred(f"{server.incarnation_id}: {bar.value}")
+        reason = self._backends.exclusion_reason(server, started_at)
+        if reason is not None:
+            raise ServerBarred(f"{server.incarnation_id}: {reason.value}")
         # Last, since it is used: a permit of a request that is not sent is lost to others.
         permit = await self._permits.use_permit(relay, server)
         relay.log_fields.update(
-            self._backends.exclusions.violation_log_fields(server.incarnation_id, began)
+            self._backends.exclusions.violation_log_fields(server.incarnation_id, started_at)
         )
-        standing.breaker.record_sent(began)
-        standing.open_requests += 1
+        stats.breaker.record_sent(started_at)
+        stats.open_requests += 1
         stream: ClientStream | None = None
-        whole = False
+        completed = False
         try:
             stream = await self._backends.client(server).open_with_fields(
                 req.method,
                 req.target,
                 fields=dialect.attempt_fields(req, params, relay.account_name),
                 body=req.body,
-                is_own_response=_owner_is(dialect, relay.request.request_id),
+                is_own_response=_is_response_to(dialect, relay.request.request_id),
             )
-            word = dialect.parse_signals(stream.status, stream.headers)
-            if word.wrong_server:
+            signals = dialect.parse_signals(stream.status, stream.headers)
+            if signals.wrong_server:
                 self._backends.record_replaced(server)
                 raise ConnectFailed(f"another server answers for {server.incarnation_id}")
-            ran = not word.not_run and stream.status < SUCCESS_STATUS_END
-            await self._backends.notify_listeners(server, word, sent_at=began, succeeded=ran)
+            succeeded = not signals.not_run and stream.status < SUCCESS_STATUS_END
+            await self._backends.notify_listeners(
+                server, signals, sent_at=started_at, succeeded=succeeded
+            )
             yield stream
-            whole = True
+            completed = True
         except CallerGone:
             raise
         except (HttpClosed, BadHttp) as exc:
-            standing.record_failure(await curio.clock())
+            stats.record_failure(await curio.clock())
             if isinstance(exc, ConnectFailed) and permit is not None:
                 relay.permits[server.incarnation_id] = permit
             if isinstance(exc, HttpClosed) and not isinstance(exc, ConnectFailed):
                 # A trial that was cut is over, whatever the server is found to be.
                 relay.trial_work = ""
-                await self._crashes.on_connection_ended(server, work)
+                await self._crashes.on_connection_ended(server, work_key)
             raise
         finally:
-            standing.open_requests -= 1
+            stats.open_requests -= 1
             if stream is not None:
-                await (stream.close() if whole else stream.abort())
+                await (stream.close() if completed else stream.abort())
 
 
-def _owner_is(dialect: Any, ident: str) -> Any:
+def _is_response_to(dialect: Any, request_id: str) -> Any:
     """Return the check whether an answer belongs to the request *ident*."""
-    return lambda headers: dialect.response_request_id(headers) in ("", ident)
+    return lambda headers: dialect.response_request_id(headers) in ("", request_id)
--- a/src/crankhinge/gateway/_authenticator.py
+++ b/src/crankhinge/gateway/_authenticator.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, discovery: Discovery) -> None:
-        self._directory = discovery
+        self._discovery = discovery
 
     def identify(
         self, table: RouteTable, route: Route, request: RelayRequest, now: float
@@ -41,8 +41,8 @@
         account = table.accounts.by_key.get(request.api_key) if request.api_key else None
         if account is None and route.anonymous:
             return None
-        if not self._directory.may_use_keys(now):
-            age_s = self._directory.keys_age_s(now)
+        if not self._discovery.may_use_keys(now):
+            age_s = self._discovery.keys_age_s(now)
             raise ConfigTooOld(
                 f"keys were current {age_s:.2f} s ago", retry_after_s=OTHER_INSTANCE_RETRY_S
             )
@@ -52,6 +52,6 @@
 
     def recheck(self, relay: Relay, now: float) -> None:
         """Look again at a request that may have waited. Raises as :meth:`identify` does."""
-        table = self._directory.table
+        table = self._discovery.table
         if relay.account is not None and table is not None:
             self.identify(table, relay.route, relay.request, now)
--- a/src/crankhinge/gateway/_backends.py
+++ b/src/crankhinge/gateway/_backends.py
@@ -67,16 +67,16 @@
         self.exclusions = ServerExclusions()
         self._servers = servers
         self._zone = zone
-        self._most_kept = idle_limit
+        self._idle_limit = idle_limit
         self._log = log
         self._metrics = metrics
         self._clients: dict[str, HttpClient] = {}
         # Asked several times a server at each choice: none is made but for a server not seen yet.
-        self._standing: defaultdict[str, ServerStats] = defaultdict(ServerStats)
+        self._stats: defaultdict[str, ServerStats] = defaultdict(ServerStats)
 
     def stats(self, incarnation_id: str) -> ServerStats:
         """Return what was seen of a server."""
-        return self._standing[incarnation_id]
+        return self._stats[incarnation_id]
 
     def client(self, server: Server) -> HttpClient:
         """Return the connections to a server."""
@@ -85,12 +85,12 @@
                 server.host, server.port, connect_timeout_s=CONNECT_TIMEOUT_S
             )
         client = self._clients[server.incarnation_id]
-        client.pool_size = self._most_kept(server.service)
+        client.pool_size = self._idle_limit(server.service)
         return client
 
     async def remove_server(self, incarnation_id: str) -> None:
         """Close the idle connections to a server that is gone."""
-        self._standing.pop(incarnation_id, None)
+        self._stats.pop(incarnation_id, None)
         client = self._clients.pop(incarnation_id, None)
         if client is not None:
             await client.close()
@@ -110,18 +110,26 @@
         Doubted ones are among them only while most are doubted: those few that are back first
         could not carry the load of all, and once half are back the rest has probably gone.
         """
-        entered = [
+        listed = [
             server
             for server in self._servers.all()
             if server.service == service
-            and self._lasting_bar(server) is None
+            and self._permanent_exclusion(server) is None
             and (role is None or server.role is role)
             and server.serves_model(model)
         ]
-        able = [server for server in entered if not self._changes(server, now)] or entered
-        sure = [server for server in able if not self._servers.is_suspect(server.incarnation_id)]
-        able = sure if len(sure) >= len(able) - len(sure) else able
-        return [server for server in able if server.incarnation_id not in avoid] if avoid else able
+        available = [
+            server for server in listed if not self._is_changing_role(server, now)
+        ] or listed
+        confirmed = [
+            server for server in available if not self._servers.is_suspect(server.incarnation_id)
+        ]
+        available = confirmed if len(confirmed) >= len(available) - len(confirmed) else available
+        return (
+            [server for server in available if server.incarnation_id not in avoid]
+            if avoid
+            else available
+        )
 
     def eligible_servers(
         self,
@@ -149,17 +157,19 @@
 
     def exclusion_reason(self, server: Server, now: float) -> ExclusionReason | None:
         """Return what keeps requests from a server, whatever others there are; None for nothing."""
-        known = self._servers.get(server.incarnation_id)
-        if known is None:
+        listed_server = self._servers.get(server.incarnation_id)
+        if listed_server is None:
             return ExclusionReason.GONE
-        resting = self.exclusions.backoff_until(server.incarnation_id, now) is not None
-        return self._lasting_bar(known) or (ExclusionReason.BACKOFF if resting else None)
+        in_backoff = self.exclusions.backoff_until(server.incarnation_id, now) is not None
+        return self._permanent_exclusion(listed_server) or (
+            ExclusionReason.BACKOFF if in_backoff else None
+        )
 
     def count_excluded(self, reason: ExclusionReason, now: float) -> int:
         """Return how many servers get no request for a cause."""
         return sum(self.exclusion_reason(server, now) is reason for server in self._servers.all())
 
-    def _lasting_bar(self, server: Server) -> ExclusionReason | None:
+    def _permanent_exclusion(self, server: Server) -> ExclusionReason | None:
         """Return what keeps requests from a server in the list for as long as it lives.
 
         A server that leaves says so in its answers before its entry does: the store may be away,
@@ -171,14 +181,14 @@
             return ExclusionReason.REPLACED
         return None
 
-    def _changes(self, server: Server, now: float) -> bool:
+    def _is_changing_role(self, server: Server, now: float) -> bool:
         return self.stats(server.incarnation_id).effective_role(server.role, now) is not server.role
 
     def count_changing_to(self, service: str, role: EngineRole, now: float) -> int:
         """Return how many servers of a service follow an order to play *role*."""
         return sum(
             server.service == service
-            and self._changes(server, now)
+            and self._is_changing_role(server, now)
             and self.stats(server.incarnation_id).effective_role(server.role, now) is role
             for server in self._servers.all()
         )
@@ -201,9 +211,9 @@
 
     def record_replaced(self, server: Server) -> None:
         """Note that another server answers at the address: this one is gone, whatever its entry."""
-        standing = self.stats(server.incarnation_id)
-        if not standing.is_replaced:
-            standing.is_replaced = True
+        stats = self.stats(server.incarnation_id)
+        if not stats.is_replaced:
+            stats.is_replaced = True
             self._log.info(
                 "server_replaced", server=server.incarnation_id, at=f"{server.host}:{server.port}"
             )
@@ -225,7 +235,7 @@
         return (
             server is not None
             and self.exclusion_reason(server, now) is None
-            and not self._changes(server, now)
+            and not self._is_changing_role(server, now)
         )
 
     def choose_server(
@@ -291,9 +301,9 @@
                 "side_call_failed", server=server.incarnation_id, call=call.target, why=repr(exc)
             )
             return None
-        word = self.dialect.parse_signals(resp.status, resp.headers)
-        if not word.wrong_server:
-            await self.notify_listeners(server, word, sent_at=sent_at, succeeded=False)
+        signals = self.dialect.parse_signals(resp.status, resp.headers)
+        if not signals.wrong_server:
+            await self.notify_listeners(server, signals, sent_at=sent_at, succeeded=False)
         return resp
 
     async def side_call_in_background(self, server: Server, call: SideCall) -> None:
--- a/src/crankhinge/gateway/_call_log.py
+++ b/src/crankhinge/gateway/_call_log.py
@@ -27,10 +27,10 @@
 
     async def run(self) -> None:
         """Write lines until cancelled."""
-        told: Counter[str] = Counter()
+        logged: Counter[str] = Counter()
         while True:
             await curio.sleep(LOG_INTERVAL_S)
             calls = Counter(self._source.call_counts)
-            since = calls - told
-            told = calls
+            since = calls - logged
+            logged = calls
             self._log.info("source_called", within_s=LOG_INTERVAL_S, total=since.total(), **since)
--- a/src/crankhinge/gateway/_crashes.py
+++ b/src/crankhinge/gateway/_crashes.py
@@ -30,18 +30,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Cut:
+class _CutRequests:
     """Requests whose connections to one server ended.
 
     Attributes:
         server: the server.
         fingerprints: of the requests.
-        at: when it was looked at, on the runtime's clock.
+        checked_at: when it was looked at, on the runtime's clock.
     """
 
     server: Server
     fingerprints: set[str]
-    at: float
+    checked_at: float
 
 
 class CrashDetector:
@@ -58,34 +58,34 @@
         self._on_crash = on_crash
         self._log = log
         # Requests that were cut, by the identity of the server that is about to be looked at.
-        self._cut: dict[str, set[str]] = {}
+        self._cut_requests: dict[str, set[str]] = {}
         # Those whose server may have crashed for all that a look told.
-        self._unsure: dict[str, _Cut] = {}
+        self._undecided: dict[str, _CutRequests] = {}
 
     async def on_connection_ended(self, server: Server, fingerprint: str) -> None:
         """Note that a request's connection to a server ended in the middle."""
         if self._backends.is_leaving(server.incarnation_id):
             return
-        if server.incarnation_id in self._cut:
-            self._cut[server.incarnation_id].add(fingerprint)
+        if server.incarnation_id in self._cut_requests:
+            self._cut_requests[server.incarnation_id].add(fingerprint)
             return
-        self._cut[server.incarnation_id] = {fingerprint}
-        await curio.spawn(self._look, server, daemon=True)
+        self._cut_requests[server.incarnation_id] = {fingerprint}
+        await curio.spawn(self._check_server, server, daemon=True)
 
     async def on_entry_gone(self, incarnation_id: str) -> None:
         """Note that a server's entry has gone."""
-        cut = self._unsure.pop(incarnation_id, None)
+        cut = self._undecided.pop(incarnation_id, None)
         if cut is None or self._backends.is_leaving(incarnation_id):
             return
-        if await curio.clock() - cut.at <= ENTRY_LAPSE_S:
-            await self._crashed(cut.server, cut.fingerprints, "entry_gone")
+        if await curio.clock() - cut.checked_at <= ENTRY_LAPSE_S:
+            await self._report_crash(cut.server, cut.fingerprints, "entry_gone")
 
-    async def _look(self, server: Server) -> None:
+    async def _check_server(self, server: Server) -> None:
         await curio.sleep(CUTS_BATCH_S)
-        fingerprints = self._cut.pop(server.incarnation_id)
+        fingerprints = self._cut_requests.pop(server.incarnation_id)
         if not self._backends.is_listed(server.incarnation_id):
             # An instance that stood still hears of both together, the entry first.
-            await self._crashed(server, fingerprints, "entry_gone")
+            await self._report_crash(server, fingerprints, "entry_gone")
             return
         try:
             crashed = not await self._backends.client(server).is_listening()
@@ -97,12 +97,12 @@
             await self._wait_for_entry(server, fingerprints)
             return
         if crashed:
-            await self._crashed(server, fingerprints, "nobody_listens")
+            await self._report_crash(server, fingerprints, "nobody_listens")
             return
         self._log.info("server_lives", server=server.incarnation_id, cut=len(fingerprints))
         await self._wait_for_entry(server, fingerprints)
 
-    async def _crashed(self, server: Server, fingerprints: set[str], why: str) -> None:
+    async def _report_crash(self, server: Server, fingerprints: set[str], why: str) -> None:
         self._log.info(
             "server_crashed", server=server.incarnation_id, cut=len(fingerprints), why=why
         )
@@ -111,10 +111,14 @@
     async def _wait_for_entry(self, server: Server, fingerprints: set[str]) -> None:
         """Remember requests whose server is known to have crashed only when its entry goes."""
         now = await curio.clock()
-        over = [ident for ident, cut in self._unsure.items() if now - cut.at > ENTRY_LAPSE_S]
-        for ident in over:
-            del self._unsure[ident]
-        known = self._unsure.get(server.incarnation_id)
-        if known is not None:
-            fingerprints = known.fingerprints | fingerprints
-        self._unsure[server.incarnation_id] = _Cut(server, fingerprints, now)
+        expired = [
+            incarnation_id
+            for incarnation_id, cut in self._undecided.items()
+            if now - cut.checked_at > ENTRY_LAPSE_S
+        ]
+        for incarnation_id in expired:
+            del self._undecided[incarnation_id]
+        earlier = self._undecided.get(server.incarnation_id)
+        if earlier is not None:
+            fingerprints = earlier.fingerprints | fingerprints
+        self._undecided[server.incarnation_id] = _CutRequests(server, fingerprints, now)
--- a/src/crankhinge/gateway/_discovery.py
+++ b/src/crankhinge/gateway/_discovery.py
@@ -43,11 +43,11 @@
         self._freshness = freshness
         self._log = log
         self._config_bytes = 0
-        self._doubting = curio.Event()
+        self._suspects_added = curio.Event()
         self.config_watcher = SourceWatcher(
             "config",
             read=self._read_config,
-            watch=self._next_config,
+            watch=self._watch_config,
             watch_wait_s=freshness.config_watch_wait_s,
             pause_s=freshness.config_pause_s,
             source=source,
@@ -57,7 +57,7 @@
         self.server_list_watcher = SourceWatcher(
             "servers",
             read=self._read_servers,
-            watch=self._next_servers,
+            watch=self._watch_servers,
             watch_wait_s=lambda age_s: freshness.max_watch_wait_s,
             pause_s=freshness.list_pause_s,
             source=source,
@@ -81,85 +81,89 @@
     async def expire_suspects(self) -> None:
         """Drop servers that stayed away after the list's return, until cancelled."""
         while True:
-            await self._doubting.wait()
-            self._doubting.clear()
+            await self._suspects_added.wait()
+            self._suspects_added.clear()
             while (due := self.servers.next_suspect_expiry()) is not None:
                 await curio.sleep(max(0.0, due - await curio.clock()))
-                for ident in self.servers.expire_suspects(await curio.clock()):
-                    await self._forget(ident, "not_back")
+                for incarnation_id in self.servers.expire_suspects(await curio.clock()):
+                    await self._remove_server(incarnation_id, "not_back")
 
     async def _read_config(self) -> CallResult:
-        seen = await self._source.read_config()
-        self._take(seen)
-        if seen.table is None:
+        update = await self._source.read_config()
+        self._apply_config(update)
+        if update.table is None:
             await curio.sleep(NO_CONFIG_PAUSE_S)
-        return CallResult(seen.revision, may_batch=seen.table is not None)
+        return CallResult(update.revision, may_batch=update.table is not None)
 
-    async def _next_config(self, mark: int, wait_s: float) -> CallResult:
-        most_bytes = max(MIN_WATCH_BYTES, round(READ_INSTEAD_FACTOR * self._config_bytes))
+    async def _watch_config(self, revision: int, wait_s: float) -> CallResult:
+        max_bytes = max(MIN_WATCH_BYTES, round(READ_INSTEAD_FACTOR * self._config_bytes))
         try:
-            seen = await self._source.watch_config(mark, wait_s, most_bytes)
+            update = await self._source.watch_config(revision, wait_s, max_bytes)
         except TooMuchChanged as exc:
             self._log.info("config_passed_over", why=exc.detail)
             return await self._read_config()
-        self._take(seen)
+        self._apply_config(update)
         return CallResult(
-            seen.revision, may_batch=seen.table is not None, unchanged=seen.table is None
+            update.revision, may_batch=update.table is not None, unchanged=update.table is None
         )
 
-    def _take(self, seen: ConfigUpdate) -> None:
+    def _apply_config(self, update: ConfigUpdate) -> None:
         """Put a configuration in force if it is newer; an older one never comes back."""
-        if seen.table is None:
+        if update.table is None:
             return
         before = self.table.version if self.table else None
-        if before is not None and seen.table.version <= before:
+        if before is not None and update.table.version <= before:
             return
-        self.table = seen.table
-        self._config_bytes = seen.size_bytes
+        self.table = update.table
+        self._config_bytes = update.size_bytes
         self._log.info(
             "config_in_force",
-            version=seen.table.version,
+            version=update.table.version,
             before=before,
-            routes=len(seen.table.routes),
-            size=seen.size_bytes,
+            routes=len(update.table.routes),
+            size=update.size_bytes,
         )
 
     async def _read_servers(self) -> CallResult:
-        seen = await self._source.read_servers()
+        update = await self._source.read_servers()
         now = await curio.clock()
-        was_away = self.server_list_watcher.was_unreachable
+        was_unreachable = self.server_list_watcher.was_unreachable
         change = self.servers.apply_list(
-            seen.servers, now, was_unreachable=was_away, unusable=seen.unusable
+            update.servers, now, was_unreachable=was_unreachable, unusable=update.unusable
         )
         self.has_server_list = True
         self._log.info(
             "servers_listed",
-            servers=len(seen.servers),
-            heard_s=self._heard_s(now),
-            was_away=was_away,
+            servers=len(update.servers),
+            heard_s=self._list_age_s(now),
+            was_away=was_unreachable,
             doubted=len(change.suspected),
         )
-        await self._tell(change, "not_listed", now)
-        return CallResult(seen.revision, may_batch=self._gathers(seen))
+        await self._report_changes(change, "not_listed", now)
+        return CallResult(update.revision, may_batch=self._may_batch(update))
 
-    async def _next_servers(self, mark: int, wait_s: float) -> CallResult:
-        seen = await self._source.watch_servers(mark, wait_s)
+    async def _watch_servers(self, revision: int, wait_s: float) -> CallResult:
+        update = await self._source.watch_servers(revision, wait_s)
         now = await curio.clock()
-        was_away = self.server_list_watcher.was_unreachable
+        was_unreachable = self.server_list_watcher.was_unreachable
         change = self.servers.apply_changes(
-            seen.servers, seen.removed, now, was_unreachable=was_away, unusable=seen.unusable
+            update.servers,
+            update.removed,
+            now,
+            was_unreachable=was_unreachable,
+            unusable=update.unusable,
         )
-        await self._tell(change, "gone", now)
-        return CallResult(seen.revision, may_batch=self._gathers(seen))
+        await self._report_changes(change, "gone", now)
+        return CallResult(update.revision, may_batch=self._may_batch(update))
 
-    def _gathers(self, seen: ServersUpdate) -> bool:
+    def _may_batch(self, update: ServersUpdate) -> bool:
         """Whether more changes may wait after these.
 
         Not while servers are doubted: each entry that is back gives callers a server.
         """
-        return bool(seen.servers or seen.removed) and not self.servers.suspects()
+        return bool(update.servers or update.removed) and not self.servers.suspects()
 
-    def _heard_s(self, now: float) -> float | None:
+    def _list_age_s(self, now: float) -> float | None:
         """Return how long ago the list was last heard of, in seconds."""
         return (
             None
@@ -167,7 +171,7 @@
             else round(now - self.server_list_watcher.received_at, 1)
         )
 
-    async def _tell(self, change: ServerListChange, why: str, now: float) -> None:
+    async def _report_changes(self, change: ServerListChange, why: str, now: float) -> None:
         """Write what changed, and see to it that nobody is doubted for long."""
         for server in change.changed:
             self._log.info(
@@ -179,16 +183,16 @@
                 leaving=server.leaving,
                 beat=server.heartbeat,
             )
-        for ident in change.restarted:
-            await self._forget(ident, "born_again")
-        for ident in change.removed:
-            await self._forget(ident, why)
-        for ident in change.suspected:
-            self._log.info("server_doubted", server=ident, heard_s=self._heard_s(now))
+        for incarnation_id in change.restarted:
+            await self._remove_server(incarnation_id, "born_again")
+        for incarnation_id in change.removed:
+            await self._remove_server(incarnation_id, why)
+        for incarnation_id in change.suspected:
+            self._log.info("server_doubted", server=incarnation_id, heard_s=self._list_age_s(now))
         if change.suspected:
-            await self._doubting.set()
+            await self._suspects_added.set()
 
-    async def _forget(self, ident: str, why: str) -> None:
-        self._log.info("server_gone", server=ident, why=why)
+    async def _remove_server(self, incarnation_id: str, why: str) -> None:
+        self._log.info("server_gone", server=incarnation_id, why=why)
         for listener in self.on_server_gone:
-            await listener(ident)
+            await listener(incarnation_id)
--- a/src/crankhinge/gateway/_events.py
+++ b/src/crankhinge/gateway/_events.py
@@ -15,28 +15,28 @@
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
         self.event_count = 0
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, chunk: bytes) -> bytes:
         """Return the whole events that *chunk* completes."""
-        data = self._rest + chunk
-        cut = data.rfind(EVENT_END)
-        if cut < 0:
-            self._rest = data
+        data = self._remainder + chunk
+        end = data.rfind(EVENT_END)
+        if end < 0:
+            self._remainder = data
             return b""
-        whole, self._rest = data[: cut + len(EVENT_END)], data[cut + len(EVENT_END) :]
-        self.event_count += whole.count(EVENT_END)
-        for line in reversed(whole.split(b"\n")):
+        complete, self._remainder = data[: end + len(EVENT_END)], data[end + len(EVENT_END) :]
+        self.event_count += complete.count(EVENT_END)
+        for line in reversed(complete.split(b"\n")):
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip().decode("latin-1")
                 break
-        return whole
+        return complete
 
     def drop_remainder(self) -> None:
         """Forget an unfinished event; the server that continues sends it again."""
-        self._rest = b""
+        self._remainder = b""
 
     @property
     def remainder(self) -> bytes:
         """Bytes that follow the last whole event."""
-        return self._rest
+        return self._remainder
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -79,7 +79,7 @@
         metrics: PrometheusMetrics,
     ) -> None:
         self._settings = settings
-        self._directory = discovery
+        self._discovery = discovery
         self._admission = admission
         self._limits = limits
         self._permits = permits
@@ -89,10 +89,10 @@
         self._streams = streams
         self._log = log
         self._metrics = metrics
-        self._open = 0
+        self._open_requests = 0
         self._draining = False
-        self._closed = curio.Event()
-        self._ending = curio.Event()
+        self._stopped_accepting = curio.Event()
+        self._cancelling = curio.Event()
 
     async def listen(self) -> None:
         """Serve callers until cancelled."""
@@ -105,11 +105,11 @@
             log=self._log,
             limits=self._caller_limits,
             is_closing=lambda: self._draining,
-            stop_accepting=self._closed,
+            stop_accepting=self._stopped_accepting,
         )
 
     def _caller_limits(self) -> HttpLimits:
-        table = self._directory.table
+        table = self._discovery.table
         if table is None:
             return HttpLimits()
         limits = table.limits
@@ -128,78 +128,82 @@
     @property
     def open_requests(self) -> int:
         """Requests that are not answered yet."""
-        return self._open
+        return self._open_requests
 
     async def drain(self) -> None:
         """Turn new callers away, then wait for what is in progress."""
-        began = await curio.clock()
+        started_at = await curio.clock()
         self._draining = True
-        self._log.info("draining", open=self._open)
+        self._log.info("draining", open=self._open_requests)
         await curio.sleep(UNREADY_BEFORE_CLOSE_S)
         # What comes now could not be served to its end; it is told so, or finds the door closed.
-        await self._closed.set()
-        left = self._settings.drain_s - CANCEL_BEFORE_END_S - (await curio.clock() - began)
-        await curio.ignore_after(max(0.0, left), self._wait_idle)
-        if self._open:
+        await self._stopped_accepting.set()
+        remaining_s = (
+            self._settings.drain_s - CANCEL_BEFORE_END_S - (await curio.clock() - started_at)
+        )
+        await curio.ignore_after(max(0.0, remaining_s), self._wait_idle)
+        if self._open_requests:
             # Whoever is still waiting hears at least what is known.
-            self._log.warning("cut_by_stop", open=self._open)
-            await self._ending.set()
+            self._log.warning("cut_by_stop", open=self._open_requests)
+            await self._cancelling.set()
             await curio.ignore_after(FINAL_RESPONSES_S, self._wait_idle)
-        self._log.info("drained", open=self._open)
+        self._log.info("drained", open=self._open_requests)
 
     async def _wait_idle(self) -> None:
-        while self._open:
+        while self._open_requests:
             await curio.sleep(DRAIN_POLL_S)
 
     async def refuse_malformed(self, exchange: Exchange, exc: BadHttp) -> None:
         """Answer what is no request of HTTP."""
         self._metrics.count("bad_http")
         self._log.warning("request_malformed", why=exc.detail, status=exc.status)
-        await exchange.respond(exc.status, _body(exc, Outcome.NOT_RUN))
+        await exchange.respond(exc.status, _error_body(exc, Outcome.NOT_RUN))
 
     async def _handle(self, exchange: Exchange) -> None:
         """Answer one request; a caller that goes ends its work."""
-        self._open += 1
+        self._open_requests += 1
         try:
-            ask = self._dialect.parse_request(exchange.req)
-            if not await self._answer_or_gone(exchange, ask):
+            request = self._dialect.parse_request(exchange.req)
+            if not await self._respond_unless_gone(exchange, request):
                 raise HttpClosed("broken off")
         finally:
-            self._open -= 1
+            self._open_requests -= 1
 
-    async def _answer_or_gone(self, exchange: Exchange, ask: RelayRequest) -> bool:
+    async def _respond_unless_gone(self, exchange: Exchange, request: RelayRequest) -> bool:
         """Answer one request while its caller is there; returns whether it has a whole answer."""
         # An instance that stood still finds requests and their callers' closes together. Handed on
         # first, each would run for nobody, and the caller has sent it elsewhere.
         if exchange.is_disconnected:
             self._metrics.count("callers_gone")
-            self._log.info("caller_gone", request=ask.request_id, why="left_before")
+            self._log.info("caller_gone", request=request.request_id, why="left_before")
             raise HttpClosed("the caller has gone")
         try:
-            relay = await self._admit(exchange, ask)
+            relay = await self._admit(exchange, request)
         except CrankhingeError as exc:
-            return await self._refuse(exchange, ask, None, exc)
+            return await self._refuse(exchange, request, None, exc)
         try:
-            return await self._run_or_gone(exchange, ask, relay)
+            return await self._run_unless_gone(exchange, request, relay)
         finally:
             await self._limits.return_unused(relay)
             await self._permits.return_unused(relay)
 
-    async def _run_or_gone(self, exchange: Exchange, ask: RelayRequest, relay: Relay) -> bool:
+    async def _run_unless_gone(
+        self, exchange: Exchange, request: RelayRequest, relay: Relay
+    ) -> bool:
         """Run one request while its caller is there; returns whether it has a whole answer."""
         async with curio.TaskGroup(wait=any) as group:
-            work = await group.spawn(self._answer, relay)
+            work = await group.spawn(self._respond, relay)
             await group.spawn(exchange.wait_for_disconnect)
         if group.completed is work:
             return bool(work.result)
         self._metrics.count("callers_gone")
-        await _clock_out(relay)
+        await _record_duration(relay)
         self._log.info(
-            "caller_gone", request=ask.request_id, route=relay.route.name, **relay.log_fields
+            "caller_gone", request=request.request_id, route=relay.route.name, **relay.log_fields
         )
         raise HttpClosed("the caller has gone")
 
-    async def _answer(self, relay: Relay) -> bool:
+    async def _respond(self, relay: Relay) -> bool:
         """Answer one request; returns whether the caller has a whole answer."""
         try:
             self._quarantine.refuse_quarantined(relay.work_key(prompt_only=False), relay.started_at)
@@ -209,8 +213,8 @@
             # Before the answer: its caller may send the next request with these tokens at once.
             await self._limits.return_unused(relay)
             return await self._refuse(relay.exchange, relay.request, relay, exc)
-        await _clock_out(relay)
-        self._note_end(relay)
+        await _record_duration(relay)
+        self._log_end(relay)
         if relay.log_fields["status"] == HTTP_OK:
             await self._quarantine.record_completed(relay, relay.work_key(prompt_only=False))
         return True
@@ -218,8 +222,8 @@
     async def _run(self, relay: Relay) -> None:
         """Run a request to its end, or to that of this instance."""
         async with curio.TaskGroup(wait=any) as group:
-            work = await group.spawn(self._outcome, relay)
-            await group.spawn(self._ending.wait)
+            work = await group.spawn(self._run_to_failure, relay)
+            await group.spawn(self._cancelling.wait)
         if group.completed is work:
             failure: CrankhingeError | None = work.result
             if failure is not None:
@@ -229,7 +233,7 @@
         relay.may_have_run = relay.may_have_run or bool(relay.sent_to)
         raise Stopping("this instance ends", retry_after_s=STOPPING_RETRY_S)
 
-    async def _outcome(self, relay: Relay) -> CrankhingeError | None:
+    async def _run_to_failure(self, relay: Relay) -> CrankhingeError | None:
         """Run a request; its failure is returned, since the kernel reports tasks that raise."""
         try:
             if relay.route.kind is RouteKind.STREAM:
@@ -240,12 +244,12 @@
             return exc
         return None
 
-    async def _admit(self, exchange: Exchange, ask: RelayRequest) -> Relay:
-        if self._closed.is_set():
+    async def _admit(self, exchange: Exchange, request: RelayRequest) -> Relay:
+        if self._stopped_accepting.is_set():
             raise NotReady("stopping", retry_after_s=STOPPING_RETRY_S)
-        return await self._admission.admit(exchange, ask)
+        return await self._admission.admit(exchange, request)
 
-    def _note_end(self, relay: Relay) -> None:
+    def _log_end(self, relay: Relay) -> None:
         self._metrics.count(f"answered.{relay.route.kind.value}")
         self._metrics.timing(
             f"answered.{relay.route.kind.value}", relay.log_fields["took_ms"] / 1000
@@ -261,52 +265,52 @@
         )
 
     async def _refuse(
-        self, exchange: Exchange, ask: RelayRequest, relay: Relay | None, exc: CrankhingeError
+        self, exchange: Exchange, request: RelayRequest, relay: Relay | None, exc: CrankhingeError
     ) -> bool:
         """Give the final answer of a request that failed, with what is known of its run.
 
         An answer that has begun is broken off instead; returns whether the caller has a whole one.
         """
-        ran = relay is not None and relay.may_have_run
-        outcome = Outcome.UNKNOWN if ran else Outcome.NOT_RUN
+        may_have_run = relay is not None and relay.may_have_run
+        outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
         status = exc.status
-        if ran and status in (503, 429):
+        if may_have_run and status in (503, 429):
             status = 502
-        elif not ran and status in (500, 502, 504):
+        elif not may_have_run and status in (500, 502, 504):
             status = 503
-        facts: dict[str, Any] = {}
+        log_fields: dict[str, Any] = {}
         if relay is not None:
-            await _clock_out(relay)
-            facts.update(relay.log_fields, route=relay.route.name, config=relay.config_version)
-            facts["sent"] = len(relay.sent_to)
-        elif (table := self._directory.table) is not None:
-            facts["config"] = table.version
-            facts["keys_age_s"] = round(self._directory.keys_age_s(await curio.clock()), 2)
-        facts.update(code=exc.code, why=exc.detail, outcome=outcome.value, status=status)
+            await _record_duration(relay)
+            log_fields.update(relay.log_fields, route=relay.route.name, config=relay.config_version)
+            log_fields["sent"] = len(relay.sent_to)
+        elif (table := self._discovery.table) is not None:
+            log_fields["config"] = table.version
+            log_fields["keys_age_s"] = round(self._discovery.keys_age_s(await curio.clock()), 2)
+        log_fields.update(code=exc.code, why=exc.detail, outcome=outcome.value, status=status)
         self._metrics.count(f"failed.{exc.code}")
         if exchange.response_started or isinstance(exc, HttpClosed):
-            facts.pop("status")
-            self._log.warning("broken_off", request=ask.request_id, **facts)
+            log_fields.pop("status")
+            self._log.warning("broken_off", request=request.request_id, **log_fields)
             return False
-        self._log.warning("request_failed", request=ask.request_id, **facts)
-        fields = [*self._dialect.own_response_fields(ask), ("content-type", "application/json")]
+        self._log.warning("request_failed", request=request.request_id, **log_fields)
+        fields = [*self._dialect.own_response_fields(request), ("content-type", "application/json")]
         if status in (429, 503):
-            after = exc.retry_after_s or DEFAULT_RETRY_AFTER_S
+            retry_after_s = exc.retry_after_s or DEFAULT_RETRY_AFTER_S
             # Rounded up: whoever comes a moment early is refused once more.
-            after = math.ceil(round(after * 100, 6)) / 100
-            fields.append(("retry-after", f"{after:.2f}"))
+            retry_after_s = math.ceil(round(retry_after_s * 100, 6)) / 100
+            fields.append(("retry-after", f"{retry_after_s:.2f}"))
         try:
-            await exchange.respond_with_fields(status, fields, _body(exc, outcome))
+            await exchange.respond_with_fields(status, fields, _error_body(exc, outcome))
         except HttpClosed as closed:
-            self._log.info("caller_gone", request=ask.request_id, why=closed.detail)
+            self._log.info("caller_gone", request=request.request_id, why=closed.detail)
             return False
         return True
 
 
-async def _clock_out(relay: Relay) -> None:
+async def _record_duration(relay: Relay) -> None:
     """Note how long a request was in the gateway's hands."""
     relay.log_fields["took_ms"] = round((await curio.clock() - relay.started_at) * 1000)
 
 
-def _body(exc: CrankhingeError, outcome: Outcome) -> bytes:
+def _error_body(exc: CrankhingeError, outcome: Outcome) -> bytes:
     return msgspec.json.encode({"error": exc.code, "detail": exc.detail, "outcome": outcome.value})
--- a/src/crankhinge/gateway/_join_announcer.py
+++ b/src/crankhinge/gateway/_join_announcer.py
@@ -35,34 +35,34 @@
         log: Any,
     ) -> None:
         self._name = name
-        self._peer = address
-        self._members = membership
-        self._notices = messenger
-        self._on_come = on_joined
+        self._address = address
+        self._membership = membership
+        self._messenger = messenger
+        self._on_joined = on_joined
         self._log = log
-        messenger.add_handler(JoinAnnouncement, self._take_greeting)
-        messenger.add_handler(JoinAcknowledgement, self._take_answer)
+        messenger.add_handler(JoinAnnouncement, self._on_announcement)
+        messenger.add_handler(JoinAcknowledgement, self._on_acknowledgement)
 
     async def run(self) -> None:
         """Greet those that have not answered, until cancelled."""
-        settled = False
+        may_coordinate = False
         while True:
-            for peer in self._members.unacknowledged_addresses:
-                await self._notices.send(peer, JoinAnnouncement(self._name, self._peer))
+            for peer in self._membership.unacknowledged_addresses:
+                await self._messenger.send(peer, JoinAnnouncement(self._name, self._address))
             await curio.sleep(JOIN_ANNOUNCEMENT_INTERVAL_S)
-            if settled != self._members.may_coordinate(await curio.clock()):
-                settled = not settled
+            if may_coordinate != self._membership.may_coordinate(await curio.clock()):
+                may_coordinate = not may_coordinate
                 self._log.info(
-                    "members_settled" if settled else "members_unsettled",
-                    members=len(self._members),
-                    unanswered=len(self._members.unacknowledged_addresses),
+                    "members_settled" if may_coordinate else "members_unsettled",
+                    members=len(self._membership),
+                    unanswered=len(self._membership.unacknowledged_addresses),
                 )
 
-    async def _take_greeting(self, message: JoinAnnouncement, sender: str) -> None:
-        self._members.record_joined(message.name, message.peer, await curio.clock())
-        for on_come in self._on_come:
-            on_come(message.name)
-        await self._notices.send(sender, JoinAcknowledgement(self._name))
+    async def _on_announcement(self, message: JoinAnnouncement, sender: str) -> None:
+        self._membership.record_joined(message.name, message.peer, await curio.clock())
+        for callback in self._on_joined:
+            callback(message.name)
+        await self._messenger.send(sender, JoinAcknowledgement(self._name))
 
-    async def _take_answer(self, message: JoinAcknowledgement, sender: str) -> None:
-        self._members.record_acknowledged(message.name)
+    async def _on_acknowledgement(self, message: JoinAcknowledgement, sender: str) -> None:
+        self._membership.record_acknowledged(message.name)
--- a/src/crankhinge/gateway/_limit_updates.py
+++ b/src/crankhinge/gateway/_limit_updates.py
@@ -36,16 +36,16 @@
     def __init__(
         self, *, shared_limits: SharedLimits, backends: Backends, messenger: PeerMessenger, log: Any
     ) -> None:
-        self._shared = shared_limits
+        self._shared_limits = shared_limits
         self._limits = shared_limits.advertised
         self._backends = backends
-        self._notices = messenger
+        self._messenger = messenger
         self._log = log
-        self._told_at: dict[str, float] = {}
+        self._notified_at: dict[str, float] = {}
         # Servers whose last word was no rate; one line tells of it.
         self._unreadable: set[str] = set()
-        messenger.add_handler(LimitAdvertised, self._take_named)
-        messenger.add_handler(LimitWithdrawn, self._take_ended)
+        messenger.add_handler(LimitAdvertised, self._on_limit_advertised)
+        messenger.add_handler(LimitWithdrawn, self._on_limit_withdrawn)
 
     def __len__(self) -> int:
         return len(self._limits)
@@ -60,86 +60,105 @@
         now = await curio.clock()
         if signals.limit_per_s is not None:
             self._unreadable.discard(server.incarnation_id)
-            begun = self._limits.get(server.incarnation_id) is None
-            if self._take(server.incarnation_id, signals.limit_per_s, now, "own"):
-                await self._tell_named(server.incarnation_id, signals.limit_per_s, now, begun=begun)
+            is_first = self._limits.get(server.incarnation_id) is None
+            if self._apply_limit(server.incarnation_id, signals.limit_per_s, now, "own"):
+                await self._notify_limit(
+                    server.incarnation_id, signals.limit_per_s, now, is_first=is_first
+                )
         elif signals.advertises_limit:
-            self._take_unreadable(server.incarnation_id, now)
-        elif succeeded and self._take_end(server.incarnation_id, sent_at, "own"):
-            notice = LimitWithdrawn(server.incarnation_id, now - sent_at)
-            await self._notices.send_to_all(notice, server=server.incarnation_id)
+            self._apply_unreadable(server.incarnation_id, now)
+        elif succeeded and self._apply_no_limit(server.incarnation_id, sent_at, "own"):
+            message = LimitWithdrawn(server.incarnation_id, now - sent_at)
+            await self._messenger.send_to_all(message, server=server.incarnation_id)
 
     def record_peer_update(
         self, incarnation_id: str, per_s: float, received_at: float, source: str
     ) -> None:
         """Note what another instance heard of a server at a time on the runtime's clock."""
-        self._take(incarnation_id, per_s, received_at, source)
+        self._apply_limit(incarnation_id, per_s, received_at, source)
 
-    def _take(self, ident: str, per_s: float, at: float, told_by: str) -> bool:
+    def _apply_limit(self, incarnation_id: str, per_s: float, at: float, source: str) -> bool:
         """Take a rate; returns whether it was news."""
-        was = self._rate(ident)
-        news = self._limits.record_limit(ident, per_s, at)
-        if news:
-            self._note(ident, per_s, was, told_by)
-        return news
+        previous = self._rate(incarnation_id)
+        changed = self._limits.record_limit(incarnation_id, per_s, at)
+        if changed:
+            self._record_change(incarnation_id, per_s, previous, source)
+        return changed
 
-    def _take_end(self, ident: str, sent_at: float, told_by: str) -> bool:
+    def _apply_no_limit(self, incarnation_id: str, sent_at: float, source: str) -> bool:
         """Take that a server names nothing any more; returns whether it was news."""
-        was = self._rate(ident)
-        news = self._limits.record_no_limit(ident, sent_at)
-        if news:
-            self._unreadable.discard(ident)
-            self._note(ident, None, was, told_by)
-        return news
-
-    def _take_unreadable(self, ident: str, now: float) -> None:
-        self._limits.record_unreadable(ident, now)
-        if ident not in self._unreadable:
-            self._unreadable.add(ident)
-            self._log.info("server_limit_unreadable", server=ident, was=self._rate(ident))
-
-    def _rate(self, ident: str) -> float | None:
-        limit = self._limits.get(ident)
+        previous = self._rate(incarnation_id)
+        changed = self._limits.record_no_limit(incarnation_id, sent_at)
+        if changed:
+            self._unreadable.discard(incarnation_id)
+            self._record_change(incarnation_id, None, previous, source)
+        return changed
+
+    def _apply_unreadable(self, incarnation_id: str, now: float) -> None:
+        self._limits.record_unreadable(incarnation_id, now)
+        if incarnation_id not in self._unreadable:
+            self._unreadable.add(incarnation_id)
+            self._log.info(
+                "server_limit_unreadable", server=incarnation_id, was=self._rate(incarnation_id)
+            )
+
+    def _rate(self, incarnation_id: str) -> float | None:
+        limit = self._limits.get(incarnation_id)
         return None if limit is None else limit.per_s
 
-    def _note(self, ident: str, per_s: float | None, was: float | None, told_by: str) -> None:
-        self._log.info("server_limit", server=ident, per_s=per_s, was=was, told_by=told_by)
-        if self._backends.is_listed(ident):
+    def _record_change(
+        self, incarnation_id: str, per_s: float | None, previous: float | None, source: str
+    ) -> None:
+        self._log.info(
+            "server_limit", server=incarnation_id, per_s=per_s, was=previous, told_by=source
+        )
+        if self._backends.is_listed(incarnation_id):
             # What was refused by the old rate says nothing of the new one.
-            self._backends.stats(ident).limited_until = 0.0
+            self._backends.stats(incarnation_id).limited_until = 0.0
 
-    async def _tell_named(self, ident: str, per_s: float, now: float, *, begun: bool) -> None:
-        if not begun and now - self._told_at.get(ident, float("-inf")) < NOTIFY_INTERVAL_S:
+    async def _notify_limit(
+        self, incarnation_id: str, per_s: float, now: float, *, is_first: bool
+    ) -> None:
+        if (
+            not is_first
+            and now - self._notified_at.get(incarnation_id, float("-inf")) < NOTIFY_INTERVAL_S
+        ):
             return
-        self._told_at[ident] = now
-        await self._notices.send_to_all(
-            LimitAdvertised(ident, per_s, 0.0), server=ident, per_s=per_s
+        self._notified_at[incarnation_id] = now
+        await self._messenger.send_to_all(
+            LimitAdvertised(incarnation_id, per_s, 0.0), server=incarnation_id, per_s=per_s
         )
 
-    async def _take_named(self, message: LimitAdvertised, sender: str) -> None:
+    async def _on_limit_advertised(self, message: LimitAdvertised, sender: str) -> None:
         self.record_peer_update(
             message.server, message.per_s, await curio.clock() - message.ago_s, sender
         )
 
-    async def _take_ended(self, message: LimitWithdrawn, sender: str) -> None:
-        self._take_end(message.server, await curio.clock() - message.sent_ago_s, sender)
+    async def _on_limit_withdrawn(self, message: LimitWithdrawn, sender: str) -> None:
+        self._apply_no_limit(message.server, await curio.clock() - message.sent_ago_s, sender)
 
     async def remove_server(self, incarnation_id: str) -> None:
         """Forget what was told of a server that is gone.
 
         Its limit stays: its entry may have lapsed though it lives, and its need with it.
         """
-        self._told_at.pop(incarnation_id, None)
+        self._notified_at.pop(incarnation_id, None)
         self._unreadable.discard(incarnation_id)
 
     def to_instance_record(self, now: float) -> Mapping[str, float]:
         """Return what belongs into this instance's note: the rates of what it hands out for."""
-        servers = [ident for ident in self._limits.servers if self._shared.is_allocator(ident)]
+        servers = [
+            incarnation_id
+            for incarnation_id in self._limits.servers
+            if self._shared_limits.is_allocator(incarnation_id)
+        ]
         return self._limits.to_instance_record(servers, now)
 
     async def apply_instance_records(self, records: Mapping[str, InstanceRecord]) -> None:
         """Take what stands in the notes of instances."""
         now = await curio.clock()
-        for name, note in records.items():
-            for ident in self._limits.apply_instance_record(note.limited, now):
-                self._note(ident, note.limited[ident], None, f"note:{name}")
+        for name, record in records.items():
+            for incarnation_id in self._limits.apply_instance_record(record.limited, now):
+                self._record_change(
+                    incarnation_id, record.limited[incarnation_id], None, f"note:{name}"
+                )
--- a/src/crankhinge/gateway/_peer_messenger.py
+++ b/src/crankhinge/gateway/_peer_messenger.py
@@ -36,7 +36,7 @@
         self, *, address: str, peer_addresses: Callable[[], Sequence[str]], log: Any
     ) -> None:
         self._address = address
-        self._peers = peer_addresses
+        self._peer_addresses = peer_addresses
         self._handlers: dict[type, MessageHandler] = {}
         self._log = log
         self._sock: Any = None
@@ -53,9 +53,9 @@
         async with self._sock:
             self._sock.bind(split_host_port(self._address))
             while True:
-                await self._take_one()
+                await self._receive_one()
 
-    async def _take_one(self) -> None:
+    async def _receive_one(self) -> None:
         try:
             data, sender = await self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             message = msgspec.msgpack.decode(data, type=PeerMessage)
@@ -66,9 +66,9 @@
             # The network reports that an earlier datagram found nobody.
             self._log.info("notice_undelivered", why=str(exc))
             return
-        handle = self._handlers.get(type(message))
-        if handle is not None:
-            await handle(message, f"{sender[0]}:{sender[1]}")
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            await handler(message, f"{sender[0]}:{sender[1]}")
 
     async def send(self, address: str, message: PeerMessage) -> None:
         """Send a message to one instance."""
@@ -86,7 +86,9 @@
             message: what to tell.
             facts: what the line about it tells besides.
         """
-        peers = self._peers()
-        for peer in peers:
-            await self.send(peer, message)
-        self._log.info("notice_told", kind=message.__struct_config__.tag, peers=len(peers), **facts)
+        addresses = self._peer_addresses()
+        for address in addresses:
+            await self.send(address, message)
+        self._log.info(
+            "notice_told", kind=message.__struct_config__.tag, peers=len(addresses), **facts
+        )
--- a/src/crankhinge/gateway/_peer_requests.py
+++ b/src/crankhinge/gateway/_peer_requests.py
@@ -20,40 +20,40 @@
 
     def __init__(self) -> None:
         self._numbers = itertools.count()
-        self._open: dict[int, _Question[T]] = {}
+        self._pending: dict[int, _PendingRequest[T]] = {}
 
     async def send_and_wait(self, send: Callable[[int], Awaitable[None]]) -> T | None:
         """Have a question sent under a number; returns its answer, None for silence."""
         number = next(self._numbers)
-        question: _Question[T] = _Question()
-        self._open[number] = question
+        request: _PendingRequest[T] = _PendingRequest()
+        self._pending[number] = request
         try:
             await send(number)
-            answer: T | None = await curio.ignore_after(RESPONSE_TIMEOUT_S, question.answered)
+            response: T | None = await curio.ignore_after(RESPONSE_TIMEOUT_S, request.wait)
         finally:
-            del self._open[number]
-        return answer
+            del self._pending[number]
+        return response
 
     async def resolve(self, number: int, response: T) -> None:
         """Take an answer; nobody waits for one that is late or doubled."""
-        question = self._open.get(number)
-        if question is not None:
-            await question.answer(response)
+        request = self._pending.get(number)
+        if request is not None:
+            await request.resolve(response)
 
 
-class _Question(Generic[T]):
+class _PendingRequest(Generic[T]):
     """A question that waits for its answer."""
 
     def __init__(self) -> None:
         self._event = curio.Event()
-        self._answer: T | None = None
+        self._response: T | None = None
 
-    async def answer(self, answer: T) -> None:
+    async def resolve(self, response: T) -> None:
         """Take the answer."""
-        self._answer = answer
+        self._response = response
         await self._event.set()
 
-    async def answered(self) -> T | None:
+    async def wait(self) -> T | None:
         """Wait for the answer."""
         await self._event.wait()
-        return self._answer
+        return self._response
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -44,28 +44,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Wish:
+class _PermitParams:
     """A permit that is asked for.
 
     Attributes:
         within_s: seconds within which the request is to be sent.
-        caller: whether its caller is told when to come back.
+        for_caller: whether its caller is told when to come back.
     """
 
     within_s: float
-    caller: bool
+    for_caller: bool
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
+class _PermitReply:
     """What an instance says that was asked for a permit, or was lent a share.
 
     Attributes:
-        word: on the request; None where none was asked for.
+        decision: on the request; None where none was asked for.
         stamp: the moment of its clock.
     """
 
-    word: PermitDecision | None
+    decision: PermitDecision | None
     stamp: ClockStamp
 
 
@@ -96,22 +96,22 @@
         metrics: Metrics,
     ) -> None:
         self._name = name
-        self._shared = shared_limits
-        self._news = limit_updates
-        self._members = membership
+        self._shared_limits = shared_limits
+        self._limit_updates = limit_updates
+        self._membership = membership
         self._backends = backends
-        self._notices = messenger
+        self._messenger = messenger
         self._log = log
         self._metrics = metrics
-        self._questions: PendingRequests[_Answer] = PendingRequests()
-        self._sent: Counter[str] = Counter()
-        messenger.add_handler(PermitRequest, self._take_ask)
-        messenger.add_handler(PermitResponse, self._take_answer)
-        messenger.add_handler(PermitReturn, self._take_return)
+        self._pending: PendingRequests[_PermitReply] = PendingRequests()
+        self._sent_counts: Counter[str] = Counter()
+        messenger.add_handler(PermitRequest, self._on_request)
+        messenger.add_handler(PermitResponse, self._on_response)
+        messenger.add_handler(PermitReturn, self._on_return)
 
     def record_joined(self, name: str) -> None:
         """Note that an instance has come."""
-        self._shared.record_joined(name)
+        self._shared_limits.record_joined(name)
 
     async def try_get_permit(self, relay: Relay, server: Server) -> bool:
         """Get a request leave to be sent to a server now; it keeps the permit.
@@ -120,7 +120,7 @@
             Whether it may be; if not, the server's standing tells when to ask again, and nobody
             asks before that.
         """
-        if self._shared.advertised.get(server.incarnation_id) is None:
+        if self._shared_limits.advertised.get(server.incarnation_id) is None:
             return True
         now = await curio.clock()
         held = relay.permits.get(server.incarnation_id)
@@ -128,7 +128,7 @@
             return True
         if self._backends.stats(server.incarnation_id).limited_until > now:
             return False
-        return (await self._get(relay, server, _Wish(0.0, caller=False))).granted
+        return (await self._obtain(relay, server, _PermitParams(0.0, for_caller=False))).granted
 
     async def request_permit(self, relay: Relay, server: Server, within_s: float) -> PermitDecision:
         """Get a request leave to be sent to a server soon, or a time for its caller to come back.
@@ -138,36 +138,36 @@
             server: where it is to be sent.
             within_s: seconds for which it may wait before that.
         """
-        return await self._get(relay, server, _Wish(within_s, caller=True))
+        return await self._obtain(relay, server, _PermitParams(within_s, for_caller=True))
 
     async def wait_for_permit(self, server: Server, decision: PermitDecision) -> None:
         """Wait until a request may be sent that was granted for later."""
         await curio.sleep(decision.after_s)
         self._backends.stats(server.incarnation_id).limited_until = 0.0
 
-    async def _get(self, relay: Relay, server: Server, wish: _Wish) -> PermitDecision:
+    async def _obtain(self, relay: Relay, server: Server, params: _PermitParams) -> PermitDecision:
         now = await curio.clock()
-        standing = self._backends.stats(server.incarnation_id)
-        allocator, word = await self._ask(server.incarnation_id, wish)
-        if word.granted:
+        stats = self._backends.stats(server.incarnation_id)
+        allocator, decision = await self._request_from_allocators(server.incarnation_id, params)
+        if decision.granted:
             # From when it was asked: the answer may have been under way for any time.
             relay.permits[server.incarnation_id] = SendPermit(
-                allocator, now + word.after_s + PERMIT_TRANSIT_S
+                allocator, now + decision.after_s + PERMIT_TRANSIT_S
             )
-            if not word.after_s:
-                standing.limited_until = 0.0
-            return word
-        standing.record_at_limit(await curio.clock(), word.after_s)
+            if not decision.after_s:
+                stats.limited_until = 0.0
+            return decision
+        stats.record_at_limit(await curio.clock(), decision.after_s)
         self._metrics.count("permits_refused")
         self._log.info(
             "permit_refused",
             request=relay.request.request_id,
             server=server.incarnation_id,
             by=allocator or "own",
-            after_ms=round(word.after_s * 1000),
-            own_part=round(self._shared.leased_fraction(server.incarnation_id), 3),
+            after_ms=round(decision.after_s * 1000),
+            own_part=round(self._shared_limits.leased_fraction(server.incarnation_id), 3),
         )
-        return word
+        return decision
 
     async def use_permit(self, relay: Relay, server: Server) -> SendPermit | None:
         """Use a request's permit, as it is sent to a server; None where none is needed.
@@ -175,101 +175,114 @@
         Raises:
             ServerAtLimit: the server names a limit and the request has no permit, nor gets one now.
         """
-        if self._shared.advertised.get(server.incarnation_id) is None:
+        if self._shared_limits.advertised.get(server.incarnation_id) is None:
             return None
         if not await self.try_get_permit(relay, server):
             raise ServerAtLimit(f"{server.incarnation_id} takes no more now")
-        self._sent[server.incarnation_id] += 1
+        self._sent_counts[server.incarnation_id] += 1
         return relay.permits.pop(server.incarnation_id, None)
 
     async def return_unused(self, relay: Relay) -> None:
         """Give the permits of a request back that it did not use."""
         now = await curio.clock()
         while relay.permits:
-            ident, permit = relay.permits.popitem()
+            incarnation_id, permit = relay.permits.popitem()
             if now > permit.expires_at:
                 continue
             if permit.allocator in ("", self._name):
-                self._shared.return_permit(ident, now)
-            elif peer := self._members.peer_address(permit.allocator):
-                await self._notices.send(peer, PermitReturn(ident))
+                self._shared_limits.return_permit(incarnation_id, now)
+            elif address := self._membership.peer_address(permit.allocator):
+                await self._messenger.send(address, PermitReturn(incarnation_id))
 
-    async def _ask(self, ident: str, wish: _Wish) -> tuple[str, PermitDecision]:
+    async def _request_from_allocators(
+        self, incarnation_id: str, params: _PermitParams
+    ) -> tuple[str, PermitDecision]:
         """Ask for a permit; returns who answered, and what."""
         now = await curio.clock()
-        for allocator in self._shared.allocators(ident, now):
+        for allocator in self._shared_limits.allocators(incarnation_id, now):
             if allocator == self._name:
                 break
-            answer = await self._question(allocator, ident, wish)
-            if answer is not None and answer.word is not None:
-                return allocator, answer.word
+            response = await self._request_from(allocator, incarnation_id, params)
+            if response is not None and response.decision is not None:
+                return allocator, response.decision
         now = await curio.clock()
-        return "", self._shared.take_permit(ident, wish.within_s, now, for_caller=wish.caller)
+        return "", self._shared_limits.take_permit(
+            incarnation_id, params.within_s, now, for_caller=params.for_caller
+        )
 
-    async def _question(self, allocator: str, ident: str, wish: _Wish | None) -> _Answer | None:
+    async def _request_from(
+        self, allocator: str, incarnation_id: str, params: _PermitParams | None
+    ) -> _PermitReply | None:
         """Lend the own share to an instance and, where there is a wish, ask for a permit."""
-        peer, limit = self._members.peer_address(allocator), self._shared.advertised.get(ident)
-        if not peer or limit is None:
+        address, limit = (
+            self._membership.peer_address(allocator),
+            self._shared_limits.advertised.get(incarnation_id),
+        )
+        if not address or limit is None:
             return None
         now = await curio.clock()
-        loan = self._shared.lease_out(ident, allocator, now)
+        lease = self._shared_limits.lease_out(incarnation_id, allocator, now)
         send = partial(
-            self._send_ask,
-            peer,
+            self._send_request,
+            address,
             PermitRequest(
                 number=0,
                 lender=self._name,
-                server=ident,
+                server=incarnation_id,
                 per_s=limit.per_s,
                 ago_s=now - limit.received_at,
-                within_s=None if wish is None else wish.within_s,
-                caller=wish is not None and wish.caller,
-                loan=None if loan is None else ShareLeaseMessage.from_lease(loan),
+                within_s=None if params is None else params.within_s,
+                caller=params is not None and params.for_caller,
+                loan=None if lease is None else ShareLeaseMessage.from_lease(lease),
             ),
         )
-        answer = await self._questions.send_and_wait(send)
-        if answer is None:
-            self._log.info("permit_unanswered", server=ident, instance=allocator)
+        response = await self._pending.send_and_wait(send)
+        if response is None:
+            self._log.info("permit_unanswered", server=incarnation_id, instance=allocator)
             self._metrics.count("permits_unanswered")
-            self._shared.record_unresponsive(allocator, await curio.clock())
+            self._shared_limits.record_unresponsive(allocator, await curio.clock())
         else:
-            self._shared.record_response(allocator, answer.stamp)
-        return answer
+            self._shared_limits.record_response(allocator, response.stamp)
+        return response
 
-    async def _send_ask(self, peer: str, ask: PermitRequest, number: int) -> None:
-        await self._notices.send(peer, ask.with_number(number))
+    async def _send_request(self, address: str, request: PermitRequest, number: int) -> None:
+        await self._messenger.send(address, request.with_number(number))
 
     # Handing out.
 
-    async def _take_ask(self, message: PermitRequest, sender: str) -> None:
+    async def _on_request(self, message: PermitRequest, sender: str) -> None:
         now = await curio.clock()
-        self._news.record_peer_update(
+        self._limit_updates.record_peer_update(
             message.server, message.per_s, now - message.ago_s, message.lender
         )
         if message.loan is not None:
-            self._shared.accept_lease(message.server, message.lender, message.loan.to_lease(), now)
-        word = None
+            self._shared_limits.accept_lease(
+                message.server, message.lender, message.loan.to_lease(), now
+            )
+        decision = None
         if message.within_s is not None:
-            word = self._shared.take_permit(
+            decision = self._shared_limits.take_permit(
                 message.server, message.within_s, now, for_caller=message.caller
             )
-        stamp = self._shared.stamp(now)
-        answer = PermitResponse(
+        stamp = self._shared_limits.stamp(now)
+        response = PermitResponse(
             number=message.number,
-            granted=None if word is None else word.granted,
-            after_s=0.0 if word is None else word.after_s,
+            granted=None if decision is None else decision.granted,
+            after_s=0.0 if decision is None else decision.after_s,
             life=stamp.incarnation,
             at=stamp.at,
         )
-        await self._notices.send(sender, answer)
+        await self._messenger.send(sender, response)
 
-    async def _take_answer(self, message: PermitResponse, sender: str) -> None:
-        word = None if message.granted is None else PermitDecision(message.granted, message.after_s)
+    async def _on_response(self, message: PermitResponse, sender: str) -> None:
+        decision = (
+            None if message.granted is None else PermitDecision(message.granted, message.after_s)
+        )
         stamp = ClockStamp(message.life, message.at)
-        await self._questions.resolve(message.number, _Answer(word, stamp))
+        await self._pending.resolve(message.number, _PermitReply(decision, stamp))
 
-    async def _take_return(self, message: PermitReturn, sender: str) -> None:
-        self._shared.return_permit(message.server, await curio.clock())
+    async def _on_return(self, message: PermitReturn, sender: str) -> None:
+        self._shared_limits.return_permit(message.server, await curio.clock())
 
     # Tasks.
 
@@ -277,30 +290,30 @@
         """Lend the shares of limits that others hand out for, again and again, until cancelled."""
         while True:
             await curio.sleep(
-                self._shared.renewal_interval_s * self._backends.rng.uniform(*RENEWAL_JITTER)
+                self._shared_limits.renewal_interval_s * self._backends.rng.uniform(*RENEWAL_JITTER)
             )
-            for ident in self._shared.advertised.servers:
-                await self._lend(ident)
+            for incarnation_id in self._shared_limits.advertised.servers:
+                await self._renew_lease(incarnation_id)
 
-    async def _lend(self, ident: str) -> None:
+    async def _renew_lease(self, incarnation_id: str) -> None:
         now = await curio.clock()
-        for allocator in self._shared.allocators(ident, now):
+        for allocator in self._shared_limits.allocators(incarnation_id, now):
             if allocator == self._name:
-                self._shared.use_local_share(ident, now)
+                self._shared_limits.use_local_share(incarnation_id, now)
                 return
-            if await self._question(allocator, ident, None) is not None:
+            if await self._request_from(allocator, incarnation_id, None) is not None:
                 return
 
     async def log_use(self) -> None:
         """Tell how much is sent to servers that name limits, until cancelled."""
         while True:
             await curio.sleep(USE_LOG_INTERVAL_S)
-            sent, self._sent = self._sent, Counter()
-            for ident, requests in sent.items():
-                limit = self._shared.advertised.get(ident)
+            sent, self._sent_counts = self._sent_counts, Counter()
+            for incarnation_id, requests in sent.items():
+                limit = self._shared_limits.advertised.get(incarnation_id)
                 self._log.info(
                     "server_limit_use",
-                    server=ident,
+                    server=incarnation_id,
                     per_s=None if limit is None else limit.per_s,
                     sent=requests,
                     within_s=USE_LOG_INTERVAL_S,
--- a/src/crankhinge/gateway/_plain.py
+++ b/src/crankhinge/gateway/_plain.py
@@ -75,31 +75,31 @@
         log: Any,
     ) -> None:
         self._backends = backends
-        self._choice = selector
-        self._legs = attempts
+        self._selector = selector
+        self._attempts = attempts
         self._budget_of = budget_of
         self._log = log
         self._congestion: defaultdict[str, CongestionWindow] = defaultdict(CongestionWindow)
-        self._orders: defaultdict[str, ReservationQueue] = defaultdict(ReservationQueue)
+        self._queues: defaultdict[str, ReservationQueue] = defaultdict(ReservationQueue)
 
     async def run(self, relay: Relay) -> None:
         """Get an answer and hand it to the caller. Raises a failure with its outcome."""
-        answer = await self._answer(relay)
-        relay.log_fields["status"] = answer.status
-        fields = self._backends.dialect.response_fields(answer.fields)
-        await relay.exchange.respond_with_fields(answer.status, fields, answer.body)
+        response = await self._get_response(relay)
+        relay.log_fields["status"] = response.status
+        fields = self._backends.dialect.response_fields(response.fields)
+        await relay.exchange.respond_with_fields(response.status, fields, response.body)
 
-    async def _answer(self, relay: Relay) -> ServerResponse:
+    async def _get_response(self, relay: Relay) -> ServerResponse:
         self._budget_of(relay.service.name).record_first_attempt()
         congestion = self._congestion[relay.service.name]
-        await self._wait_turn(relay, congestion)
+        await self._wait_for_congestion(relay, congestion)
         congestion.record_sent(await curio.clock())
         try:
-            return await self._answer_at_servers(relay)
+            return await self._get_response_from_servers(relay)
         finally:
             congestion.record_end()
 
-    async def _answer_at_servers(self, relay: Relay) -> ServerResponse:
+    async def _get_response_from_servers(self, relay: Relay) -> ServerResponse:
         budget: RetryBudget = self._budget_of(relay.service.name)
         failed: ServerResponse | None = None
         while True:
@@ -110,8 +110,8 @@
             if isinstance(result, ConnectFailed):
                 if relay.record_unreachable():
                     continue
-                result = self._no_server(relay)
-            if server is not None and self._again(relay, result) and budget.try_retry():
+                result = self._no_server_error(relay)
+            if server is not None and self._may_retry(relay, result) and budget.try_retry():
                 failed = result if isinstance(result, ServerResponse) else failed
                 continue
             if isinstance(result, ServerResponse):
@@ -125,14 +125,14 @@
     ) -> tuple[Server | None, ServerResponse | CrankhingeError]:
         """Send a request to a server; returns which, None where none takes it, and what came."""
         try:
-            server = await self._choose(relay)
+            server = await self._choose_server(relay)
         except ServerBarred as exc:
             return None, exc
         if server is None:
-            return None, self._no_server(relay)
-        return server, await self._try(relay, server)
+            return None, self._no_server_error(relay)
+        return server, await self._attempt_at(relay, server)
 
-    async def _wait_turn(self, relay: Relay, congestion: CongestionWindow) -> None:
+    async def _wait_for_congestion(self, relay: Relay, congestion: CongestionWindow) -> None:
         """Wait while the service's answers take too long for more to be sent.
 
         Raises:
@@ -140,33 +140,37 @@
             ServersRest: its servers want nothing for longer.
         """
         name = relay.service.name
-        order = self._orders[name]
-        began = now = await curio.clock()
-        need = self._need(relay, now)
-        patience_s = _patience_s(need)
-        number = order.add(need, now)
+        queue = self._queues[name]
+        started_at = now = await curio.clock()
+        request = self._queue_request(relay, now)
+        max_wait_s = _max_queue_wait_s(request)
+        number = queue.add(request, now)
         try:
-            while order.requests_ahead(number, now) or not congestion.may_send(
-                now, late=need.is_late(now - began)
+            while queue.requests_ahead(number, now) or not congestion.may_send(
+                now, late=request.is_late(now - started_at)
             ):
-                spare_s = patience_s - (now - began)
+                spare_s = max_wait_s - (now - started_at)
                 # No turn helps it where all rest for longer; then this raises.
-                self._choice.backoff_end(relay, now, avoid=relay.tried_servers, max_wait_s=spare_s)
-                if now - began > patience_s:
-                    self._not_sent(relay, now - began)
-                    raise Overloaded(f"{name} is overloaded", retry_after_s=self._back(name, now))
+                self._selector.backoff_end(
+                    relay, now, avoid=relay.tried_servers, max_wait_s=spare_s
+                )
+                if now - started_at > max_wait_s:
+                    self._log_not_sent(relay, now - started_at)
+                    raise Overloaded(
+                        f"{name} is overloaded", retry_after_s=self._retry_after_s(name, now)
+                    )
                 await curio.sleep(CONGESTION_POLL_S)
                 now = await curio.clock()
         finally:
-            order.remove(number)
-        if now > began:
-            relay.log_fields["waited_ms"] = round((now - began) * 1000)
+            queue.remove(number)
+        if now > started_at:
+            relay.log_fields["waited_ms"] = round((now - started_at) * 1000)
 
-    def _need(self, relay: Relay, now: float) -> ReservationRequest:
+    def _queue_request(self, relay: Relay, now: float) -> ReservationRequest:
         """Return what a request needs that begins to wait."""
-        alone_s = self._congestion[relay.service.name].unloaded_response_s
+        unloaded_s = self._congestion[relay.service.name].unloaded_response_s
         target_s = relay.route.target_s
-        if target_s <= alone_s:
+        if target_s <= unloaded_s:
             # No target, or one that nothing can meet: then no call is late.
             target_s = float("inf")
         return ReservationRequest(
@@ -174,106 +178,106 @@
             target_s=target_s,
             remaining_s=relay.deadline - now,
             is_retry=relay.is_retry,
-            service_s=SERVICE_TIME_FACTOR * alone_s,
-            first_event_s=alone_s,
+            service_s=SERVICE_TIME_FACTOR * unloaded_s,
+            first_event_s=unloaded_s,
         )
 
-    def _back(self, service: str, now: float) -> float:
+    def _retry_after_s(self, service: str, now: float) -> float:
         """Return when to come back, in seconds, spread for those that are refused together."""
         return self._congestion[service].retry_after_s(now) * self._backends.rng.uniform(
             *RETRY_AFTER_JITTER
         )
 
-    def _not_sent(self, relay: Relay, waited_s: float) -> None:
+    def _log_not_sent(self, relay: Relay, waited_s: float) -> None:
         self._log.info(
             "not_sent",
             request=relay.request.request_id,
             service=relay.service.name,
             waited_ms=round(waited_s * 1000),
             returned=relay.is_retry,
-            waiting=len(self._orders[relay.service.name]),
+            waiting=len(self._queues[relay.service.name]),
             alone_ms=round(self._congestion[relay.service.name].unloaded_response_s * 1000),
         )
 
-    async def _choose(self, relay: Relay) -> Server | None:
-        phase = EngineRole.DECODE if relay.service.engine else None
+    async def _choose_server(self, relay: Relay) -> Server | None:
+        role = EngineRole.DECODE if relay.service.engine else None
         if await relay.remaining_s() <= 0:
             raise DeadlinePassed("no time is left") if relay.may_have_run else Overloaded("late")
-        server = await self._choice.select(relay, avoid=relay.tried_servers, role=phase)
+        server = await self._selector.select(relay, avoid=relay.tried_servers, role=role)
         if server is not None:
             return server
-        spare_s = await self._spare_s(relay)
-        return await self._choice.wait_for_server(
-            relay, avoid=relay.tried_servers, max_wait_s=spare_s, role=phase
+        spare_s = await self._max_wait_s(relay)
+        return await self._selector.wait_for_server(
+            relay, avoid=relay.tried_servers, max_wait_s=spare_s, role=role
         )
 
-    async def _spare_s(self, relay: Relay) -> float:
+    async def _max_wait_s(self, relay: Relay) -> float:
         """Return for how long a request may wait for a server that takes no more now."""
         if relay.sent_to:
             # It has failed once and is late; what it waits for others may yet get in time.
             return 0.0
         # Whoever came back when it was told waits as long as a first try, by arrival.
         now: float = await curio.clock()
-        alone_s = self._congestion[relay.service.name].unloaded_response_s
-        return relay.route.target_s - alone_s - (now - relay.started_at)
+        unloaded_s = self._congestion[relay.service.name].unloaded_response_s
+        return relay.route.target_s - unloaded_s - (now - relay.started_at)
 
-    def _no_server(self, relay: Relay) -> CrankhingeError:
+    def _no_server_error(self, relay: Relay) -> CrankhingeError:
         if relay.may_have_run:
             return BackendFailed("no other server is there")
         return NoBackend(f"{relay.service.name}: no server", retry_after_s=RETRY_AFTER_S)
 
-    def _again(self, relay: Relay, result: ServerResponse | CrankhingeError) -> bool:
+    def _may_retry(self, relay: Relay, result: ServerResponse | CrankhingeError) -> bool:
         """Whether the request may be sent to one more server after *result*."""
         if isinstance(result, ServerResponse):
             return result.status >= 500 and relay.route.repeatable and relay.may_try_another
         return relay.may_try_another and relay.may_retry and not isinstance(result, NoBackend)
 
-    async def _try(self, relay: Relay, server: Server) -> ServerResponse | CrankhingeError:
+    async def _attempt_at(self, relay: Relay, server: Server) -> ServerResponse | CrankhingeError:
         """Return an answer, or the failure to report if this was the last try."""
-        left = await relay.remaining_s()
-        patience = left
+        remaining_s = await relay.remaining_s()
+        timeout_s = remaining_s
         if relay.route.repeatable and len(relay.sent_to) + 1 < relay.route.max_servers:
-            patience = left * FIRST_ATTEMPT_TIME_SHARE
+            timeout_s = remaining_s * FIRST_ATTEMPT_TIME_SHARE
         relay.sent_to.append(server.incarnation_id)
         relay.log_fields["server"] = server.incarnation_id
-        standing = self._backends.stats(server.incarnation_id)
+        stats = self._backends.stats(server.incarnation_id)
         relay.log_fields.update(
-            open_there=standing.open_requests,
-            usual_ms=round(standing.mean_response_s * 1000),
-            failing=round(standing.failure_share, 2),
+            open_there=stats.open_requests,
+            usual_ms=round(stats.mean_response_s * 1000),
+            failing=round(stats.failure_share, 2),
         )
-        began = await curio.clock()
+        started_at = await curio.clock()
         try:
             result: ServerResponse | CrankhingeError = await curio.timeout_after(
-                patience, self._leg, relay, server, left
+                timeout_s, self._send, relay, server, remaining_s
             )
         except ConnectFailed as exc:
-            self._note(relay, server, "unreached", exc.detail)
+            self._log_failed_attempt(relay, server, "unreached", exc.detail)
             return exc
         except ServerBarred as exc:
             relay.sent_to.pop()
             return exc
         except (HttpClosed, BadHttp) as exc:
             relay.may_have_run = True
-            self._note(relay, server, "broken", exc.detail)
+            self._log_failed_attempt(relay, server, "broken", exc.detail)
             return BackendFailed(exc.detail)
         except curio.TaskTimeout:
             relay.may_have_run = True
-            standing.record_failure(await curio.clock())
-            self._note(relay, server, "silent", f"nothing in {patience:.3f} s")
-            return DeadlinePassed(f"no answer in {patience:.3f} s")
+            stats.record_failure(await curio.clock())
+            self._log_failed_attempt(relay, server, "silent", f"nothing in {timeout_s:.3f} s")
+            return DeadlinePassed(f"no answer in {timeout_s:.3f} s")
         if isinstance(result, ServerResponse):
             relay.may_have_run = True
-            took = await curio.clock() - began
-            standing.record_success(took)
+            duration_s = await curio.clock() - started_at
+            stats.record_success(duration_s)
             self._congestion[relay.service.name].record_response(
-                took, relay.route.target_s, began + took
+                duration_s, relay.route.target_s, started_at + duration_s
             )
             if result.status >= 500:
-                standing.record_failure(began + took)
+                stats.record_failure(started_at + duration_s)
         return result
 
-    def _note(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
+    def _log_failed_attempt(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
         self._log.info(
             "leg_failed",
             request=relay.request.request_id,
@@ -283,29 +287,40 @@
             tried=len(relay.sent_to),
         )
 
-    async def _leg(
-        self, relay: Relay, server: Server, within_s: float
+    async def _send(
+        self, relay: Relay, server: Server, remaining_s: float
     ) -> ServerResponse | CrankhingeError:
-        leg = AttemptParams(server.name, within_s)
-        async with self._legs.open(relay, server, leg) as stream:
+        params = AttemptParams(server.name, remaining_s)
+        async with self._attempts.open(relay, server, params) as stream:
             body = await stream.read_all()
-            word = self._backends.dialect.parse_signals(stream.status, stream.headers)
-            if not word.not_run:
+            signals = self._backends.dialect.parse_signals(stream.status, stream.headers)
+            if not signals.not_run:
                 return ServerResponse(stream.status, stream.fields, body)
             now = await curio.clock()
-            if word.backoff_s is None:
+            if signals.backoff_s is None:
                 # Otherwise it speaks for itself, and the others need not be sent less.
                 self._congestion[relay.service.name].record_refusal(now)
             # Whoever refuses at once looks least busy, and would get most of the next requests.
             self._backends.stats(server.incarnation_id).record_refusal(now)
-            said_s = word.retry_after_s
-            self._note(relay, server, "refused", f"status {stream.status}, back in {said_s} s")
+            server_retry_after_s = signals.retry_after_s
+            self._log_failed_attempt(
+                relay,
+                server,
+                "refused",
+                f"status {stream.status}, back in {server_retry_after_s} s",
+            )
             # What it said holds for itself: others may take the request sooner.
-            ends = self._choice.backoff_end(relay, now, avoid=frozenset(), max_wait_s=float("inf"))
-            after_s = ends - now if ends is not None else self._back(relay.service.name, now)
-            return Overloaded(f"{server.incarnation_id} refused", retry_after_s=after_s)
+            end = self._selector.backoff_end(relay, now, avoid=frozenset(), max_wait_s=float("inf"))
+            retry_after_s = (
+                end - now if end is not None else self._retry_after_s(relay.service.name, now)
+            )
+            return Overloaded(f"{server.incarnation_id} refused", retry_after_s=retry_after_s)
 
 
-def _patience_s(need: ReservationRequest) -> float:
+def _max_queue_wait_s(request: ReservationRequest) -> float:
     """Return how long a plain call waits, in seconds; a first try only while it may be in time."""
-    return need.max_wait_s if need.is_retry else min(need.max_in_time_wait_s, need.max_wait_s)
+    return (
+        request.max_wait_s
+        if request.is_retry
+        else min(request.max_in_time_wait_s, request.max_wait_s)
+    )
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -107,84 +107,84 @@
     )
     platform = make_platform(settings, log)
     dialect = platform.dialect
-    directory = Discovery(platform.source, settings.freshness_bounds, log, rng)
+    discovery = Discovery(platform.source, settings.freshness_bounds, log, rng)
     now = await curio.clock()
-    members = Membership(settings.name, now)
+    membership = Membership(settings.name, now)
     backends = Backends(
-        servers=directory.servers,
+        servers=discovery.servers,
         dialect=dialect,
         zone=settings.zone,
         log=log,
         metrics=metrics,
         rng=rng,
-        idle_limit=partial(_most_kept, directory, members),
+        idle_limit=partial(_idle_limit, discovery, membership),
     )
-    authenticator = Authenticator(directory)
-    directory.on_server_gone.append(backends.remove_server)
+    authenticator = Authenticator(discovery)
+    discovery.on_server_gone.append(backends.remove_server)
     budgets: defaultdict[str, RetryBudget] = defaultdict(partial(new_retry_budget, settings))
     meters: defaultdict[str, WorkloadMeter] = defaultdict(WorkloadMeter)
-    notices = PeerMessenger(
-        address=settings.peer, peer_addresses=lambda: members.peer_addresses, log=log
+    messenger = PeerMessenger(
+        address=settings.peer, peer_addresses=lambda: membership.peer_addresses, log=log
     )
-    notices.add_handler(EngineOrdered, partial(_believe, backends))
+    messenger.add_handler(EngineOrdered, partial(_on_engine_ordered, backends))
     quarantine = QuarantineService(
-        name=settings.name, membership=members, messenger=notices, log=log, metrics=metrics
+        name=settings.name, membership=membership, messenger=messenger, log=log, metrics=metrics
     )
     crashes = CrashDetector(backends=backends, on_crash=quarantine.record_crash, log=log)
-    directory.on_server_gone.append(crashes.on_entry_gone)
+    discovery.on_server_gone.append(crashes.on_entry_gone)
     shared_limits = SharedLimits(
         name=settings.name,
-        membership=members,
+        membership=membership,
         incarnation=rng.getrandbits(INCARNATION_BITS),
         now=now,
     )
     limit_news = LimitUpdates(
-        shared_limits=shared_limits, backends=backends, messenger=notices, log=log
+        shared_limits=shared_limits, backends=backends, messenger=messenger, log=log
     )
-    directory.on_server_gone.append(limit_news.remove_server)
-    words = ServerSignals(exclusions=backends.exclusions, messenger=notices, log=log)
-    backends.listeners += [limit_news, words]
+    discovery.on_server_gone.append(limit_news.remove_server)
+    server_signals = ServerSignals(exclusions=backends.exclusions, messenger=messenger, log=log)
+    backends.listeners += [limit_news, server_signals]
     permits = Permits(
         name=settings.name,
         shared_limits=shared_limits,
         limit_updates=limit_news,
-        membership=members,
+        membership=membership,
         backends=backends,
-        messenger=notices,
+        messenger=messenger,
         log=log,
         metrics=metrics,
     )
-    choice = ServerSelector(backends, permits)
+    selector = ServerSelector(backends, permits)
     common: dict[str, Any] = {
         "backends": backends,
-        "selector": choice,
+        "selector": selector,
         "attempts": Attempts(backends, authenticator, quarantine, crashes, permits),
         "budget_of": budgets.__getitem__,
         "log": log,
     }
-    limits = AccountLimits(
+    account_limits = AccountLimits(
         name=settings.name,
-        discovery=directory,
-        membership=members,
+        discovery=discovery,
+        membership=membership,
         bounds=settings.quota_bounds,
-        messenger=notices,
+        messenger=messenger,
         log=log,
         metrics=metrics,
         now=now,
     )
-    greeter = JoinAnnouncer(
+    join_announcer = JoinAnnouncer(
         name=settings.name,
         address=settings.peer,
-        membership=members,
-        messenger=notices,
-        on_joined=[limits.record_joined, permits.record_joined],
+        membership=membership,
+        messenger=messenger,
+        on_joined=[account_limits.record_joined, permits.record_joined],
         log=log,
     )
     gateway = Gateway(
         settings=settings,
-        discovery=directory,
-        admission=Admission(discovery=directory, authenticator=authenticator, rng=rng),
-        limits=limits,
+        discovery=discovery,
+        admission=Admission(discovery=discovery, authenticator=authenticator, rng=rng),
+        limits=account_limits,
         permits=permits,
         quarantine=quarantine,
         dialect=dialect,
@@ -194,12 +194,12 @@
         metrics=metrics,
     )
     status = StatusPages(
-        settings=settings, discovery=directory, gateway=gateway, log=log, metrics=metrics
+        settings=settings, discovery=discovery, gateway=gateway, log=log, metrics=metrics
     )
-    work = InstanceRecordSync(
+    record_sync = InstanceRecordSync(
         name=settings.name,
         address=settings.peer,
-        membership=members,
+        membership=membership,
         registry=platform.registry,
         meters=meters,
         quarantine=quarantine,
@@ -207,20 +207,24 @@
         log=log,
         rng=rng,
     )
-    orderer = RoleController(
+    role_controller = RoleController(
         name=settings.name,
-        discovery=directory,
+        discovery=discovery,
         backends=backends,
         order_leases=platform.order_leases,
-        record_sync=work,
-        messenger=notices,
+        record_sync=record_sync,
+        messenger=messenger,
         log=log,
     )
     # The runtime's clock is the steady clock; a page is made outside of any task's trap.
-    metrics.set_gauge_function("config_heard_s_ago", partial(_age, directory.config_watcher))
-    metrics.set_gauge_function("servers_heard_s_ago", partial(_age, directory.server_list_watcher))
     metrics.set_gauge_function(
-        "config_version", lambda: directory.table.version if directory.table else 0
+        "config_heard_s_ago", partial(_seconds_since_response, discovery.config_watcher)
+    )
+    metrics.set_gauge_function(
+        "servers_heard_s_ago", partial(_seconds_since_response, discovery.server_list_watcher)
+    )
+    metrics.set_gauge_function(
+        "config_version", lambda: discovery.table.version if discovery.table else 0
     )
     metrics.set_gauge_function("requests_quarantined", quarantine.__len__)
     metrics.set_gauge_function("servers_limited", limit_news.__len__)
@@ -230,51 +234,51 @@
     metrics.set_gauge_function(
         "servers_resting", lambda: backends.count_excluded(ExclusionReason.BACKOFF, steady_s())
     )
-    metrics.set_gauge_function("servers_known", lambda: len(list(directory.servers.all())))
-    metrics.set_gauge_function("servers_doubted", lambda: len(directory.servers.suspects()))
+    metrics.set_gauge_function("servers_known", lambda: len(list(discovery.servers.all())))
+    metrics.set_gauge_function("servers_doubted", lambda: len(discovery.servers.suspects()))
     metrics.set_gauge_function("source_bytes", lambda: platform.source.received_bytes)
     metrics.set_gauge_function("source_calls", lambda: sum(platform.source.call_counts.values()))
     supervisor = Supervisor(log)
     supervisor.add("listener", gateway.listen)
     supervisor.add("ready", status.listen_ready)
     supervisor.add("metrics", status.listen_metrics)
-    supervisor.add("config", directory.config_watcher.run)
-    supervisor.add("servers", directory.server_list_watcher.run)
-    supervisor.add("expiry", directory.expire_suspects)
-    supervisor.add("orders", orderer.run)
-    supervisor.add("work", work.run)
-    supervisor.add("peers", work.refresh_membership)
-    supervisor.add("notices", notices.run)
-    supervisor.add("greeter", greeter.run)
+    supervisor.add("config", discovery.config_watcher.run)
+    supervisor.add("servers", discovery.server_list_watcher.run)
+    supervisor.add("expiry", discovery.expire_suspects)
+    supervisor.add("orders", role_controller.run)
+    supervisor.add("work", record_sync.run)
+    supervisor.add("peers", record_sync.refresh_membership)
+    supervisor.add("notices", messenger.run)
+    supervisor.add("greeter", join_announcer.run)
     supervisor.add("lending", permits.renew_leases)
     supervisor.add("limits", permits.log_use)
     supervisor.add("calls", CallLog(platform.source, log).run)
     log.info("started", listen=settings.listen, zone=settings.zone, source=settings.source)
-    await run_until_first_ends(supervisor.run, partial(_drain_on, stopping, gateway))
+    await run_until_first_ends(supervisor.run, partial(_drain_when_stopping, stopping, gateway))
     log.info("stopped")
 
 
-def _most_kept(directory: Discovery, members: Membership, service: str) -> int:
+def _idle_limit(discovery: Discovery, membership: Membership, service: str) -> int:
     """Return how many idle connections to keep to each server of a service."""
-    known = directory.table.services.get(service) if directory.table else None
+    known = discovery.table.services.get(service) if discovery.table else None
     return (
         MAX_IDLE_CONNECTIONS
         if known is None
-        else idle_connection_limit(known.max_connections, members.fleet_size)
+        else idle_connection_limit(known.max_connections, membership.fleet_size)
     )
 
 
-def _age(follower: SourceWatcher) -> float:
-    return steady_s() - (follower.received_at or 0.0)
+def _seconds_since_response(watcher: SourceWatcher) -> float:
+    return steady_s() - (watcher.received_at or 0.0)
 
 
-async def _believe(backends: Backends, notice: EngineOrdered, sender: str) -> None:
+async def _on_engine_ordered(backends: Backends, message: EngineOrdered, sender: str) -> None:
     """Act on what another instance tells."""
-    until = await curio.clock() + min(notice.within_s, MAX_ORDER_S)
-    backends.record_order(notice.server, notice.phase, until, by_peer=True)
+    until = await curio.clock() + min(message.within_s, MAX_ORDER_S)
+    backends.record_order(message.server, message.phase, until, by_peer=True)
 
 
-async def _drain_on(stopping: curio.Event, gateway: Gateway) -> None:
+async def _drain_when_stopping(stopping: curio.Event, gateway: Gateway) -> None:
     await stopping.wait()
     await gateway.drain()
 
--- a/src/crankhinge/gateway/_prompt_processor.py
+++ b/src/crankhinge/gateway/_prompt_processor.py
@@ -61,8 +61,8 @@
         log: Any,
     ) -> None:
         self._backends = backends
-        self._choice = selector
-        self._legs = attempts
+        self._selector = selector
+        self._attempts = attempts
         self._quarantine = quarantine
         self._log = log
 
@@ -77,90 +77,92 @@
             budget: of the service.
         """
         tried: frozenset[str] = frozenset()
-        until = min(await curio.clock() + MAX_PROMPT_S, relay.deadline)
+        deadline = min(await curio.clock() + MAX_PROMPT_S, relay.deadline)
         why = "tried_enough"
         while len(tried) < MAX_PROMPT_ATTEMPTS:
             now = await curio.clock()
-            if until - now < MIN_PROMPT_S:
+            if deadline - now < MIN_PROMPT_S:
                 why = "no_time"
                 break
-            server = await self._choice.select(
+            server = await self._selector.select(
                 relay, avoid=tried, role=EngineRole.PREFILL, zone=zone
             )
             if server is None:
                 why = "no_reader"
                 break
-            if not self._affordable(server, budget, again=bool(tried)):
+            if not self._may_attempt(server, budget, is_repeat=bool(tried)):
                 why = "budget_spent"
                 break
             tried |= {server.incarnation_id}
-            memory = await self._try(relay, server, until, budget)
-            if memory is not None:
-                return memory
+            kv_cache = await self._attempt(relay, server, deadline, budget)
+            if kv_cache is not None:
+                return kv_cache
         self._log.info(
             "not_read_apart", request=relay.request.request_id, tried=len(tried), why=why
         )
         return None
 
-    def _affordable(self, server: Server, budget: RetryBudget, *, again: bool) -> bool:
+    def _may_attempt(self, server: Server, budget: RetryBudget, *, is_repeat: bool) -> bool:
         """Whether a reading there may be tried, since one that is refused is a repeat.
 
         In debt not even a trusted reader is asked: with many instances each would find out by
         itself that it is overloaded, and all of these refusals count.
         """
-        if again or self._doubtful(server):
+        if is_repeat or self._is_doubtful(server):
             return budget.allows_retry()
         return not budget.in_debt
 
-    def _doubtful(self, server: Server) -> bool:
+    def _is_doubtful(self, server: Server) -> bool:
         """Whether a reading there may well fail, and so become a repeat."""
-        standing = self._backends.stats(server.incarnation_id)
+        stats = self._backends.stats(server.incarnation_id)
         return (
-            standing.failure_share > DOUBTFUL_FAILURE_SHARE
-            or standing.mean_response_s > DOUBTFUL_RESPONSE_S
+            stats.failure_share > DOUBTFUL_FAILURE_SHARE
+            or stats.mean_response_s > DOUBTFUL_RESPONSE_S
         )
 
-    async def _try(
-        self, relay: Relay, server: Server, until: float, budget: RetryBudget
+    async def _attempt(
+        self, relay: Relay, server: Server, deadline: float, budget: RetryBudget
     ) -> PromptKvCache | None:
-        began = await curio.clock()
-        within = until - began
-        leg = AttemptParams(server.name, within, prompt_only=True)
-        standing = self._backends.stats(server.incarnation_id)
+        started_at = await curio.clock()
+        timeout_s = deadline - started_at
+        params = AttemptParams(server.name, timeout_s, prompt_only=True)
+        stats = self._backends.stats(server.incarnation_id)
         try:
-            handle: str = await curio.timeout_after(within, self._leg, relay, server, leg)
+            cache_handle: str = await curio.timeout_after(
+                timeout_s, self._send, relay, server, params
+            )
         except (ConnectFailed, Quarantined, ServerBarred) as exc:
-            self._failed(relay, server, exc.code, exc.detail)
+            self._log_failed(relay, server, exc.code, exc.detail)
             return None
         except (HttpClosed, BadHttp, BackendFailed) as exc:
             budget.charge_retry()
-            self._failed(relay, server, exc.code, exc.detail)
+            self._log_failed(relay, server, exc.code, exc.detail)
             return None
         except curio.TaskTimeout:
             budget.charge_retry()
-            standing.record_failure(await curio.clock())
-            standing.record_duration(within)
-            self._failed(relay, server, "silent", f"nothing in {within:.2f} s")
+            stats.record_failure(await curio.clock())
+            stats.record_duration(timeout_s)
+            self._log_failed(relay, server, "silent", f"nothing in {timeout_s:.2f} s")
             return None
         if relay.prompt_processed:
             # Only the first reading is no repeat.
             budget.charge_retry()
         relay.prompt_processed = True
         await self._quarantine.record_completed(relay, relay.work_key(prompt_only=True))
-        took = await curio.clock() - began
-        standing.record_success(took)
-        relay.log_fields.update(reader=server.incarnation_id, read_ms=round(took * 1000))
-        return PromptKvCache(server, handle, took)
+        duration_s = await curio.clock() - started_at
+        stats.record_success(duration_s)
+        relay.log_fields.update(reader=server.incarnation_id, read_ms=round(duration_s * 1000))
+        return PromptKvCache(server, cache_handle, duration_s)
 
-    async def _leg(self, relay: Relay, server: Server, leg: AttemptParams) -> str:
-        async with self._legs.open(relay, server, leg) as stream:
+    async def _send(self, relay: Relay, server: Server, params: AttemptParams) -> str:
+        async with self._attempts.open(relay, server, params) as stream:
             body = await stream.read_all()
             if stream.status != 200:
                 self._backends.stats(server.incarnation_id).record_refusal(await curio.clock())
                 raise BackendFailed(f"status {stream.status}")
             return self._backends.dialect.parse_kv_cache_handle(body)
 
-    def _failed(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
+    def _log_failed(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
         self._log.info(
             "reading_failed",
             request=relay.request.request_id,
--- a/src/crankhinge/gateway/_quarantine.py
+++ b/src/crankhinge/gateway/_quarantine.py
@@ -50,19 +50,19 @@
         metrics: Metrics,
     ) -> None:
         self._name = name
-        self._members = membership
-        self._notices = messenger
+        self._membership = membership
+        self._messenger = messenger
         self._log = log
         self._metrics = metrics
         self._quarantine = Quarantine()
-        messenger.add_handler(ServerCrashed, self._take_crash)
-        messenger.add_handler(QuarantineBegun, self._take_begun)
-        messenger.add_handler(QuarantineEnded, self._take_ended)
+        messenger.add_handler(ServerCrashed, self._on_server_crashed)
+        messenger.add_handler(QuarantineBegun, self._on_quarantine_begun)
+        messenger.add_handler(QuarantineEnded, self._on_quarantine_ended)
 
     def __len__(self) -> int:
         return len(self._quarantine)
 
-    def refuse_quarantined(self, work: str, now: float) -> None:
+    def refuse_quarantined(self, work_key: str, now: float) -> None:
         """Refuse work that no server may be sent now.
 
         Args:
@@ -72,71 +72,74 @@
         Raises:
             Quarantined: servers crashed while they did it.
         """
-        left_s = self._quarantine.refusal_left_s(work, now)
+        left_s = self._quarantine.refusal_left_s(work_key, now)
         if left_s > 0:
-            crashes = self._quarantine.crash_count(work)
+            crashes = self._quarantine.crash_count(work_key)
             raise Quarantined(
                 f"{crashes} servers crashed while they ran this request", retry_after_s=left_s
             )
 
-    async def admit(self, relay: Relay, work: str, now: float) -> None:
+    async def admit(self, relay: Relay, work_key: str, now: float) -> None:
         """Look at work that is about to be sent to a server; it may become the trial.
 
         Raises:
             Quarantined: as :meth:`refuse_quarantined` does.
         """
-        if relay.trial_work == work:
+        if relay.trial_work == work_key:
             return
-        self.refuse_quarantined(work, now)
-        if not self._quarantine.is_quarantined(work):
+        self.refuse_quarantined(work_key, now)
+        if not self._quarantine.is_quarantined(work_key):
             return
-        relay.trial_work = work
-        trial = self._quarantine.begin_trial(work, now)
-        self._log.info("quarantine_trial", request=relay.request.request_id, fingerprint=work)
-        await self._tell(trial)
+        relay.trial_work = work_key
+        trial = self._quarantine.begin_trial(work_key, now)
+        self._log.info("quarantine_trial", request=relay.request.request_id, fingerprint=work_key)
+        await self._announce(trial)
 
     async def record_crash(self, server: Server, fingerprints: Collection[str]) -> None:
         """Note that a server crashed while it ran requests, and have it counted."""
-        by_keeper: defaultdict[str, list[str]] = defaultdict(list)
+        by_instance: defaultdict[str, list[str]] = defaultdict(list)
         for fingerprint in fingerprints:
-            for keeper in self._members.first_instances(fingerprint, COUNTING_INSTANCES):
-                by_keeper[keeper].append(fingerprint)
-            await self._count(fingerprint, server.incarnation_id, "own")
-        by_keeper.pop(self._name, None)
-        for keeper, cut in by_keeper.items():
-            peer = self._members.peer_address(keeper)
-            for first in range(0, len(cut) if peer else 0, MAX_FINGERPRINTS_PER_MESSAGE):
-                some = tuple(cut[first : first + MAX_FINGERPRINTS_PER_MESSAGE])
-                await self._notices.send(peer, ServerCrashed(server.incarnation_id, some))
-
-    async def _count(self, fingerprint: str, server: str, told_by: str) -> None:
-        isolation = self._quarantine.record_crash(fingerprint, server, await curio.clock())
+            for instance in self._membership.first_instances(fingerprint, COUNTING_INSTANCES):
+                by_instance[instance].append(fingerprint)
+            await self._count_crash(fingerprint, server.incarnation_id, "own")
+        by_instance.pop(self._name, None)
+        for instance, cut in by_instance.items():
+            address = self._membership.peer_address(instance)
+            for first in range(0, len(cut) if address else 0, MAX_FINGERPRINTS_PER_MESSAGE):
+                part = tuple(cut[first : first + MAX_FINGERPRINTS_PER_MESSAGE])
+                await self._messenger.send(address, ServerCrashed(server.incarnation_id, part))
+
+    async def _count_crash(self, fingerprint: str, server: str, source: str) -> None:
+        update = self._quarantine.record_crash(fingerprint, server, await curio.clock())
         self._log.info(
             "request_cut",
             fingerprint=fingerprint,
             server=server,
             crashes=self._quarantine.crash_count(fingerprint),
-            told_by=told_by,
+            told_by=source,
         )
-        if isolation is not None:
-            self._note_begun(isolation, "own")
-            await self._tell(isolation)
+        if update is not None:
+            self._log_begun(update, "own")
+            await self._announce(update)
 
-    async def record_completed(self, relay: Relay, work: str) -> None:
+    async def record_completed(self, relay: Relay, work_key: str) -> None:
         """Note that a server did work to its end, which it does not where that crashes servers."""
-        isolated = self._quarantine.is_quarantined(work)
-        crashes = self._quarantine.record_completed(work, await curio.clock())
+        was_quarantined = self._quarantine.is_quarantined(work_key)
+        crashes = self._quarantine.record_completed(work_key, await curio.clock())
         if not crashes:
             return
         self._log.info(
-            "request_cleared", request=relay.request.request_id, fingerprint=work, crashes=crashes
+            "request_cleared",
+            request=relay.request.request_id,
+            fingerprint=work_key,
+            crashes=crashes,
         )
-        if isolated:
-            await self._notices.send_to_all(QuarantineEnded(work), fingerprint=work)
+        if was_quarantined:
+            await self._messenger.send_to_all(QuarantineEnded(work_key), fingerprint=work_key)
             return
-        for keeper in self._members.first_instances(work, COUNTING_INSTANCES):
-            if keeper != self._name and (peer := self._members.peer_address(keeper)):
-                await self._notices.send(peer, QuarantineEnded(work))
+        for instance in self._membership.first_instances(work_key, COUNTING_INSTANCES):
+            if instance != self._name and (address := self._membership.peer_address(instance)):
+                await self._messenger.send(address, QuarantineEnded(work_key))
 
     def to_instance_record(self) -> Mapping[str, tuple[str, ...]]:
         """Return what belongs into this instance's note."""
@@ -145,36 +148,36 @@
     async def apply_instance_records(self, records: Mapping[str, InstanceRecord]) -> None:
         """Take what stands in the notes of instances; this one's own is of an earlier life."""
         now = await curio.clock()
-        for name, note in records.items():
+        for name, record in records.items():
             own = name == self._name
-            for isolation in self._quarantine.apply_instance_record(note.quarantined, now, own=own):
-                self._note_begun(isolation, f"note:{name}")
+            for update in self._quarantine.apply_instance_record(record.quarantined, now, own=own):
+                self._log_begun(update, f"note:{name}")
 
-    def _note_begun(self, isolation: QuarantineUpdate, told_by: str) -> None:
+    def _log_begun(self, update: QuarantineUpdate, source: str) -> None:
         self._metrics.count("quarantines")
         self._log.warning(
             "request_quarantined",
-            fingerprint=isolation.fingerprint,
-            crashes=len(isolation.servers),
-            left_s=round(isolation.left_s, 1),
-            servers=",".join(isolation.servers),
-            told_by=told_by,
+            fingerprint=update.fingerprint,
+            crashes=len(update.servers),
+            left_s=round(update.left_s, 1),
+            servers=",".join(update.servers),
+            told_by=source,
         )
 
-    async def _tell(self, isolation: QuarantineUpdate) -> None:
-        notice = QuarantineBegun(isolation.fingerprint, isolation.servers, isolation.left_s)
-        await self._notices.send_to_all(notice, fingerprint=isolation.fingerprint)
+    async def _announce(self, update: QuarantineUpdate) -> None:
+        message = QuarantineBegun(update.fingerprint, update.servers, update.left_s)
+        await self._messenger.send_to_all(message, fingerprint=update.fingerprint)
 
-    async def _take_crash(self, message: ServerCrashed, sender: str) -> None:
+    async def _on_server_crashed(self, message: ServerCrashed, sender: str) -> None:
         for fingerprint in message.fingerprints:
-            await self._count(fingerprint, message.server, sender)
+            await self._count_crash(fingerprint, message.server, sender)
 
-    async def _take_begun(self, message: QuarantineBegun, sender: str) -> None:
-        isolation = QuarantineUpdate(message.fingerprint, message.servers, message.left_s)
-        if self._quarantine.apply_update(isolation, await curio.clock()):
-            self._note_begun(isolation, sender)
+    async def _on_quarantine_begun(self, message: QuarantineBegun, sender: str) -> None:
+        update = QuarantineUpdate(message.fingerprint, message.servers, message.left_s)
+        if self._quarantine.apply_update(update, await curio.clock()):
+            self._log_begun(update, sender)
 
-    async def _take_ended(self, message: QuarantineEnded, sender: str) -> None:
+    async def _on_quarantine_ended(self, message: QuarantineEnded, sender: str) -> None:
         crashes = self._quarantine.record_completed(message.fingerprint, await curio.clock())
         if crashes:
             self._log.info(
--- a/src/crankhinge/gateway/_quota.py
+++ b/src/crankhinge/gateway/_quota.py
@@ -55,21 +55,21 @@
         now: float,
     ) -> None:
         self._name = name
-        self._directory = discovery
-        self._members = membership
-        self._notices = messenger
+        self._discovery = discovery
+        self._membership = membership
+        self._messenger = messenger
         self._log = log
         self._metrics = metrics
         self._allocator = QuotaAllocator(name=name, membership=membership, bounds=bounds, now=now)
-        self._asker = QuotaClient(name=name, membership=membership)
-        self._questions: PendingRequests[QuotaDecision] = PendingRequests()
-        messenger.add_handler(QuotaRequest, self._take_ask)
-        messenger.add_handler(QuotaResponse, self._take_answer)
-        messenger.add_handler(QuotaReturn, self._take_return)
+        self._client = QuotaClient(name=name, membership=membership)
+        self._pending: PendingRequests[QuotaDecision] = PendingRequests()
+        messenger.add_handler(QuotaRequest, self._on_request)
+        messenger.add_handler(QuotaResponse, self._on_response)
+        messenger.add_handler(QuotaReturn, self._on_return)
 
     def record_joined(self, name: str) -> None:
         """Note that an instance has come."""
-        self._asker.record_response(name)
+        self._client.record_response(name)
 
     async def take_tokens(self, relay: Relay) -> None:
         """Get a request its tokens.
@@ -82,19 +82,19 @@
         if account is None or account.limit is None:
             return
         tokens = account.cost(relay.request.max_total_tokens)
-        for allocator in self._asker.allocators(account.name, await curio.clock()):
-            word = await self._ask(allocator, account, tokens)
-            if word is not None and word.outcome is not QuotaOutcome.NOT_ALLOCATOR:
-                self._decide(relay, TokenGrant(allocator, account, tokens), word)
+        for allocator in self._client.allocators(account.name, await curio.clock()):
+            decision = await self._request_from(allocator, account, tokens)
+            if decision is not None and decision.outcome is not QuotaOutcome.NOT_ALLOCATOR:
+                self._apply_decision(relay, TokenGrant(allocator, account, tokens), decision)
                 return
-        word = self._allocator.allocate_local(account, tokens, await curio.clock())
-        self._decide(relay, TokenGrant("", account, tokens), word)
+        decision = self._allocator.allocate_local(account, tokens, await curio.clock())
+        self._apply_decision(relay, TokenGrant("", account, tokens), decision)
 
-    def _decide(self, relay: Relay, grant: TokenGrant, word: QuotaDecision) -> None:
-        by = grant.allocator or "own"
-        if word.outcome is QuotaOutcome.GRANTED:
+    def _apply_decision(self, relay: Relay, grant: TokenGrant, decision: QuotaDecision) -> None:
+        allocator_name = grant.allocator or "own"
+        if decision.outcome is QuotaOutcome.GRANTED:
             relay.grant = grant
-            relay.log_fields.update(cost=grant.tokens, granted_by=by)
+            relay.log_fields.update(cost=grant.tokens, granted_by=allocator_name)
             return
         self._metrics.count("over_limit")
         self._log.info(
@@ -102,17 +102,17 @@
             request=relay.request.request_id,
             account=grant.account.name,
             tokens=grant.tokens,
-            by=by,
-            left=round(word.left_tokens),
-            after_ms=round(word.retry_after_s * 1000),
+            by=allocator_name,
+            left=round(decision.left_tokens),
+            after_ms=round(decision.retry_after_s * 1000),
             config=relay.config_version,
         )
-        if word.outcome is QuotaOutcome.NOT_ALLOCATOR:
+        if decision.outcome is QuotaOutcome.NOT_ALLOCATOR:
             raise NotReady(
                 "nobody can tell what the account has left", retry_after_s=NO_ALLOCATOR_RETRY_S
             )
         raise LimitReached(
-            f"account {grant.account.name} has used its limit", retry_after_s=word.retry_after_s
+            f"account {grant.account.name} has used its limit", retry_after_s=decision.retry_after_s
         )
 
     async def return_unused(self, relay: Relay) -> None:
@@ -125,49 +125,53 @@
             self._allocator.return_tokens(
                 grant.account, grant.tokens, now, local=not grant.allocator
             )
-        elif peer := self._members.peer_address(grant.allocator):
-            await self._notices.send(peer, QuotaReturn(grant.account.name, grant.tokens))
+        elif address := self._membership.peer_address(grant.allocator):
+            await self._messenger.send(address, QuotaReturn(grant.account.name, grant.tokens))
 
-    async def _ask(self, allocator: str, account: Account, tokens: int) -> QuotaDecision | None:
+    async def _request_from(
+        self, allocator: str, account: Account, tokens: int
+    ) -> QuotaDecision | None:
         """Return what an instance says; None when it says nothing."""
         if allocator == self._name:
             return self._allocator.allocate(account, tokens, await curio.clock())
-        peer = self._members.peer_address(allocator)
-        if not peer:
+        address = self._membership.peer_address(allocator)
+        if not address:
             return None
 
         async def send(number: int) -> None:
-            await self._notices.send(peer, QuotaRequest(number, account.name, tokens))
+            await self._messenger.send(address, QuotaRequest(number, account.name, tokens))
 
-        word = await self._questions.send_and_wait(send)
-        if word is None:
+        decision = await self._pending.send_and_wait(send)
+        if decision is None:
             self._log.info("quota_unanswered", account=account.name, instance=allocator)
             self._metrics.count("quota_unanswered")
-            self._asker.record_unresponsive(allocator, await curio.clock())
+            self._client.record_unresponsive(allocator, await curio.clock())
         else:
-            self._asker.record_response(allocator)
-        return word
+            self._client.record_response(allocator)
+        return decision
 
     def _account(self, name: str) -> Account | None:
-        table = self._directory.table
+        table = self._discovery.table
         if table is None or table.accounts is None:
             return None
         return table.accounts.by_name.get(name)
 
-    async def _take_ask(self, message: QuotaRequest, sender: str) -> None:
+    async def _on_request(self, message: QuotaRequest, sender: str) -> None:
         account = self._account(message.account)
-        word = NOT_ALLOCATOR
+        decision = NOT_ALLOCATOR
         if account is not None and account.limit is not None:
             # Also by an old limit: a new one binds once every instance can have heard of it.
-            word = self._allocator.allocate(account, message.tokens, await curio.clock())
-        answer = QuotaResponse(message.number, word.outcome, word.retry_after_s, word.left_tokens)
-        await self._notices.send(sender, answer)
+            decision = self._allocator.allocate(account, message.tokens, await curio.clock())
+        response = QuotaResponse(
+            message.number, decision.outcome, decision.retry_after_s, decision.left_tokens
+        )
+        await self._messenger.send(sender, response)
 
-    async def _take_answer(self, message: QuotaResponse, sender: str) -> None:
-        word = QuotaDecision(message.verdict, message.after_s, message.left)
-        await self._questions.resolve(message.number, word)
+    async def _on_response(self, message: QuotaResponse, sender: str) -> None:
+        decision = QuotaDecision(message.verdict, message.after_s, message.left)
+        await self._pending.resolve(message.number, decision)
 
-    async def _take_return(self, message: QuotaReturn, sender: str) -> None:
+    async def _on_return(self, message: QuotaReturn, sender: str) -> None:
         account = self._account(message.account)
         if account is not None:
             self._allocator.return_tokens(account, message.tokens, await curio.clock())
--- a/src/crankhinge/gateway/_record_sync.py
+++ b/src/crankhinge/gateway/_record_sync.py
@@ -66,46 +66,46 @@
         rng: random.Random,
     ) -> None:
         self._name = name
-        self._peer = address
+        self._address = address
         self._rng = rng
-        self._members = membership
+        self._membership = membership
         self._joined = False
-        self._held_at = float("-inf")
-        self._board = registry
+        self._lease_renewed_at = float("-inf")
+        self._registry = registry
         self._meters = meters
         self._quarantine = quarantine
-        self._limits = limit_updates
-        self._told_quarantined: Mapping[str, tuple[str, ...]] = {}
-        self._told_limited: Mapping[str, float] = {}
+        self._limit_updates = limit_updates
+        self._published_quarantined: Mapping[str, tuple[str, ...]] = {}
+        self._published_limited: Mapping[str, float] = {}
         self._log = log
-        self._told: dict[str, WorkloadStats] = {}
-        self._told_at = float("-inf")
-        self._told_settled = False
+        self._published_stats: dict[str, WorkloadStats] = {}
+        self._published_at = float("-inf")
+        self._published_settled = False
 
     async def run(self) -> None:
         """Keep this instance's note true until cancelled."""
-        await self._resume()
+        await self._take_over()
         # A fleet that starts together does not write in the same moment.
         await curio.sleep(self._rng.uniform(0.0, RECORD_CHECK_INTERVAL_S))
         while True:
             try:
-                await self._look()
+                await self._update_record()
             except KeyValueUnavailable as exc:
                 self._log.info("note_unknown", why=exc.detail)
                 await curio.sleep(STORE_RETRY_S)
             else:
                 await curio.sleep(RECORD_CHECK_INTERVAL_S)
 
-    async def _resume(self) -> None:
+    async def _take_over(self) -> None:
         """Take over the note of a life before, if there is one."""
         while True:
             try:
-                found = await self._board.take_over(self._name)
+                found = await self._registry.take_over(self._name)
                 if found is not None:
-                    note, lease = found
-                    await self._quarantine.apply_instance_records({self._name: note})
-                    await self._limits.apply_instance_records({self._name: note})
-                    await self._join(lease, resumed=note.settled)
+                    record, lease = found
+                    await self._quarantine.apply_instance_records({self._name: record})
+                    await self._limit_updates.apply_instance_records({self._name: record})
+                    await self._join(lease, resumed=record.settled)
             except KeyValueUnavailable as exc:
                 self._log.info("note_unknown", why=exc.detail)
                 await curio.sleep(STORE_RETRY_S)
@@ -113,105 +113,106 @@
             self._log.info("life_before", found=found is not None, joined=self._joined)
             return
 
-    async def _look(self) -> None:
+    async def _update_record(self) -> None:
         """Write, renew and follow up the note, whichever is due."""
-        sheets = self._sheets()
+        all_stats = self._local_stats()
         now = await curio.clock()
-        settled, quarantined = (
-            self._members.may_coordinate(now),
+        may_coordinate, quarantined = (
+            self._membership.may_coordinate(now),
             self._quarantine.to_instance_record(),
         )
-        limited = self._limits.to_instance_record(now)
-        news = (
-            settled is not self._told_settled
-            or quarantined != self._told_quarantined
-            or limited != self._told_limited
+        limited = self._limit_updates.to_instance_record(now)
+        changed = (
+            may_coordinate is not self._published_settled
+            or quarantined != self._published_quarantined
+            or limited != self._published_limited
         )
-        if news or self._due(sheets, now):
-            note = InstanceRecord(self._peer, sheets, settled, quarantined, limited)
-            lease = await self._board.publish(self._name, note)
-            self._told, self._told_at = sheets, now
-            self._told_settled, self._told_quarantined = settled, quarantined
-            self._told_limited = limited
-            await self._hold(lease)
-        elif now - self._held_at >= LEASE_RENEWAL_INTERVAL_S:
-            await self._hold(await self._board.renew())
+        if changed or self._is_rewrite_due(all_stats, now):
+            record = InstanceRecord(self._address, all_stats, may_coordinate, quarantined, limited)
+            lease = await self._registry.publish(self._name, record)
+            self._published_stats, self._published_at = all_stats, now
+            self._published_settled, self._published_quarantined = may_coordinate, quarantined
+            self._published_limited = limited
+            await self._record_lease(lease)
+        elif now - self._lease_renewed_at >= LEASE_RENEWAL_INTERVAL_S:
+            await self._record_lease(await self._registry.renew())
         if not self._joined:
             await self._join(None, resumed=False)
 
-    async def _hold(self, lease: RecordLease | None) -> None:
+    async def _record_lease(self, lease: RecordLease | None) -> None:
         """Note how long the note lasts; one that had gone makes this instance a new one."""
         if lease is None:
-            self._joined, self._told_at = False, float("-inf")
+            self._joined, self._published_at = False, float("-inf")
             self._log.info("note_gone")
             return
-        self._held_at = await curio.clock()
-        self._members.set_lease_end(lease.expires_at)
+        self._lease_renewed_at = await curio.clock()
+        self._membership.set_lease_end(lease.expires_at)
         if lease.may_have_lapsed:
             self._joined = False
 
     async def _join(self, lease: RecordLease | None, *, resumed: bool) -> None:
         """Read who else is there, once the note is written."""
         if lease is not None:
-            await self._hold(lease)
-        elif self._told_at == float("-inf"):
+            await self._record_lease(lease)
+        elif self._published_at == float("-inf"):
             return
-        asked = await curio.clock()
-        notes = await self._board.read_all(allow_stale=False)
-        await self._recall(notes)
-        if self._name in notes:
-            self._members.join(_peers(notes), asked, resumed=resumed)
+        sent_at = await curio.clock()
+        records = await self._registry.read_all(allow_stale=False)
+        await self._apply_records(records)
+        if self._name in records:
+            self._membership.join(_addresses(records), sent_at, resumed=resumed)
             self._joined = True
 
     async def refresh_membership(self) -> None:
         """Look who else is there, now and then, until cancelled."""
         while True:
-            await curio.sleep(self._members.read_interval_s * self._rng.uniform(*READ_JITTER))
+            await curio.sleep(self._membership.read_interval_s * self._rng.uniform(*READ_JITTER))
             try:
-                await self._read()
+                await self._read_records()
             except KeyValueUnavailable as exc:
                 self._log.info("notes_unknown", why=exc.detail)
 
-    async def _read(self) -> dict[str, InstanceRecord]:
-        asked = await curio.clock()
-        notes = await self._board.read_all()
+    async def _read_records(self) -> dict[str, InstanceRecord]:
+        sent_at = await curio.clock()
+        records = await self._registry.read_all()
         if self._joined:
             # What a call brings is at least as old as the call.
-            self._members.apply_records(_peers(notes), asked)
-        await self._recall(notes)
-        return notes
+            self._membership.apply_records(_addresses(records), sent_at)
+        await self._apply_records(records)
+        return records
 
-    async def _recall(self, notes: Mapping[str, InstanceRecord]) -> None:
+    async def _apply_records(self, records: Mapping[str, InstanceRecord]) -> None:
         """Take what the others tell besides; what this instance told itself it need not read."""
-        others = {name: note for name, note in notes.items() if name != self._name}
+        others = {name: record for name, record in records.items() if name != self._name}
         await self._quarantine.apply_instance_records(others)
-        await self._limits.apply_instance_records(others)
+        await self._limit_updates.apply_instance_records(others)
 
-    def _sheets(self) -> dict[str, WorkloadStats]:
-        sheets = {service: meter.stats() for service, meter in self._meters.items()}
-        return {service: sheet for service, sheet in sheets.items() if sheet is not None}
+    def _local_stats(self) -> dict[str, WorkloadStats]:
+        all_stats = {service: meter.stats() for service, meter in self._meters.items()}
+        return {service: stats for service, stats in all_stats.items() if stats is not None}
 
-    def _due(self, sheets: dict[str, WorkloadStats], now: float) -> bool:
-        since = now - self._told_at
+    def _is_rewrite_due(self, all_stats: dict[str, WorkloadStats], now: float) -> bool:
+        since = now - self._published_at
         if since < MIN_REWRITE_INTERVAL_S:
             return False
         return since > MAX_REWRITE_INTERVAL_S or any(
-            self._moved(sheet, self._told.get(service)) for service, sheet in sheets.items()
+            self._has_changed(stats, self._published_stats.get(service))
+            for service, stats in all_stats.items()
         )
 
-    def _moved(self, sheet: WorkloadStats, told: WorkloadStats | None) -> bool:
-        if told is None or sheet.admitted >= 2 * told.admitted:
+    def _has_changed(self, stats: WorkloadStats, published: WorkloadStats | None) -> bool:
+        if published is None or stats.admitted >= 2 * published.admitted:
             return True
-        now, then = sheet.loads(), told.loads()
+        now, before = stats.loads(), published.loads()
         return (
-            abs(now.prompt_s - then.prompt_s) > REWRITE_CHANGE_SHARE * then.prompt_s
-            or abs(now.answer_s - then.answer_s) > REWRITE_CHANGE_SHARE * then.answer_s
+            abs(now.prompt_s - before.prompt_s) > REWRITE_CHANGE_SHARE * before.prompt_s
+            or abs(now.answer_s - before.answer_s) > REWRITE_CHANGE_SHARE * before.answer_s
         )
 
     def local_loads(self, service: str) -> PoolLoads | None:
         """Return the loads as this instance sees them, from however few requests."""
-        sheet = self._meters[service].stats()
-        return None if sheet is None else sheet.loads()
+        stats = self._meters[service].stats()
+        return None if stats is None else stats.loads()
 
     async def fleet_loads(self, service: str) -> tuple[PoolLoads | None, int]:
         """Return the loads as all instances see them, and how many answers shaped them.
@@ -219,16 +220,18 @@
         Raises:
             KeyValueUnavailable: the others' notes can't be read.
         """
-        notes = await self._read()
-        notes[self._name] = InstanceRecord(self._peer, self._sheets())
-        sheets = [note.sheets[service] for note in notes.values() if service in note.sheets]
-        loads = combined_loads(sheets)
-        answers = sum(sheet.answers for sheet in sheets)
+        records = await self._read_records()
+        records[self._name] = InstanceRecord(self._address, self._local_stats())
+        all_stats = [
+            record.sheets[service] for record in records.values() if service in record.sheets
+        ]
+        loads = combined_loads(all_stats)
+        answers = sum(stats.answers for stats in all_stats)
         self._log.info(
             "work_together",
             service=service,
-            instances=len(sheets),
-            admitted=sum(sheet.admitted for sheet in sheets),
+            instances=len(all_stats),
+            admitted=sum(stats.admitted for stats in all_stats),
             answers=answers,
             read_s=None if loads is None else round(loads.prompt_s, 4),
             write_s=None if loads is None else round(loads.answer_s, 4),
@@ -236,6 +239,6 @@
         return loads, answers
 
 
-def _peers(notes: Mapping[str, InstanceRecord]) -> dict[str, str]:
+def _addresses(records: Mapping[str, InstanceRecord]) -> dict[str, str]:
     """Return where instances take datagrams."""
-    return {name: note.peer for name, note in notes.items()}
+    return {name: record.peer for name, record in records.items()}
--- a/src/crankhinge/gateway/_reservations.py
+++ b/src/crankhinge/gateway/_reservations.py
@@ -45,19 +45,19 @@
 
     Attributes:
         relay: the request.
-        need: what it needs.
+        request: what it needs.
         avoid: servers that are out of the question.
-        began: when it began, on the runtime's clock.
-        asked: engines asked.
-        number: in the order of waiting.
+        started_at: when it began, on the runtime's clock.
+        engines_asked: engines asked.
+        queue_number: in the order of waiting.
     """
 
     relay: Relay
-    need: ReservationRequest
+    request: ReservationRequest
     avoid: frozenset[str]
-    began: float
-    asked: int = 0
-    number: int = 0
+    started_at: float
+    engines_asked: int = 0
+    queue_number: int = 0
 
 
 @dataclass
@@ -97,11 +97,11 @@
         meters: Mapping[str, WorkloadMeter],
     ) -> None:
         self._backends = backends
-        self._choice = selector
+        self._selector = selector
         self._permits = permits
         self._meters = meters
         self._log = log
-        self._orders: defaultdict[str, ReservationQueue] = defaultdict(ReservationQueue)
+        self._queues: defaultdict[str, ReservationQueue] = defaultdict(ReservationQueue)
         self._forecasts: defaultdict[str, MemoryForecast] = defaultdict(MemoryForecast)
 
     @asynccontextmanager
@@ -120,47 +120,49 @@
             Overloaded: no room in time.
             NoBackend: no server writes.
         """
-        place = await self._find(relay, extra_tokens, avoid)
-        standing = self._backends.stats(place.server.incarnation_id)
-        standing.reserved_tokens += place.tokens
+        reservation = await self._reserve_engine(relay, extra_tokens, avoid)
+        stats = self._backends.stats(reservation.server.incarnation_id)
+        stats.reserved_tokens += reservation.tokens
         try:
-            yield place
+            yield reservation
         finally:
-            standing.reserved_tokens -= place.tokens
-            self._forecasts[relay.service.name].record_released(place.forecast_number)
-            if place.reservation_id:
-                call = self._backends.dialect.release_reservation_call(place.reservation_id)
-                await self._backends.side_call_in_background(place.server, call)
+            stats.reserved_tokens -= reservation.tokens
+            self._forecasts[relay.service.name].record_released(reservation.forecast_number)
+            if reservation.reservation_id:
+                call = self._backends.dialect.release_reservation_call(reservation.reservation_id)
+                await self._backends.side_call_in_background(reservation.server, call)
 
-    async def _find(self, relay: Relay, extra: int, avoid: frozenset[str]) -> Reservation:
+    async def _reserve_engine(self, relay: Relay, extra: int, avoid: frozenset[str]) -> Reservation:
         engine = relay.service.engine
         assert engine is not None
         now = await curio.clock()
-        search = _Search(relay, self._need(relay, engine, extra, now), avoid, now)
-        order = self._orders[relay.service.name]
-        search.number = order.add(search.need, search.began)
+        search = _Search(relay, self._new_request(relay, engine, extra, now), avoid, now)
+        queue = self._queues[relay.service.name]
+        search.queue_number = queue.add(search.request, search.started_at)
         try:
             while True:
-                place = await self._look(search, engine, order)
-                if place is not None:
-                    return place
+                reservation = await self._try_engines(search, engine, queue)
+                if reservation is not None:
+                    return reservation
                 if not (
-                    await self._waited_for_rest(search) or await self._waited_for_permit(search)
+                    await self._wait_for_backoff(search) or await self._wait_for_permit(search)
                 ):
-                    await self._wait(search)
+                    await self._wait_for_round(search)
         finally:
-            order.remove(search.number)
+            queue.remove(search.queue_number)
 
-    def _need(
+    def _new_request(
         self, relay: Relay, engine: EngineLimits, extra: int, now: float
     ) -> ReservationRequest:
-        ask = relay.request
+        relayed = relay.request
         meter = self._meters[relay.service.name]
-        likely = min(ask.expected_answer_tokens or ask.max_answer_tokens, ask.max_answer_tokens)
+        likely_tokens = min(
+            relayed.expected_answer_tokens or relayed.max_answer_tokens, relayed.max_answer_tokens
+        )
         tokens = tokens_to_reserve(
-            ask.prompt_tokens + extra,
-            ask.expected_answer_tokens,
-            ask.max_answer_tokens,
+            relayed.prompt_tokens + extra,
+            relayed.expected_answer_tokens,
+            relayed.max_answer_tokens,
             engine.kv_tokens,
         )
         return ReservationRequest(
@@ -172,97 +174,103 @@
             + stream_event_timeout_s(relay.route.target_s, relay.route.max_pause_s)
             - now,
             is_retry=relay.is_retry,
-            service_s=meter.expected_service_s(likely) or DEFAULT_SERVICE_S,
+            service_s=meter.expected_service_s(likely_tokens) or DEFAULT_SERVICE_S,
             first_event_s=meter.mean_first_event_s or DEFAULT_FIRST_EVENT_S,
         )
 
-    async def _look(
-        self, search: _Search, engine: EngineLimits, order: ReservationQueue
+    async def _try_engines(
+        self, search: _Search, engine: EngineLimits, queue: ReservationQueue
     ) -> Reservation | None:
         """Ask the engines that may have room."""
-        relay, need = search.relay, search.need
-        if need.max_wait_s < 0:
-            self._refused(search, "no_time", 0.0)
+        relay, request = search.relay, search.request
+        if request.max_wait_s < 0:
+            self._log_refused(search, "no_time", 0.0)
             raise Overloaded("can't end in time", retry_after_s=retry_delay_s(self._backends.rng))
         now = await curio.clock()
         service, model = relay.service.name, relay.request.model
-        writers = self._backends.available_servers(
+        decode_engines = self._backends.available_servers(
             service, now, EngineRole.DECODE, model, search.avoid
         )
-        if not writers:
-            self._refused(search, "no_writer", now - search.began)
+        if not decode_engines:
+            self._log_refused(search, "no_writer", now - search.started_at)
             raise NoBackend("no server writes", retry_after_s=retry_delay_s(self._backends.rng))
-        if not order.may_try(search.number, now):
+        if not queue.may_try(search.queue_number, now):
             return None
         able = engines_to_try(
-            self._backends.without_backoff(writers, now),
+            self._backends.without_backoff(decode_engines, now),
             self._backends.stats,
-            tokens=need.tokens,
+            tokens=request.tokens,
             kv_tokens=engine.kv_tokens,
             now=now,
             rng=self._backends.rng,
-            refusal_pause_s=need.refusal_pause_s(now - search.began),
+            refusal_pause_s=request.refusal_pause_s(now - search.started_at),
         )
         for server in able[:MAX_ENGINES_PER_ROUND]:
             if not await self._permits.try_get_permit(relay, server):
                 continue
-            search.asked += 1
-            hold = await self._reserve(server, need.tokens, engine.max_reservation_s)
-            if hold is None:
+            search.engines_asked += 1
+            reservation_id = await self._call_reserve(
+                server, request.tokens, engine.max_reservation_s
+            )
+            if reservation_id is None:
                 # It was asked in vain, and in need each question counts.
                 relay.permits.pop(server.incarnation_id, None)
-            if hold is not None:
+            if reservation_id is not None:
                 relay.reserved_at = await curio.clock()
-                waited = relay.reserved_at - search.began
-                relay.log_fields.update(waited_ms=round(waited * 1000), asked=search.asked)
+                waited_s = relay.reserved_at - search.started_at
+                relay.log_fields.update(
+                    waited_ms=round(waited_s * 1000), asked=search.engines_asked
+                )
                 number = self._forecasts[relay.service.name].record_reserved(
-                    need.tokens,
-                    need.service_s,
+                    request.tokens,
+                    request.service_s,
                     relay.reserved_at,
-                    late=need.is_late(waited),
+                    late=request.is_late(waited_s),
                 )
-                self._taken(relay, need, server)
-                return Reservation(server, hold, need.tokens, number)
+                self._log_reserved(relay, request, server)
+                return Reservation(server, reservation_id, request.tokens, number)
         return None
 
-    async def _wait(self, search: _Search) -> None:
+    async def _wait_for_round(self, search: _Search) -> None:
         """Wait until the next round; a request that would wait too long is refused."""
-        need = search.need
-        waited = await curio.clock() - search.began
-        free_s = self._free_in(search, waited)
+        request = search.request
+        waited_s = await curio.clock() - search.started_at
+        free_s = self._free_in_s(search, waited_s)
         if "free_ms" not in search.relay.log_fields and free_s is not None:
             search.relay.log_fields["free_ms"] = round(free_s * 1000)
-        spare = need.max_wait_s - waited
-        if spare <= MIN_ROUND_S or not need.should_keep_waiting(waited, free_s):
-            self._refused(search, "no_room", waited)
-            raise Overloaded("no room to write", retry_after_s=self._back(search, waited))
-        await curio.sleep(min(ROUND_INTERVAL_S, spare - MIN_ROUND_S))
+        remaining_s = request.max_wait_s - waited_s
+        if remaining_s <= MIN_ROUND_S or not request.should_keep_waiting(waited_s, free_s):
+            self._log_refused(search, "no_room", waited_s)
+            raise Overloaded(
+                "no room to write", retry_after_s=self._retry_after_s(search, waited_s)
+            )
+        await curio.sleep(min(ROUND_INTERVAL_S, remaining_s - MIN_ROUND_S))
 
-    async def _waited_for_rest(self, search: _Search) -> bool:
+    async def _wait_for_backoff(self, search: _Search) -> bool:
         """Wait until an engine wants requests; returns whether none did before.
 
         Raises:
             ServersRest: none does within the request's patience, as is known at once.
         """
         now = await curio.clock()
-        waited_s = now - search.began
+        waited_s = now - search.started_at
         try:
-            ends = self._choice.backoff_end(
+            end = self._selector.backoff_end(
                 search.relay,
                 now,
                 avoid=search.avoid,
-                max_wait_s=search.need.max_wait_s - waited_s,
+                max_wait_s=search.request.max_wait_s - waited_s,
                 role=EngineRole.DECODE,
             )
         except ServersRest:
-            self._refused(search, "servers_rest", waited_s)
+            self._log_refused(search, "servers_rest", waited_s)
             raise
-        if ends is None:
+        if end is None:
             return False
-        await curio.sleep(ends - now)
+        await curio.sleep(end - now)
         return True
 
-    async def _waited_for_permit(self, search: _Search) -> bool:
+    async def _wait_for_permit(self, search: _Search) -> bool:
         """Wait until an engine takes more; returns whether none did before.
 
         Raises:
@@ -271,66 +279,66 @@
         limited = await self._first_at_limit(search)
         if limited is None:
             return False
-        waited_s = await curio.clock() - search.began
-        spare_s = max(0.0, search.need.max_wait_s - waited_s)
-        word = await self._permits.request_permit(search.relay, limited, spare_s)
-        if not word.granted:
-            self._refused(search, "at_limit", waited_s)
-            raise ServerAtLimit("engines take no more now", retry_after_s=word.after_s)
-        await self._permits.wait_for_permit(limited, word)
+        waited_s = await curio.clock() - search.started_at
+        max_wait_s = max(0.0, search.request.max_wait_s - waited_s)
+        decision = await self._permits.request_permit(search.relay, limited, max_wait_s)
+        if not decision.granted:
+            self._log_refused(search, "at_limit", waited_s)
+            raise ServerAtLimit("engines take no more now", retry_after_s=decision.after_s)
+        await self._permits.wait_for_permit(limited, decision)
         return True
 
     async def _first_at_limit(self, search: _Search) -> Server | None:
         """Return the engine that takes more first; None where one does now, or there is none."""
         relay, now = search.relay, await curio.clock()
         service, model = relay.service.name, relay.request.model
-        writers = self._backends.eligible_servers(
+        decode_engines = self._backends.eligible_servers(
             service, now, EngineRole.DECODE, model, search.avoid
         )
-        limited = self._backends.servers_at_limit(writers, now)
-        return limited[0] if limited and len(limited) == len(writers) else None
+        limited = self._backends.servers_at_limit(decode_engines, now)
+        return limited[0] if limited and len(limited) == len(decode_engines) else None
 
-    def _free_in(self, search: _Search, waited_s: float) -> float | None:
+    def _free_in_s(self, search: _Search, waited_s: float) -> float | None:
         """Return the seconds until there is memory for a request and for those before it."""
-        service, now = search.relay.service.name, search.began + waited_s
-        ahead = self._orders[service].requests_ahead(search.number, now)
-        tokens = search.need.tokens + sum(need.tokens for need in ahead)
+        service, now = search.relay.service.name, search.started_at + waited_s
+        requests_ahead = self._queues[service].requests_ahead(search.queue_number, now)
+        tokens = search.request.tokens + sum(request.tokens for request in requests_ahead)
         return self._forecasts[service].free_in_s(tokens, now)
 
-    def _back(self, search: _Search, waited_s: float) -> float:
+    def _retry_after_s(self, search: _Search, waited_s: float) -> float:
         """Return when a request that is refused should come back, in seconds."""
-        service, need = search.relay.service.name, search.need
-        now = search.began + waited_s
+        service, request = search.relay.service.name, search.request
+        now = search.started_at + waited_s
         forecast = self._forecasts[service]
-        ahead = self._orders[service].tokens_of_others(search.number)
-        free_s = forecast.retry_in_s(need.tokens, ahead, now)
-        back_s = retry_delay_s(self._backends.rng, need, free_s)
-        forecast.record_promised_retry(need.tokens, now + back_s)
+        requests_ahead = self._queues[service].tokens_of_others(search.queue_number)
+        free_s = forecast.retry_in_s(request.tokens, requests_ahead, now)
+        retry_after_s = retry_delay_s(self._backends.rng, request, free_s)
+        forecast.record_promised_retry(request.tokens, now + retry_after_s)
         self._log.info(
             "told_to_return",
             request=search.relay.request.request_id,
-            back_ms=round(back_s * 1000),
+            back_ms=round(retry_after_s * 1000),
             free_ms=None if free_s is None else round(free_s * 1000),
-            ahead_tokens=ahead,
+            ahead_tokens=requests_ahead,
         )
-        return back_s
+        return retry_after_s
 
-    async def _reserve(self, server: Server, tokens: int, hold_s: float) -> str | None:
+    async def _call_reserve(self, server: Server, tokens: int, duration_s: float) -> str | None:
         """Return a reservation, or None when the server has no room."""
         dialect = self._backends.dialect
-        standing = self._backends.stats(server.incarnation_id)
-        if hold_s <= 0:
+        stats = self._backends.stats(server.incarnation_id)
+        if duration_s <= 0:
             return ""
-        resp = await self._backends.side_call(server, dialect.reserve_call(tokens, hold_s))
+        resp = await self._backends.side_call(server, dialect.reserve_call(tokens, duration_s))
         now = await curio.clock()
         if resp is None:
-            standing.record_failure(now)
+            stats.record_failure(now)
             return None
         if dialect.parse_signals(resp.status, resp.headers).wrong_server:
             self._backends.record_replaced(server)
             return None
         if resp.status != 200:
-            standing.record_no_capacity(now, self._backends.rng)
+            stats.record_no_capacity(now, self._backends.rng)
             return None
         try:
             return dialect.parse_reservation_id(resp.body)
@@ -340,34 +348,34 @@
             )
             return None
 
-    def _taken(self, relay: Relay, need: ReservationRequest, server: Server) -> None:
-        standing = self._backends.stats(server.incarnation_id)
+    def _log_reserved(self, relay: Relay, request: ReservationRequest, server: Server) -> None:
+        stats = self._backends.stats(server.incarnation_id)
         about = {
             **relay.log_fields,
             "server": server.incarnation_id,
-            "own_tokens": standing.reserved_tokens,
+            "own_tokens": stats.reserved_tokens,
         }
         self._log.info(
             "place_taken",
             request=relay.request.request_id,
-            tokens=need.tokens,
+            tokens=request.tokens,
             **about,
         )
 
-    def _refused(self, search: _Search, why: str, waited_s: float) -> None:
-        relay, need = search.relay, search.need
-        order = self._orders[relay.service.name]
+    def _log_refused(self, search: _Search, why: str, waited_s: float) -> None:
+        relay, request = search.relay, search.request
+        queue = self._queues[relay.service.name]
         self._log.info(
             "place_refused",
             request=relay.request.request_id,
             why=why,
-            tokens=need.tokens,
-            serve_s=round(need.service_s, 1),
-            returned=need.is_retry,
-            first_s=round(need.first_event_s, 2),
-            left_s=round(need.remaining_s, 1),
-            asked=search.asked,
-            ahead=len(order.requests_ahead(search.number, search.began + waited_s)),
-            waiting=len(order),
+            tokens=request.tokens,
+            serve_s=round(request.service_s, 1),
+            returned=request.is_retry,
+            first_s=round(request.first_event_s, 2),
+            left_s=round(request.remaining_s, 1),
+            asked=search.engines_asked,
+            ahead=len(queue.requests_ahead(search.queue_number, search.started_at + waited_s)),
+            waiting=len(queue),
             waited_ms=round(waited_s * 1000),
         )
--- a/src/crankhinge/gateway/_role_controller.py
+++ b/src/crankhinge/gateway/_role_controller.py
@@ -49,44 +49,44 @@
 
 
 @dataclass
-class _Wish:
+class _WantedChange:
     """What an instance would have another split for, and for how many looks in a row."""
 
-    phase: EngineRole | None = None
-    looks: int = 0
+    role: EngineRole | None = None
+    checks: int = 0
 
-    def lasts(self, phase: EngineRole | None) -> bool:
+    def is_confirmed(self, role: EngineRole | None) -> bool:
         """Note what a look shows; returns whether it has shown the same wish for long enough."""
-        self.looks = self.looks + 1 if phase is self.phase else 1
-        self.phase = phase
-        return phase is not None and self.looks >= CONSISTENT_CHECKS
+        self.checks = self.checks + 1 if role is self.role else 1
+        self.role = role
+        return role is not None and self.checks >= CONSISTENT_CHECKS
 
 
 @dataclass(frozen=True)
-class _Pools:
+class _EnginePools:
     """The engines of a service.
 
     Attributes:
-        reading: those that read.
-        writing: those that write.
-        to_read: how many follow an order to read.
-        to_write: how many follow an order to write.
+        prompt_engines: those that read.
+        decode_engines: those that write.
+        becoming_prompt: how many follow an order to read.
+        becoming_decode: how many follow an order to write.
     """
 
-    reading: list[Server]
-    writing: list[Server]
-    to_read: int
-    to_write: int
+    prompt_engines: list[Server]
+    decode_engines: list[Server]
+    becoming_prompt: int
+    becoming_decode: int
 
     @property
-    def readers(self) -> int:
+    def final_prompt_count(self) -> int:
         """How many read when all orders are done."""
-        return len(self.reading) + self.to_read
+        return len(self.prompt_engines) + self.becoming_prompt
 
     @property
-    def writers(self) -> int:
+    def final_decode_count(self) -> int:
         """How many write when all orders are done."""
-        return len(self.writing) + self.to_write
+        return len(self.decode_engines) + self.becoming_decode
 
 
 class RoleController:
@@ -114,66 +114,66 @@
         log: Any,
     ) -> None:
         self._name = name
-        self._directory = discovery
+        self._discovery = discovery
         self._backends = backends
-        self._office = order_leases
-        self._work = record_sync
-        self._notices = messenger
+        self._order_leases = order_leases
+        self._record_sync = record_sync
+        self._messenger = messenger
         self._log = log
-        self._tenure: OrderLease | None = None
-        self._quiet_until = 0.0
-        self._wishes: defaultdict[str, _Wish] = defaultdict(_Wish)
+        self._lease: OrderLease | None = None
+        self._paused_until = 0.0
+        self._wanted_changes: defaultdict[str, _WantedChange] = defaultdict(_WantedChange)
 
     async def run(self) -> None:
         """Look at the split until cancelled."""
         while True:
             await curio.sleep(SPLIT_CHECK_INTERVAL_S * self._backends.rng.uniform(0.8, 1.2))
-            table = self._directory.table
+            table = self._discovery.table
             if table is None:
                 continue
             for service in table.services.values():
                 if service.engine is not None:
-                    await self._look(service)
+                    await self._check_split(service)
 
-    async def _look(self, service: Service) -> None:
+    async def _check_split(self, service: Service) -> None:
         now = await curio.clock()
-        pools = self._pools(service.name, now)
-        split = (pools.readers, pools.writers)
-        glimpse = self._work.local_loads(service.name)
-        if glimpse is None or now < self._quiet_until:
+        pools = self._engine_pools(service.name, now)
+        split = (pools.final_prompt_count, pools.final_decode_count)
+        loads = self._record_sync.local_loads(service.name)
+        if loads is None or now < self._paused_until:
             return
-        wanted = wanted_prompt_engines(glimpse, *split, MIN_ANSWERS_TO_GROW_PREFILL)
+        wanted = wanted_prompt_engines(loads, *split, MIN_ANSWERS_TO_GROW_PREFILL)
         # Servers that come and go change the split each second; the wish is what has to last.
-        if self._wishes[service.name].lasts(_more_of(wanted, split[0])):
-            del self._wishes[service.name]
-            await self._decide(service, pools)
-
-    def _pools(self, service: str, now: float) -> _Pools:
-        return _Pools(
-            reading=self._backends.available_servers(service, now, EngineRole.PREFILL),
-            writing=self._backends.available_servers(service, now, EngineRole.DECODE),
-            to_read=self._backends.count_changing_to(service, EngineRole.PREFILL, now),
-            to_write=self._backends.count_changing_to(service, EngineRole.DECODE, now),
+        if self._wanted_changes[service.name].is_confirmed(_role_to_grow(wanted, split[0])):
+            del self._wanted_changes[service.name]
+            await self._decide_change(service, pools)
+
+    def _engine_pools(self, service: str, now: float) -> _EnginePools:
+        return _EnginePools(
+            prompt_engines=self._backends.available_servers(service, now, EngineRole.PREFILL),
+            decode_engines=self._backends.available_servers(service, now, EngineRole.DECODE),
+            becoming_prompt=self._backends.count_changing_to(service, EngineRole.PREFILL, now),
+            becoming_decode=self._backends.count_changing_to(service, EngineRole.DECODE, now),
         )
 
-    async def _decide(self, service: Service, pools: _Pools) -> None:
+    async def _decide_change(self, service: Service, pools: _EnginePools) -> None:
         """Change the split where the measurements of all instances want it."""
         now = await curio.clock()
-        self._quiet_until = now + DISAGREEMENT_PAUSE_S
+        self._paused_until = now + DISAGREEMENT_PAUSE_S
         try:
-            loads, answers = await self._work.fleet_loads(service.name)
+            loads, answers = await self._record_sync.fleet_loads(service.name)
         except KeyValueUnavailable as exc:
             self._log.info("notes_unknown", why=exc.detail)
             return
-        split = (pools.readers, pools.writers)
+        split = (pools.final_prompt_count, pools.final_decode_count)
         if loads is None:
             return
         wanted = wanted_prompt_engines(loads, *split, answers)
         if wanted == split[0]:
             return
-        self._quiet_until = now + OTHER_CONTROLLER_PAUSE_S
-        phase = _more_of(wanted, split[0])
-        assert phase is not None
+        self._paused_until = now + OTHER_CONTROLLER_PAUSE_S
+        role = _role_to_grow(wanted, split[0])
+        assert role is not None
         self._log.info(
             "split_wanted",
             service=service.name,
@@ -183,36 +183,39 @@
             read_s=round(loads.prompt_s, 4),
             write_s=round(loads.answer_s, 4),
         )
-        servers = pools.reading if phase is EngineRole.DECODE else pools.writing
+        servers = pools.prompt_engines if role is EngineRole.DECODE else pools.decode_engines
         # Those that have least to finish can change soonest.
         servers.sort(key=lambda server: self._backends.stats(server.incarnation_id).open_requests)
-        await self._change(servers, abs(wanted - split[0]), phase)
+        await self._order_change(servers, abs(wanted - split[0]), role)
 
-    async def _change(self, servers: list[Server], count: int, phase: EngineRole) -> None:
+    async def _order_change(self, servers: list[Server], count: int, role: EngineRole) -> None:
         """Order *count* of the engines, the first that can be, to play a part."""
         try:
-            self._tenure = await self._office.acquire(self._name)
+            self._lease = await self._order_leases.acquire(self._name)
         except KeyValueUnavailable as exc:
             self._log.info("tenure_unknown", why=exc.detail)
-            self._quiet_until = await curio.clock() + STORE_RETRY_S
+            self._paused_until = await curio.clock() + STORE_RETRY_S
             return
-        if self._tenure is None:
+        if self._lease is None:
             self._log.info("tenure_held_elsewhere")
             return
-        self._log.info("tenure_gained", fence=self._tenure.token)
-        under_way = []
-        for target in servers:
-            end = await self._order(target, phase)
-            if end in (OrderOutcome.ACCEPTED, None):
-                under_way.append(target)
-            if len(under_way) == count or end not in (OrderOutcome.ACCEPTED, OrderOutcome.CONFLICT):
+        self._log.info("tenure_gained", fence=self._lease.token)
+        pending = []
+        for server in servers:
+            outcome = await self._send_order(server, role)
+            if outcome in (OrderOutcome.ACCEPTED, None):
+                pending.append(server)
+            if len(pending) == count or outcome not in (
+                OrderOutcome.ACCEPTED,
+                OrderOutcome.CONFLICT,
+            ):
                 # Unanswered or fenced: what holds for this engine may hold for the next. One that
                 # is dark or follows another order says nothing of the next.
                 break
-        await self._settle(under_way, phase)
-        self._tenure = None
+        await self._await_orders(pending, role)
+        self._lease = None
 
-    async def _state(self, server: Server) -> EngineState | None:
+    async def _engine_state(self, server: Server) -> EngineState | None:
         resp = await self._backends.side_call(server, self._backends.dialect.engine_state_call())
         if resp is None or resp.status != 200:
             return None
@@ -222,72 +225,72 @@
             self._log.warning("state_unreadable", server=server.incarnation_id, why=exc.detail)
             return None
 
-    async def _order(self, target: Server, phase: EngineRole) -> OrderOutcome | None:
+    async def _send_order(self, server: Server, role: EngineRole) -> OrderOutcome | None:
         """Give an order; returns None when it was left unanswered and may yet be carried out."""
-        tenure = self._tenure
-        assert tenure is not None
-        state = await self._state(target)
-        if state is None or state.busy or state.role is phase:
-            self._log.info("order_left_out", server=target.incarnation_id, state=str(state))
+        lease = self._lease
+        assert lease is not None
+        state = await self._engine_state(server)
+        if state is None or state.busy or state.role is role:
+            self._log.info("order_left_out", server=server.incarnation_id, state=str(state))
             return OrderOutcome.CONFLICT
-        if await curio.clock() > tenure.expires_at - LEASE_END_MARGIN_S:
-            self._log.info("tenure_over", fence=tenure.token)
+        if await curio.clock() > lease.expires_at - LEASE_END_MARGIN_S:
+            self._log.info("tenure_over", fence=lease.token)
             return OrderOutcome.FENCED
-        call = self._backends.dialect.role_order_call(phase, tenure, state.orders_taken)
-        resp = await self._backends.side_call(target, call)
-        end = None if resp is None else self._backends.dialect.order_outcome(resp.status)
+        call = self._backends.dialect.role_order_call(role, lease, state.orders_taken)
+        resp = await self._backends.side_call(server, call)
+        outcome = None if resp is None else self._backends.dialect.order_outcome(resp.status)
         self._log.info(
             "order_given",
-            server=target.incarnation_id,
-            phase=phase.value,
-            fence=tenure.token,
+            server=server.incarnation_id,
+            phase=role.value,
+            fence=lease.token,
             orders=state.orders_taken,
-            end=end.value if end else "unanswered",
+            end=outcome.value if outcome else "unanswered",
         )
-        if end is OrderOutcome.ACCEPTED:
-            await self._tell(target, phase)
-        return end
+        if outcome is OrderOutcome.ACCEPTED:
+            await self._announce_order(server, role)
+        return outcome
 
-    async def _tell(self, target: Server, phase: EngineRole) -> None:
+    async def _announce_order(self, server: Server, role: EngineRole) -> None:
         """Have this instance and the others leave the engine out until it plays its new part."""
         until = await curio.clock() + MAX_ORDER_S
-        self._backends.record_order(target.incarnation_id, phase, until, by_peer=False)
-        notice = EngineOrdered(target.incarnation_id, phase, MAX_ORDER_S)
-        await self._notices.send_to_all(notice, server=notice.server, phase=phase.value)
+        self._backends.record_order(server.incarnation_id, role, until, by_peer=False)
+        message = EngineOrdered(server.incarnation_id, role, MAX_ORDER_S)
+        await self._messenger.send_to_all(message, server=message.server, phase=role.value)
 
-    async def _settle(self, targets: list[Server], phase: EngineRole) -> None:
+    async def _await_orders(self, servers: list[Server], role: EngineRole) -> None:
         """Keep the right until the outcome of all orders is known."""
         until = await curio.clock() + MAX_ORDER_S
-        while targets and await curio.clock() < until and await self._renewed():
+        while servers and await curio.clock() < until and await self._renew_lease():
             await curio.sleep(ORDER_POLL_INTERVAL_S)
-            for target in list(targets):
-                entry = self._directory.servers.get(target.incarnation_id)
-                if entry is None or entry.role is phase:
-                    targets.remove(target)
+            for server in list(servers):
+                entry = self._discovery.servers.get(server.incarnation_id)
+                if entry is None or entry.role is role:
+                    servers.remove(server)
                     self._log.info(
-                        "order_settled", server=target.incarnation_id, gone=entry is None
+                        "order_settled", server=server.incarnation_id, gone=entry is None
                     )
-        for target in targets:
-            self._log.info("order_unsettled", server=target.incarnation_id)
+        for server in servers:
+            self._log.info("order_unsettled", server=server.incarnation_id)
 
-    async def _renewed(self) -> bool:
-        assert self._tenure is not None
+    async def _renew_lease(self) -> bool:
+        assert self._lease is not None
         try:
-            tenure = await self._office.renew(self._tenure)
+            lease = await self._order_leases.renew(self._lease)
         except KeyValueUnavailable as exc:
             self._log.info("tenure_unknown", why=exc.detail)
             # It lasts until its end; the next renewal tells.
             now: float = await curio.clock()
-            return now < self._tenure.expires_at
-        if tenure is None:
-            self._log.info("tenure_lost", fence=self._tenure.token)
+            return now < self._lease.expires_at
+        if lease is None:
+            self._log.info("tenure_lost", fence=self._lease.token)
             return False
-        self._tenure = tenure
+        self._lease = lease
         return True
 
 
-def _more_of(wanted: int, readers: int) -> EngineRole | None:
+def _role_to_grow(wanted: int, prompt_engines: int) -> EngineRole | None:
     """Return the part that more engines should play; None where the split is as wanted."""
-    if wanted == readers:
+    if wanted == prompt_engines:
         return None
-    return EngineRole.PREFILL if wanted > readers else EngineRole.DECODE
+    return EngineRole.PREFILL if wanted > prompt_engines else EngineRole.DECODE
--- a/src/crankhinge/gateway/_server_selector.py
+++ b/src/crankhinge/gateway/_server_selector.py
@@ -76,27 +76,27 @@
             ServerAtLimit: no server takes it within that time, as is known at once.
             ServersRest: all want none for longer, as is known at once.
         """
-        at_limit = await self._at_limit(relay, avoid, role)
+        at_limit = await self._servers_at_limit(relay, avoid, role)
         if not at_limit:
-            return await self._after_rest(relay, avoid, max_wait_s, role)
-        word = await self._permits.request_permit(relay, at_limit[0], max(0.0, max_wait_s))
-        if not word.granted:
+            return await self._select_after_backoff(relay, avoid, max_wait_s, role)
+        decision = await self._permits.request_permit(relay, at_limit[0], max(0.0, max_wait_s))
+        if not decision.granted:
             raise ServerAtLimit(
-                f"{relay.service.name}: servers take no more now", retry_after_s=word.after_s
+                f"{relay.service.name}: servers take no more now", retry_after_s=decision.after_s
             )
-        await self._permits.wait_for_permit(at_limit[0], word)
-        relay.log_fields["permit_ms"] = round(word.after_s * 1000)
+        await self._permits.wait_for_permit(at_limit[0], decision)
+        relay.log_fields["permit_ms"] = round(decision.after_s * 1000)
         return at_limit[0]
 
-    async def _after_rest(
-        self, relay: Relay, avoid: frozenset[str], spare_s: float, phase: EngineRole | None
+    async def _select_after_backoff(
+        self, relay: Relay, avoid: frozenset[str], max_wait_s: float, role: EngineRole | None
     ) -> Server | None:
         now = await curio.clock()
-        ends = self.backoff_end(relay, now, avoid=avoid, max_wait_s=spare_s, role=phase)
-        if ends is None:
+        end = self.backoff_end(relay, now, avoid=avoid, max_wait_s=max_wait_s, role=role)
+        if end is None:
             return None
-        await curio.sleep(ends - now)
-        return await self.select(relay, avoid=avoid, role=phase)
+        await curio.sleep(end - now)
+        return await self.select(relay, avoid=avoid, role=role)
 
     def backoff_end(
         self,
@@ -122,18 +122,18 @@
         if not self._backends.exclusions.has_backoffs(now):
             return None
         service, model = relay.service.name, relay.request.model
-        ends = self._backends.backoff_end(
+        end = self._backends.backoff_end(
             self._backends.available_servers(service, now, role, model, avoid), now
         )
-        if ends is not None and ends - now > max_wait_s:
-            after_s = (ends - now) * self._backends.rng.uniform(*BACKOFF_JITTER)
-            raise ServersRest(f"{service}: servers rest", retry_after_s=after_s)
-        return ends
+        if end is not None and end - now > max_wait_s:
+            retry_after_s = (end - now) * self._backends.rng.uniform(*BACKOFF_JITTER)
+            raise ServersRest(f"{service}: servers rest", retry_after_s=retry_after_s)
+        return end
 
-    async def _at_limit(
-        self, relay: Relay, avoid: frozenset[str], phase: EngineRole | None
+    async def _servers_at_limit(
+        self, relay: Relay, avoid: frozenset[str], role: EngineRole | None
     ) -> list[Server]:
         now = await curio.clock()
         service, model = relay.service.name, relay.request.model
-        eligible = self._backends.eligible_servers(service, now, phase, model, avoid)
+        eligible = self._backends.eligible_servers(service, now, role, model, avoid)
         return self._backends.servers_at_limit(eligible, now)
--- a/src/crankhinge/gateway/_server_signals.py
+++ b/src/crankhinge/gateway/_server_signals.py
@@ -27,37 +27,37 @@
     """
 
     def __init__(self, *, exclusions: ServerExclusions, messenger: PeerMessenger, log: Any) -> None:
-        self._bars = exclusions
-        self._notices = messenger
+        self._exclusions = exclusions
+        self._messenger = messenger
         self._log = log
-        messenger.add_handler(ServerLeaving, self._take_leaves)
+        messenger.add_handler(ServerLeaving, self._on_server_leaving)
 
     async def on_signals(
         self, server: Server, signals: ResponseSignals, *, sent_at: float, succeeded: bool
     ) -> None:
         """Note what the head of a server's answer says of leaving and rest."""
         now = await curio.clock()
-        if signals.leaving and self._note_leaves(server.incarnation_id, now, "own"):
-            await self._notices.send_to_all(
+        if signals.leaving and self._record_leaving(server.incarnation_id, now, "own"):
+            await self._messenger.send_to_all(
                 ServerLeaving(server.incarnation_id), server=server.incarnation_id
             )
         if signals.backoff_s is not None:
-            was = self._bars.backoff_until(server.incarnation_id, now)
-            longer = self._bars.record_backoff(server.incarnation_id, now + signals.backoff_s)
+            previous = self._exclusions.backoff_until(server.incarnation_id, now)
+            longer = self._exclusions.record_backoff(server.incarnation_id, now + signals.backoff_s)
             self._log.info(
                 "server_rests",
                 server=server.incarnation_id,
                 for_s=round(signals.backoff_s, 2),
-                left_s=None if was is None else round(was - now, 2),
+                left_s=None if previous is None else round(previous - now, 2),
                 taken=longer,
             )
 
-    def _note_leaves(self, ident: str, now: float, told_by: str) -> bool:
+    def _record_leaving(self, incarnation_id: str, now: float, source: str) -> bool:
         """Note that a server leaves; returns whether that is news."""
-        news = self._bars.record_leaving(ident, now)
-        if news:
-            self._log.info("server_leaves", server=ident, told_by=told_by)
-        return news
+        is_new = self._exclusions.record_leaving(incarnation_id, now)
+        if is_new:
+            self._log.info("server_leaves", server=incarnation_id, told_by=source)
+        return is_new
 
-    async def _take_leaves(self, message: ServerLeaving, sender: str) -> None:
-        self._note_leaves(message.server, await curio.clock(), sender)
+    async def _on_server_leaving(self, message: ServerLeaving, sender: str) -> None:
+        self._record_leaving(message.server, await curio.clock(), sender)
--- a/src/crankhinge/gateway/_source_watcher.py
+++ b/src/crankhinge/gateway/_source_watcher.py
@@ -45,19 +45,19 @@
 
 
 @dataclass
-class _Absence:
+class _Outage:
     """A time without an answer of the source.
 
     Attributes:
         since: when the first call failed, on the runtime's clock.
-        told_at: when a line was last written of it.
-        received: bytes that had come from the source before it.
+        logged_at: when a line was last written of it.
+        received_bytes: bytes that had come from the source before it.
         failures: calls that failed.
     """
 
     since: float
-    told_at: float
-    received: int
+    logged_at: float
+    received_bytes: int
     failures: int = 0
 
 
@@ -95,94 +95,94 @@
     ) -> None:
         self.received_at: float | None = None
         self.current_at = -math.inf
-        self._what = name
+        self._name = name
         self._read = read
         self._watch = watch
-        self._watch_s = watch_wait_s
-        self._gathering = ChangeBatcher(pause_s)
+        self._watch_wait_s = watch_wait_s
+        self._batcher = ChangeBatcher(pause_s)
         self._source = source
         self._log = log
         self._rng = rng
-        self._absence: _Absence | None = None
+        self._outage: _Outage | None = None
 
     @property
     def was_unreachable(self) -> bool:
         """Whether a call to the source has failed since its last word."""
-        return self._absence is not None
+        return self._outage is not None
 
     async def run(self) -> None:
         """Read and watch until cancelled."""
-        mark: int | None = None
-        pause = FIRST_RETRY_S
-        lost_pause = 0.0
-        gathered_s = 0.0
+        revision: int | None = None
+        retry_s = FIRST_RETRY_S
+        history_retry_s = 0.0
+        batched_s = 0.0
         while True:
-            watched = mark is not None
+            was_watch = revision is not None
             # After an absence the answer is wanted at once: it tells that the source is back. The
             # watch goes on from its mark; to read all anew may take a thin link seconds.
-            asked = await curio.clock()
-            wait_s = self._wait_s(asked, gathered_s)
+            sent_at = await curio.clock()
+            wait_s = self._wait_s(sent_at, batched_s)
             try:
-                step = await (self._read() if mark is None else self._watch(mark, wait_s))
+                result = await (self._read() if revision is None else self._watch(revision, wait_s))
             except HistoryLost as exc:
-                self._log.info("history_lost", what=self._what, why=exc.detail)
-                mark = None
+                self._log.info("history_lost", what=self._name, why=exc.detail)
+                revision = None
                 # What is read next is current; history that is lost again at once is not pressed.
-                await curio.sleep(lost_pause)
-                lost_pause = min(MAX_RETRY_S, lost_pause * 2 or FIRST_RETRY_S)
+                await curio.sleep(history_retry_s)
+                history_retry_s = min(MAX_RETRY_S, history_retry_s * 2 or FIRST_RETRY_S)
                 continue
             except KeyValueUnavailable as exc:
-                await self._failed(exc)
-                await curio.sleep(pause * self._rng.uniform(0.7, 1.3))
-                pause = min(MAX_RETRY_S, pause * 2)
+                await self._record_failure(exc)
+                await curio.sleep(retry_s * self._rng.uniform(0.7, 1.3))
+                retry_s = min(MAX_RETRY_S, retry_s * 2)
                 continue
-            mark = step.revision
+            revision = result.revision
             # The answer was made some time after the call was sent; one that tells of no change,
             # at the end of the wait.
-            self.current_at = max(self.current_at, asked + (wait_s if step.unchanged else 0.0))
-            await self._answered()
-            pause = FIRST_RETRY_S
-            gathered_s = 0.0
-            if watched:
-                lost_pause = 0.0
-                if step.may_batch:
+            self.current_at = max(self.current_at, sent_at + (wait_s if result.unchanged else 0.0))
+            await self._record_response()
+            retry_s = FIRST_RETRY_S
+            batched_s = 0.0
+            if was_watch:
+                history_retry_s = 0.0
+                if result.may_batch:
                     # The connection may fall silent meanwhile: the watch that would show it is
                     # shorter by the time in which none is under way.
-                    gathered_s = self._gathering.record_change(await curio.clock())
-                    await curio.sleep(gathered_s)
+                    batched_s = self._batcher.record_change(await curio.clock())
+                    await curio.sleep(batched_s)
 
-    def _wait_s(self, now: float, gathered_s: float) -> float:
+    def _wait_s(self, now: float, batched_s: float) -> float:
         """Return how long the next watch waits, in seconds."""
         if self.was_unreachable:
             return 0.0
-        return max(0.0, self._watch_s(now - self.current_at) - gathered_s)
+        return max(0.0, self._watch_wait_s(now - self.current_at) - batched_s)
 
-    async def _failed(self, exc: KeyValueUnavailable) -> None:
+    async def _record_failure(self, exc: KeyValueUnavailable) -> None:
         now = await curio.clock()
-        if self._absence is None:
-            self._absence = _Absence(now, now, self._source.received_bytes)
-            self._log.warning("source_lost", what=self._what, why=exc.detail)
-        absence = self._absence
-        absence.failures += 1
-        if now - absence.told_at >= STILL_LOST_LOG_INTERVAL_S:
-            absence.told_at = now
+        if self._outage is None:
+            self._outage = _Outage(now, now, self._source.received_bytes)
+            self._log.warning("source_lost", what=self._name, why=exc.detail)
+        outage = self._outage
+        outage.failures += 1
+        if now - outage.logged_at >= STILL_LOST_LOG_INTERVAL_S:
+            outage.logged_at = now
             self._log.warning(
                 "source_still_lost",
-                what=self._what,
+                what=self._name,
                 why=exc.detail,
-                away_s=round(now - absence.since, 3),
-                failures=absence.failures,
-                received=self._source.received_bytes - absence.received,
+                away_s=round(now - outage.since, 3),
+                failures=outage.failures,
+                received=self._source.received_bytes - outage.received_bytes,
             )
 
-    async def _answered(self) -> None:
+    async def _record_response(self) -> None:
         self.received_at = await curio.clock()
-        if self._absence is not None:
-            away_s = round(self.received_at - self._absence.since, 3)
+        if self._outage is not None:
+            away_s = round(self.received_at - self._outage.since, 3)
             self._log.info(
                 "source_regained",
-                what=self._what,
+                what=self._name,
                 away_s=away_s,
-                failures=self._absence.failures,
+                failures=self._outage.failures,
             )
-            self._absence = None
+            self._outage = None
--- a/src/crankhinge/gateway/_status.py
+++ b/src/crankhinge/gateway/_status.py
@@ -39,7 +39,7 @@
         metrics: PrometheusMetrics,
     ) -> None:
         self._settings = settings
-        self._directory = discovery
+        self._discovery = discovery
         self._gateway = gateway
         self._log = log
         self._metrics = metrics
@@ -48,7 +48,7 @@
         """Tell the balancer whether to send new connections, until cancelled."""
         host, port = split_host_port(self._settings.ready)
         on_bad = self._gateway.refuse_malformed
-        await serve_http(host, port, self._ready, on_malformed=on_bad, log=self._log)
+        await serve_http(host, port, self._send_readiness, on_malformed=on_bad, log=self._log)
 
     async def listen_metrics(self) -> None:
         """Show the metrics, until cancelled; nothing without an address."""
@@ -56,27 +56,27 @@
             await curio.Event().wait()
         host, port = split_host_port(self._settings.metrics)
         on_bad = self._gateway.refuse_malformed
-        await serve_http(host, port, self._show, on_malformed=on_bad, log=self._log)
+        await serve_http(host, port, self._send_metrics, on_malformed=on_bad, log=self._log)
 
-    async def _show(self, exchange: Exchange) -> None:
+    async def _send_metrics(self, exchange: Exchange) -> None:
         if exchange.req.path != METRICS_PATH:
             await exchange.respond(404, b"{}")
             return
         await exchange.respond(200, self._metrics.render(), {"content-type": METRICS_TYPE})
 
-    async def _ready(self, exchange: Exchange) -> None:
-        ready = self._directory.has_data and not self._gateway.is_draining
+    async def _send_readiness(self, exchange: Exchange) -> None:
+        ready = self._discovery.has_data and not self._gateway.is_draining
         # Others may still know; the balancer sends new connections to them.
-        ready = ready and self._knows_keys(await curio.clock())
+        ready = ready and self._may_use_keys(await curio.clock())
         if exchange.req.path != self._settings.ready_path:
             await exchange.respond(404, b"{}")
             return
-        table = self._directory.table
+        table = self._discovery.table
         version = table.version if table else None
         state = {"ready": ready, "config": version, "open": self._gateway.open_requests}
         await exchange.respond(200 if ready else 503, msgspec.json.encode(state))
 
-    def _knows_keys(self, now: float) -> bool:
-        table = self._directory.table
+    def _may_use_keys(self, now: float) -> bool:
+        table = self._discovery.table
         keyless = table is None or table.accounts is None
-        return keyless or self._directory.may_use_keys(now)
+        return keyless or self._discovery.may_use_keys(now)
