--- a/src/crankhinge/gateway/_stream.py
+++ b/src/crankhinge/gateway/_stream.py
@@ -32,13 +32,13 @@
 from crankhinge.http import ClientStream, ConnectFailed
 
 
-class _End(enum.Enum):
+class _AttemptEnd(enum.Enum):
     """How a try to write ended."""
 
-    WHOLE = "whole"
+    COMPLETED = "whole"
     REFUSED = "refused"
-    UNREACHED = "unreached"
-    BARRED = "barred"
+    UNREACHABLE = "unreached"
+    EXCLUDED = "barred"
     BROKEN = "broken"
 
 
@@ -69,13 +69,13 @@
         meters: Mapping[str, WorkloadMeter],
     ) -> None:
         self._backends = backends
-        self._choice = selector
-        self._legs = attempts
+        self._selector = selector
+        self._attempts = attempts
         self._budget_of = budget_of
         self._log = log
         self._meters = meters
-        self._places = Reservations(backends, selector, permits, log, meters)
-        self._reading = PromptProcessor(
+        self._reservations = Reservations(backends, selector, permits, log, meters)
+        self._prompt_processor = PromptProcessor(
             backends=backends, selector=selector, attempts=attempts, quarantine=quarantine, log=log
         )
 
@@ -101,23 +101,23 @@
         events = EventSplitter(relay.request.last_event_id)
         while True:
             if relay.service.engine is None:
-                end, why = await self._at_plain_server(relay, events)
+                end, why = await self._run_at_plain_server(relay, events)
             else:
-                end, why = await self._at_engines(relay, events, budget)
-            if end is _End.WHOLE:
+                end, why = await self._run_at_engines(relay, events, budget)
+            if end is _AttemptEnd.COMPLETED:
                 relay.log_fields.setdefault("status", 200)
                 relay.log_fields["events"] = events.event_count
                 return
-            if end is _End.UNREACHED:
+            if end is _AttemptEnd.UNREACHABLE:
                 # Nothing arrived, so nothing is repeated.
-                again = relay.record_unreachable()
-            elif end is _End.BARRED:
+                may_continue = relay.record_unreachable()
+            elif end is _AttemptEnd.EXCLUDED:
                 # Nothing was sent; that server is not chosen again until it takes requests.
-                again = True
+                may_continue = True
             else:
-                again = relay.may_try_another and relay.may_retry and budget.try_retry()
-            if not again or await relay.remaining_s() <= 0:
-                raise self._failure(relay, end, why)
+                may_continue = relay.may_try_another and relay.may_retry and budget.try_retry()
+            if not may_continue or await relay.remaining_s() <= 0:
+                raise self._to_error(relay, end, why)
             events.drop_remainder()
             self._log.info(
                 "stream_again",
@@ -128,151 +128,173 @@
                 why=why,
             )
 
-    def _failure(self, relay: Relay, end: _End, why: str) -> Exception:
+    def _to_error(self, relay: Relay, end: _AttemptEnd, why: str) -> Exception:
         if relay.exchange.response_started:
             return HttpClosed(f"broken off: {why}")
         if relay.may_have_run:
             return BackendFailed(why)
-        after = retry_delay_s(self._backends.rng)
-        if end is _End.UNREACHED:
-            return NoBackend(why, retry_after_s=after)
-        return Overloaded(why, retry_after_s=after)
+        retry_after_s = retry_delay_s(self._backends.rng)
+        if end is _AttemptEnd.UNREACHABLE:
+            return NoBackend(why, retry_after_s=retry_after_s)
+        return Overloaded(why, retry_after_s=retry_after_s)
 
-    async def _at_plain_server(self, relay: Relay, events: EventSplitter) -> tuple[_End, str]:
-        server = await self._choice.select(relay, avoid=relay.tried_servers)
+    async def _run_at_plain_server(
+        self, relay: Relay, events: EventSplitter
+    ) -> tuple[_AttemptEnd, str]:
+        server = await self._selector.select(relay, avoid=relay.tried_servers)
         if server is None:
-            spare_s = relay.started_at + relay.route.target_s - await curio.clock()
-            server = await self._choice.wait_for_server(
-                relay, avoid=relay.tried_servers, max_wait_s=spare_s
+            max_wait_s = relay.started_at + relay.route.target_s - await curio.clock()
+            server = await self._selector.wait_for_server(
+                relay, avoid=relay.tried_servers, max_wait_s=max_wait_s
             )
         if server is None:
-            raise self._failure(relay, _End.UNREACHED, "no server")
-        return await self._write(
+            raise self._to_error(relay, _AttemptEnd.UNREACHABLE, "no server")
+        return await self._attempt(
             relay, server, AttemptParams(server.name, await relay.remaining_s()), events
         )
 
-    async def _at_engines(
+    async def _run_at_engines(
         self, relay: Relay, events: EventSplitter, budget: RetryBudget
-    ) -> tuple[_End, str]:
+    ) -> tuple[_AttemptEnd, str]:
         avoid = relay.tried_servers
         engine = relay.service.engine
         assert engine is not None
-        made = events.event_count * engine.tokens_per_event
-        async with self._places.reserve(relay, extra_tokens=made, avoid=avoid) as place:
-            memory = await self._read(relay, place, engine, budget)
+        answered_tokens = events.event_count * engine.tokens_per_event
+        async with self._reservations.reserve(
+            relay, extra_tokens=answered_tokens, avoid=avoid
+        ) as reservation:
+            kv_cache = await self._process_prompt(relay, reservation, engine, budget)
             try:
-                if self._backends.accepts_work(place.server.incarnation_id, await curio.clock()):
-                    return await self._at_place(relay, place, memory, events, budget)
+                if self._backends.accepts_work(
+                    reservation.server.incarnation_id, await curio.clock()
+                ):
+                    return await self._run_at_engine(relay, reservation, kv_cache, events, budget)
                 # It began to leave while the prompt was read.
-                async with self._places.reserve(relay, extra_tokens=made, avoid=avoid) as other:
-                    return await self._at_place(relay, other, memory, events, budget)
+                async with self._reservations.reserve(
+                    relay, extra_tokens=answered_tokens, avoid=avoid
+                ) as second_reservation:
+                    return await self._run_at_engine(
+                        relay, second_reservation, kv_cache, events, budget
+                    )
             except BaseException:
                 # Nobody can tell whether the memory was fetched; freeing it twice does no harm.
-                if memory is not None and not relay.exchange.response_started:
-                    await self._reading.free(memory)
+                if kv_cache is not None and not relay.exchange.response_started:
+                    await self._prompt_processor.free(kv_cache)
                 raise
 
-    async def _read(
-        self, relay: Relay, place: Reservation, engine: EngineLimits, budget: RetryBudget
+    async def _process_prompt(
+        self, relay: Relay, reservation: Reservation, engine: EngineLimits, budget: RetryBudget
     ) -> PromptKvCache | None:
-        ask = relay.request
+        request = relay.request
         meter = self._meters[relay.service.name]
-        likely = min(ask.expected_answer_tokens or ask.max_answer_tokens, ask.max_answer_tokens)
-        meter.record_admission(place.tokens / engine.kv_tokens, likely)
-        memory = await self._reading.process(relay, place.server.zone, budget)
-        if memory is not None:
-            meter.record_prompt(ask.prompt_tokens, memory.duration_s)
-        return memory
+        likely_tokens = min(
+            request.expected_answer_tokens or request.max_answer_tokens, request.max_answer_tokens
+        )
+        meter.record_admission(reservation.tokens / engine.kv_tokens, likely_tokens)
+        kv_cache = await self._prompt_processor.process(relay, reservation.server.zone, budget)
+        if kv_cache is not None:
+            meter.record_prompt(request.prompt_tokens, kv_cache.duration_s)
+        return kv_cache
 
-    async def _at_place(
+    async def _run_at_engine(
         self,
         relay: Relay,
-        place: Reservation,
-        memory: PromptKvCache | None,
+        reservation: Reservation,
+        kv_cache: PromptKvCache | None,
         events: EventSplitter,
         budget: RetryBudget,
-    ) -> tuple[_End, str]:
-        server = place.server
-        leg = await self._leg(relay, place, memory, events)
-        end, why = await self._write(relay, server, leg, events)
-        if end is _End.BARRED:
+    ) -> tuple[_AttemptEnd, str]:
+        server = reservation.server
+        params = await self._attempt_params(relay, reservation, kv_cache, events)
+        end, why = await self._attempt(relay, server, params, events)
+        if end is _AttemptEnd.EXCLUDED:
             # Nothing arrived: the reservation is still to be given back, and the memory freed.
-            place.reservation_id = leg.reservation_id
-            if memory is not None:
-                await self._reading.free(memory)
-        if memory is None or end is not _End.REFUSED:
+            reservation.reservation_id = params.reservation_id
+            if kv_cache is not None:
+                await self._prompt_processor.free(kv_cache)
+        if kv_cache is None or end is not _AttemptEnd.REFUSED:
             return end, why
         if self._backends.exclusion_reason(server, await curio.clock()) is not None:
             # It wants this request no more than any other.
-            await self._reading.free(memory)
+            await self._prompt_processor.free(kv_cache)
             return end, why
         # The memory or the reservation lapsed; the same server may still read it itself.
-        await self._reading.free(memory)
+        await self._prompt_processor.free(kv_cache)
         if not budget.try_retry():
             return end, why
         relay.sent_to.pop()
         self._log.info(
             "writer_reads", request=relay.request.request_id, server=server.incarnation_id, why=why
         )
-        leg = await self._leg(relay, place, None, events)
-        return await self._write(relay, server, leg, events)
+        params = await self._attempt_params(relay, reservation, None, events)
+        return await self._attempt(relay, server, params, events)
 
-    async def _leg(
-        self, relay: Relay, place: Reservation, memory: PromptKvCache | None, events: EventSplitter
+    async def _attempt_params(
+        self,
+        relay: Relay,
+        reservation: Reservation,
+        kv_cache: PromptKvCache | None,
+        events: EventSplitter,
     ) -> AttemptParams:
-        at = ""
-        if memory is not None:
-            at = self._backends.dialect.kv_cache_location(
-                memory.server.host, memory.server.port, memory.cache_handle
+        location = ""
+        if kv_cache is not None:
+            location = self._backends.dialect.kv_cache_location(
+                kv_cache.server.host, kv_cache.server.port, kv_cache.cache_handle
             )
-        hold, place.reservation_id = place.reservation_id, ""
+        reservation_id, reservation.reservation_id = reservation.reservation_id, ""
         return AttemptParams(
-            place.server.name,
+            reservation.server.name,
             await relay.remaining_s(),
-            kv_cache_location=at,
-            reservation_id=hold,
+            kv_cache_location=location,
+            reservation_id=reservation_id,
             last_event_id=events.last_id,
         )
 
-    async def _write(
-        self, relay: Relay, server: Server, leg: AttemptParams, events: EventSplitter
-    ) -> tuple[_End, str]:
+    async def _attempt(
+        self, relay: Relay, server: Server, params: AttemptParams, events: EventSplitter
+    ) -> tuple[_AttemptEnd, str]:
         relay.sent_to.append(server.incarnation_id)
         relay.log_fields["server"] = server.incarnation_id
         try:
-            async with self._legs.open(relay, server, leg) as stream:
-                word = self._backends.dialect.parse_signals(stream.status, stream.headers)
-                if word.not_run:
+            async with self._attempts.open(relay, server, params) as stream:
+                signals = self._backends.dialect.parse_signals(stream.status, stream.headers)
+                if signals.not_run:
                     body = await stream.read_all()
-                    return _End.REFUSED, f"status {stream.status} {body[:80]!r}"
+                    return _AttemptEnd.REFUSED, f"status {stream.status} {body[:80]!r}"
                 relay.may_have_run = True
-                began, before = await curio.clock(), events.event_count
-                await self._pass_on(relay, stream, events)
-                self._note_pace(relay, events.event_count - before, await curio.clock() - began)
+                started_at, events_before = await curio.clock(), events.event_count
+                await self._relay_response(relay, stream, events)
+                self._record_answer(
+                    relay, events.event_count - events_before, await curio.clock() - started_at
+                )
                 self._backends.stats(server.incarnation_id).breaker.record_success()
-                return _End.WHOLE, ""
+                return _AttemptEnd.COMPLETED, ""
         except ConnectFailed as exc:
-            return _End.UNREACHED, exc.detail
+            return _AttemptEnd.UNREACHABLE, exc.detail
         except ServerBarred as exc:
             relay.sent_to.pop()
-            return _End.BARRED, exc.detail
+            return _AttemptEnd.EXCLUDED, exc.detail
         except CallerGone:
             raise
         except (HttpClosed, BadHttp) as exc:
             relay.may_have_run = True
-            return _End.BROKEN, exc.detail
+            return _AttemptEnd.BROKEN, exc.detail
 
-    def _note_pace(self, relay: Relay, events: int, took_s: float) -> None:
+    def _record_answer(self, relay: Relay, events: int, duration_s: float) -> None:
         engine = relay.service.engine
         if engine is not None and events:
-            self._meters[relay.service.name].record_answer(events * engine.tokens_per_event, took_s)
+            self._meters[relay.service.name].record_answer(
+                events * engine.tokens_per_event, duration_s
+            )
 
-    def _note_event(self, relay: Relay, now: float) -> None:
+    def _record_event(self, relay: Relay, now: float) -> None:
         if relay.last_event_at is None and relay.reserved_at is not None:
             self._meters[relay.service.name].record_first_event(now - relay.reserved_at)
         relay.record_event(now)
 
-    async def _pass_on(self, relay: Relay, stream: ClientStream, events: EventSplitter) -> None:
+    async def _relay_response(
+        self, relay: Relay, stream: ClientStream, events: EventSplitter
+    ) -> None:
         exchange = relay.exchange
         if stream.status != 200:
             # A failure that the server reports has no events.
@@ -287,10 +309,10 @@
             fields = self._backends.dialect.response_fields(stream.fields)
             await exchange.start_with_fields(stream.status, fields)
         while chunk := await stream.next_chunk():
-            whole = events.feed(chunk)
-            if whole:
-                self._note_event(relay, await curio.clock())
-                await exchange.write(whole)
+            complete = events.feed(chunk)
+            if complete:
+                self._record_event(relay, await curio.clock())
+                await exchange.write(complete)
         if events.remainder:
             await exchange.write(events.remainder)
         await exchange.finish()
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -295,6 +295,6 @@
         isinstance(call, ast.Attribute)
         and call.attr == "open"
         and isinstance(call.value, ast.Attribute)
-        and call.value.attr == "_legs"
+        and call.value.attr == "_attempts"
         for call in calls
     )
