--- a/src/crankhinge/gateway/_attempts.py
+++ b/src/crankhinge/gateway/_attempts.py
@@ -1,4 +1,4 @@
-"""Sends requests to backend servers and tells what became of them."""
+"""Sends requests to backend servers and records the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -19,20 +19,22 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ClientStream, ConnectFailed
 
-# Answers below this status are of requests that servers ran well.
+# A response below this status means that the server executed the request successfully.
 SUCCESS_STATUS_END = 300
 
 
 class Attempts:
-    """Opens requests at servers; used by every kind of request.
+    """Sends requests of every kind to servers.
+
+    All requests to servers pass through here, so that no kind of attempt misses a check: first
+    attempts, retries, resumed streams, and prompts that a prompt engine processes.
 
     Args:
-        backends: the servers.
-        authenticator: looks once more whether a request may run, before anything is sent.
-        quarantine: the same, for requests under which servers crashed. Every way to a server goes
-            through here: first tries, repeats, resumed streams, prompts read apart.
-        crashes: is told of each connection that ends in the middle of a request.
-        permits: looks whether a server takes one more request.
+        backends: the backend servers.
+        authenticator: checks again, before anything is sent, whether the caller's key is valid.
+        quarantine: checks again whether servers crashed under the request.
+        crashes: notified of each connection that ends in the middle of a request.
+        permits: grants requests to servers that advertise a limit.
     """
 
     def __init__(
@@ -53,17 +55,20 @@
     async def open(
         self, relay: Relay, server: Server, params: AttemptParams
     ) -> AsyncIterator[ClientStream]:
-        """Send the request and give its answer, head read; the connection is closed or kept.
+        """Send a request to a server and provide the response, whose head has been read.
+
+        The connection is aborted if the caller's block raises. Otherwise it is closed, or kept if
+        the response was read completely.
 
         Raises:
-            BadCredentials: its key was taken away meanwhile.
-            ConfigTooOld: nobody can tell any more whether its key was.
-            Quarantined: servers crashed meanwhile that ran it.
-            ServerBarred: nothing was sent, since the server takes nothing now.
-            ConnectFailed: nothing was sent to that server; where another one has its address, that
-                one did not run it.
-            HttpClosed: it may have run.
-            BadHttp: it may have run; what came back is no answer.
+            BadCredentials: the caller's key was revoked meanwhile.
+            ConfigTooOld: this instance can no longer tell whether the key is valid.
+            Quarantined: servers crashed meanwhile while they ran this request.
+            ServerBarred: nothing was sent, since the server must get no request now.
+            ConnectFailed: nothing was sent to this server. If another server has its address, that
+                one did not execute the request.
+            HttpClosed: the connection ended; the request may have been executed.
+            BadHttp: the response is malformed; the request may have been executed.
         """
         dialect = self._backends.dialect
         stats = self._backends.stats(server.incarnation_id)
@@ -72,11 +77,12 @@
         self._authenticator.recheck(relay, started_at)
         work_key = relay.work_key(prompt_only=params.prompt_only)
         await self._quarantine.admit(relay, work_key, started_at)
-        # Its place may have been taken seconds ago, while its prompt was read elsewhere.
+        # The reservation may be seconds old, since the prompt was processed elsewhere meanwhile.
         reason = self._backends.exclusion_reason(server, started_at)
         if reason is not None:
             raise ServerBarred(f"{server.incarnation_id}: {reason.value}")
-        # Last, since it is used: a permit of a request that is not sent is lost to others.
+        # The last check, since it uses the permit up: if the request is then not sent, no other
+        # request can use that permit.
         permit = await self._permits.use_permit(relay, server)
         relay.log_fields.update(
             self._backends.exclusions.violation_log_fields(server.incarnation_id, started_at)
@@ -96,7 +102,7 @@
             signals = dialect.parse_signals(stream.status, stream.headers)
             if signals.wrong_server:
                 self._backends.record_replaced(server)
-                raise ConnectFailed(f"another server answers for {server.incarnation_id}")
+                raise ConnectFailed(f"another server responds for {server.incarnation_id}")
             succeeded = not signals.not_run and stream.status < SUCCESS_STATUS_END
             await self._backends.notify_listeners(
                 server, signals, sent_at=started_at, succeeded=succeeded
@@ -110,7 +116,7 @@
             if isinstance(exc, ConnectFailed) and permit is not None:
                 relay.permits[server.incarnation_id] = permit
             if isinstance(exc, HttpClosed) and not isinstance(exc, ConnectFailed):
-                # A trial that was cut is over, whatever the server is found to be.
+                # The trial of a quarantined request ends here, whether or not the server crashed.
                 relay.trial_work = ""
                 await self._crashes.on_connection_ended(server, work_key)
             raise
@@ -121,5 +127,5 @@
 
 
 def _is_response_to(dialect: Any, request_id: str) -> Any:
-    """Return the check whether an answer belongs to the request *ident*."""
+    """Return a predicate on response headers: whether the response belongs to *request_id*."""
     return lambda headers: dialect.response_request_id(headers) in ("", request_id)
--- a/src/crankhinge/gateway/_backends.py
+++ b/src/crankhinge/gateway/_backends.py
@@ -1,4 +1,4 @@
-"""The backend servers as this instance uses them: connections, load, side calls."""
+"""The backend servers as this instance uses them: connections, statistics and side calls."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 from crankhinge.http import HttpClient, Response
 from crankhinge.runtime import Metrics
 
-# A connection in one availability zone comes up in a millisecond; a lost first packet is sent
-# again after one second, which is too late for most requests: then another server is asked.
+# A connection within an availability zone is established in a millisecond. A lost first packet is
+# sent again after one second, which is too late for most requests: another server is tried instead.
 CONNECT_TIMEOUT_S = 0.35
-# A side call is answered in milliseconds; its server is given up on after this, in seconds.
+# A side call is answered in milliseconds; it fails after this many seconds.
 SIDE_CALL_TIMEOUT_S = 0.6
 
 
 class Backends:
-    """Connections to servers and what was seen of them.
+    """Connections to the backend servers, and what this instance measured of each server.
 
     Args:
-        servers: which servers there are.
-        dialect: how side calls are written.
-        zone: of this instance.
-        log: for events.
-        metrics: for counters.
-        rng: for choices between equals.
-        idle_limit: returns how many idle connections to keep to each server of a service.
+        servers: the list of servers.
+        dialect: builds and parses the messages of the platform's protocol.
+        zone: availability zone of this instance.
+        log: log for events.
+        metrics: registry for counters.
+        rng: source of the random choices between equal servers.
+        idle_limit: returns the number of idle connections to keep to each server of a service.
 
     Attributes:
-        listeners: are told what servers say in the heads of their answers.
-        exclusions: what servers said that bars requests from them.
+        listeners: notified of the signals in the head of each server response.
+        exclusions: servers that must get no request because of what their responses said.
     """
 
     def __init__(
@@ -71,15 +71,16 @@
         self._log = log
         self._metrics = metrics
         self._clients: dict[str, HttpClient] = {}
-        # Asked several times a server at each choice: none is made but for a server not seen yet.
+        # Each choice looks up every server several times. A defaultdict creates statistics only for
+        # a server that it does not have yet.
         self._stats: defaultdict[str, ServerStats] = defaultdict(ServerStats)
 
     def stats(self, incarnation_id: str) -> ServerStats:
-        """Return what was seen of a server."""
+        """Return the statistics of a server."""
         return self._stats[incarnation_id]
 
     def client(self, server: Server) -> HttpClient:
-        """Return the connections to a server."""
+        """Return the HTTP client with the connections to a server."""
         if server.incarnation_id not in self._clients:
             self._clients[server.incarnation_id] = HttpClient(
                 server.host, server.port, connect_timeout_s=CONNECT_TIMEOUT_S
@@ -89,7 +90,7 @@
         return client
 
     async def remove_server(self, incarnation_id: str) -> None:
-        """Close the idle connections to a server that is gone."""
+        """Remove the statistics of a server that is gone, and close its idle connections."""
         self._stats.pop(incarnation_id, None)
         client = self._clients.pop(incarnation_id, None)
         if client is not None:
@@ -103,12 +104,14 @@
         model: str = "",
         avoid: frozenset[str] = frozenset(),
     ) -> list[Server]:
-        """Return the servers of a service that take new work for a model.
+        """Return the servers of a service that accept new work for a model.
 
-        Those that follow an order to play another part are among them only where no other is.
+        Servers that carry out an order to change their role are included only if there is no other
+        server.
 
-        Doubted ones are among them only while most are doubted: those few that are back first
-        could not carry the load of all, and once half are back the rest has probably gone.
+        Suspect servers are included only while more than half of the servers are suspect. The few
+        servers that return first could not carry the load of all; once half are back, the others
+        have probably gone.
         """
         listed = [
             server
@@ -141,12 +144,13 @@
     ) -> list[Server]:
         """Return the servers of a service that a request may be sent to now.
 
-        A server that wants no request for a while counts among the able ones: it stays.
+        These are the available servers without those in backoff. A server in backoff is still
+        available, since it accepts requests again after a short time.
         """
         return self.without_backoff(self.available_servers(service, now, role, model, avoid), now)
 
     def without_backoff(self, servers: list[Server], now: float) -> list[Server]:
-        """Return those of some servers that want requests now."""
+        """Return those of *servers* that are not in backoff."""
         if not self.exclusions.has_backoffs(now):
             return servers
         return [
@@ -156,7 +160,10 @@
         ]
 
     def exclusion_reason(self, server: Server, now: float) -> ExclusionReason | None:
-        """Return what keeps requests from a server, whatever others there are; None for nothing."""
+        """Return why no request may be sent to a server; None if requests may be sent.
+
+        The result does not depend on which other servers there are.
+        """
         listed_server = self._servers.get(server.incarnation_id)
         if listed_server is None:
             return ExclusionReason.GONE
@@ -166,14 +173,14 @@
         )
 
     def count_excluded(self, reason: ExclusionReason, now: float) -> int:
-        """Return how many servers get no request for a cause."""
+        """Return how many servers are excluded for *reason*."""
         return sum(self.exclusion_reason(server, now) is reason for server in self._servers.all())
 
     def _permanent_exclusion(self, server: Server) -> ExclusionReason | None:
-        """Return what keeps requests from a server in the list for as long as it lives.
+        """Return why a listed server is excluded until its incarnation ends; None if it is not.
 
-        A server that leaves says so in its answers before its entry does: the store may be away,
-        and takes entries late.
+        A leaving server says so in its responses before its entry shows it, since the store may be
+        unreachable or slow to write entries.
         """
         if server.leaving or self.exclusions.leaving_since(server.incarnation_id) is not None:
             return ExclusionReason.LEAVING
@@ -185,7 +192,7 @@
         return self.stats(server.incarnation_id).effective_role(server.role, now) is not server.role
 
     def count_changing_to(self, service: str, role: EngineRole, now: float) -> int:
-        """Return how many servers of a service follow an order to play *role*."""
+        """Return how many servers of a service carry out an order to change to *role*."""
         return sum(
             server.service == service
             and self._is_changing_role(server, now)
@@ -196,13 +203,13 @@
     def record_order(
         self, incarnation_id: str, role: EngineRole, until: float, *, by_peer: bool
     ) -> None:
-        """Note that a server has taken an order.
+        """Record that a server accepted an order to change its role.
 
         Args:
-            incarnation_id: its identity.
-            role: the part that it will play.
-            until: when it does at the latest, on the runtime's clock.
-            by_peer: whether another instance gave the order.
+            incarnation_id: incarnation id of the server.
+            role: the role that the server changes to.
+            until: time on the runtime's clock by which the change is complete or has failed.
+            by_peer: whether another instance sent the order.
         """
         if self._servers.get(incarnation_id) is None:
             return
@@ -210,7 +217,10 @@
         self._log.info("server_changing", server=incarnation_id, phase=role.value, told=by_peer)
 
     def record_replaced(self, server: Server) -> None:
-        """Note that another server answers at the address: this one is gone, whatever its entry."""
+        """Record that another server responds at the address, so that *server* is gone.
+
+        Its entry may still be listed.
+        """
         stats = self.stats(server.incarnation_id)
         if not stats.is_replaced:
             stats.is_replaced = True
@@ -219,18 +229,18 @@
             )
 
     def is_listed(self, incarnation_id: str) -> bool:
-        """Whether a server is still in the list."""
+        """Return whether a server is in the list."""
         return self._servers.get(incarnation_id) is not None
 
     def is_leaving(self, incarnation_id: str) -> bool:
-        """Whether a server said that it leaves; it may have gone since."""
+        """Return whether a server announced its shutdown; it may be gone already."""
         return (
             self._servers.is_leaving(incarnation_id)
             or self.exclusions.leaving_since(incarnation_id) is not None
         )
 
     def accepts_work(self, incarnation_id: str, now: float) -> bool:
-        """Whether nothing keeps requests from a server, and it follows no order."""
+        """Return whether a server is not excluded and carries out no order to change its role."""
         server = self._servers.get(incarnation_id)
         return (
             server is not None
@@ -248,15 +258,15 @@
         zone: str = "",
         model: str = "",
     ) -> Server | None:
-        """Return the server with the least expected wait, or None.
+        """Return the server with the least expected wait; None if there is none.
 
         Args:
-            service: its service.
-            now: on the runtime's clock.
-            role: the part that it plays; any by default.
-            avoid: identities that are out of the question.
-            zone: availability zone to stay in where it costs little; this instance's by default.
-            model: that it has to hold.
+            service: name of the service.
+            now: time on the runtime's clock.
+            role: the role that the server must have; None for any.
+            avoid: incarnation ids of servers that must not be chosen.
+            zone: the availability zone to prefer; empty for this instance's own.
+            model: the model that the server must serve; empty for any.
         """
         return pick_server(
             self.eligible_servers(service, now, role, model),
@@ -268,26 +278,26 @@
         )
 
     def servers_at_limit(self, servers: list[Server], now: float) -> list[Server]:
-        """Return those of some servers that take no more now, the first to do so first."""
+        """Return those of *servers* that are at their limit, the first to leave it first."""
         limited = [
             server for server in servers if self.stats(server.incarnation_id).limited_until > now
         ]
         return sorted(limited, key=lambda server: self.stats(server.incarnation_id).limited_until)
 
     def backoff_end(self, servers: list[Server], now: float) -> float | None:
-        """Return when the first of some servers wants requests; None where one does already."""
+        """Return when the first backoff of *servers* ends; None if one is not in backoff."""
         ends = [self.exclusions.backoff_until(server.incarnation_id, now) for server in servers]
         return None if None in ends else min((end for end in ends if end is not None), default=None)
 
     async def notify_listeners(
         self, server: Server, signals: ResponseSignals, *, sent_at: float, succeeded: bool
     ) -> None:
-        """Tell all listeners what the head of a server's answer says."""
+        """Notify all listeners of the signals in the head of a server's response."""
         for listener in self.listeners:
             await listener.on_signals(server, signals, sent_at=sent_at, succeeded=succeeded)
 
     async def side_call(self, server: Server, call: SideCall) -> Response | None:
-        """Make a call of the router's own; None when it isn't answered."""
+        """Make a call of this router itself; return None if the server does not respond in time."""
         client = self.client(server)
         headers = self.dialect.side_call_fields(server.name)
         sent_at = await curio.clock()
@@ -307,7 +317,7 @@
         return resp
 
     async def side_call_in_background(self, server: Server, call: SideCall) -> None:
-        """Make a call whose answer nobody waits for."""
+        """Make a side call in the background and ignore its response."""
         await curio.spawn(self.side_call, server, call, daemon=True)
 
 
--- a/src/crankhinge/gateway/_plain.py
+++ b/src/crankhinge/gateway/_plain.py
@@ -1,4 +1,4 @@
-"""Requests whose answers are short: the whole answer is read before the caller gets any of it."""
+"""Requests with short answers: a response is read completely before the caller gets any of it."""
 
 from __future__ import annotations
 
@@ -33,21 +33,22 @@
 from crankhinge.gateway._server_selector import ServerSelector
 from crankhinge.http import ConnectFailed
 
-# When to come back after a refusal, in seconds: the queue of a busy service moves on in this time.
+# Retry delay in seconds after a refusal: within this time the queue of a busy service moves on.
 RETRY_AFTER_S = 0.25
-# A request that may run again is taken from a silent server after this part of its time.
-FIRST_ATTEMPT_TIME_SHARE = 0.45
-# Seconds between looks whether a service that answered too late has recovered.
+# A request that may be repeated is sent to another server if the first has not responded after this
+# share of the time that is left.
+ATTEMPT_TIME_SHARE = 0.45
+# Seconds between checks of whether a service that responded too late has recovered.
 CONGESTION_POLL_S = 0.02
-# Predictions of when to come back are spread by these factors.
+# Jitter factors of predicted retry delays.
 RETRY_AFTER_JITTER = (0.8, 1.2)
-# A request is sent only with this many times the time of an undisturbed answer left.
+# A request is sent only if the time that is left is at least this many unloaded response times.
 SERVICE_TIME_FACTOR = 3.0
 
 
 @dataclass(frozen=True)
 class ServerResponse:
-    """A whole answer of a server."""
+    """A complete response of a server."""
 
     status: int
     fields: list[tuple[str, str]]
@@ -55,14 +56,14 @@
 
 
 class PlainRelay:
-    """Runs requests that are answered in one piece.
+    """Runs requests whose answer is a single response.
 
     Args:
-        backends: the servers.
-        selector: chooses among them.
-        attempts: sends requests to them.
-        budget_of: the retry budget of a service.
-        log: for events.
+        backends: the backend servers.
+        selector: selects a server.
+        attempts: sends requests to servers.
+        budget_of: returns the retry budget of a service.
+        log: log for events.
     """
 
     def __init__(
@@ -83,7 +84,11 @@
         self._queues: defaultdict[str, ReservationQueue] = defaultdict(ReservationQueue)
 
     async def run(self, relay: Relay) -> None:
-        """Get an answer and hand it to the caller. Raises a failure with its outcome."""
+        """Get a response from a server and send it to the caller.
+
+        Raises:
+            CrankhingeError: the request failed.
+        """
         response = await self._get_response(relay)
         relay.log_fields["status"] = response.status
         fields = self._backends.dialect.response_fields(response.fields)
@@ -105,7 +110,7 @@
         while True:
             server, result = await self._attempt(relay)
             if server is not None and isinstance(result, ServerBarred):
-                # Nothing was sent; it is not chosen again until it takes requests.
+                # Nothing was sent. The server is not selected again until it accepts requests.
                 continue
             if isinstance(result, ConnectFailed):
                 if relay.record_unreachable():
@@ -123,7 +128,11 @@
     async def _attempt(
         self, relay: Relay
     ) -> tuple[Server | None, ServerResponse | CrankhingeError]:
-        """Send a request to a server; returns which, None where none takes it, and what came."""
+        """Send the request to one server.
+
+        Returns:
+            The server, or None if no server is available, and its response or the error.
+        """
         try:
             server = await self._choose_server(relay)
         except ServerBarred as exc:
@@ -133,11 +142,11 @@
         return server, await self._attempt_at(relay, server)
 
     async def _wait_for_congestion(self, relay: Relay, congestion: CongestionWindow) -> None:
-        """Wait while the service's answers take too long for more to be sent.
+        """Wait until the congestion window of the service allows another request.
 
         Raises:
-            Overloaded: it did not recover in time.
-            ServersRest: its servers want nothing for longer.
+            Overloaded: the service did not recover in time.
+            ServersRest: all servers are in backoff for longer than the request may wait.
         """
         name = relay.service.name
         queue = self._queues[name]
@@ -149,15 +158,16 @@
             while queue.requests_ahead(number, now) or not congestion.may_send(
                 now, late=request.is_late(now - started_at)
             ):
-                spare_s = max_wait_s - (now - started_at)
-                # No turn helps it where all rest for longer; then this raises.
+                remaining_wait_s = max_wait_s - (now - started_at)
+                # If all servers are in backoff for longer, waiting does not help; then this raises.
                 self._selector.backoff_end(
-                    relay, now, avoid=relay.tried_servers, max_wait_s=spare_s
+                    relay, now, avoid=relay.tried_servers, max_wait_s=remaining_wait_s
                 )
                 if now - started_at > max_wait_s:
                     self._log_not_sent(relay, now - started_at)
                     raise Overloaded(
-                        f"{name} is overloaded", retry_after_s=self._retry_after_s(name, now)
+                        f"{name} is overloaded",
+                        retry_after_s=self._retry_after_s(name, now),
                     )
                 await curio.sleep(CONGESTION_POLL_S)
                 now = await curio.clock()
@@ -167,11 +177,11 @@
             relay.log_fields["waited_ms"] = round((now - started_at) * 1000)
 
     def _queue_request(self, relay: Relay, now: float) -> ReservationRequest:
-        """Return what a request needs that begins to wait."""
+        """Return the times by which the queue decides how long a request waits."""
         unloaded_s = self._congestion[relay.service.name].unloaded_response_s
         target_s = relay.route.target_s
         if target_s <= unloaded_s:
-            # No target, or one that nothing can meet: then no call is late.
+            # The route has no target, or one that cannot be met: then no request counts as late.
             target_s = float("inf")
         return ReservationRequest(
             tokens=1,
@@ -183,7 +193,7 @@
         )
 
     def _retry_after_s(self, service: str, now: float) -> float:
-        """Return when to come back, in seconds, spread for those that are refused together."""
+        """Return a retry delay in seconds, with jitter so that callers do not retry together."""
         return self._congestion[service].retry_after_s(now) * self._backends.rng.uniform(
             *RETRY_AFTER_JITTER
         )
@@ -202,42 +212,54 @@
     async def _choose_server(self, relay: Relay) -> Server | None:
         role = EngineRole.DECODE if relay.service.engine else None
         if await relay.remaining_s() <= 0:
-            raise DeadlinePassed("no time is left") if relay.may_have_run else Overloaded("late")
+            raise (
+                DeadlinePassed("no time left for another attempt")
+                if relay.may_have_run
+                else Overloaded("no time left before the request was sent")
+            )
         server = await self._selector.select(relay, avoid=relay.tried_servers, role=role)
         if server is not None:
             return server
-        spare_s = await self._max_wait_s(relay)
+        remaining_wait_s = await self._max_wait_s(relay)
         return await self._selector.wait_for_server(
-            relay, avoid=relay.tried_servers, max_wait_s=spare_s, role=role
+            relay, avoid=relay.tried_servers, max_wait_s=remaining_wait_s, role=role
         )
 
     async def _max_wait_s(self, relay: Relay) -> float:
-        """Return for how long a request may wait for a server that takes no more now."""
+        """Return the seconds that a request may wait while no server accepts it."""
         if relay.sent_to:
-            # It has failed once and is late; what it waits for others may yet get in time.
+            # The request failed once and is late. Requests that are not late should get the
+            # capacity.
             return 0.0
-        # Whoever came back when it was told waits as long as a first try, by arrival.
+        # A caller that retried after the delay it was given waits as long as a first attempt does,
+        # in order of arrival.
         now: float = await curio.clock()
         unloaded_s = self._congestion[relay.service.name].unloaded_response_s
         return relay.route.target_s - unloaded_s - (now - relay.started_at)
 
     def _no_server_error(self, relay: Relay) -> CrankhingeError:
         if relay.may_have_run:
-            return BackendFailed("no other server is there")
-        return NoBackend(f"{relay.service.name}: no server", retry_after_s=RETRY_AFTER_S)
+            return BackendFailed("no other server is available")
+        return NoBackend(
+            f"{relay.service.name}: no server is available", retry_after_s=RETRY_AFTER_S
+        )
 
     def _may_retry(self, relay: Relay, result: ServerResponse | CrankhingeError) -> bool:
-        """Whether the request may be sent to one more server after *result*."""
+        """Return whether the request may be sent to another server after *result*."""
         if isinstance(result, ServerResponse):
             return result.status >= 500 and relay.route.repeatable and relay.may_try_another
         return relay.may_try_another and relay.may_retry and not isinstance(result, NoBackend)
 
     async def _attempt_at(self, relay: Relay, server: Server) -> ServerResponse | CrankhingeError:
-        """Return an answer, or the failure to report if this was the last try."""
+        """Send the request to a server.
+
+        Returns:
+            The response, or the error to report if this was the last attempt.
+        """
         remaining_s = await relay.remaining_s()
         timeout_s = remaining_s
         if relay.route.repeatable and len(relay.sent_to) + 1 < relay.route.max_servers:
-            timeout_s = remaining_s * FIRST_ATTEMPT_TIME_SHARE
+            timeout_s = remaining_s * ATTEMPT_TIME_SHARE
         relay.sent_to.append(server.incarnation_id)
         relay.log_fields["server"] = server.incarnation_id
         stats = self._backends.stats(server.incarnation_id)
@@ -264,8 +286,8 @@
         except curio.TaskTimeout:
             relay.may_have_run = True
             stats.record_failure(await curio.clock())
-            self._log_failed_attempt(relay, server, "silent", f"nothing in {timeout_s:.3f} s")
-            return DeadlinePassed(f"no answer in {timeout_s:.3f} s")
+            self._log_failed_attempt(relay, server, "silent", f"no response in {timeout_s:.3f} s")
+            return DeadlinePassed(f"no response in {timeout_s:.3f} s")
         if isinstance(result, ServerResponse):
             relay.may_have_run = True
             duration_s = await curio.clock() - started_at
@@ -298,18 +320,21 @@
                 return ServerResponse(stream.status, stream.fields, body)
             now = await curio.clock()
             if signals.backoff_s is None:
-                # Otherwise it speaks for itself, and the others need not be sent less.
+                # With a backoff the server speaks for itself alone, so the window of the whole
+                # service stays as it is.
                 self._congestion[relay.service.name].record_refusal(now)
-            # Whoever refuses at once looks least busy, and would get most of the next requests.
+            # A server that refuses at once looks least busy and would get most of the next
+            # requests.
             self._backends.stats(server.incarnation_id).record_refusal(now)
             server_retry_after_s = signals.retry_after_s
             self._log_failed_attempt(
                 relay,
                 server,
                 "refused",
-                f"status {stream.status}, back in {server_retry_after_s} s",
+                f"status {stream.status}, retry after {server_retry_after_s} s",
             )
-            # What it said holds for itself: others may take the request sooner.
+            # The retry delay in the response holds for this server; others may take the request
+            # sooner.
             end = self._selector.backoff_end(relay, now, avoid=frozenset(), max_wait_s=float("inf"))
             retry_after_s = (
                 end - now if end is not None else self._retry_after_s(relay.service.name, now)
@@ -318,7 +343,7 @@
 
 
 def _max_queue_wait_s(request: ReservationRequest) -> float:
-    """Return how long a plain call waits, in seconds; a first try only while it may be in time."""
+    """Return how many seconds a request waits in the queue; a first attempt only while in time."""
     return (
         request.max_wait_s
         if request.is_retry
--- a/src/crankhinge/gateway/_prompt_processor.py
+++ b/src/crankhinge/gateway/_prompt_processor.py
@@ -1,4 +1,4 @@
-"""Has prompts read by the engines that only read."""
+"""Has prompts processed by the engines whose role is to process prompts."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from crankhinge.gateway._server_selector import ServerSelector
 from crankhinge.http import ConnectFailed
 
-# Readings tried for one request: the first, and one more where a server failed.
+# Attempts to process the prompt of one request: the first, and a second if a server failed.
 MAX_PROMPT_ATTEMPTS = 2
-# Seconds that all readings of a request may take: then its first event is late anyway, its place
-# is about to lapse, and the engine that writes may as well read the prompt itself.
+# Seconds that all attempts for one request may take. Later its first event is late in any case, its
+# reservation is about to lapse, and the decode engine may as well process the prompt itself.
 MAX_PROMPT_S = 1.0
-# With less than this left, in seconds, no reading is begun: one of 3,000 tokens takes 0.1 s alone.
+# With fewer seconds left no attempt is started: a prompt of 3,000 tokens takes 0.1 s without load.
 MIN_PROMPT_S = 0.1
-# A reader is doubted above this share of failures, or this usual time in seconds: three quarters
-# of what a reading may take. A reading at a doubted one is made only while the budget allows a
-# repeat; the engine that writes reads the prompt otherwise, which is none.
+# A prompt engine is doubtful above this share of failures, or above this mean response time in
+# seconds, which is three quarters of MAX_PROMPT_S. A doubtful engine is tried only while the
+# budget allows a retry; otherwise the decode engine processes the prompt, which is no retry.
 DOUBTFUL_FAILURE_SHARE = 0.25
 DOUBTFUL_RESPONSE_S = 0.75
 
 
 @dataclass(frozen=True)
 class PromptKvCache:
-    """A prompt's memory at the server that read it, and how long that took, in seconds."""
+    """The KV cache of a prompt at the server that processed it, and the duration in seconds."""
 
     server: Server
     cache_handle: str
@@ -41,14 +41,14 @@
 
 
 class PromptProcessor:
-    """Has prompts read.
+    """Has prompts processed by prompt engines.
 
     Args:
-        backends: the servers.
-        selector: chooses among them.
-        attempts: sends requests to them.
-        quarantine: of prompts under which engines crashed; they are not read apart.
-        log: for events.
+        backends: the backend servers.
+        selector: selects a server.
+        attempts: sends requests to servers.
+        quarantine: prompts under which engines crashed; prompt engines do not get these.
+        log: log for events.
     """
 
     def __init__(
@@ -67,14 +67,14 @@
         self._log = log
 
     async def process(self, relay: Relay, zone: str, budget: RetryBudget) -> PromptKvCache | None:
-        """Return the memory of the request's prompt; None when nobody could read it.
+        """Return the KV cache of the request's prompt; None if no prompt engine processed it.
 
-        The engine that writes then reads the prompt itself, which takes it longer.
+        Without it the decode engine processes the prompt itself, which takes that engine longer.
 
         Args:
             relay: the request.
-            zone: availability zone of the engine that will fetch the memory.
-            budget: of the service.
+            zone: availability zone of the engine that will fetch the KV cache.
+            budget: retry budget of the service.
         """
         tried: frozenset[str] = frozenset()
         deadline = min(await curio.clock() + MAX_PROMPT_S, relay.deadline)
@@ -103,17 +103,18 @@
         return None
 
     def _may_attempt(self, server: Server, budget: RetryBudget, *, is_repeat: bool) -> bool:
-        """Whether a reading there may be tried, since one that is refused is a repeat.
+        """Return whether the budget allows an attempt at an engine.
 
-        In debt not even a trusted reader is asked: with many instances each would find out by
-        itself that it is overloaded, and all of these refusals count.
+        An attempt that an engine refuses counts as a retry. When the budget is in debt, not even a
+        reliable engine is tried: with many instances, each would find out by itself that the engine
+        is overloaded, and all these refusals count as retries.
         """
         if is_repeat or self._is_doubtful(server):
             return budget.allows_retry()
         return not budget.in_debt
 
     def _is_doubtful(self, server: Server) -> bool:
-        """Whether a reading there may well fail, and so become a repeat."""
+        """Return whether an attempt at an engine is likely to fail, and so to count as a retry."""
         stats = self._backends.stats(server.incarnation_id)
         return (
             stats.failure_share > DOUBTFUL_FAILURE_SHARE
@@ -142,10 +143,10 @@
             budget.charge_retry()
             stats.record_failure(await curio.clock())
             stats.record_duration(timeout_s)
-            self._log_failed(relay, server, "silent", f"nothing in {timeout_s:.2f} s")
+            self._log_failed(relay, server, "silent", f"no response in {timeout_s:.2f} s")
             return None
         if relay.prompt_processed:
-            # Only the first reading is no repeat.
+            # Each processing of the prompt after the first counts as a retry.
             budget.charge_retry()
         relay.prompt_processed = True
         await self._quarantine.record_completed(relay, relay.work_key(prompt_only=True))
@@ -159,7 +160,7 @@
             body = await stream.read_all()
             if stream.status != 200:
                 self._backends.stats(server.incarnation_id).record_refusal(await curio.clock())
-                raise BackendFailed(f"status {stream.status}")
+                raise BackendFailed(f"prompt engine responded with status {stream.status}")
             return self._backends.dialect.parse_kv_cache_handle(body)
 
     def _log_failed(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
@@ -172,6 +173,6 @@
         )
 
     async def free(self, kv_cache: PromptKvCache) -> None:
-        """Free a memory that nobody will fetch."""
+        """Free a KV cache that no engine will fetch."""
         call = self._backends.dialect.free_kv_cache_call(kv_cache.cache_handle)
         await self._backends.side_call_in_background(kv_cache.server, call)
--- a/src/crankhinge/gateway/_reservations.py
+++ b/src/crankhinge/gateway/_reservations.py
@@ -1,4 +1,4 @@
-"""Reserves a place to write in before a prompt is read."""
+"""Reserves KV memory on a decode engine before a prompt is processed."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.gateway._server_selector import ServerSelector
 
-# Engines asked in one round; more would cost more calls than the chance of room is worth.
+# Engines tried in one round; the chance of finding room does not justify the cost of more calls.
 MAX_ENGINES_PER_ROUND = 3
-# Seconds between rounds while nothing ends here: others' requests end unseen.
+# Seconds between rounds. This instance does not see when requests of other instances end.
 ROUND_INTERVAL_S = 0.05
-# A round takes some milliseconds; with less than this left none is begun, in seconds.
+# Seconds that must be left for a round to begin; a round takes some milliseconds.
 MIN_ROUND_S = 0.005
 
 
 @dataclass
 class _Search:
-    """A request on its way to a place.
+    """A request that is looking for a reservation.
 
     Attributes:
         relay: the request.
-        request: what it needs.
-        avoid: servers that are out of the question.
-        started_at: when it began, on the runtime's clock.
-        engines_asked: engines asked.
-        queue_number: in the order of waiting.
+        request: the tokens and times of the reservation that it needs.
+        avoid: incarnation ids of servers that must not be used.
+        started_at: when the search began, on the runtime's clock.
+        engines_asked: number of engines asked for a reservation so far.
+        queue_number: number of the request in the reservation queue.
     """
 
     relay: Relay
@@ -62,13 +62,14 @@
 
 @dataclass
 class Reservation:
-    """A reservation.
+    """Reserved KV memory on a decode engine.
 
     Attributes:
-        server: where.
-        reservation_id: its identity; empty where the server takes no reservations or it was used.
-        tokens: memory reserved.
-        forecast_number: in the forecast of memory.
+        server: the engine.
+        reservation_id: id of the reservation; empty if the engine takes no reservations or if the
+            reservation was used.
+        tokens: reserved memory in tokens.
+        forecast_number: number of the reservation in the memory forecast.
     """
 
     server: Server
@@ -78,14 +79,14 @@
 
 
 class Reservations:
-    """Finds places for streams.
+    """Finds reservations for streams.
 
     Args:
-        backends: the servers.
-        selector: waits for those that want no request for a while.
-        permits: leave to send to those that say how much they take.
-        log: for events.
-        meters: the work of each service's requests, by its name.
+        backends: the backend servers.
+        selector: tells when the backoff of servers ends.
+        permits: grants requests to servers that advertise a limit.
+        log: log for events.
+        meters: measured cost of each service's requests, by service name.
     """
 
     def __init__(
@@ -108,17 +109,19 @@
     async def reserve(
         self, relay: Relay, *, extra_tokens: int = 0, avoid: frozenset[str] = frozenset()
     ) -> AsyncIterator[Reservation]:
-        """Give a place; it is given back at the end unless it was used.
+        """Provide a reservation; it is released at the end unless it was used.
 
         Args:
             relay: the request.
-            extra_tokens: tokens of the answer that were made elsewhere and are read with the
-                prompt.
-            avoid: servers that are out of the question.
+            extra_tokens: tokens of the answer that another engine generated already; they are
+                processed together with the prompt.
+            avoid: incarnation ids of servers that must not be used.
 
         Raises:
-            Overloaded: no room in time.
-            NoBackend: no server writes.
+            Overloaded: no engine has room in time.
+            NoBackend: there is no decode engine.
+            ServerAtLimit: all engines are at their limit for longer than the request may wait.
+            ServersRest: all engines are in backoff for longer than the request may wait.
         """
         reservation = await self._reserve_engine(relay, extra_tokens, avoid)
         stats = self._backends.stats(reservation.server.incarnation_id)
@@ -167,7 +170,7 @@
         )
         return ReservationRequest(
             tokens=tokens,
-            # A stream that is taken up elsewhere has had its first event.
+            # A stream that is resumed at another engine has had its first event.
             target_s=relay.started_at + relay.route.target_s - now,
             remaining_s=relay.deadline - now,
             event_timeout_s=(relay.last_event_at or relay.started_at)
@@ -181,11 +184,18 @@
     async def _try_engines(
         self, search: _Search, engine: EngineLimits, queue: ReservationQueue
     ) -> Reservation | None:
-        """Ask the engines that may have room."""
+        """Ask the engines that may have room; return the first reservation, None if there is none.
+
+        Raises:
+            Overloaded: the request cannot be completed in time.
+            NoBackend: there is no decode engine.
+        """
         relay, request = search.relay, search.request
         if request.max_wait_s < 0:
             self._log_refused(search, "no_time", 0.0)
-            raise Overloaded("can't end in time", retry_after_s=retry_delay_s(self._backends.rng))
+            raise Overloaded(
+                "cannot complete in time", retry_after_s=retry_delay_s(self._backends.rng)
+            )
         now = await curio.clock()
         service, model = relay.service.name, relay.request.model
         decode_engines = self._backends.available_servers(
@@ -193,7 +203,7 @@
         )
         if not decode_engines:
             self._log_refused(search, "no_writer", now - search.started_at)
-            raise NoBackend("no server writes", retry_after_s=retry_delay_s(self._backends.rng))
+            raise NoBackend("no decode engine", retry_after_s=retry_delay_s(self._backends.rng))
         if not queue.may_try(search.queue_number, now):
             return None
         able = engines_to_try(
@@ -213,7 +223,8 @@
                 server, request.tokens, engine.max_reservation_s
             )
             if reservation_id is None:
-                # It was asked in vain, and in need each question counts.
+                # A call without success uses the permit up, too: while an engine is short of
+                # capacity, every call counts.
                 relay.permits.pop(server.incarnation_id, None)
             if reservation_id is not None:
                 relay.reserved_at = await curio.clock()
@@ -232,7 +243,11 @@
         return None
 
     async def _wait_for_round(self, search: _Search) -> None:
-        """Wait until the next round; a request that would wait too long is refused."""
+        """Wait until the next round.
+
+        Raises:
+            Overloaded: the request would wait too long.
+        """
         request = search.request
         waited_s = await curio.clock() - search.started_at
         free_s = self._free_in_s(search, waited_s)
@@ -242,15 +257,16 @@
         if remaining_s <= MIN_ROUND_S or not request.should_keep_waiting(waited_s, free_s):
             self._log_refused(search, "no_room", waited_s)
             raise Overloaded(
-                "no room to write", retry_after_s=self._retry_after_s(search, waited_s)
+                "no decode engine has room", retry_after_s=self._retry_after_s(search, waited_s)
             )
         await curio.sleep(min(ROUND_INTERVAL_S, remaining_s - MIN_ROUND_S))
 
     async def _wait_for_backoff(self, search: _Search) -> bool:
-        """Wait until an engine wants requests; returns whether none did before.
+        """Wait until the first backoff ends if all engines are in backoff; return whether they are.
 
         Raises:
-            ServersRest: none does within the request's patience, as is known at once.
+            ServersRest: the first backoff ends later than the request may wait; raised without
+                waiting.
         """
         now = await curio.clock()
         waited_s = now - search.started_at
@@ -271,10 +287,11 @@
         return True
 
     async def _wait_for_permit(self, search: _Search) -> bool:
-        """Wait until an engine takes more; returns whether none did before.
+        """Wait for a permit if all engines are at their limit; return whether they are.
 
         Raises:
-            ServerAtLimit: none does within the request's patience, as is known at once.
+            ServerAtLimit: no permit is available in the time that the request may wait; raised
+                without waiting.
         """
         limited = await self._first_at_limit(search)
         if limited is None:
@@ -284,12 +301,12 @@
         decision = await self._permits.request_permit(search.relay, limited, max_wait_s)
         if not decision.granted:
             self._log_refused(search, "at_limit", waited_s)
-            raise ServerAtLimit("engines take no more now", retry_after_s=decision.after_s)
+            raise ServerAtLimit("all engines are at their limit", retry_after_s=decision.after_s)
         await self._permits.wait_for_permit(limited, decision)
         return True
 
     async def _first_at_limit(self, search: _Search) -> Server | None:
-        """Return the engine that takes more first; None where one does now, or there is none."""
+        """Return the engine whose limit allows a request first; None unless all are at a limit."""
         relay, now = search.relay, await curio.clock()
         service, model = relay.service.name, relay.request.model
         decode_engines = self._backends.eligible_servers(
@@ -299,14 +316,17 @@
         return limited[0] if limited and len(limited) == len(decode_engines) else None
 
     def _free_in_s(self, search: _Search, waited_s: float) -> float | None:
-        """Return the seconds until there is memory for a request and for those before it."""
+        """Return the seconds until there is memory for this request and those queued before it.
+
+        Return None if that cannot be predicted.
+        """
         service, now = search.relay.service.name, search.started_at + waited_s
         requests_ahead = self._queues[service].requests_ahead(search.queue_number, now)
         tokens = search.request.tokens + sum(request.tokens for request in requests_ahead)
         return self._forecasts[service].free_in_s(tokens, now)
 
     def _retry_after_s(self, search: _Search, waited_s: float) -> float:
-        """Return when a request that is refused should come back, in seconds."""
+        """Return the seconds after which the caller of a refused request should retry."""
         service, request = search.relay.service.name, search.request
         now = search.started_at + waited_s
         forecast = self._forecasts[service]
@@ -324,7 +344,10 @@
         return retry_after_s
 
     async def _call_reserve(self, server: Server, tokens: int, duration_s: float) -> str | None:
-        """Return a reservation, or None when the server has no room."""
+        """Return a reservation id, or None if the server grants no reservation.
+
+        The id is empty if the service uses no reservations (*duration_s* is zero).
+        """
         dialect = self._backends.dialect
         stats = self._backends.stats(server.incarnation_id)
         if duration_s <= 0:
--- a/src/crankhinge/gateway/_server_selector.py
+++ b/src/crankhinge/gateway/_server_selector.py
@@ -1,4 +1,4 @@
-"""Chooses servers that a request may be sent to, and gets it the permits that they ask for."""
+"""Selects a server for a request and obtains the send permits that limited servers require."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from crankhinge.gateway._permits import Permits
 from crankhinge.gateway._request import Relay
 
-# When to come back after a rest, in parts of what is left of it: those that were refused in it do
-# not all come with its end.
+# Jitter of the retry delay after a backoff, as factors of the time that is left of the backoff:
+# the callers that were refused during a backoff do not all retry at its end.
 BACKOFF_JITTER = (1.0, 1.2)
 
 
 class ServerSelector:
-    """Chooses among the servers of a request's service.
+    """Selects among the servers of a request's service.
 
     Args:
-        backends: the servers.
-        permits: leave to send to those that say how much they take.
+        backends: the backend servers.
+        permits: grants requests to servers that advertise a limit.
     """
 
     def __init__(self, backends: Backends, permits: Permits) -> None:
@@ -35,13 +35,13 @@
         role: EngineRole | None = None,
         zone: str = "",
     ) -> Server | None:
-        """Return a server that the request may be sent to at once; None where there is none.
+        """Return a server that the request may be sent to now; None if there is none.
 
         Args:
             relay: the request.
-            avoid: identities that are out of the question.
-            role: the part that the server plays; any by default.
-            zone: availability zone to stay in; this instance's by default.
+            avoid: incarnation ids of servers that must not be selected.
+            role: the role that the server must have; None for any.
+            zone: the availability zone to prefer; empty for this instance's own.
         """
         while True:
             server = self._backends.choose_server(
@@ -52,7 +52,8 @@
                 zone=zone,
                 model=relay.request.model,
             )
-            # What is over at one server goes to the others: whoever refuses is not picked again.
+            # A server that refuses the permit counts as at its limit, so that the next turn of this
+            # loop selects another server: requests above one server's limit go to the others.
             if server is None or await self._permits.try_get_permit(relay, server):
                 return server
 
@@ -64,17 +65,17 @@
         max_wait_s: float,
         role: EngineRole | None = None,
     ) -> Server | None:
-        """Wait for the first server that takes a request again; None where none will.
+        """Wait until a server accepts requests again, then return it; None if there is none.
 
         Args:
             relay: the request.
-            avoid: identities that are out of the question.
-            max_wait_s: seconds that it may wait.
-            role: the part that the server plays; any by default.
+            avoid: incarnation ids of servers that must not be selected.
+            max_wait_s: seconds that the request may wait.
+            role: the role that the server must have; None for any.
 
         Raises:
-            ServerAtLimit: no server takes it within that time, as is known at once.
-            ServersRest: all want none for longer, as is known at once.
+            ServerAtLimit: no server grants a permit within that time; raised without waiting.
+            ServersRest: all servers are in backoff for longer; raised without waiting.
         """
         at_limit = await self._servers_at_limit(relay, avoid, role)
         if not at_limit:
@@ -82,7 +83,8 @@
         decision = await self._permits.request_permit(relay, at_limit[0], max(0.0, max_wait_s))
         if not decision.granted:
             raise ServerAtLimit(
-                f"{relay.service.name}: servers take no more now", retry_after_s=decision.after_s
+                f"{relay.service.name}: all servers are at their limit",
+                retry_after_s=decision.after_s,
             )
         await self._permits.wait_for_permit(at_limit[0], decision)
         relay.log_fields["permit_ms"] = round(decision.after_s * 1000)
@@ -107,17 +109,18 @@
         max_wait_s: float,
         role: EngineRole | None = None,
     ) -> float | None:
-        """Return when the first server wants requests again; None where one does, or none is there.
+        """Return when the first backoff ends; None if a server is not in backoff or none exists.
 
         Args:
             relay: the request.
-            now: on the runtime's clock.
-            avoid: identities that are out of the question.
-            max_wait_s: seconds that it may wait for that.
-            role: the part that the servers play; any by default.
+            now: time on the runtime's clock.
+            avoid: incarnation ids of servers that do not count.
+            max_wait_s: seconds that the request may wait for the end of the backoff.
+            role: the role that the servers must have; None for any.
 
         Raises:
-            ServersRest: that is too late for it; its caller is told when to come back.
+            ServersRest: the first backoff ends too late for the request. The error carries the
+                delay after which the caller may retry.
         """
         if not self._backends.exclusions.has_backoffs(now):
             return None
@@ -127,7 +130,7 @@
         )
         if end is not None and end - now > max_wait_s:
             retry_after_s = (end - now) * self._backends.rng.uniform(*BACKOFF_JITTER)
-            raise ServersRest(f"{service}: servers rest", retry_after_s=retry_after_s)
+            raise ServersRest(f"{service}: all servers are in backoff", retry_after_s=retry_after_s)
         return end
 
     async def _servers_at_limit(
--- a/src/crankhinge/gateway/_stream.py
+++ b/src/crankhinge/gateway/_stream.py
@@ -1,4 +1,4 @@
-"""Streams: a place to write is found, the prompt is read, the answer is passed on as it comes."""
+"""Relays streams: reserves memory, has the prompt processed, passes events on as they come."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class _AttemptEnd(enum.Enum):
-    """How a try to write ended."""
+    """How an attempt at a server ended."""
 
     COMPLETED = "whole"
     REFUSED = "refused"
@@ -43,17 +43,17 @@
 
 
 class StreamRelay:
-    """Runs streams.
+    """Runs requests whose answer is a stream of events.
 
     Args:
-        backends: the servers.
-        selector: chooses among them.
-        permits: leave to send to those that say how much they take.
-        attempts: sends requests to them.
-        budget_of: the retry budget of a service.
-        quarantine: of requests under which servers crashed.
-        log: for events.
-        meters: measures the work of each service's requests, by its name.
+        backends: the backend servers.
+        selector: selects a server.
+        permits: grants requests to servers that advertise a limit.
+        attempts: sends requests to servers.
+        budget_of: returns the retry budget of a service.
+        quarantine: requests under which servers crashed.
+        log: log for events.
+        meters: measures the cost of each service's requests, by service name.
     """
 
     def __init__(
@@ -80,7 +80,11 @@
         )
 
     async def run(self, relay: Relay) -> None:
-        """Find servers, pass the answer on. Raises a failure with its outcome."""
+        """Find servers for the request and relay the stream to the caller.
+
+        Raises:
+            CrankhingeError: the request failed; HttpClosed if the response had begun.
+        """
         budget: RetryBudget = self._budget_of(relay.service.name)
         budget.record_first_attempt()
         relay.log_fields.update(
@@ -94,8 +98,8 @@
             )
         except curio.TaskTimeout as exc:
             if relay.exchange.response_started:
-                raise HttpClosed("the route's time is over in mid-stream") from exc
-            raise DeadlinePassed("not answered in time") from exc
+                raise HttpClosed("the request's time ended during the stream") from exc
+            raise DeadlinePassed("no response before the deadline") from exc
 
     async def _run(self, relay: Relay, budget: RetryBudget) -> None:
         events = EventSplitter(relay.request.last_event_id)
@@ -109,10 +113,10 @@
                 relay.log_fields["events"] = events.event_count
                 return
             if end is _AttemptEnd.UNREACHABLE:
-                # Nothing arrived, so nothing is repeated.
+                # The request did not reach the server, so sending it elsewhere is no retry.
                 may_continue = relay.record_unreachable()
             elif end is _AttemptEnd.EXCLUDED:
-                # Nothing was sent; that server is not chosen again until it takes requests.
+                # Nothing was sent. The server is not selected again until it accepts requests.
                 may_continue = True
             else:
                 may_continue = relay.may_try_another and relay.may_retry and budget.try_retry()
@@ -148,7 +152,7 @@
                 relay, avoid=relay.tried_servers, max_wait_s=max_wait_s
             )
         if server is None:
-            raise self._to_error(relay, _AttemptEnd.UNREACHABLE, "no server")
+            raise self._to_error(relay, _AttemptEnd.UNREACHABLE, "no server is available")
         return await self._attempt(
             relay, server, AttemptParams(server.name, await relay.remaining_s()), events
         )
@@ -169,7 +173,7 @@
                     reservation.server.incarnation_id, await curio.clock()
                 ):
                     return await self._run_at_engine(relay, reservation, kv_cache, events, budget)
-                # It began to leave while the prompt was read.
+                # The engine began to leave while the prompt was processed.
                 async with self._reservations.reserve(
                     relay, extra_tokens=answered_tokens, avoid=avoid
                 ) as second_reservation:
@@ -177,7 +181,7 @@
                         relay, second_reservation, kv_cache, events, budget
                     )
             except BaseException:
-                # Nobody can tell whether the memory was fetched; freeing it twice does no harm.
+                # It is unknown whether the KV cache was fetched; freeing it twice does no harm.
                 if kv_cache is not None and not relay.exchange.response_started:
                     await self._prompt_processor.free(kv_cache)
                 raise
@@ -208,17 +212,17 @@
         params = await self._attempt_params(relay, reservation, kv_cache, events)
         end, why = await self._attempt(relay, server, params, events)
         if end is _AttemptEnd.EXCLUDED:
-            # Nothing arrived: the reservation is still to be given back, and the memory freed.
+            # Nothing was sent: the reservation has to be released and the KV cache freed.
             reservation.reservation_id = params.reservation_id
             if kv_cache is not None:
                 await self._prompt_processor.free(kv_cache)
         if kv_cache is None or end is not _AttemptEnd.REFUSED:
             return end, why
         if self._backends.exclusion_reason(server, await curio.clock()) is not None:
-            # It wants this request no more than any other.
+            # The server accepts no request at all now, so it would not process the prompt either.
             await self._prompt_processor.free(kv_cache)
             return end, why
-        # The memory or the reservation lapsed; the same server may still read it itself.
+        # The KV cache or the reservation lapsed; the same server may still process the prompt.
         await self._prompt_processor.free(kv_cache)
         if not budget.try_retry():
             return end, why
@@ -297,11 +301,11 @@
     ) -> None:
         exchange = relay.exchange
         if stream.status != 200:
-            # A failure that the server reports has no events.
+            # An error that the server reports has no events.
             body = await stream.read_all()
             fields = self._backends.dialect.response_fields(stream.fields)
             if exchange.response_started:
-                raise HttpClosed(f"status {stream.status} to a resumed stream")
+                raise HttpClosed(f"resumed stream was refused (status {stream.status})")
             await exchange.respond_with_fields(stream.status, fields, body)
             relay.log_fields["status"] = stream.status
             return
