--- a/src/crankhinge/gateway/_admission.py
+++ b/src/crankhinge/gateway/_admission.py
@@ -1,4 +1,4 @@
-"""What a request is: its route, its service, who asks, and by when it has to be answered."""
+"""Admits requests: finds the route, the service, the account and the deadline of each."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.http import Exchange, HttpRequest
 
-# Seconds that a request may take where neither caller nor route sets a bound.
+# Seconds that a request may take if neither the caller nor the route sets a bound.
 DEFAULT_TIMEOUT_S = 60.0
-# When a caller should come back that an instance can't serve yet, in seconds.
+# Seconds after which a caller should retry if this instance cannot serve requests yet.
 NOT_READY_RETRY_S = 0.5
 
 
 class Admission:
-    """Makes relays of requests.
+    """Creates the relay of each request that arrives.
 
     Args:
-        discovery: routes and services.
-        authenticator: tells who asks.
-        rng: for splits between services.
+        discovery: the routes and services.
+        authenticator: identifies the caller.
+        rng: source of the random choices between the services of a route.
     """
 
     def __init__(
@@ -41,9 +41,10 @@
         """Return the relay of a request.
 
         Raises:
-            NotReady: this instance knows no configuration, or none of the route's service.
-            UnknownRoute: the configuration has no route for it.
-            BadCredentials, ConfigTooOld: as :meth:`Authenticator.identify` does.
+            NotReady: this instance has no configuration or no list of servers yet, or the
+                configuration lacks the route's service.
+            UnknownRoute: the configuration has no route for the request.
+            BadCredentials, ConfigTooOld: as raised by :meth:`Authenticator.identify`.
         """
         table = self._discovery.table
         if table is None or not self._discovery.has_server_list:
@@ -70,11 +71,11 @@
             raise UnknownRoute(f"no route for {req.headers.get('host')}{req.path}")
         service = table.services.get(route.pick_service(self._rng.random()))
         if service is None:
-            raise NotReady(f"route {route.name} names a service that is not there")
+            raise NotReady(f"route {route.name} names a service that is not configured")
         return route, service
 
     def _record_log_fields(self, relay: Relay, caller_timeout_s: float) -> None:
-        """Note what decided the request's course, for the line about its end."""
+        """Record what decides how the request is handled, for the log line about its end."""
         if relay.account is not None:
             relay.log_fields["account"] = relay.account.name
             relay.log_fields["keys_age_s"] = round(self._discovery.keys_age_s(relay.started_at), 2)
@@ -89,8 +90,8 @@
         )
         if relay.route.max_pause_s:
             relay.log_fields["pause_ms"] = round(relay.route.max_pause_s * 1000)
-        # How long ago the list of servers was last heard of, in seconds: what is believed of
-        # servers is at least that old, unless the list is watched and did not change.
+        # Seconds since the last response about the list of servers. What this instance knows of
+        # servers is at least that old, unless the list is watched and has not changed.
         relay.log_fields["list_age_s"] = round(
             relay.started_at - (self._discovery.server_list_watcher.received_at or 0.0), 1
         )
--- a/src/crankhinge/gateway/_crashes.py
+++ b/src/crankhinge/gateway/_crashes.py
@@ -1,8 +1,8 @@
-"""Tells a server that crashed from a connection that ended.
+"""Finds out whether a server crashed when a connection to it ended.
 
-A connection may be reset on the way, or broken off by a server that is sound otherwise. Of a
-process that has gone nobody listens at its address any more, and its entry goes some seconds later.
-A server that said it leaves has not crashed when it ends.
+A connection may also be reset by the network, or closed by a server that works otherwise. If the
+process is gone, nothing listens at its address any more, and its entry lapses some seconds later.
+A server that announced its shutdown has not crashed when it ends.
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 from crankhinge.gateway._backends import Backends
 from crankhinge.http import ConnectFailed
 
-# A server that crashes cuts all its requests within a few milliseconds (1 to 5 were seen between
-# the first and the last); one look serves those that are cut together. Seconds.
+# Seconds to collect cut requests before the server is checked once for all of them. A server that
+# crashes cuts all its requests within a few milliseconds: 1 to 5 ms were measured between the first
+# and the last.
 CUTS_BATCH_S = 0.01
-# Seconds within which the entry of a server that crashed goes: three of its heartbeats of 1.2 s and
-# what the list may be late (2.6 to 2.9 s were seen); with as much again for a busy store. It tells
-# of crashes that a look does not: the machine is silent, or another life listens there already.
+# Seconds within which the entry of a crashed server lapses: three of its heartbeats of 1.2 s and
+# the delay of the list (2.6 to 2.9 s were measured), and as much again for a busy store. The lapse
+# shows crashes that the check of the address misses: the machine does not respond at all, or
+# another incarnation listens there already.
 ENTRY_LAPSE_S = 8.0
 
 # Called with a server that crashed and the fingerprints of the requests that it was running.
@@ -35,8 +37,8 @@
 
     Attributes:
         server: the server.
-        fingerprints: of the requests.
-        checked_at: when it was looked at, on the runtime's clock.
+        fingerprints: fingerprints of the requests.
+        checked_at: when the server was checked, on the runtime's clock.
     """
 
     server: Server
@@ -45,25 +47,25 @@
 
 
 class CrashDetector:
-    """Looks at servers whose connections end in the middle of requests.
+    """Checks servers whose connections end in the middle of requests.
 
     Args:
-        backends: the servers.
-        on_crash: is told of servers that crashed.
-        log: for events.
+        backends: the backend servers.
+        on_crash: called with each server that crashed.
+        log: log for events.
     """
 
     def __init__(self, *, backends: Backends, on_crash: OnCrash, log: Any) -> None:
         self._backends = backends
         self._on_crash = on_crash
         self._log = log
-        # Requests that were cut, by the identity of the server that is about to be looked at.
+        # Cut requests by the incarnation id of the server that is about to be checked.
         self._cut_requests: dict[str, set[str]] = {}
-        # Those whose server may have crashed for all that a look told.
+        # Cut requests whose server may have crashed although the check found no crash.
         self._undecided: dict[str, _CutRequests] = {}
 
     async def on_connection_ended(self, server: Server, fingerprint: str) -> None:
-        """Note that a request's connection to a server ended in the middle."""
+        """Record that a request's connection to a server ended in the middle of the request."""
         if self._backends.is_leaving(server.incarnation_id):
             return
         if server.incarnation_id in self._cut_requests:
@@ -73,7 +75,7 @@
         await curio.spawn(self._check_server, server, daemon=True)
 
     async def on_entry_gone(self, incarnation_id: str) -> None:
-        """Note that a server's entry has gone."""
+        """Report a crash if requests of a server were cut shortly before its entry went."""
         cut = self._undecided.pop(incarnation_id, None)
         if cut is None or self._backends.is_leaving(incarnation_id):
             return
@@ -84,7 +86,7 @@
         await curio.sleep(CUTS_BATCH_S)
         fingerprints = self._cut_requests.pop(server.incarnation_id)
         if not self._backends.is_listed(server.incarnation_id):
-            # An instance that stood still hears of both together, the entry first.
+            # An instance that was suspended learns of both together, of the entry first.
             await self._report_crash(server, fingerprints, "entry_gone")
             return
         try:
@@ -109,7 +111,7 @@
         await self._on_crash(server, fingerprints)
 
     async def _wait_for_entry(self, server: Server, fingerprints: set[str]) -> None:
-        """Remember requests whose server is known to have crashed only when its entry goes."""
+        """Keep cut requests until the server's entry lapses, which would show that it crashed."""
         now = await curio.clock()
         expired = [
             incarnation_id
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's HTTP face: what callers are told, and how an instance stops."""
+"""Serves the callers' HTTP requests, and ends them when the instance stops."""
 
 from __future__ import annotations
 
@@ -32,35 +32,35 @@
 from crankhinge.runtime._exposed import PrometheusMetrics
 
 HTTP_OK = 200
-# A request that is not told otherwise comes back after this many seconds.
+# Seconds after which a caller should retry if the error names no other delay.
 DEFAULT_RETRY_AFTER_S = 0.5
-# A request that meets a stopping instance finds another one at once, in seconds.
+# Seconds after which a caller should retry that met a stopping instance: it finds another at once.
 STOPPING_RETRY_S = 0.05
-# The balancer looks once a second and turns away after two misses; whoever stops before sends
-# callers to a closed door.
+# Seconds between becoming unready and closing the port. The balancer checks once a second and stops
+# sending callers after two misses; an instance that closes sooner refuses callers' connections.
 UNREADY_BEFORE_CLOSE_S = 2.5
 DRAIN_POLL_S = 0.05
-# What is left of the time for a planned stop when the last requests are given up on, in seconds.
+# Seconds before the end of a planned stop at which the last requests are cancelled.
 CANCEL_BEFORE_END_S = 0.7
-# Seconds for the last answers to get out.
+# Seconds for the responses of cancelled requests to reach their callers.
 FINAL_RESPONSES_S = 0.3
 
 
 class Gateway:
-    """Answers callers.
+    """Handles the requests of callers.
 
     Args:
-        settings: its settings.
-        discovery: routes and servers.
-        admission: tells what a request is and who asks.
-        limits: of accounts.
-        permits: of requests, for servers that say how much they take.
-        quarantine: of requests under which servers crashed.
-        dialect: how callers and servers are spoken to.
-        plain: runs requests answered in one piece.
-        streams: runs streams.
-        log: for events.
-        metrics: for counters.
+        settings: settings of the gateway.
+        discovery: the routes and servers.
+        admission: creates the relay of each request.
+        limits: limits of accounts.
+        permits: grants requests to servers that advertise a limit.
+        quarantine: requests under which servers crashed.
+        dialect: builds and parses the messages of the platform's protocol.
+        plain: runs requests whose answer is a single response.
+        streams: runs requests whose answer is a stream.
+        log: log for events.
+        metrics: registry for counters and durations.
     """
 
     def __init__(
@@ -122,28 +122,29 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether new callers are turned away."""
+        """Whether new requests are refused because the instance is stopping."""
         return self._draining
 
     @property
     def open_requests(self) -> int:
-        """Requests that are not answered yet."""
+        """Number of requests that have no complete response yet."""
         return self._open_requests
 
     async def drain(self) -> None:
-        """Turn new callers away, then wait for what is in progress."""
+        """Refuse new requests, then wait for the open ones and cancel those that take too long."""
         started_at = await curio.clock()
         self._draining = True
         self._log.info("draining", open=self._open_requests)
         await curio.sleep(UNREADY_BEFORE_CLOSE_S)
-        # What comes now could not be served to its end; it is told so, or finds the door closed.
+        # A request that came now could not be completed. It gets a refusal, or its caller finds
+        # the port closed.
         await self._stopped_accepting.set()
         remaining_s = (
             self._settings.drain_s - CANCEL_BEFORE_END_S - (await curio.clock() - started_at)
         )
         await curio.ignore_after(max(0.0, remaining_s), self._wait_idle)
         if self._open_requests:
-            # Whoever is still waiting hears at least what is known.
+            # Cancelled requests still get a response that says what is known of their execution.
             self._log.warning("cut_by_stop", open=self._open_requests)
             await self._cancelling.set()
             await curio.ignore_after(FINAL_RESPONSES_S, self._wait_idle)
@@ -154,29 +155,33 @@
             await curio.sleep(DRAIN_POLL_S)
 
     async def refuse_malformed(self, exchange: Exchange, exc: BadHttp) -> None:
-        """Answer what is no request of HTTP."""
+        """Respond to bytes that are no valid HTTP request."""
         self._metrics.count("bad_http")
         self._log.warning("request_malformed", why=exc.detail, status=exc.status)
         await exchange.respond(exc.status, _error_body(exc, Outcome.NOT_RUN))
 
     async def _handle(self, exchange: Exchange) -> None:
-        """Answer one request; a caller that goes ends its work."""
+        """Respond to one request; cancel its work if the caller disconnects."""
         self._open_requests += 1
         try:
             request = self._dialect.parse_request(exchange.req)
             if not await self._respond_unless_gone(exchange, request):
-                raise HttpClosed("broken off")
+                raise HttpClosed("response was not completed")
         finally:
             self._open_requests -= 1
 
     async def _respond_unless_gone(self, exchange: Exchange, request: RelayRequest) -> bool:
-        """Answer one request while its caller is there; returns whether it has a whole answer."""
-        # An instance that stood still finds requests and their callers' closes together. Handed on
-        # first, each would run for nobody, and the caller has sent it elsewhere.
+        """Respond to one request while its caller is connected.
+
+        Returns:
+            Whether the caller got a complete response.
+        """
+        # An instance that was suspended finds requests together with their callers' disconnects.
+        # Without this check, each request would run although its caller has sent it elsewhere.
         if exchange.is_disconnected:
             self._metrics.count("callers_gone")
             self._log.info("caller_gone", request=request.request_id, why="left_before")
-            raise HttpClosed("the caller has gone")
+            raise HttpClosed("caller disconnected before the request was handled")
         try:
             relay = await self._admit(exchange, request)
         except CrankhingeError as exc:
@@ -190,7 +195,7 @@
     async def _run_unless_gone(
         self, exchange: Exchange, request: RelayRequest, relay: Relay
     ) -> bool:
-        """Run one request while its caller is there; returns whether it has a whole answer."""
+        """Run one request while its caller is connected; return whether it was fully answered."""
         async with curio.TaskGroup(wait=any) as group:
             work = await group.spawn(self._respond, relay)
             await group.spawn(exchange.wait_for_disconnect)
@@ -201,16 +206,17 @@
         self._log.info(
             "caller_gone", request=request.request_id, route=relay.route.name, **relay.log_fields
         )
-        raise HttpClosed("the caller has gone")
+        raise HttpClosed("caller disconnected")
 
     async def _respond(self, relay: Relay) -> bool:
-        """Answer one request; returns whether the caller has a whole answer."""
+        """Run one request; return whether the caller got a complete response."""
         try:
             self._quarantine.refuse_quarantined(relay.work_key(prompt_only=False), relay.started_at)
             await self._limits.take_tokens(relay)
             await self._run(relay)
         except CrankhingeError as exc:
-            # Before the answer: its caller may send the next request with these tokens at once.
+            # Before the response, since the caller may use these tokens for its next request at
+            # once.
             await self._limits.return_unused(relay)
             return await self._refuse(relay.exchange, relay.request, relay, exc)
         await _record_duration(relay)
@@ -220,7 +226,7 @@
         return True
 
     async def _run(self, relay: Relay) -> None:
-        """Run a request to its end, or to that of this instance."""
+        """Run a request until it ends or until this instance cancels the open requests."""
         async with curio.TaskGroup(wait=any) as group:
             work = await group.spawn(self._run_to_failure, relay)
             await group.spawn(self._cancelling.wait)
@@ -229,12 +235,12 @@
             if failure is not None:
                 raise failure
             return
-        # A server that has the request may still run it.
+        # A server that received the request may still execute it.
         relay.may_have_run = relay.may_have_run or bool(relay.sent_to)
-        raise Stopping("this instance ends", retry_after_s=STOPPING_RETRY_S)
+        raise Stopping("this instance is stopping", retry_after_s=STOPPING_RETRY_S)
 
     async def _run_to_failure(self, relay: Relay) -> CrankhingeError | None:
-        """Run a request; its failure is returned, since the kernel reports tasks that raise."""
+        """Run a request; return its error, since curio logs tasks that raise."""
         try:
             if relay.route.kind is RouteKind.STREAM:
                 await self._streams.run(relay)
@@ -246,7 +252,7 @@
 
     async def _admit(self, exchange: Exchange, request: RelayRequest) -> Relay:
         if self._stopped_accepting.is_set():
-            raise NotReady("stopping", retry_after_s=STOPPING_RETRY_S)
+            raise NotReady("this instance is stopping", retry_after_s=STOPPING_RETRY_S)
         return await self._admission.admit(exchange, request)
 
     def _log_end(self, relay: Relay) -> None:
@@ -267,9 +273,12 @@
     async def _refuse(
         self, exchange: Exchange, request: RelayRequest, relay: Relay | None, exc: CrankhingeError
     ) -> bool:
-        """Give the final answer of a request that failed, with what is known of its run.
+        """Send the error response of a failed request, with whether it may have been executed.
+
+        If the response has begun, the caller's connection is broken off instead.
 
-        An answer that has begun is broken off instead; returns whether the caller has a whole one.
+        Returns:
+            Whether the caller got a complete response.
         """
         may_have_run = relay is not None and relay.may_have_run
         outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
@@ -296,7 +305,7 @@
         fields = [*self._dialect.own_response_fields(request), ("content-type", "application/json")]
         if status in (429, 503):
             retry_after_s = exc.retry_after_s or DEFAULT_RETRY_AFTER_S
-            # Rounded up: whoever comes a moment early is refused once more.
+            # Rounded up: a caller that retries a moment too early is refused again.
             retry_after_s = math.ceil(round(retry_after_s * 100, 6)) / 100
             fields.append(("retry-after", f"{retry_after_s:.2f}"))
         try:
@@ -308,7 +317,7 @@
 
 
 async def _record_duration(relay: Relay) -> None:
-    """Note how long a request was in the gateway's hands."""
+    """Record how long this instance has handled the request."""
     relay.log_fields["took_ms"] = round((await curio.clock() - relay.started_at) * 1000)
 
 
--- a/src/crankhinge/gateway/_limit_updates.py
+++ b/src/crankhinge/gateway/_limit_updates.py
@@ -1,7 +1,8 @@
-"""Hears what servers say they take, and tells the other instances.
+"""Learns the limits that servers advertise in their responses, and notifies the other instances.
 
-Whoever hears another word of a server tells all, since the others send to it meanwhile. Those that
-hand out for a server keep its rate in their notes in the store, for instances that start.
+An instance that learns a changed limit notifies all others, since they send requests to the server
+meanwhile. The allocators of a server also publish its rate in their instance records in the store,
+for instances that start.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._signal_listener import SignalListener
 
-# Seconds between words to all that a server names another rate: who hands out is told with each
-# question, and each instance hears the server itself.
+# Minimum seconds between notifications of all instances that a server's rate changed. Allocators
+# get the rate with each permit request, and each instance also learns it from the server itself.
 NOTIFY_INTERVAL_S = 1.0
 
 
 class LimitUpdates(SignalListener):
-    """What servers name, as this instance and the others hear it.
+    """Receives advertised limits from servers and from other instances.
 
     Args:
-        shared_limits: takes what is heard.
-        backends: the servers.
-        messenger: carries the datagrams.
-        log: for events.
+        shared_limits: gets the limits.
+        backends: the backend servers.
+        messenger: sends and receives peer messages.
+        log: log for events.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         self._messenger = messenger
         self._log = log
         self._notified_at: dict[str, float] = {}
-        # Servers whose last word was no rate; one line tells of it.
+        # Servers whose latest limit was unreadable; one line is logged for each.
         self._unreadable: set[str] = set()
         messenger.add_handler(LimitAdvertised, self._on_limit_advertised)
         messenger.add_handler(LimitWithdrawn, self._on_limit_withdrawn)
@@ -53,9 +54,10 @@
     async def on_signals(
         self, server: Server, signals: ResponseSignals, *, sent_at: float, succeeded: bool
     ) -> None:
-        """Note what the head of a server's answer says of how much it takes.
+        """Record the limit that the head of a server's response advertises.
 
-        Only the answer of a request that it ran well tells that it names nothing any more.
+        Only the response to a request that the server executed successfully shows that a server
+        advertises no limit any more.
         """
         now = await curio.clock()
         if signals.limit_per_s is not None:
@@ -74,11 +76,11 @@
     def record_peer_update(
         self, incarnation_id: str, per_s: float, received_at: float, source: str
     ) -> None:
-        """Note what another instance heard of a server at a time on the runtime's clock."""
+        """Record a limit that another instance received at a time on the runtime's clock."""
         self._apply_limit(incarnation_id, per_s, received_at, source)
 
     def _apply_limit(self, incarnation_id: str, per_s: float, at: float, source: str) -> bool:
-        """Take a rate; returns whether it was news."""
+        """Record a rate; return whether it changed."""
         previous = self._rate(incarnation_id)
         changed = self._limits.record_limit(incarnation_id, per_s, at)
         if changed:
@@ -86,7 +88,7 @@
         return changed
 
     def _apply_no_limit(self, incarnation_id: str, sent_at: float, source: str) -> bool:
-        """Take that a server names nothing any more; returns whether it was news."""
+        """Record that a server advertises no limit any more; return whether that changed."""
         previous = self._rate(incarnation_id)
         changed = self._limits.record_no_limit(incarnation_id, sent_at)
         if changed:
@@ -113,7 +115,7 @@
             "server_limit", server=incarnation_id, per_s=per_s, was=previous, told_by=source
         )
         if self._backends.is_listed(incarnation_id):
-            # What was refused by the old rate says nothing of the new one.
+            # A refusal under the old rate says nothing about the new one.
             self._backends.stats(incarnation_id).limited_until = 0.0
 
     async def _notify_limit(
@@ -138,15 +140,16 @@
         self._apply_no_limit(message.server, await curio.clock() - message.sent_ago_s, sender)
 
     async def remove_server(self, incarnation_id: str) -> None:
-        """Forget what was told of a server that is gone.
+        """Remove the notification state of a server that is gone.
 
-        Its limit stays: its entry may have lapsed though it lives, and its need with it.
+        Its limit is kept: the entry may have lapsed although the server still runs and still needs
+        its limit kept.
         """
         self._notified_at.pop(incarnation_id, None)
         self._unreadable.discard(incarnation_id)
 
     def to_instance_record(self, now: float) -> Mapping[str, float]:
-        """Return what belongs into this instance's note: the rates of what it hands out for."""
+        """Return what this instance publishes in its record: the limits that it allocates."""
         servers = [
             incarnation_id
             for incarnation_id in self._limits.servers
@@ -155,7 +158,7 @@
         return self._limits.to_instance_record(servers, now)
 
     async def apply_instance_records(self, records: Mapping[str, InstanceRecord]) -> None:
-        """Take what stands in the notes of instances."""
+        """Apply the limits in the records of instances."""
         now = await curio.clock()
         for name, record in records.items():
             for incarnation_id in self._limits.apply_instance_record(record.limited, now):
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -1,8 +1,9 @@
-"""Keeps all instances together to what servers say they take.
+"""Keeps all instances together within the limits that servers advertise.
 
-Every request that goes to a server that names a limit has a permit, from the instance that comes
-first for that server, or from this one where nobody answers. Each instance lends its share by a
-word now and then, so that the whole of what the server takes is handed out though few ask.
+Every request to a server that advertises a limit needs a permit: from the first instance in the
+server's order of allocators that responds, or from this instance if none does. Each instance
+leases its share of the limit to the allocator from time to time, so that the whole limit can be
+used even if few instances have requests.
 """
 
 from __future__ import annotations
@@ -36,20 +37,20 @@
 from crankhinge.gateway._request import Relay, SendPermit
 from crankhinge.runtime import Metrics
 
-# Seconds between lines that tell how much was sent to servers that name limits; the operators sum
-# their requests over as long.
+# Seconds between log lines about the requests sent to servers with limits. The operators sum their
+# requests over the same time.
 USE_LOG_INTERVAL_S = 4.0
-# Lending anew is spread by these factors, so that instances do not lend in step.
+# Jitter factors of the renewal interval, so that instances do not renew leases in step.
 RENEWAL_JITTER = (0.8, 1.0)
 
 
 @dataclass(frozen=True, slots=True)
 class _PermitParams:
-    """A permit that is asked for.
+    """The permit that a request needs.
 
     Attributes:
         within_s: seconds within which the request is to be sent.
-        for_caller: whether its caller is told when to come back.
+        for_caller: whether a refusal goes to the caller as the time after which to retry.
     """
 
     within_s: float
@@ -58,11 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _PermitReply:
-    """What an instance says that was asked for a permit, or was lent a share.
+    """Response of another instance to a permit request or a share lease.
 
     Attributes:
-        decision: on the request; None where none was asked for.
-        stamp: the moment of its clock.
+        decision: decision on the permit; None if no permit was requested.
+        stamp: time on the clock of the other instance.
     """
 
     decision: PermitDecision | None
@@ -70,17 +71,17 @@
 
 
 class Permits:
-    """Gets requests the permits that they need, and lends this instance's shares.
+    """Gets the permits that requests need, and leases this instance's shares to allocators.
 
     Args:
-        name: of this instance.
-        shared_limits: what is known, lent and handed out.
-        limit_updates: takes what other instances heard of servers.
-        membership: the instances.
-        backends: the servers.
-        messenger: carries the datagrams.
-        log: for events.
-        metrics: for counters.
+        name: name of this instance.
+        shared_limits: the advertised limits, leases and permits.
+        limit_updates: receives limits that other instances learned from servers.
+        membership: the instances of the fleet.
+        backends: the backend servers.
+        messenger: sends and receives peer messages.
+        log: log for events.
+        metrics: registry for counters.
     """
 
     def __init__(
@@ -110,15 +111,15 @@
         messenger.add_handler(PermitReturn, self._on_return)
 
     def record_joined(self, name: str) -> None:
-        """Note that an instance has come."""
+        """Record that an instance joined the fleet."""
         self._shared_limits.record_joined(name)
 
     async def try_get_permit(self, relay: Relay, server: Server) -> bool:
-        """Get a request leave to be sent to a server now; it keeps the permit.
+        """Get a permit to send a request to a server now; the relay keeps the permit.
 
         Returns:
-            Whether it may be; if not, the server's standing tells when to ask again, and nobody
-            asks before that.
+            Whether the request may be sent. If not, ``limited_until`` in the server's statistics
+            says when to try again; this instance requests no permit before that.
         """
         if self._shared_limits.advertised.get(server.incarnation_id) is None:
             return True
@@ -131,17 +132,17 @@
         return (await self._obtain(relay, server, _PermitParams(0.0, for_caller=False))).granted
 
     async def request_permit(self, relay: Relay, server: Server, within_s: float) -> PermitDecision:
-        """Get a request leave to be sent to a server soon, or a time for its caller to come back.
+        """Get a permit to send a request to a server soon, or a time for its caller to retry.
 
         Args:
             relay: the request; it keeps the permit.
-            server: where it is to be sent.
-            within_s: seconds for which it may wait before that.
+            server: the server.
+            within_s: seconds that the request may wait before it is sent.
         """
         return await self._obtain(relay, server, _PermitParams(within_s, for_caller=True))
 
     async def wait_for_permit(self, server: Server, decision: PermitDecision) -> None:
-        """Wait until a request may be sent that was granted for later."""
+        """Wait until a request may be sent whose permit was granted for later."""
         await curio.sleep(decision.after_s)
         self._backends.stats(server.incarnation_id).limited_until = 0.0
 
@@ -150,7 +151,8 @@
         stats = self._backends.stats(server.incarnation_id)
         allocator, decision = await self._request_from_allocators(server.incarnation_id, params)
         if decision.granted:
-            # From when it was asked: the answer may have been under way for any time.
+            # Counted from when the permit was requested, since the response may have been under way
+            # for any time.
             relay.permits[server.incarnation_id] = SendPermit(
                 allocator, now + decision.after_s + PERMIT_TRANSIT_S
             )
@@ -170,20 +172,23 @@
         return decision
 
     async def use_permit(self, relay: Relay, server: Server) -> SendPermit | None:
-        """Use a request's permit, as it is sent to a server; None where none is needed.
+        """Use up the permit of a request that is about to be sent.
+
+        Returns:
+            The permit; None if the server advertises no limit.
 
         Raises:
-            ServerAtLimit: the server names a limit and the request has no permit, nor gets one now.
+            ServerAtLimit: the server advertises a limit and the request gets no permit now.
         """
         if self._shared_limits.advertised.get(server.incarnation_id) is None:
             return None
         if not await self.try_get_permit(relay, server):
-            raise ServerAtLimit(f"{server.incarnation_id} takes no more now")
+            raise ServerAtLimit(f"{server.incarnation_id} is at its limit")
         self._sent_counts[server.incarnation_id] += 1
         return relay.permits.pop(server.incarnation_id, None)
 
     async def return_unused(self, relay: Relay) -> None:
-        """Give the permits of a request back that it did not use."""
+        """Return the unused permits of a request to their allocators."""
         now = await curio.clock()
         while relay.permits:
             incarnation_id, permit = relay.permits.popitem()
@@ -197,7 +202,10 @@
     async def _request_from_allocators(
         self, incarnation_id: str, params: _PermitParams
     ) -> tuple[str, PermitDecision]:
-        """Ask for a permit; returns who answered, and what."""
+        """Request a permit; return the name of the allocator that decided and its decision.
+
+        The name is empty if no allocator responded and this instance decided by its local share.
+        """
         now = await curio.clock()
         for allocator in self._shared_limits.allocators(incarnation_id, now):
             if allocator == self._name:
@@ -213,7 +221,11 @@
     async def _request_from(
         self, allocator: str, incarnation_id: str, params: _PermitParams | None
     ) -> _PermitReply | None:
-        """Lend the own share to an instance and, where there is a wish, ask for a permit."""
+        """Lease this instance's share to an allocator and, if *params* is given, request a permit.
+
+        Returns:
+            The response; None if the allocator has no known address or did not respond.
+        """
         address, limit = (
             self._membership.peer_address(allocator),
             self._shared_limits.advertised.get(incarnation_id),
@@ -248,7 +260,7 @@
     async def _send_request(self, address: str, request: PermitRequest, number: int) -> None:
         await self._messenger.send(address, request.with_number(number))
 
-    # Handing out.
+    # Allocation: requests from other instances.
 
     async def _on_request(self, message: PermitRequest, sender: str) -> None:
         now = await curio.clock()
@@ -284,10 +296,10 @@
     async def _on_return(self, message: PermitReturn, sender: str) -> None:
         self._shared_limits.return_permit(message.server, await curio.clock())
 
-    # Tasks.
+    # Background tasks.
 
     async def renew_leases(self) -> None:
-        """Lend the shares of limits that others hand out for, again and again, until cancelled."""
+        """Renew the leases of this instance's shares to the allocators, until cancelled."""
         while True:
             await curio.sleep(
                 self._shared_limits.renewal_interval_s * self._backends.rng.uniform(*RENEWAL_JITTER)
@@ -305,7 +317,7 @@
                 return
 
     async def log_use(self) -> None:
-        """Tell how much is sent to servers that name limits, until cancelled."""
+        """Log how many requests are sent to servers that advertise limits, until cancelled."""
         while True:
             await curio.sleep(USE_LOG_INTERVAL_S)
             sent, self._sent_counts = self._sent_counts, Counter()
--- a/src/crankhinge/gateway/_quarantine.py
+++ b/src/crankhinge/gateway/_quarantine.py
@@ -1,10 +1,11 @@
-"""Keeps requests under which servers crashed from further servers, over all instances.
-
-Crashes of one request are counted by the two instances that come first for its fingerprint, so a
-crash costs two datagrams for each request that it cut, however many instances there are. Whoever
-has counted enough of them tells all, once a quarantine. Datagrams may be lost: two count, an
-instance that was not told is told again when it reports its next crash, and who counted keeps the
-quarantine in its note in the store, which all read and which outlives restarts.
+"""Keeps requests under which servers crashed away from further servers, over all instances.
+
+The crashes of one request are counted by the first two instances in the order of its fingerprint,
+so a crash costs two datagrams for each request that it cut, however many instances there are. An
+instance that has counted enough crashes notifies all others, once per quarantine. Datagrams may be
+lost. Therefore two instances count; an instance that missed the notification gets it again when it
+reports its next crash; and the instances that counted publish the quarantine in their records in
+the store, which all instances read and which outlive restarts.
 """
 
 from __future__ import annotations
@@ -23,21 +24,21 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.runtime import Metrics
 
-# Instances that count the crashes of one request: one may be gone or not hear.
+# Instances that count the crashes of one request: one of them may be gone or miss a message.
 COUNTING_INSTANCES = 2
-# Fingerprints in one datagram: 19 bytes each, 1,200 in a datagram.
+# Fingerprints in one datagram: each takes 19 bytes, and a datagram has 1,200.
 MAX_FINGERPRINTS_PER_MESSAGE = 48
 
 
 class QuarantineService:
-    """Refuses requests that are in quarantine and tells instances of crashes.
+    """Refuses requests that are in quarantine, and notifies instances of crashes.
 
     Args:
-        name: of this instance.
-        membership: the instances.
-        messenger: carries the datagrams.
-        log: for events.
-        metrics: for counters.
+        name: name of this instance.
+        membership: the instances of the fleet.
+        messenger: sends and receives peer messages.
+        log: log for events.
+        metrics: registry for counters.
     """
 
     def __init__(
@@ -63,14 +64,14 @@
         return len(self._quarantine)
 
     def refuse_quarantined(self, work_key: str, now: float) -> None:
-        """Refuse work that no server may be sent now.
+        """Refuse work that must not be sent to any server now.
 
         Args:
-            work: as :meth:`Relay.work` returns it.
-            now: on the runtime's clock, in seconds.
+            work_key: key of the work as returned by :meth:`Relay.work_key`.
+            now: time on the runtime's clock, in seconds.
 
         Raises:
-            Quarantined: servers crashed while they did it.
+            Quarantined: servers crashed while they ran this work.
         """
         left_s = self._quarantine.refusal_left_s(work_key, now)
         if left_s > 0:
@@ -80,10 +81,12 @@
             )
 
     async def admit(self, relay: Relay, work_key: str, now: float) -> None:
-        """Look at work that is about to be sent to a server; it may become the trial.
+        """Check work that is about to be sent to a server.
+
+        If the work is in quarantine and a trial is due, it becomes the trial.
 
         Raises:
-            Quarantined: as :meth:`refuse_quarantined` does.
+            Quarantined: as raised by :meth:`refuse_quarantined`.
         """
         if relay.trial_work == work_key:
             return
@@ -96,7 +99,7 @@
         await self._announce(trial)
 
     async def record_crash(self, server: Server, fingerprints: Collection[str]) -> None:
-        """Note that a server crashed while it ran requests, and have it counted."""
+        """Record that a server crashed while it ran requests, and have the crash counted."""
         by_instance: defaultdict[str, list[str]] = defaultdict(list)
         for fingerprint in fingerprints:
             for instance in self._membership.first_instances(fingerprint, COUNTING_INSTANCES):
@@ -123,7 +126,7 @@
             await self._announce(update)
 
     async def record_completed(self, relay: Relay, work_key: str) -> None:
-        """Note that a server did work to its end, which it does not where that crashes servers."""
+        """Record that a server completed work, which shows that the work does not crash servers."""
         was_quarantined = self._quarantine.is_quarantined(work_key)
         crashes = self._quarantine.record_completed(work_key, await curio.clock())
         if not crashes:
@@ -142,11 +145,14 @@
                 await self._messenger.send(address, QuarantineEnded(work_key))
 
     def to_instance_record(self) -> Mapping[str, tuple[str, ...]]:
-        """Return what belongs into this instance's note."""
+        """Return what this instance publishes in its record: the quarantines that it counted."""
         return self._quarantine.to_instance_record()
 
     async def apply_instance_records(self, records: Mapping[str, InstanceRecord]) -> None:
-        """Take what stands in the notes of instances; this one's own is of an earlier life."""
+        """Apply the quarantines in the records of instances.
+
+        A record under this instance's own name was published by its earlier incarnation.
+        """
         now = await curio.clock()
         for name, record in records.items():
             own = name == self._name
--- a/src/crankhinge/gateway/_quota.py
+++ b/src/crankhinge/gateway/_quota.py
@@ -1,4 +1,4 @@
-"""Holds accounts to their limits, over all instances together."""
+"""Keeps accounts within their limits, over all instances together."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 from crankhinge.gateway._request import Relay, TokenGrant
 from crankhinge.runtime import Metrics
 
-# When to come back where no instance could tell whether tokens are there, in seconds.
+# Seconds after which a caller should retry if no instance could decide.
 NO_ALLOCATOR_RETRY_S = 0.2
 
 
 class AccountLimits:
-    """Gets each request the tokens that it counts, before it waits for anything.
+    """Gets each request the tokens that it costs, before the request waits for anything else.
 
     Args:
-        name: of this instance.
-        discovery: the accounts and how old they are.
-        membership: the instances.
-        bounds: what the operators allow.
-        messenger: carries questions and answers.
-        log: for events.
-        metrics: for counters.
-        now: on the runtime's clock, in seconds.
+        name: name of this instance.
+        discovery: the accounts, and how old that information is.
+        membership: the instances of the fleet.
+        bounds: what the operators allow above the accounts' limits.
+        messenger: sends and receives peer messages.
+        log: log for events.
+        metrics: registry for counters.
+        now: time on the runtime's clock, in seconds.
     """
 
     def __init__(
@@ -68,15 +68,15 @@
         messenger.add_handler(QuotaReturn, self._on_return)
 
     def record_joined(self, name: str) -> None:
-        """Note that an instance has come."""
+        """Record that an instance joined the fleet."""
         self._client.record_response(name)
 
     async def take_tokens(self, relay: Relay) -> None:
-        """Get a request its tokens.
+        """Take the tokens of a request from its account.
 
         Raises:
-            LimitReached: its account has used what it may.
-            NotReady: nobody can tell.
+            LimitReached: the account has reached its limit.
+            NotReady: no instance can decide now.
         """
         account = relay.account
         if account is None or account.limit is None:
@@ -109,14 +109,16 @@
         )
         if decision.outcome is QuotaOutcome.NOT_ALLOCATOR:
             raise NotReady(
-                "nobody can tell what the account has left", retry_after_s=NO_ALLOCATOR_RETRY_S
+                "no instance can tell how many tokens the account has left",
+                retry_after_s=NO_ALLOCATOR_RETRY_S,
             )
         raise LimitReached(
-            f"account {grant.account.name} has used its limit", retry_after_s=decision.retry_after_s
+            f"account {grant.account.name} has reached its limit",
+            retry_after_s=decision.retry_after_s,
         )
 
     async def return_unused(self, relay: Relay) -> None:
-        """Give the tokens of a request back that no server had."""
+        """Return the tokens of a request that was not sent to any server."""
         grant, relay.grant = relay.grant, None
         if grant is None or relay.sent_to or relay.prompt_processed or relay.may_have_run:
             return
@@ -131,7 +133,7 @@
     async def _request_from(
         self, allocator: str, account: Account, tokens: int
     ) -> QuotaDecision | None:
-        """Return what an instance says; None when it says nothing."""
+        """Return an allocator's decision; None if it has no known address or does not respond."""
         if allocator == self._name:
             return self._allocator.allocate(account, tokens, await curio.clock())
         address = self._membership.peer_address(allocator)
@@ -160,7 +162,8 @@
         account = self._account(message.account)
         decision = NOT_ALLOCATOR
         if account is not None and account.limit is not None:
-            # Also by an old limit: a new one binds once every instance can have heard of it.
+            # The limit may be an old one: a new limit binds once every instance can have received
+            # it.
             decision = self._allocator.allocate(account, message.tokens, await curio.clock())
         response = QuotaResponse(
             message.number, decision.outcome, decision.retry_after_s, decision.left_tokens
