--- a/src/crankhinge/gateway/_authenticator.py
+++ b/src/crankhinge/gateway/_authenticator.py
@@ -1,4 +1,4 @@
-"""Tells who asks, and whether what is known of keys may still be relied on."""
+"""Identifies callers, and checks that what this instance knows about keys is recent enough."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from crankhinge.gateway._discovery import Discovery
 from crankhinge.gateway._request import Relay
 
-# When a caller should come back that was refused for what this instance does not know, in seconds:
-# a new connection finds another instance, since this one calls itself not ready.
+# Seconds after which a caller should retry whose key this instance cannot check. A new connection
+# reaches another instance, since this one reports that it is not ready.
 OTHER_INSTANCE_RETRY_S = 0.1
 
 
 class Authenticator:
     """Identifies callers by their keys.
 
-    A key may have been taken away without this instance hearing of it. So keys are believed only
-    while the configuration was proved current a short time ago; the age counts from when the call
-    that proved it was sent, since its answer may have been under way for any time.
+    A key may have been revoked without this instance having received that. Therefore keys are
+    accepted only if the configuration was known to be current a short time ago. The age counts from
+    when the call that showed it was sent, since the response may have been under way for any time.
 
     Args:
         discovery: the configuration and its age.
@@ -30,11 +30,11 @@
     def identify(
         self, table: RouteTable, route: Route, request: RelayRequest, now: float
     ) -> Account | None:
-        """Return who asks; None where that needs no key.
+        """Return the account of the caller; None if the request needs no key.
 
         Raises:
-            BadCredentials: no account holds the key.
-            ConfigTooOld: nobody can tell whether one still does.
+            BadCredentials: no account has the key.
+            ConfigTooOld: this instance cannot tell whether an account still has the key.
         """
         if table.accounts is None:
             return None
@@ -44,14 +44,19 @@
         if not self._discovery.may_use_keys(now):
             age_s = self._discovery.keys_age_s(now)
             raise ConfigTooOld(
-                f"keys were current {age_s:.2f} s ago", retry_after_s=OTHER_INSTANCE_RETRY_S
+                f"keys were last known to be current {age_s:.2f} s ago",
+                retry_after_s=OTHER_INSTANCE_RETRY_S,
             )
         if account is None:
-            raise BadCredentials("no account holds the key")
+            raise BadCredentials("no account has this key")
         return account
 
     def recheck(self, relay: Relay, now: float) -> None:
-        """Look again at a request that may have waited. Raises as :meth:`identify` does."""
+        """Check again that the caller's key is valid, since the request may have waited.
+
+        Raises:
+            BadCredentials, ConfigTooOld: as raised by :meth:`identify`.
+        """
         table = self._discovery.table
         if relay.account is not None and table is not None:
             self.identify(table, relay.route, relay.request, now)
--- a/src/crankhinge/gateway/_discovery.py
+++ b/src/crankhinge/gateway/_discovery.py
@@ -12,24 +12,33 @@
 from crankhinge.decisions import FreshnessBounds, RouteTable, ServerList, ServerListChange
 from crankhinge.gateway._source_watcher import CallResult, SourceWatcher
 
-# A watch carries every version of the configuration since its mark. An answer this many times as
-# long as the last version holds several, of which only the newest is wanted: it is read instead,
-# since a link of 5 Mbit/s takes 2.1 s for a value of 1 MB and more are written meanwhile. What such
-# a link carries in a tenth of a second is taken in any case.
+# The response to a watch carries every version of the configuration since the watched revision. A
+# response larger than the last version by this factor holds several versions, of which only the
+# newest is wanted. Then the configuration is read instead, since a link of 5 Mbit/s takes 2.1 s for
+# a value of 1 MB, and more versions are written meanwhile. Responses up to MIN_WATCH_BYTES, which
+# such a link carries in a tenth of a second, are accepted in any case.
 READ_INSTEAD_FACTOR = 1.5
 MIN_WATCH_BYTES = 64 * 1024
-# Seconds until it is asked again whether there is a first configuration.
+# Seconds until the source is asked again whether there is a first configuration.
 NO_CONFIG_PAUSE_S = 0.6
 
 
 class Discovery:
-    """What this instance knows of routes and servers, and how old it is.
+    """What this instance knows about routes and servers, and how old that is.
 
     Args:
-        source: where it comes from.
-        freshness: how old it may become.
-        log: for events.
-        rng: for the pauses between attempts.
+        source: source of the configuration and the list of servers.
+        freshness: bounds of how old they may become.
+        log: log for events.
+        rng: source of the jitter of retry delays.
+
+    Attributes:
+        table: routes of the configuration in force; None before the first configuration.
+        servers: the backend servers.
+        has_server_list: whether the list of servers was read at least once.
+        on_server_gone: each is called with the incarnation id of a server that is gone.
+        config_watcher: watches the configuration.
+        server_list_watcher: watches the list of servers.
     """
 
     def __init__(
@@ -67,19 +76,19 @@
 
     @property
     def has_data(self) -> bool:
-        """Whether requests can be served: there are a configuration and a list."""
+        """Whether requests can be served: there are a configuration and a list of servers."""
         return self.table is not None and self.has_server_list
 
     def keys_age_s(self, now: float) -> float:
-        """Return the age of what is known of keys, in seconds."""
+        """Return the age of what this instance knows about keys, in seconds."""
         return now - self.config_watcher.current_at
 
     def may_use_keys(self, now: float) -> bool:
-        """Whether what is known of keys is young enough to serve by."""
+        """Return whether what this instance knows about keys is recent enough to serve requests."""
         return self.keys_age_s(now) <= self._freshness.max_key_age_s
 
     async def expire_suspects(self) -> None:
-        """Drop servers that stayed away after the list's return, until cancelled."""
+        """Remove suspect servers whose entries did not come back with the list, until cancelled."""
         while True:
             await self._suspects_added.wait()
             self._suspects_added.clear()
@@ -108,7 +117,7 @@
         )
 
     def _apply_config(self, update: ConfigUpdate) -> None:
-        """Put a configuration in force if it is newer; an older one never comes back."""
+        """Put a configuration in force if it is newer; an older one is never applied."""
         if update.table is None:
             return
         before = self.table.version if self.table else None
@@ -157,14 +166,14 @@
         return CallResult(update.revision, may_batch=self._may_batch(update))
 
     def _may_batch(self, update: ServersUpdate) -> bool:
-        """Whether more changes may wait after these.
+        """Return whether the next call may wait for further changes after these.
 
-        Not while servers are doubted: each entry that is back gives callers a server.
+        It may not while servers are suspect, since each entry that returns gives callers a server.
         """
         return bool(update.servers or update.removed) and not self.servers.suspects()
 
     def _list_age_s(self, now: float) -> float | None:
-        """Return how long ago the list was last heard of, in seconds."""
+        """Return the seconds since the last response about the list; None before the first."""
         return (
             None
             if self.server_list_watcher.received_at is None
@@ -172,7 +181,7 @@
         )
 
     async def _report_changes(self, change: ServerListChange, why: str, now: float) -> None:
-        """Write what changed, and see to it that nobody is doubted for long."""
+        """Log a change of the list, remove servers that are gone, and let suspects expire."""
         for server in change.changed:
             self._log.info(
                 "server_seen",
--- a/src/crankhinge/gateway/_record_sync.py
+++ b/src/crankhinge/gateway/_record_sync.py
@@ -1,7 +1,7 @@
-"""Keeps this instance's note in the store, and reads those of all.
+"""Keeps this instance's record in the store, and reads the records of all instances.
 
-What all instances measured is put together, so that no single one's luck decides. The notes also
-tell which instances there are and where they can be reached.
+The measurements of all instances are combined, so that no decision depends on the random load of
+one instance. The records also show which instances exist and where they can be reached.
 """
 
 from __future__ import annotations
@@ -25,31 +25,33 @@
 from crankhinge.gateway._limit_updates import LimitUpdates
 from crankhinge.gateway._quarantine import QuarantineService
 
-# Seconds between looks whether the own note is still true.
+# Seconds between checks of whether this instance's record is up to date.
 RECORD_CHECK_INTERVAL_S = 1.0
-# A note is written anew when its samples have doubled or its loads have moved by this part, but
-# not sooner than this after the last one, in seconds.
+# A record is written again when its number of samples has doubled or its loads have changed by this
+# share, but at the earliest MIN_REWRITE_INTERVAL_S seconds after the last write.
 REWRITE_CHANGE_SHARE = 0.15
 MIN_REWRITE_INTERVAL_S = 2.5
-# It is written anew at the latest after this time, in seconds, since the store drops it later.
+# Seconds after which a record is written again at the latest, since the store drops it later.
 MAX_REWRITE_INTERVAL_S = 30.0
-# Seconds until the store is tried again that did not answer: within the time that a note lasts.
+# Seconds until the store is tried again after it did not respond: well within a record's lease.
 STORE_RETRY_S = 1.0
-# Readings of notes are spread by these factors, so that instances do not read in step.
+# Jitter factors of the read interval, so that instances do not read in step.
 READ_JITTER = (0.8, 1.2)
 
 
 class InstanceRecordSync:
-    """This instance's measurements and, when they are asked for, those of all instances.
+    """Publishes this instance's measurements and reads those of all instances when needed.
 
     Args:
-        name: of this instance.
-        address: ``host:port`` where this instance takes notices; empty for nowhere.
-        membership: the instances, whose notes tell where they are reached.
-        registry: where instances put their notes.
-        meters: measure this instance's requests, by service.
-        quarantine, limits: what instances tell each other in their notes besides.
-        log: for events.
+        name: name of this instance.
+        address: ``host:port`` where this instance receives peer messages; empty for none.
+        membership: the instances of the fleet, as their records show them.
+        registry: store of the instance records.
+        meters: measured cost of this instance's requests, by service name.
+        quarantine: publishes and applies quarantines in instance records.
+        limit_updates: publishes and applies advertised limits in instance records.
+        log: log for events.
+        rng: source of the jitter of intervals.
     """
 
     def __init__(
@@ -83,9 +85,9 @@
         self._published_settled = False
 
     async def run(self) -> None:
-        """Keep this instance's note true until cancelled."""
+        """Keep this instance's record up to date, until cancelled."""
         await self._take_over()
-        # A fleet that starts together does not write in the same moment.
+        # Instances that start together do not write at the same moment.
         await curio.sleep(self._rng.uniform(0.0, RECORD_CHECK_INTERVAL_S))
         while True:
             try:
@@ -97,7 +99,7 @@
                 await curio.sleep(RECORD_CHECK_INTERVAL_S)
 
     async def _take_over(self) -> None:
-        """Take over the note of a life before, if there is one."""
+        """Take over the record of this instance's earlier incarnation, if there is one."""
         while True:
             try:
                 found = await self._registry.take_over(self._name)
@@ -114,7 +116,7 @@
             return
 
     async def _update_record(self) -> None:
-        """Write, renew and follow up the note, whichever is due."""
+        """Write the record or renew its lease, whichever is due; join the fleet if necessary."""
         all_stats = self._local_stats()
         now = await curio.clock()
         may_coordinate, quarantined = (
@@ -140,7 +142,10 @@
             await self._join(None, resumed=False)
 
     async def _record_lease(self, lease: RecordLease | None) -> None:
-        """Note how long the note lasts; one that had gone makes this instance a new one."""
+        """Record how long the lease holds.
+
+        After its record has lapsed, this instance joins the fleet as a new one.
+        """
         if lease is None:
             self._joined, self._published_at = False, float("-inf")
             self._log.info("note_gone")
@@ -151,7 +156,7 @@
             self._joined = False
 
     async def _join(self, lease: RecordLease | None, *, resumed: bool) -> None:
-        """Read who else is there, once the note is written."""
+        """Read which instances exist, once this instance's record is written."""
         if lease is not None:
             await self._record_lease(lease)
         elif self._published_at == float("-inf"):
@@ -164,7 +169,7 @@
             self._joined = True
 
     async def refresh_membership(self) -> None:
-        """Look who else is there, now and then, until cancelled."""
+        """Read the records at intervals to learn which instances exist, until cancelled."""
         while True:
             await curio.sleep(self._membership.read_interval_s * self._rng.uniform(*READ_JITTER))
             try:
@@ -176,13 +181,17 @@
         sent_at = await curio.clock()
         records = await self._registry.read_all()
         if self._joined:
-            # What a call brings is at least as old as the call.
+            # The age of the records counts from when the read was sent, which is the earliest
+            # moment that they may show.
             self._membership.apply_records(_addresses(records), sent_at)
         await self._apply_records(records)
         return records
 
     async def _apply_records(self, records: Mapping[str, InstanceRecord]) -> None:
-        """Take what the others tell besides; what this instance told itself it need not read."""
+        """Apply the quarantines and limits of the other instances' records.
+
+        This instance's own record has nothing that it does not know.
+        """
         others = {name: record for name, record in records.items() if name != self._name}
         await self._quarantine.apply_instance_records(others)
         await self._limit_updates.apply_instance_records(others)
@@ -210,15 +219,15 @@
         )
 
     def local_loads(self, service: str) -> PoolLoads | None:
-        """Return the loads as this instance sees them, from however few requests."""
+        """Return the loads as this instance measured them; the number of requests may be small."""
         stats = self._meters[service].stats()
         return None if stats is None else stats.loads()
 
     async def fleet_loads(self, service: str) -> tuple[PoolLoads | None, int]:
-        """Return the loads as all instances see them, and how many answers shaped them.
+        """Return the loads as all instances measured them, and the number of answers behind them.
 
         Raises:
-            KeyValueUnavailable: the others' notes can't be read.
+            KeyValueUnavailable: the records of the other instances cannot be read.
         """
         records = await self._read_records()
         records[self._name] = InstanceRecord(self._address, self._local_stats())
@@ -240,5 +249,5 @@
 
 
 def _addresses(records: Mapping[str, InstanceRecord]) -> dict[str, str]:
-    """Return where instances take datagrams."""
+    """Return the addresses where instances receive peer messages, by name."""
     return {name: record.peer for name, record in records.items()}
--- a/src/crankhinge/gateway/_request.py
+++ b/src/crankhinge/gateway/_request.py
@@ -1,4 +1,4 @@
-"""One request on its way through the gateway."""
+"""The state of one request while the gateway handles it."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from crankhinge.decisions import Account, Route, Service
 from crankhinge.http import Exchange
 
-# Put before a request's fingerprint where its prompt alone is meant.
+# Prefix of a request's fingerprint if only the processing of its prompt is meant.
 PROMPT_ONLY_PREFIX = "r:"
-# Servers that may not be reached for one request; each costs the time of a connection at most.
+# Servers that may be unreachable for one request; each costs the timeout of a connection at most.
 MAX_UNREACHABLE = 3
 
 
 @dataclass(frozen=True)
 class TokenGrant:
-    """Tokens of an account that a request has.
+    """Tokens of its account that a request was granted.
 
     Attributes:
-        allocator: the instance that handed them out; empty for this instance's own part.
+        allocator: name of the instance that granted them; empty for this instance's local share.
         account: the account.
-        tokens: how many.
+        tokens: number of tokens.
     """
 
     allocator: str
@@ -34,11 +34,11 @@
 
 @dataclass(frozen=True)
 class SendPermit:
-    """Leave to send a request to a server that says how much it takes.
+    """Permit to send a request to a server that advertises a limit.
 
     Attributes:
-        allocator: the instance that gave it; empty for this one.
-        expires_at: when it is over, on the runtime's clock.
+        allocator: name of the instance that granted it; empty for this instance.
+        expires_at: when the permit expires, on the runtime's clock.
     """
 
     allocator: str
@@ -47,31 +47,30 @@
 
 @dataclass
 class Relay:
-    """A request, what binds it, and what has been done for it.
+    """A request, the rules that apply to it, and what was done for it so far.
 
     Attributes:
-        exchange: the caller's request and the way to answer it.
-        request: what it says of itself.
-        route: the route that it matched.
-        service: the service that answers it.
-        config_version: of the configuration that decided so.
-        started_at: when it was read, on the runtime's clock.
-        deadline: when it has to be answered, on the runtime's clock.
-        fingerprint: what is equal for attempts at one request.
-        account: who asks; None where that needs no key.
+        exchange: the caller's HTTP request and the means to respond.
+        request: the fields of the request that the gateway uses.
+        route: the route that the request matched.
+        service: the service that runs the request.
+        config_version: version of the configuration that chose route and service.
+        started_at: when the request was read, on the runtime's clock.
+        deadline: when the response must be complete, on the runtime's clock.
+        fingerprint: equal for all attempts of a caller at the same request.
+        account: account of the caller; None if the request needs no key.
         has_accounts: whether the configuration has accounts.
-        grant: what it has of its account's tokens; None where none are counted.
-        permits: leave to be sent to servers that name limits, by their identities.
-        trial_work: the work of it that is let through a quarantine to see what becomes of it; empty
-            for none.
-        is_retry: whether its caller was refused before and has come back.
-        sent_to: identities of the servers that it was sent to.
-        unreachable: identities of servers that could not be reached; nothing arrived there.
-        may_have_run: whether a server may have run it.
-        prompt_processed: whether an engine has read its prompt.
-        reserved_at: when it got a place to write in; None before that.
+        grant: tokens that the request was granted; None if it costs none.
+        permits: permits for servers that advertise limits, by incarnation id.
+        trial_work: key of the work that may run as the trial of a quarantine; empty for none.
+        is_retry: whether the caller was refused before and has retried.
+        sent_to: incarnation ids of the servers that the request was sent to.
+        unreachable: incarnation ids of servers that could not be reached and received nothing.
+        may_have_run: whether a server may have executed the request.
+        prompt_processed: whether a prompt engine processed the prompt.
+        reserved_at: when a decode engine granted the reservation; None before.
         last_event_at: when the caller was last sent an event; None before the first.
-        log_fields: what the line about its end tells.
+        log_fields: fields of the log line about the end of the request.
     """
 
     exchange: Exchange
@@ -97,33 +96,35 @@
     log_fields: dict[str, Any] = field(default_factory=dict)
 
     async def remaining_s(self) -> float:
-        """Return the seconds that are left."""
+        """Return the seconds until the deadline."""
         now: float = await curio.clock()
         return self.deadline - now
 
     @property
     def account_name(self) -> str | None:
-        """Name of who asks; empty for nobody in particular, None where there are no accounts."""
+        """Name of the caller's account; empty without an account, None if accounts are not used."""
         if not self.has_accounts:
             return None
         return self.account.name if self.account else ""
 
     @property
     def rank(self) -> int:
-        """How urgent it is, 0 most; the account's goes before the route's."""
+        """Priority of the request, 0 the highest; an account's own comes before its route's."""
         if self.account is None or self.account.rank is None:
             return self.route.rank
         return self.account.rank
 
     def work_key(self, *, prompt_only: bool) -> str:
-        """Return what is equal for attempts at having the request run, or its prompt read apart.
+        """Return a key that is equal for all attempts at the same work.
 
-        A prompt that crashes the engines that read it may well be read by the one that writes.
+        The work is the execution of the request or, with *prompt_only*, the processing of its
+        prompt by a prompt engine. These have different keys, since a prompt that crashes prompt
+        engines may well be processed by a decode engine.
         """
         return f"{PROMPT_ONLY_PREFIX}{self.fingerprint}" if prompt_only else self.fingerprint
 
     def record_event(self, now: float) -> None:
-        """Note that events go to the caller: when the first did, and the longest pause since."""
+        """Record that events are sent to the caller: when the first was, and the longest pause."""
         if self.last_event_at is None:
             self.log_fields["first_ms"] = round((now - self.started_at) * 1000)
         else:
@@ -132,21 +133,21 @@
         self.last_event_at = now
 
     def record_unreachable(self) -> bool:
-        """Note that the last server was not reached; returns whether another may be tried."""
+        """Record that the last server was unreachable; return whether another may be tried."""
         self.unreachable.append(self.sent_to.pop())
         return len(self.unreachable) < MAX_UNREACHABLE
 
     @property
     def tried_servers(self) -> frozenset[str]:
-        """Identities of servers that are out of the question."""
+        """Incarnation ids of the servers that must not be tried again."""
         return frozenset(self.sent_to) | frozenset(self.unreachable)
 
     @property
     def may_try_another(self) -> bool:
-        """Whether the route allows one more server."""
+        """Whether the route allows an attempt at one more server."""
         return len(self.sent_to) < self.route.max_servers
 
     @property
     def may_retry(self) -> bool:
-        """Whether it may be sent again without running twice against the operator's will."""
+        """Whether another attempt cannot run the request twice, or the route allows that."""
         return self.route.repeatable or not self.may_have_run
--- a/src/crankhinge/gateway/_role_controller.py
+++ b/src/crankhinge/gateway/_role_controller.py
@@ -1,7 +1,8 @@
-"""Changes the parts that engines play, one order at a time, by the one instance that may.
+"""Changes the roles of engines, one order at a time, from one instance at a time.
 
-An instance asks for the right only when it wants to give an order, and lets it run out afterwards;
-an order that is left unanswered is settled by asking the engine, and no other is given meanwhile.
+An instance acquires the order lease only when it wants to send an order, and lets it expire
+afterwards. If an engine does not respond to an order, the instance watches the engine's entry until
+the outcome is known, and no other order is sent meanwhile.
 """
 
 from __future__ import annotations
@@ -27,36 +28,36 @@
 from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._record_sync import InstanceRecordSync
 
-# Seconds between looks at the split.
+# Seconds between checks of the split.
 SPLIT_CHECK_INTERVAL_S = 1.0
-# Looks in a row that want the same change before it is made: a crashed server is back by then or
-# its entry has gone.
+# Consecutive checks that have to want the same change before it is made. Until then a server that
+# crashed is back or its entry has lapsed.
 CONSISTENT_CHECKS = 2
-# Seconds until the others' notes are read again when they did not want the change.
+# Seconds until the records of the other instances are read again if they did not want the change.
 DISAGREEMENT_PAUSE_S = 2.0
-# Seconds without another wish after one that another instance's orders came before: it holds the
-# right until engines play their new parts, some six seconds.
+# Seconds without another attempt if another instance was ordering already: it holds the order lease
+# until the engines have their new roles, which takes about six seconds.
 OTHER_CONTROLLER_PAUSE_S = 6.0
-# Seconds until the right is asked for again after the store gave no answer: a lease that was made
-# all the same is over by then.
+# Seconds until the order lease is requested again after the store did not respond. A lease that was
+# created in spite of that has expired by then.
 STORE_RETRY_S = 4.0
-# Seconds before its end in which the right isn't used any more: the way to the engine takes time.
+# Seconds before its end from which the order lease is not used: the way to the engine takes time.
 LEASE_END_MARGIN_S = 0.5
-# Seconds between questions about an order under way, and until an unanswered one counts as lost;
-# one may be carried out up to twelve seconds late.
+# Seconds between checks of a pending order, and seconds until an order without response counts as
+# lost. An order may be carried out up to twelve seconds late.
 ORDER_POLL_INTERVAL_S = 1.0
 MAX_ORDER_S = 13.0
 
 
 @dataclass
 class _WantedChange:
-    """What an instance would have another split for, and for how many looks in a row."""
+    """The change of roles that the checks want, and how many consecutive checks wanted it."""
 
     role: EngineRole | None = None
     checks: int = 0
 
     def is_confirmed(self, role: EngineRole | None) -> bool:
-        """Note what a look shows; returns whether it has shown the same wish for long enough."""
+        """Record the result of a check; return whether enough consecutive checks agree."""
         self.checks = self.checks + 1 if role is self.role else 1
         self.role = role
         return role is not None and self.checks >= CONSISTENT_CHECKS
@@ -67,10 +68,10 @@
     """The engines of a service.
 
     Attributes:
-        prompt_engines: those that read.
-        decode_engines: those that write.
-        becoming_prompt: how many follow an order to read.
-        becoming_decode: how many follow an order to write.
+        prompt_engines: engines whose role is to process prompts.
+        decode_engines: engines whose role is to decode.
+        becoming_prompt: number of engines that carry out an order to process prompts.
+        becoming_decode: number of engines that carry out an order to decode.
     """
 
     prompt_engines: list[Server]
@@ -80,26 +81,26 @@
 
     @property
     def final_prompt_count(self) -> int:
-        """How many read when all orders are done."""
+        """Number of prompt engines once all orders are carried out."""
         return len(self.prompt_engines) + self.becoming_prompt
 
     @property
     def final_decode_count(self) -> int:
-        """How many write when all orders are done."""
+        """Number of decode engines once all orders are carried out."""
         return len(self.decode_engines) + self.becoming_decode
 
 
 class RoleController:
-    """Keeps the split between reading and writing engines where the load wants it.
+    """Keeps the split between prompt engines and decode engines as the load requires.
 
     Args:
-        name: of this instance.
-        discovery: routes and servers.
-        backends: the servers.
-        order_leases: gives the right to order.
-        record_sync: what all instances measured.
-        messenger: tells the other instances of orders.
-        log: for events.
+        name: name of this instance.
+        discovery: the routes and servers.
+        backends: the backend servers.
+        order_leases: store of the order lease.
+        record_sync: the measurements of all instances.
+        messenger: notifies the other instances of orders.
+        log: log for events.
     """
 
     def __init__(
@@ -125,7 +126,7 @@
         self._wanted_changes: defaultdict[str, _WantedChange] = defaultdict(_WantedChange)
 
     async def run(self) -> None:
-        """Look at the split until cancelled."""
+        """Check the split of each service again and again, until cancelled."""
         while True:
             await curio.sleep(SPLIT_CHECK_INTERVAL_S * self._backends.rng.uniform(0.8, 1.2))
             table = self._discovery.table
@@ -143,7 +144,8 @@
         if loads is None or now < self._paused_until:
             return
         wanted = wanted_prompt_engines(loads, *split, MIN_ANSWERS_TO_GROW_PREFILL)
-        # Servers that come and go change the split each second; the wish is what has to last.
+        # The counts change each second as servers come and go, so only the wanted role has to
+        # stay the same.
         if self._wanted_changes[service.name].is_confirmed(_role_to_grow(wanted, split[0])):
             del self._wanted_changes[service.name]
             await self._decide_change(service, pools)
@@ -157,7 +159,7 @@
         )
 
     async def _decide_change(self, service: Service, pools: _EnginePools) -> None:
-        """Change the split where the measurements of all instances want it."""
+        """Order a change of roles if the measurements of all instances require it."""
         now = await curio.clock()
         self._paused_until = now + DISAGREEMENT_PAUSE_S
         try:
@@ -184,12 +186,12 @@
             write_s=round(loads.answer_s, 4),
         )
         servers = pools.prompt_engines if role is EngineRole.DECODE else pools.decode_engines
-        # Those that have least to finish can change soonest.
+        # Engines with the fewest open requests can change soonest.
         servers.sort(key=lambda server: self._backends.stats(server.incarnation_id).open_requests)
         await self._order_change(servers, abs(wanted - split[0]), role)
 
     async def _order_change(self, servers: list[Server], count: int, role: EngineRole) -> None:
-        """Order *count* of the engines, the first that can be, to play a part."""
+        """Order *count* engines to change to a role, beginning with the first in *servers*."""
         try:
             self._lease = await self._order_leases.acquire(self._name)
         except KeyValueUnavailable as exc:
@@ -209,8 +211,9 @@
                 OrderOutcome.ACCEPTED,
                 OrderOutcome.CONFLICT,
             ):
-                # Unanswered or fenced: what holds for this engine may hold for the next. One that
-                # is dark or follows another order says nothing of the next.
+                # Without a response, or fenced: the next engine may well give the same result. An
+                # engine that is unreachable or carries out another order says nothing about the
+                # next.
                 break
         await self._await_orders(pending, role)
         self._lease = None
@@ -226,7 +229,11 @@
             return None
 
     async def _send_order(self, server: Server, role: EngineRole) -> OrderOutcome | None:
-        """Give an order; returns None when it was left unanswered and may yet be carried out."""
+        """Send an order to an engine.
+
+        Returns:
+            The outcome; None if the engine did not respond and may still carry out the order.
+        """
         lease = self._lease
         assert lease is not None
         state = await self._engine_state(server)
@@ -252,14 +259,14 @@
         return outcome
 
     async def _announce_order(self, server: Server, role: EngineRole) -> None:
-        """Have this instance and the others leave the engine out until it plays its new part."""
+        """Exclude an engine from new requests, on all instances, until it has its new role."""
         until = await curio.clock() + MAX_ORDER_S
         self._backends.record_order(server.incarnation_id, role, until, by_peer=False)
         message = EngineOrdered(server.incarnation_id, role, MAX_ORDER_S)
         await self._messenger.send_to_all(message, server=message.server, phase=role.value)
 
     async def _await_orders(self, servers: list[Server], role: EngineRole) -> None:
-        """Keep the right until the outcome of all orders is known."""
+        """Keep the order lease until the outcome of all orders is known."""
         until = await curio.clock() + MAX_ORDER_S
         while servers and await curio.clock() < until and await self._renew_lease():
             await curio.sleep(ORDER_POLL_INTERVAL_S)
@@ -279,7 +286,7 @@
             lease = await self._order_leases.renew(self._lease)
         except KeyValueUnavailable as exc:
             self._log.info("tenure_unknown", why=exc.detail)
-            # It lasts until its end; the next renewal tells.
+            # The lease holds until its end; the next renewal shows whether it was extended.
             now: float = await curio.clock()
             return now < self._lease.expires_at
         if lease is None:
@@ -290,7 +297,7 @@
 
 
 def _role_to_grow(wanted: int, prompt_engines: int) -> EngineRole | None:
-    """Return the part that more engines should play; None where the split is as wanted."""
+    """Return the role that more engines should have; None if the split is as wanted."""
     if wanted == prompt_engines:
         return None
     return EngineRole.PREFILL if wanted > prompt_engines else EngineRole.DECODE
--- a/src/crankhinge/gateway/_source_watcher.py
+++ b/src/crankhinge/gateway/_source_watcher.py
@@ -1,4 +1,4 @@
-"""Follows one thing that the source tells: reads it, watches it, reads it anew after a loss."""
+"""Watches one kind of data at the source: reads it, waits for changes, reads it after a loss."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 from crankhinge.decisions import ChangeBatcher
 from crankhinge.errors import KeyValueUnavailable
 
-# Pauses between attempts while the source is away, in seconds: soon enough that its return is
-# noticed well within the two seconds in which a configuration has to be in force.
+# Bounds of the delay between attempts while the source is unreachable, in seconds: short enough
+# that its return is noticed well within the two seconds in which a configuration has to be in
+# force.
 FIRST_RETRY_S = 0.1
 MAX_RETRY_S = 0.6
-# Seconds between lines that tell that the source is still away; each of its calls fails after 1.5 s
-# at most, so that a line stands for a few.
+# Seconds between log lines about a source that is still unreachable. Each call fails after 1.5 s at
+# most, so a line stands for a few calls.
 STILL_LOST_LOG_INTERVAL_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """What one call brought.
+    """Result of one call to the source.
 
     Attributes:
-        revision: to watch from.
-        may_batch: whether the next call may wait, so that it tells of several changes.
-        unchanged: whether nothing had changed to the end of the wait.
+        revision: revision from which to watch next.
+        may_batch: whether the next call may wait, so that its response has several changes.
+        unchanged: whether nothing changed until the end of the wait.
     """
 
     revision: int
@@ -40,19 +41,19 @@
 
 ReadCall = Callable[[], Awaitable[CallResult]]
 WatchCall = Callable[[int, float], Awaitable[CallResult]]
-# Returns the longest wait of a watch when what was last proved is so old; both in seconds.
+# Takes the age of the data in seconds; returns the longest wait of a watch in seconds.
 WatchWait = Callable[[float], float]
 
 
 @dataclass
 class _Outage:
-    """A time without an answer of the source.
+    """A time in which the source does not respond.
 
     Attributes:
         since: when the first call failed, on the runtime's clock.
-        logged_at: when a line was last written of it.
-        received_bytes: bytes that had come from the source before it.
-        failures: calls that failed.
+        logged_at: when the outage was last logged.
+        received_bytes: bytes received from the source before the outage.
+        failures: number of calls that failed.
     """
 
     since: float
@@ -62,23 +63,23 @@
 
 
 class SourceWatcher:
-    """Follows one thing until cancelled.
+    """Watches one kind of data until cancelled.
 
     Args:
-        name: its name, for logs.
-        read: takes what stands now.
-        watch: takes what changed since a mark, within some seconds.
-        watch_wait_s: tells the longest wait of one watch.
-        pause_s: seconds without a call while changes go on; they come in one answer.
-        source: where it comes from.
-        log: for events.
-        rng: for the pauses between attempts.
+        name: name of the data, for logs.
+        read: reads the current data and applies it.
+        watch: waits for changes after a revision, for some seconds at most, and applies them.
+        watch_wait_s: returns the longest wait of one watch.
+        pause_s: seconds without a call while changes go on, so that one response has several.
+        source: the source of the data.
+        log: log for events.
+        rng: source of the jitter of retry delays.
 
     Attributes:
-        received_at: when the source last had a word of it, on the runtime's clock; None before
-            the first.
-        current_at: what is known was current at this time, on the runtime's clock; minus infinity
-            before the first word.
+        received_at: when the source last responded, on the runtime's clock; None before the first
+            response.
+        current_at: time on the runtime's clock at which the data was known to be current; minus
+            infinity before the first response.
     """
 
     def __init__(
@@ -107,19 +108,20 @@
 
     @property
     def was_unreachable(self) -> bool:
-        """Whether a call to the source has failed since its last word."""
+        """Whether a call to the source has failed since its last response."""
         return self._outage is not None
 
     async def run(self) -> None:
-        """Read and watch until cancelled."""
+        """Read and watch the data until cancelled."""
         revision: int | None = None
         retry_s = FIRST_RETRY_S
         history_retry_s = 0.0
         batched_s = 0.0
         while True:
             was_watch = revision is not None
-            # After an absence the answer is wanted at once: it tells that the source is back. The
-            # watch goes on from its mark; to read all anew may take a thin link seconds.
+            # After an outage the response is wanted at once, since it shows that the source is
+            # back. The watch continues from its revision: reading all data again may take a link of
+            # low bandwidth seconds.
             sent_at = await curio.clock()
             wait_s = self._wait_s(sent_at, batched_s)
             try:
@@ -127,7 +129,8 @@
             except HistoryLost as exc:
                 self._log.info("history_lost", what=self._name, why=exc.detail)
                 revision = None
-                # What is read next is current; history that is lost again at once is not pressed.
+                # The next read is current. The pause keeps a source that loses its history again at
+                # once from being read without end.
                 await curio.sleep(history_retry_s)
                 history_retry_s = min(MAX_RETRY_S, history_retry_s * 2 or FIRST_RETRY_S)
                 continue
@@ -137,8 +140,8 @@
                 retry_s = min(MAX_RETRY_S, retry_s * 2)
                 continue
             revision = result.revision
-            # The answer was made some time after the call was sent; one that tells of no change,
-            # at the end of the wait.
+            # The response was made at some time after the call was sent. A response without a
+            # change was made at the end of the wait.
             self.current_at = max(self.current_at, sent_at + (wait_s if result.unchanged else 0.0))
             await self._record_response()
             retry_s = FIRST_RETRY_S
@@ -146,8 +149,8 @@
             if was_watch:
                 history_retry_s = 0.0
                 if result.may_batch:
-                    # The connection may fall silent meanwhile: the watch that would show it is
-                    # shorter by the time in which none is under way.
+                    # The connection may become unresponsive during the pause, in which no watch is
+                    # open to notice that. Therefore the next watch is shorter by the pause.
                     batched_s = self._batcher.record_change(await curio.clock())
                     await curio.sleep(batched_s)
 
