--- a/src/crankhinge/gateway/__init__.py
+++ b/src/crankhinge/gateway/__init__.py
@@ -1,7 +1,7 @@
-"""The gateway: relays requests as they are to the backend servers that run them.
+"""The gateway: a router that relays requests unchanged to backend servers.
 
-It serves callers that speak the backend servers' own protocol; ``crankhinge.entry`` serves those
-that speak the completions API.
+The gateway serves callers that speak the backend servers' own protocol; ``crankhinge.entry``
+serves callers that speak the completions API.
 """
 
 from crankhinge.gateway._program import Platform, run, serve
--- a/src/crankhinge/gateway/_call_log.py
+++ b/src/crankhinge/gateway/_call_log.py
@@ -1,4 +1,4 @@
-"""Tells how many calls this instance makes to the platform's service, by kind."""
+"""Logs how many calls this instance makes to the platform's service, by kind."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 from crankhinge.adapters import DiscoverySource
 
-# Seconds between lines: a few hundred bytes a minute.
+# Seconds between log lines, which take a few hundred bytes a minute.
 LOG_INTERVAL_S = 10.0
 
 
 class CallLog:
-    """Writes a line of the calls made since the last one.
+    """Logs the calls made since the previous line.
 
     Args:
-        source: whose calls.
-        log: for events.
+        source: the source whose calls are counted.
+        log: log for events.
     """
 
     def __init__(self, source: DiscoverySource, log: Any) -> None:
@@ -26,7 +26,7 @@
         self._log = log
 
     async def run(self) -> None:
-        """Write lines until cancelled."""
+        """Write a line at intervals, until cancelled."""
         logged: Counter[str] = Counter()
         while True:
             await curio.sleep(LOG_INTERVAL_S)
--- a/src/crankhinge/gateway/_events.py
+++ b/src/crankhinge/gateway/_events.py
@@ -1,4 +1,4 @@
-"""Splits an event stream at the ends of its events, so that a broken one can be continued."""
+"""Splits an event stream at the ends of its events, so that a broken stream can be resumed."""
 
 from __future__ import annotations
 
@@ -6,10 +6,14 @@
 
 
 class EventSplitter:
-    """Holds an unfinished event back and remembers the identity of the last whole one.
+    """Holds back an unfinished event and remembers the id of the last complete one.
 
     Args:
-        last_id: identity of the last event that the caller has.
+        last_id: id of the last event that the caller has.
+
+    Attributes:
+        last_id: id of the last complete event.
+        event_count: number of complete events so far.
     """
 
     def __init__(self, last_id: str = "") -> None:
@@ -18,7 +22,7 @@
         self._remainder = b""
 
     def feed(self, chunk: bytes) -> bytes:
-        """Return the whole events that *chunk* completes."""
+        """Return the complete events that *chunk* finishes; keep the bytes after them."""
         data = self._remainder + chunk
         end = data.rfind(EVENT_END)
         if end < 0:
@@ -33,10 +37,10 @@
         return complete
 
     def drop_remainder(self) -> None:
-        """Forget an unfinished event; the server that continues sends it again."""
+        """Discard an unfinished event; the server that resumes the stream sends it again."""
         self._remainder = b""
 
     @property
     def remainder(self) -> bytes:
-        """Bytes that follow the last whole event."""
+        """Bytes that follow the last complete event."""
         return self._remainder
--- a/src/crankhinge/gateway/_join_announcer.py
+++ b/src/crankhinge/gateway/_join_announcer.py
@@ -1,4 +1,4 @@
-"""Makes this instance known to the others as it comes."""
+"""Announces this instance to the other instances when it starts."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class JoinAnnouncer:
-    """Greets the instances that it finds, and answers those that come after it.
+    """Sends join announcements to known instances, and acknowledges those of later instances.
 
     Args:
-        name: of this instance.
-        address: ``host:port`` where it takes datagrams; empty for nowhere.
-        membership: the instances.
-        messenger: carries the datagrams.
-        on_joined: each is called with the name of an instance that has come.
-        log: for events.
+        name: name of this instance.
+        address: ``host:port`` where this instance receives peer messages; empty for none.
+        membership: the instances of the fleet.
+        messenger: sends and receives peer messages.
+        on_joined: each is called with the name of an instance that joined.
+        log: log for events.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         messenger.add_handler(JoinAcknowledgement, self._on_acknowledgement)
 
     async def run(self) -> None:
-        """Greet those that have not answered, until cancelled."""
+        """Send join announcements until they are acknowledged, again and again, until cancelled."""
         may_coordinate = False
         while True:
             for peer in self._membership.unacknowledged_addresses:
--- a/src/crankhinge/gateway/_peer_messages.py
+++ b/src/crankhinge/gateway/_peer_messages.py
@@ -1,6 +1,7 @@
-"""What instances say to each other, one datagram a message.
+"""Messages between instances, one per datagram.
 
-A message may be lost, late, doubled or false, and its sender frozen or gone by the time it comes.
+A message may be lost, late, duplicated or false, and its sender may be suspended or gone when the
+message arrives.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 
 
 class EngineOrdered(msgspec.Struct, frozen=True, tag="engine-ordered"):
-    """An engine has taken an order to play another part.
+    """An engine accepted an order to change its role.
 
     Attributes:
-        server: its identity.
-        phase: the part that it will play.
-        within_s: seconds within which it does, or the order is over.
+        server: incarnation id of the engine.
+        phase: the new role.
+        within_s: seconds within which the change is complete or the order has expired.
     """
 
     server: str
@@ -25,11 +26,11 @@
 
 
 class JoinAnnouncement(msgspec.Struct, frozen=True, tag="greeting"):
-    """An instance has come.
+    """An instance joined the fleet.
 
     Attributes:
-        name: of the instance.
-        peer: ``host:port`` where it takes datagrams.
+        name: name of the instance.
+        peer: ``host:port`` where it receives datagrams.
     """
 
     name: str
@@ -37,22 +38,22 @@
 
 
 class JoinAcknowledgement(msgspec.Struct, frozen=True, tag="greeted"):
-    """An instance counts the one that greeted.
+    """An instance counts the one that announced itself.
 
     Attributes:
-        name: of the instance that answers.
+        name: name of the instance that acknowledges.
     """
 
     name: str
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, tag="quota-ask"):
-    """A request wants tokens of its account.
+    """Request for tokens of an account.
 
     Attributes:
-        number: of the question, for who asks.
-        account: its name.
-        tokens: how many.
+        number: number by which the client matches the response.
+        account: name of the account.
+        tokens: number of tokens.
     """
 
     number: int
@@ -61,13 +62,13 @@
 
 
 class QuotaResponse(msgspec.Struct, frozen=True, tag="quota-answer"):
-    """Whether a request has its tokens.
+    """Response to a request for tokens of an account.
 
     Attributes:
-        number: of the question.
-        verdict: on it.
-        after_s: seconds after which to come back when it was refused.
-        left: tokens of the account that are left now.
+        number: number of the request.
+        verdict: outcome of the request.
+        after_s: seconds after which the caller should retry if the request was refused.
+        left: tokens that the account has left now.
     """
 
     number: int
@@ -77,11 +78,11 @@
 
 
 class QuotaReturn(msgspec.Struct, frozen=True, tag="quota-return"):
-    """A request that had tokens did not run.
+    """Return of the tokens of a request that did not run.
 
     Attributes:
-        account: its name.
-        tokens: how many it had.
+        account: name of the account.
+        tokens: number of tokens.
     """
 
     account: str
@@ -92,8 +93,8 @@
     """A server crashed while it ran requests.
 
     Attributes:
-        server: identity of the life that ended.
-        fingerprints: of the requests.
+        server: incarnation id of the server.
+        fingerprints: fingerprints of the requests.
     """
 
     server: str
@@ -101,12 +102,12 @@
 
 
 class QuarantineBegun(msgspec.Struct, frozen=True, tag="quarantine-begun"):
-    """A request is kept from servers, or one attempt at it is let through meanwhile.
+    """A request is in quarantine, or its trial has begun.
 
     Attributes:
-        fingerprint: of the request.
-        servers: identities of the lives that ended under it.
-        left_s: seconds until an attempt may be let through.
+        fingerprint: fingerprint of the request.
+        servers: incarnation ids of the servers that crashed while they ran the request.
+        left_s: seconds until a trial may begin.
     """
 
     fingerprint: str
@@ -115,22 +116,22 @@
 
 
 class QuarantineEnded(msgspec.Struct, frozen=True, tag="quarantine-ended"):
-    """A server ran a request to its end, so it does not crash servers.
+    """A server completed a request, which shows that the request does not crash servers.
 
     Attributes:
-        fingerprint: of the request.
+        fingerprint: fingerprint of the request.
     """
 
     fingerprint: str
 
 
 class LimitAdvertised(msgspec.Struct, frozen=True, tag="limit-named"):
-    """A server said how much it takes from all instances together.
+    """A server advertised how many requests it accepts from all instances together.
 
     Attributes:
-        server: its identity.
-        per_s: requests a second.
-        ago_s: seconds since it was heard.
+        server: incarnation id of the server.
+        per_s: requests per second.
+        ago_s: seconds since the limit was received.
     """
 
     server: str
@@ -139,11 +140,11 @@
 
 
 class LimitWithdrawn(msgspec.Struct, frozen=True, tag="limit-ended"):
-    """A server that named a limit names none any more.
+    """A server that advertised a limit advertises none any more.
 
     Attributes:
-        server: its identity.
-        sent_ago_s: seconds since the request was sent that it answered so.
+        server: incarnation id of the server.
+        sent_ago_s: seconds since the request was sent whose response had no limit.
     """
 
     server: str
@@ -151,23 +152,23 @@
 
 
 class ServerLeaving(msgspec.Struct, frozen=True, tag="server-leaves"):
-    """A server said in an answer that it leaves.
+    """A server announced its shutdown in a response.
 
     Attributes:
-        server: its identity.
+        server: incarnation id of the server.
     """
 
     server: str
 
 
 class ShareLeaseMessage(msgspec.Struct, frozen=True, array_like=True):
-    """The sender's share of a server's limit, lent to the receiver.
+    """Lease of the sender's share of a server's limit to the receiver.
 
     Attributes:
-        incarnation: number of the receiver's life, as the lender knows it.
-        clock_s: the latest moment of the receiver's clock that the lender has seen, in seconds.
-        duration_s: seconds for which it is lent from then.
-        fleet_size: instances that the lender counts.
+        incarnation: number of the receiver's incarnation, as the lender knows it.
+        clock_s: latest time of the receiver's clock that the lender knows, in seconds.
+        duration_s: seconds that the lease lasts from then.
+        fleet_size: number of instances that the lender counts.
     """
 
     incarnation: int
@@ -177,28 +178,28 @@
 
     @classmethod
     def from_lease(cls, lease: ShareLease) -> ShareLeaseMessage:
-        """Return the message of a loan."""
+        """Return the message for a lease."""
         return cls(lease.stamp.incarnation, lease.stamp.at, lease.duration_s, lease.fleet_size)
 
     def to_lease(self) -> ShareLease:
-        """Return the loan."""
+        """Return the lease."""
         return ShareLease(
             ClockStamp(self.incarnation, self.clock_s), self.duration_s, self.fleet_size
         )
 
 
 class PermitRequest(msgspec.Struct, frozen=True, tag="permit-ask", kw_only=True):
-    """An instance lends its share of a server's limit, and may want to send a request there.
+    """Lease of the sender's share of a server's limit, with or without a permit request.
 
     Attributes:
-        number: of the question, for who asks.
-        lender: name of the instance.
-        server: its identity.
-        per_s: requests a second that the server named.
-        ago_s: seconds since that was heard.
-        within_s: seconds within which the request is to be sent; None for no request.
-        caller: whether its caller is told when to come back.
-        loan: the share; None where it can't be lent now.
+        number: number by which the sender matches the response.
+        lender: name of the sender.
+        server: incarnation id of the server.
+        per_s: advertised limit in requests per second.
+        ago_s: seconds since the limit was received.
+        within_s: seconds within which the request is to be sent; None for no permit request.
+        caller: whether a refusal goes to the caller as the time after which to retry.
+        loan: the lease; None if the share cannot be leased now.
     """
 
     number: int
@@ -211,19 +212,19 @@
     loan: ShareLeaseMessage | None
 
     def with_number(self, number: int) -> PermitRequest:
-        """Return the question under a number."""
+        """Return this request with a number."""
         return msgspec.structs.replace(self, number=number)
 
 
 class PermitResponse(msgspec.Struct, frozen=True, tag="permit-answer", kw_only=True):
-    """Whether a request may be sent to a server.
+    """Response to a permit request or a share lease.
 
     Attributes:
-        number: of the question.
-        granted: whether it may; None where that was not asked.
-        after_s: seconds after which it may, or may be asked for again.
-        life: number of the life of the instance that answers.
-        at: the moment of its clock, in seconds.
+        number: number of the request.
+        granted: whether the permit is granted; None if none was requested.
+        after_s: seconds after which the request may be sent, or the permit requested again.
+        life: number of the responding instance's incarnation.
+        at: time on that instance's clock, in seconds.
     """
 
     number: int
@@ -234,10 +235,10 @@
 
 
 class PermitReturn(msgspec.Struct, frozen=True, tag="permit-return"):
-    """A request that might have been sent to a server was not.
+    """Return of a permit for a request that was not sent.
 
     Attributes:
-        server: its identity.
+        server: incarnation id of the server.
     """
 
     server: str
--- a/src/crankhinge/gateway/_peer_messenger.py
+++ b/src/crankhinge/gateway/_peer_messenger.py
@@ -1,7 +1,7 @@
-"""Datagrams between instances.
+"""Sends and receives datagrams between instances.
 
-Whoever gets none finds out by itself or does without, and whoever believes a false notice leaves a
-server out for seconds.
+No instance depends on a datagram: one that misses it finds out by itself or does without. An
+instance that believes a false one excludes a server for seconds.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from crankhinge.gateway._peer_messages import PeerMessage
 from crankhinge.runtime import split_host_port
 
-# Longest datagram, in bytes: one fits in a packet.
+# Maximum size of a datagram in bytes, so that it fits in one packet.
 MAX_DATAGRAM_BYTES = 1200
 
-# Called with a message and ``host:port`` of who sent it.
+# Called with a message and the ``host:port`` of its sender.
 MessageHandler = Callable[[Any, str], Awaitable[None]]
 
 
 class PeerMessenger:
-    """Sends datagrams to the other instances and takes theirs.
+    """Sends datagrams to the other instances and receives theirs.
 
     Args:
-        address: ``host:port`` (UDP) where this instance takes them; empty for nowhere.
-        peer_addresses: tells where the others take them.
-        log: for events.
+        address: ``host:port`` (UDP) where this instance receives; empty for none.
+        peer_addresses: returns the addresses where the other instances receive.
+        log: log for events.
     """
 
     def __init__(
@@ -42,11 +42,11 @@
         self._sock: Any = None
 
     def add_handler(self, kind: type, handler: MessageHandler) -> None:
-        """Have *handler* called with each message of a kind."""
+        """Register *handler* for the messages of a class."""
         self._handlers[kind] = handler
 
     async def run(self) -> None:
-        """Take datagrams until cancelled."""
+        """Receive datagrams until cancelled."""
         if not self._address:
             await curio.Event().wait()
         self._sock = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_DGRAM)
@@ -63,7 +63,7 @@
             self._log.info("notice_unreadable", peer=sender[0], why=str(exc))
             return
         except OSError as exc:
-            # The network reports that an earlier datagram found nobody.
+            # The network reports that nothing received an earlier datagram.
             self._log.info("notice_undelivered", why=str(exc))
             return
         handler = self._handlers.get(type(message))
@@ -80,11 +80,11 @@
             self._log.info("notice_undelivered", peer=address, why=str(exc))
 
     async def send_to_all(self, message: PeerMessage, **facts: Any) -> None:
-        """Send a notice to every other instance that was seen.
+        """Send a message to all other instances that are known.
 
         Args:
-            message: what to tell.
-            facts: what the line about it tells besides.
+            message: the message.
+            facts: further fields of the log line about it.
         """
         addresses = self._peer_addresses()
         for address in addresses:
--- a/src/crankhinge/gateway/_peer_requests.py
+++ b/src/crankhinge/gateway/_peer_requests.py
@@ -1,4 +1,4 @@
-"""Questions to other instances, by datagrams that may be lost."""
+"""Requests to other instances over datagrams, which may be lost."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 T = TypeVar("T")
 
-# Seconds until an answer is given up. A question and its answer take 3 ms between availability
-# zones, and some ten more at an instance that is busy.
+# Seconds to wait for a response. A request and its response take 3 ms between availability zones,
+# and about ten more if the other instance is busy.
 RESPONSE_TIMEOUT_S = 0.1
 
 
 class PendingRequests(Generic[T]):
-    """Matches answers to open questions by their numbers."""
+    """Matches responses to pending requests by their numbers."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count()
         self._pending: dict[int, _PendingRequest[T]] = {}
 
     async def send_and_wait(self, send: Callable[[int], Awaitable[None]]) -> T | None:
-        """Have a question sent under a number; returns its answer, None for silence."""
+        """Send a request under a new number; return its response, None if none arrives in time."""
         number = next(self._numbers)
         request: _PendingRequest[T] = _PendingRequest()
         self._pending[number] = request
@@ -35,25 +35,25 @@
         return response
 
     async def resolve(self, number: int, response: T) -> None:
-        """Take an answer; nobody waits for one that is late or doubled."""
+        """Accept a response; ignore it if it is late or a duplicate."""
         request = self._pending.get(number)
         if request is not None:
             await request.resolve(response)
 
 
 class _PendingRequest(Generic[T]):
-    """A question that waits for its answer."""
+    """A request that waits for its response."""
 
     def __init__(self) -> None:
         self._event = curio.Event()
         self._response: T | None = None
 
     async def resolve(self, response: T) -> None:
-        """Take the answer."""
+        """Accept the response."""
         self._response = response
         await self._event.set()
 
     async def wait(self) -> T | None:
-        """Wait for the answer."""
+        """Wait for the response."""
         await self._event.wait()
         return self._response
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway, put together."""
+"""Builds a gateway from its parts and runs it."""
 
 from __future__ import annotations
 
@@ -58,30 +58,30 @@
 
 PROGRAM = "crankhinge-gateway"
 STDOUT = 1
-# Repeats are counted over all instances together: a part of all requests and a slack. Each takes
-# less than that part of its own first attempts, since requests are counted by when callers sent
-# them, and saves up few: thirty instances that spend all at once, with one in debt each, stay
-# within a slack of a hundred.
+# Retries are bounded over all instances together, by a share of all requests plus a constant. Each
+# instance may use less than that share of its own first attempts, since requests are counted by
+# when callers sent them. Each saves up only a few unused retries: thirty instances that use all of
+# them at once, each with one retry of debt, stay below a constant of one hundred.
 RETRY_RATIO_SHARE = 0.75
 MAX_SAVED_RETRIES = 2.0
-# Numbers of instances' lives are drawn of so many bits: no two agree.
+# Random bits in the number of an instance's incarnation, enough that no two are equal.
 INCARNATION_BITS = 63
 
 
 def new_retry_budget(settings: GatewaySettings) -> RetryBudget:
-    """Return what an instance may repeat of the requests for one service."""
+    """Return the budget of an instance for retries of the requests for one service."""
     return RetryBudget(ratio=RETRY_RATIO_SHARE * settings.repeat_ratio, burst=MAX_SAVED_RETRIES)
 
 
 @dataclass(frozen=True)
 class Platform:
-    """What a platform brings.
+    """The adapters of one platform.
 
     Attributes:
-        dialect: how callers and servers are spoken to.
-        source: configuration and list of servers.
-        order_leases: gives the right to order servers.
-        registry: where instances tell each other what requests take.
+        dialect: builds and parses the messages of the platform's protocol.
+        source: source of the configuration and the list of servers.
+        order_leases: store of the order lease.
+        registry: store of the instance records.
     """
 
     dialect: Dialect
@@ -100,7 +100,7 @@
     *,
     make_platform: MakePlatform,
 ) -> None:
-    """Run the gateway until *stopping*, then drain."""
+    """Run the gateway until *stopping* is set, then drain it."""
     rng = random.Random(secrets.randbits(64))
     metrics = PrometheusMetrics(
         prefix=f"crankhinge.gateway.{settings.name}", address=settings.statsd
@@ -216,7 +216,8 @@
         messenger=messenger,
         log=log,
     )
-    # The runtime's clock is the steady clock; a page is made outside of any task's trap.
+    # Gauges are read outside of any curio task, where curio's clock cannot be called;
+    # steady_s reads the same clock.
     metrics.set_gauge_function(
         "config_heard_s_ago", partial(_seconds_since_response, discovery.config_watcher)
     )
@@ -259,7 +260,7 @@
 
 
 def _idle_limit(discovery: Discovery, membership: Membership, service: str) -> int:
-    """Return how many idle connections to keep to each server of a service."""
+    """Return the number of idle connections to keep to each server of a service."""
     known = discovery.table.services.get(service) if discovery.table else None
     return (
         MAX_IDLE_CONNECTIONS
@@ -273,7 +274,7 @@
 
 
 async def _on_engine_ordered(backends: Backends, message: EngineOrdered, sender: str) -> None:
-    """Act on what another instance tells."""
+    """Record an order that another instance sent to an engine."""
     until = await curio.clock() + min(message.within_s, MAX_ORDER_S)
     backends.record_order(message.server, message.phase, until, by_peer=True)
 
@@ -284,7 +285,7 @@
 
 
 def run(argv: list[str] | None, *, make_platform: MakePlatform) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program; return its exit status."""
     log = get_log(program=PROGRAM, stream=LineSink(STDOUT))
     return run_process(
         program=PROGRAM,
--- a/src/crankhinge/gateway/_server_signals.py
+++ b/src/crankhinge/gateway/_server_signals.py
@@ -1,7 +1,8 @@
-"""Hears what servers say of themselves in the heads of their answers.
+"""Processes the signals of servers that leave or ask for backoff.
 
-That one leaves holds for all instances, so whoever hears it first tells the others: those would go
-on sending until an answer of their own, and what is sent last is cut off when the server ends.
+The announcement of a shutdown holds for all instances, so the first instance that receives it
+notifies the others. Without that, they would send requests until a response tells them, and the
+server cuts off the last of these requests when it ends.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 
 
 class ServerSignals(SignalListener):
-    """What servers say, as this instance hears it.
+    """Records which servers are leaving and which are in backoff.
 
     Args:
-        exclusions: keeps it.
-        messenger: carries it to the other instances.
-        log: for events.
+        exclusions: the excluded servers.
+        messenger: sends and receives peer messages.
+        log: log for events.
     """
 
     def __init__(self, *, exclusions: ServerExclusions, messenger: PeerMessenger, log: Any) -> None:
@@ -35,7 +36,7 @@
     async def on_signals(
         self, server: Server, signals: ResponseSignals, *, sent_at: float, succeeded: bool
     ) -> None:
-        """Note what the head of a server's answer says of leaving and rest."""
+        """Record the announced shutdown or backoff in the head of a server's response."""
         now = await curio.clock()
         if signals.leaving and self._record_leaving(server.incarnation_id, now, "own"):
             await self._messenger.send_to_all(
@@ -53,7 +54,7 @@
             )
 
     def _record_leaving(self, incarnation_id: str, now: float, source: str) -> bool:
-        """Note that a server leaves; returns whether that is news."""
+        """Record that a server is leaving; return whether that was not known."""
         is_new = self._exclusions.record_leaving(incarnation_id, now)
         if is_new:
             self._log.info("server_leaves", server=incarnation_id, told_by=source)
--- a/src/crankhinge/gateway/_settings.py
+++ b/src/crankhinge/gateway/_settings.py
@@ -15,26 +15,26 @@
     """Settings of a gateway.
 
     Attributes:
-        name: of this instance.
-        zone: its availability zone.
+        name: name of this instance.
+        zone: availability zone of this instance.
         listen: ``host:port`` for callers.
-        ready: ``host:port`` where the balancer asks whether to send new connections.
-        ready_path: the path it asks.
+        ready: ``host:port`` where the balancer checks whether to send new connections.
+        ready_path: path that the balancer requests.
         metrics: ``host:port`` where counters and histograms are read; empty for none.
-        source: ``host:port`` of the service with configuration and list of servers.
-        drain_s: seconds a planned stop may take at most.
+        source: ``host:port`` of the service with the configuration and the list of servers.
+        drain_s: maximum duration of a planned stop, in seconds.
         apply_s: seconds within which a changed configuration has to be in force.
-        leave_s: seconds after which a backend server that leaves may get no request.
-        contact_s: seconds after an instance's trouble from which both bounds hold again.
-        revoke_s: seconds after which nobody may be served by a key that was taken away, whatever
-            the trouble; infinite without such a bound.
-        quota_window_s: seconds in which the use of an account is summed.
-        quota_overrun: part of an account's rate and burst by which all instances together may
+        leave_s: seconds after which a leaving backend server may get no request.
+        contact_s: seconds after the end of an instance's faults from which both bounds hold again.
+        revoke_s: seconds after which no caller may be served by a revoked key, whatever faults
+            there are; infinite for no such bound.
+        quota_window_s: seconds over which the use of an account is summed.
+        quota_overrun: share of an account's rate and burst by which all instances together may
             exceed them in such a window.
-        quota_slack: tokens by which they may exceed them besides.
-        repeat_ratio: part of a service's requests that all instances together may repeat.
-        order_lease_s: seconds that the right to order lasts without renewal.
-        peer: ``host:port`` (UDP) for notices of other instances; empty for none.
+        quota_slack: tokens by which they may exceed them in addition.
+        repeat_ratio: share of a service's requests that all instances together may retry.
+        order_lease_s: seconds that the order lease lasts without renewal.
+        peer: ``host:port`` (UDP) for messages of other instances; empty for none.
         statsd: ``host:port`` of the statsd server; empty for none.
     """
 
@@ -60,10 +60,10 @@
 
     @property
     def quota_bounds(self) -> QuotaBounds:
-        """What the operators allow beyond accounts' limits."""
+        """How far all instances together may exceed the limits of accounts."""
         return QuotaBounds(self.quota_window_s, self.quota_overrun, self.quota_slack)
 
     @property
     def freshness_bounds(self) -> FreshnessBounds:
-        """How old beliefs may become."""
+        """How old this instance's information may become."""
         return FreshnessBounds(self.apply_s, self.leave_s, self.contact_s, self.revoke_s)
--- a/src/crankhinge/gateway/_signal_listener.py
+++ b/src/crankhinge/gateway/_signal_listener.py
@@ -1,4 +1,4 @@
-"""Who is told what servers say in the heads of their answers."""
+"""Interface of the parts that process the signals in the heads of servers' responses."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 
 class SignalListener(abc.ABC):
-    """Keeps some of what servers say of themselves."""
+    """Processes some of the signals in the heads of servers' responses."""
 
     @abc.abstractmethod
     async def on_signals(
         self, server: Server, signals: ResponseSignals, *, sent_at: float, succeeded: bool
     ) -> None:
-        """Note what the head of a server's answer says.
+        """Process the signals in the head of a server's response.
 
         Args:
             server: the server.
-            signals: what the head says.
+            signals: the signals in the head.
             sent_at: when the request was sent, on the runtime's clock, in seconds.
-            succeeded: whether it is the answer of a request that the server ran well. A refusal may
-                come from before the server itself, and the answer to a side call need not say all.
+            succeeded: whether the server executed a request successfully. A refusal may come from
+                a component in front of the server, and the response to a side call need not have
+                all signals.
         """
--- a/src/crankhinge/gateway/_status.py
+++ b/src/crankhinge/gateway/_status.py
@@ -1,4 +1,4 @@
-"""What the balancer and the operators' monitoring ask of an instance."""
+"""Serves the readiness check of the balancer and the metrics."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class StatusPages:
-    """Tells whether new connections are wanted, and shows the metrics.
+    """Serves whether this instance accepts new connections, and its metrics.
 
     Args:
-        settings: of the gateway.
-        discovery: what it knows.
-        gateway: answers callers.
-        log: for events.
-        metrics: what is shown.
+        settings: settings of the gateway.
+        discovery: the routes and servers.
+        gateway: handles the requests of callers.
+        log: log for events.
+        metrics: the metrics to serve.
     """
 
     def __init__(
@@ -45,13 +45,13 @@
         self._metrics = metrics
 
     async def listen_ready(self) -> None:
-        """Tell the balancer whether to send new connections, until cancelled."""
+        """Serve the readiness check until cancelled."""
         host, port = split_host_port(self._settings.ready)
         on_bad = self._gateway.refuse_malformed
         await serve_http(host, port, self._send_readiness, on_malformed=on_bad, log=self._log)
 
     async def listen_metrics(self) -> None:
-        """Show the metrics, until cancelled; nothing without an address."""
+        """Serve the metrics until cancelled; serve nothing if no address is set."""
         if not self._settings.metrics:
             await curio.Event().wait()
         host, port = split_host_port(self._settings.metrics)
@@ -66,7 +66,7 @@
 
     async def _send_readiness(self, exchange: Exchange) -> None:
         ready = self._discovery.has_data and not self._gateway.is_draining
-        # Others may still know; the balancer sends new connections to them.
+        # Other instances may have recent keys; the balancer then sends new connections to them.
         ready = ready and self._may_use_keys(await curio.clock())
         if exchange.req.path != self._settings.ready_path:
             await exchange.respond(404, b"{}")
