--- a/src/crankhinge/gateway/_backends.py
+++ b/src/crankhinge/gateway/_backends.py
@@ -285,7 +285,10 @@
         return sorted(limited, key=lambda server: self.stats(server.incarnation_id).limited_until)
 
     def backoff_end(self, servers: list[Server], now: float) -> float | None:
-        """Return when the first backoff of *servers* ends; None if one is not in backoff."""
+        """Return when the first backoff of *servers* ends.
+
+        Return None if there is no server or one of them is not in backoff.
+        """
         ends = [self.exclusions.backoff_until(server.incarnation_id, now) for server in servers]
         return None if None in ends else min((end for end in ends if end is not None), default=None)
 
--- a/src/crankhinge/gateway/_crashes.py
+++ b/src/crankhinge/gateway/_crashes.py
@@ -75,7 +75,7 @@
         await curio.spawn(self._check_server, server, daemon=True)
 
     async def on_entry_gone(self, incarnation_id: str) -> None:
-        """Report a crash if requests of a server were cut shortly before its entry went."""
+        """Report a crash if requests of a server were cut shortly before its entry was removed."""
         cut = self._undecided.pop(incarnation_id, None)
         if cut is None or self._backends.is_leaving(incarnation_id):
             return
@@ -86,7 +86,8 @@
         await curio.sleep(CUTS_BATCH_S)
         fingerprints = self._cut_requests.pop(server.incarnation_id)
         if not self._backends.is_listed(server.incarnation_id):
-            # An instance that was suspended learns of both together, of the entry first.
+            # An instance that was suspended learns of the removed entry and the ended connection at
+            # once, and handles the entry first.
             await self._report_crash(server, fingerprints, "entry_gone")
             return
         try:
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -228,18 +228,18 @@
     async def _run(self, relay: Relay) -> None:
         """Run a request until it ends or until this instance cancels the open requests."""
         async with curio.TaskGroup(wait=any) as group:
-            work = await group.spawn(self._run_to_failure, relay)
+            work = await group.spawn(self._run_and_return_error, relay)
             await group.spawn(self._cancelling.wait)
         if group.completed is work:
-            failure: CrankhingeError | None = work.result
-            if failure is not None:
-                raise failure
+            error: CrankhingeError | None = work.result
+            if error is not None:
+                raise error
             return
         # A server that received the request may still execute it.
         relay.may_have_run = relay.may_have_run or bool(relay.sent_to)
         raise Stopping("this instance is stopping", retry_after_s=STOPPING_RETRY_S)
 
-    async def _run_to_failure(self, relay: Relay) -> CrankhingeError | None:
+    async def _run_and_return_error(self, relay: Relay) -> CrankhingeError | None:
         """Run a request; return its error, since curio logs tasks that raise."""
         try:
             if relay.route.kind is RouteKind.STREAM:
--- a/src/crankhinge/gateway/_join_announcer.py
+++ b/src/crankhinge/gateway/_join_announcer.py
@@ -44,7 +44,7 @@
         messenger.add_handler(JoinAcknowledgement, self._on_acknowledgement)
 
     async def run(self) -> None:
-        """Send join announcements until they are acknowledged, again and again, until cancelled."""
+        """Send join announcements to instances that have not acknowledged one, until cancelled."""
         may_coordinate = False
         while True:
             for peer in self._membership.unacknowledged_addresses:
--- a/src/crankhinge/gateway/_limit_updates.py
+++ b/src/crankhinge/gateway/_limit_updates.py
@@ -142,8 +142,8 @@
     async def remove_server(self, incarnation_id: str) -> None:
         """Remove the notification state of a server that is gone.
 
-        Its limit is kept: the entry may have lapsed although the server still runs and still needs
-        its limit kept.
+        Its limit is kept: the entry of a running server may have lapsed, and that server still
+        needs its limit to be respected.
         """
         self._notified_at.pop(incarnation_id, None)
         self._unreadable.discard(incarnation_id)
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -124,8 +124,8 @@
         if self._shared_limits.advertised.get(server.incarnation_id) is None:
             return True
         now = await curio.clock()
-        held = relay.permits.get(server.incarnation_id)
-        if held is not None and now <= held.expires_at:
+        permit = relay.permits.get(server.incarnation_id)
+        if permit is not None and now <= permit.expires_at:
             return True
         if self._backends.stats(server.incarnation_id).limited_until > now:
             return False
--- a/src/crankhinge/gateway/_quota.py
+++ b/src/crankhinge/gateway/_quota.py
@@ -162,8 +162,8 @@
         account = self._account(message.account)
         decision = NOT_ALLOCATOR
         if account is not None and account.limit is not None:
-            # The limit may be an old one: a new limit binds once every instance can have received
-            # it.
+            # Decided even if this instance has an outdated limit, since a new limit binds only once
+            # every instance can have received it.
             decision = self._allocator.allocate(account, message.tokens, await curio.clock())
         response = QuotaResponse(
             message.number, decision.outcome, decision.retry_after_s, decision.left_tokens
--- a/src/crankhinge/gateway/_record_sync.py
+++ b/src/crankhinge/gateway/_record_sync.py
@@ -181,8 +181,8 @@
         sent_at = await curio.clock()
         records = await self._registry.read_all()
         if self._joined:
-            # The age of the records counts from when the read was sent, which is the earliest
-            # moment that they may show.
+            # The records may be as old as the call that read them, so their age counts from when
+            # the call was sent.
             self._membership.apply_records(_addresses(records), sent_at)
         await self._apply_records(records)
         return records
--- a/src/crankhinge/gateway/_reservations.py
+++ b/src/crankhinge/gateway/_reservations.py
@@ -135,11 +135,13 @@
                 call = self._backends.dialect.release_reservation_call(reservation.reservation_id)
                 await self._backends.side_call_in_background(reservation.server, call)
 
-    async def _reserve_engine(self, relay: Relay, extra: int, avoid: frozenset[str]) -> Reservation:
+    async def _reserve_engine(
+        self, relay: Relay, extra_tokens: int, avoid: frozenset[str]
+    ) -> Reservation:
         engine = relay.service.engine
         assert engine is not None
         now = await curio.clock()
-        search = _Search(relay, self._new_request(relay, engine, extra, now), avoid, now)
+        search = _Search(relay, self._new_request(relay, engine, extra_tokens, now), avoid, now)
         queue = self._queues[relay.service.name]
         search.queue_number = queue.add(search.request, search.started_at)
         try:
@@ -155,17 +157,18 @@
             queue.remove(search.queue_number)
 
     def _new_request(
-        self, relay: Relay, engine: EngineLimits, extra: int, now: float
+        self, relay: Relay, engine: EngineLimits, extra_tokens: int, now: float
     ) -> ReservationRequest:
-        relayed = relay.request
+        relay_request = relay.request
         meter = self._meters[relay.service.name]
         likely_tokens = min(
-            relayed.expected_answer_tokens or relayed.max_answer_tokens, relayed.max_answer_tokens
+            relay_request.expected_answer_tokens or relay_request.max_answer_tokens,
+            relay_request.max_answer_tokens,
         )
         tokens = tokens_to_reserve(
-            relayed.prompt_tokens + extra,
-            relayed.expected_answer_tokens,
-            relayed.max_answer_tokens,
+            relay_request.prompt_tokens + extra_tokens,
+            relay_request.expected_answer_tokens,
+            relay_request.max_answer_tokens,
             engine.kv_tokens,
         )
         return ReservationRequest(
@@ -206,7 +209,7 @@
             raise NoBackend("no decode engine", retry_after_s=retry_delay_s(self._backends.rng))
         if not queue.may_try(search.queue_number, now):
             return None
-        able = engines_to_try(
+        engines = engines_to_try(
             self._backends.without_backoff(decode_engines, now),
             self._backends.stats,
             tokens=request.tokens,
@@ -215,7 +218,7 @@
             rng=self._backends.rng,
             refusal_pause_s=request.refusal_pause_s(now - search.started_at),
         )
-        for server in able[:MAX_ENGINES_PER_ROUND]:
+        for server in engines[:MAX_ENGINES_PER_ROUND]:
             if not await self._permits.try_get_permit(relay, server):
                 continue
             search.engines_asked += 1
@@ -232,14 +235,14 @@
                 relay.log_fields.update(
                     waited_ms=round(waited_s * 1000), asked=search.engines_asked
                 )
-                number = self._forecasts[relay.service.name].record_reserved(
+                forecast_number = self._forecasts[relay.service.name].record_reserved(
                     request.tokens,
                     request.service_s,
                     relay.reserved_at,
                     late=request.is_late(waited_s),
                 )
                 self._log_reserved(relay, request, server)
-                return Reservation(server, reservation_id, request.tokens, number)
+                return Reservation(server, reservation_id, request.tokens, forecast_number)
         return None
 
     async def _wait_for_round(self, search: _Search) -> None:
@@ -293,16 +296,16 @@
             ServerAtLimit: no permit is available in the time that the request may wait; raised
                 without waiting.
         """
-        limited = await self._first_at_limit(search)
-        if limited is None:
+        at_limit = await self._first_at_limit(search)
+        if at_limit is None:
             return False
         waited_s = await curio.clock() - search.started_at
         max_wait_s = max(0.0, search.request.max_wait_s - waited_s)
-        decision = await self._permits.request_permit(search.relay, limited, max_wait_s)
+        decision = await self._permits.request_permit(search.relay, at_limit, max_wait_s)
         if not decision.granted:
             self._log_refused(search, "at_limit", waited_s)
             raise ServerAtLimit("all engines are at their limit", retry_after_s=decision.after_s)
-        await self._permits.wait_for_permit(limited, decision)
+        await self._permits.wait_for_permit(at_limit, decision)
         return True
 
     async def _first_at_limit(self, search: _Search) -> Server | None:
@@ -312,8 +315,8 @@
         decode_engines = self._backends.eligible_servers(
             service, now, EngineRole.DECODE, model, search.avoid
         )
-        limited = self._backends.servers_at_limit(decode_engines, now)
-        return limited[0] if limited and len(limited) == len(decode_engines) else None
+        at_limit = self._backends.servers_at_limit(decode_engines, now)
+        return at_limit[0] if at_limit and len(at_limit) == len(decode_engines) else None
 
     def _free_in_s(self, search: _Search, waited_s: float) -> float | None:
         """Return the seconds until there is memory for this request and those queued before it.
--- a/src/crankhinge/gateway/_server_selector.py
+++ b/src/crankhinge/gateway/_server_selector.py
@@ -109,7 +109,9 @@
         max_wait_s: float,
         role: EngineRole | None = None,
     ) -> float | None:
-        """Return when the first backoff ends; None if a server is not in backoff or none exists.
+        """Return when the first backoff ends.
+
+        Return None if there is no server or one of them is not in backoff.
 
         Args:
             relay: the request.
