--- a/src/crankhinge/gateway/_attempts.py
+++ b/src/crankhinge/gateway/_attempts.py
@@ -1,4 +1,4 @@
-"""Sends requests to backend servers and tells what became of them."""
+"""Sends requests to backend servers and records the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -19,20 +19,22 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ClientStream, ConnectFailed
 
-# Answers below this status are of requests that servers ran well.
+# A response below this status means that the server executed the request successfully.
 SUCCESS_STATUS_END = 300
 
 
 class Attempts:
-    """Opens requests at servers; used by every kind of request.
+    """Sends requests of every kind to servers.
+
+    All requests to servers pass through here, so that no kind of attempt misses a check: first
+    attempts, retries, resumed streams, and prompts that a prompt engine processes.
 
     Args:
-        backends: the servers.
-        authenticator: looks once more whether a request may run, before anything is sent.
-        quarantine: the same, for requests under which servers crashed. Every way to a server goes
-            through here: first tries, repeats, resumed streams, prompts read apart.
-        crashes: is told of each connection that ends in the middle of a request.
-        permits: looks whether a server takes one more request.
+        backends: the backend servers.
+        authenticator: checks again, before anything is sent, whether the caller's key is valid.
+        quarantine: checks again whether servers crashed under the request.
+        crashes: notified of each connection that ends in the middle of a request.
+        permits: grants requests to servers that advertise a limit.
     """
 
     def __init__(
@@ -53,71 +55,77 @@
     async def open(
         self, relay: Relay, server: Server, params: AttemptParams
     ) -> AsyncIterator[ClientStream]:
-        """Send the request and give its answer, head read; the connection is closed or kept.
+        """Send a request to a server and provide the response, whose head has been read.
+
+        The connection is aborted if the caller's block raises. Otherwise it is closed, or kept if
+        the response was read completely.
 
         Raises:
-            BadCredentials: its key was taken away meanwhile.
-            ConfigTooOld: nobody can tell any more whether its key was.
-            Quarantined: servers crashed meanwhile that ran it.
-            ServerBarred: nothing was sent, since the server takes nothing now.
-            ConnectFailed: nothing was sent to that server; where another one has its address, that
-                one did not run it.
-            HttpClosed: it may have run.
-            BadHttp: it may have run; what came back is no answer.
+            BadCredentials: the caller's key was revoked meanwhile.
+            ConfigTooOld: this instance can no longer tell whether the key is valid.
+            Quarantined: servers crashed meanwhile while they ran this request.
+            ServerBarred: nothing was sent, since the server must get no request now.
+            ConnectFailed: nothing was sent to this server. If another server has its address, that
+                one did not execute the request.
+            HttpClosed: the connection ended; the request may have been executed.
+            BadHttp: the response is malformed; the request may have been executed.
         """
         dialect = self._backends.dialect
-        standing = self._backends.stats(server.incarnation_id)
+        stats = self._backends.stats(server.incarnation_id)
         req = relay.exchange.req
-        began = await curio.clock()
-        self._authenticator.recheck(relay, began)
-        work = relay.work_key(prompt_only=params.prompt_only)
-        await self._quarantine.admit(relay, work, began)
-        # Its place may have been taken seconds ago, while its prompt was read elsewhere.
-        bar = self._backends.exclusion_reason(server, began)
-        if bar is not None:
-            raise ServerBarred(f"{server.incarnation_id}: {bar.value}")
-        # Last, since it is used: a permit of a request that is not sent is lost to others.
+        started_at = await curio.clock()
+        self._authenticator.recheck(relay, started_at)
+        work_key = relay.work_key(prompt_only=params.prompt_only)
+        await self._quarantine.admit(relay, work_key, started_at)
+        # The reservation may be seconds old, since the prompt was processed elsewhere meanwhile.
+        reason = self._backends.exclusion_reason(server, started_at)
+        if reason is not None:
+            raise ServerBarred(f"{server.incarnation_id}: {reason.value}")
+        # The last check, since it uses the permit up: if the request is then not sent, no other
+        # request can use that permit.
         permit = await self._permits.use_permit(relay, server)
         relay.log_fields.update(
-            self._backends.exclusions.violation_log_fields(server.incarnation_id, began)
+            self._backends.exclusions.violation_log_fields(server.incarnation_id, started_at)
         )
-        standing.breaker.record_sent(began)
-        standing.open_requests += 1
+        stats.breaker.record_sent(started_at)
+        stats.open_requests += 1
         stream: ClientStream | None = None
-        whole = False
+        completed = False
         try:
             stream = await self._backends.client(server).open_with_fields(
                 req.method,
                 req.target,
                 fields=dialect.attempt_fields(req, params, relay.account_name),
                 body=req.body,
-                is_own_response=_owner_is(dialect, relay.request.request_id),
+                is_own_response=_is_response_to(dialect, relay.request.request_id),
             )
-            word = dialect.parse_signals(stream.status, stream.headers)
-            if word.wrong_server:
+            signals = dialect.parse_signals(stream.status, stream.headers)
+            if signals.wrong_server:
                 self._backends.record_replaced(server)
-                raise ConnectFailed(f"another server answers for {server.incarnation_id}")
-            ran = not word.not_run and stream.status < SUCCESS_STATUS_END
-            await self._backends.notify_listeners(server, word, sent_at=began, succeeded=ran)
+                raise ConnectFailed(f"another server responds for {server.incarnation_id}")
+            succeeded = not signals.not_run and stream.status < SUCCESS_STATUS_END
+            await self._backends.notify_listeners(
+                server, signals, sent_at=started_at, succeeded=succeeded
+            )
             yield stream
-            whole = True
+            completed = True
         except CallerGone:
             raise
         except (HttpClosed, BadHttp) as exc:
-            standing.record_failure(await curio.clock())
+            stats.record_failure(await curio.clock())
             if isinstance(exc, ConnectFailed) and permit is not None:
                 relay.permits[server.incarnation_id] = permit
             if isinstance(exc, HttpClosed) and not isinstance(exc, ConnectFailed):
-                # A trial that was cut is over, whatever the server is found to be.
+                # The trial of a quarantined request ends here, whether or not the server crashed.
                 relay.trial_work = ""
-                await self._crashes.on_connection_ended(server, work)
+                await self._crashes.on_connection_ended(server, work_key)
             raise
         finally:
-            standing.open_requests -= 1
+            stats.open_requests -= 1
             if stream is not None:
-                await (stream.close() if whole else stream.abort())
+                await (stream.close() if completed else stream.abort())
 
 
-def _owner_is(dialect: Any, ident: str) -> Any:
-    """Return the check whether an answer belongs to the request *ident*."""
-    return lambda headers: dialect.response_request_id(headers) in ("", ident)
+def _is_response_to(dialect: Any, request_id: str) -> Any:
+    """Return a predicate on response headers: whether the response belongs to *request_id*."""
+    return lambda headers: dialect.response_request_id(headers) in ("", request_id)
--- a/src/crankhinge/gateway/_peer_requests.py
+++ b/src/crankhinge/gateway/_peer_requests.py
@@ -1,4 +1,4 @@
-"""Questions to other instances, by datagrams that may be lost."""
+"""Requests to other instances over datagrams, which may be lost."""
 
 from __future__ import annotations
 
@@ -10,50 +10,50 @@
 
 T = TypeVar("T")
 
-# Seconds until an answer is given up. A question and its answer take 3 ms between availability
-# zones, and some ten more at an instance that is busy.
+# Seconds to wait for a response. A request and its response take 3 ms between availability zones,
+# and about ten more if the other instance is busy.
 RESPONSE_TIMEOUT_S = 0.1
 
 
 class PendingRequests(Generic[T]):
-    """Matches answers to open questions by their numbers."""
+    """Matches responses to pending requests by their numbers."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count()
-        self._open: dict[int, _Question[T]] = {}
+        self._pending: dict[int, _PendingRequest[T]] = {}
 
     async def send_and_wait(self, send: Callable[[int], Awaitable[None]]) -> T | None:
-        """Have a question sent under a number; returns its answer, None for silence."""
+        """Send a request under a new number; return its response, None if none arrives in time."""
         number = next(self._numbers)
-        question: _Question[T] = _Question()
-        self._open[number] = question
+        request: _PendingRequest[T] = _PendingRequest()
+        self._pending[number] = request
         try:
             await send(number)
-            answer: T | None = await curio.ignore_after(RESPONSE_TIMEOUT_S, question.answered)
+            response: T | None = await curio.ignore_after(RESPONSE_TIMEOUT_S, request.wait)
         finally:
-            del self._open[number]
-        return answer
+            del self._pending[number]
+        return response
 
     async def resolve(self, number: int, response: T) -> None:
-        """Take an answer; nobody waits for one that is late or doubled."""
-        question = self._open.get(number)
-        if question is not None:
-            await question.answer(response)
+        """Accept a response; ignore it if it is late or a duplicate."""
+        request = self._pending.get(number)
+        if request is not None:
+            await request.resolve(response)
 
 
-class _Question(Generic[T]):
-    """A question that waits for its answer."""
+class _PendingRequest(Generic[T]):
+    """A request that waits for its response."""
 
     def __init__(self) -> None:
         self._event = curio.Event()
-        self._answer: T | None = None
+        self._response: T | None = None
 
-    async def answer(self, answer: T) -> None:
-        """Take the answer."""
-        self._answer = answer
+    async def resolve(self, response: T) -> None:
+        """Accept the response."""
+        self._response = response
         await self._event.set()
 
-    async def answered(self) -> T | None:
-        """Wait for the answer."""
+    async def wait(self) -> T | None:
+        """Wait for the response."""
         await self._event.wait()
-        return self._answer
+        return self._response
--- a/src/crankhinge/gateway/_prompt_processor.py
+++ b/src/crankhinge/gateway/_prompt_processor.py
@@ -1,4 +1,4 @@
-"""Has prompts read by the engines that only read."""
+"""Has prompts processed by the engines whose role is to process prompts."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from crankhinge.gateway._server_selector import ServerSelector
 from crankhinge.http import ConnectFailed
 
-# Readings tried for one request: the first, and one more where a server failed.
+# Attempts to process the prompt of one request: the first, and a second if a server failed.
 MAX_PROMPT_ATTEMPTS = 2
-# Seconds that all readings of a request may take: then its first event is late anyway, its place
-# is about to lapse, and the engine that writes may as well read the prompt itself.
+# Seconds that all attempts for one request may take. Later its first event is late in any case, its
+# reservation is about to lapse, and the decode engine may as well process the prompt itself.
 MAX_PROMPT_S = 1.0
-# With less than this left, in seconds, no reading is begun: one of 3,000 tokens takes 0.1 s alone.
+# With fewer seconds left no attempt is started: a prompt of 3,000 tokens takes 0.1 s without load.
 MIN_PROMPT_S = 0.1
-# A reader is doubted above this share of failures, or this usual time in seconds: three quarters
-# of what a reading may take. A reading at a doubted one is made only while the budget allows a
-# repeat; the engine that writes reads the prompt otherwise, which is none.
+# A prompt engine is doubtful above this share of failures, or above this mean response time in
+# seconds, which is three quarters of MAX_PROMPT_S. A doubtful engine is tried only while the
+# budget allows a retry; otherwise the decode engine processes the prompt, which is no retry.
 DOUBTFUL_FAILURE_SHARE = 0.25
 DOUBTFUL_RESPONSE_S = 0.75
 
 
 @dataclass(frozen=True)
 class PromptKvCache:
-    """A prompt's memory at the server that read it, and how long that took, in seconds."""
+    """The KV cache of a prompt at the server that processed it, and the duration in seconds."""
 
     server: Server
     cache_handle: str
@@ -41,14 +41,14 @@
 
 
 class PromptProcessor:
-    """Has prompts read.
+    """Has prompts processed by prompt engines.
 
     Args:
-        backends: the servers.
-        selector: chooses among them.
-        attempts: sends requests to them.
-        quarantine: of prompts under which engines crashed; they are not read apart.
-        log: for events.
+        backends: the backend servers.
+        selector: selects a server.
+        attempts: sends requests to servers.
+        quarantine: prompts under which engines crashed; prompt engines do not get these.
+        log: log for events.
     """
 
     def __init__(
@@ -61,106 +61,109 @@
         log: Any,
     ) -> None:
         self._backends = backends
-        self._choice = selector
-        self._legs = attempts
+        self._selector = selector
+        self._attempts = attempts
         self._quarantine = quarantine
         self._log = log
 
     async def process(self, relay: Relay, zone: str, budget: RetryBudget) -> PromptKvCache | None:
-        """Return the memory of the request's prompt; None when nobody could read it.
+        """Return the KV cache of the request's prompt; None if no prompt engine processed it.
 
-        The engine that writes then reads the prompt itself, which takes it longer.
+        Without it the decode engine processes the prompt itself, which takes that engine longer.
 
         Args:
             relay: the request.
-            zone: availability zone of the engine that will fetch the memory.
-            budget: of the service.
+            zone: availability zone of the engine that will fetch the KV cache.
+            budget: retry budget of the service.
         """
         tried: frozenset[str] = frozenset()
-        until = min(await curio.clock() + MAX_PROMPT_S, relay.deadline)
+        deadline = min(await curio.clock() + MAX_PROMPT_S, relay.deadline)
         why = "tried_enough"
         while len(tried) < MAX_PROMPT_ATTEMPTS:
             now = await curio.clock()
-            if until - now < MIN_PROMPT_S:
+            if deadline - now < MIN_PROMPT_S:
                 why = "no_time"
                 break
-            server = await self._choice.select(
+            server = await self._selector.select(
                 relay, avoid=tried, role=EngineRole.PREFILL, zone=zone
             )
             if server is None:
                 why = "no_reader"
                 break
-            if not self._affordable(server, budget, again=bool(tried)):
+            if not self._may_attempt(server, budget, is_repeat=bool(tried)):
                 why = "budget_spent"
                 break
             tried |= {server.incarnation_id}
-            memory = await self._try(relay, server, until, budget)
-            if memory is not None:
-                return memory
+            kv_cache = await self._attempt(relay, server, deadline, budget)
+            if kv_cache is not None:
+                return kv_cache
         self._log.info(
             "not_read_apart", request=relay.request.request_id, tried=len(tried), why=why
         )
         return None
 
-    def _affordable(self, server: Server, budget: RetryBudget, *, again: bool) -> bool:
-        """Whether a reading there may be tried, since one that is refused is a repeat.
+    def _may_attempt(self, server: Server, budget: RetryBudget, *, is_repeat: bool) -> bool:
+        """Return whether the budget allows an attempt at an engine.
 
-        In debt not even a trusted reader is asked: with many instances each would find out by
-        itself that it is overloaded, and all of these refusals count.
+        An attempt that an engine refuses counts as a retry. When the budget is in debt, not even a
+        reliable engine is tried: with many instances, each would find out by itself that the engine
+        is overloaded, and all these refusals count as retries.
         """
-        if again or self._doubtful(server):
+        if is_repeat or self._is_doubtful(server):
             return budget.allows_retry()
         return not budget.in_debt
 
-    def _doubtful(self, server: Server) -> bool:
-        """Whether a reading there may well fail, and so become a repeat."""
-        standing = self._backends.stats(server.incarnation_id)
+    def _is_doubtful(self, server: Server) -> bool:
+        """Return whether an attempt at an engine is likely to fail, and so to count as a retry."""
+        stats = self._backends.stats(server.incarnation_id)
         return (
-            standing.failure_share > DOUBTFUL_FAILURE_SHARE
-            or standing.mean_response_s > DOUBTFUL_RESPONSE_S
+            stats.failure_share > DOUBTFUL_FAILURE_SHARE
+            or stats.mean_response_s > DOUBTFUL_RESPONSE_S
         )
 
-    async def _try(
-        self, relay: Relay, server: Server, until: float, budget: RetryBudget
+    async def _attempt(
+        self, relay: Relay, server: Server, deadline: float, budget: RetryBudget
     ) -> PromptKvCache | None:
-        began = await curio.clock()
-        within = until - began
-        leg = AttemptParams(server.name, within, prompt_only=True)
-        standing = self._backends.stats(server.incarnation_id)
+        started_at = await curio.clock()
+        timeout_s = deadline - started_at
+        params = AttemptParams(server.name, timeout_s, prompt_only=True)
+        stats = self._backends.stats(server.incarnation_id)
         try:
-            handle: str = await curio.timeout_after(within, self._leg, relay, server, leg)
+            cache_handle: str = await curio.timeout_after(
+                timeout_s, self._send, relay, server, params
+            )
         except (ConnectFailed, Quarantined, ServerBarred) as exc:
-            self._failed(relay, server, exc.code, exc.detail)
+            self._log_failed(relay, server, exc.code, exc.detail)
             return None
         except (HttpClosed, BadHttp, BackendFailed) as exc:
             budget.charge_retry()
-            self._failed(relay, server, exc.code, exc.detail)
+            self._log_failed(relay, server, exc.code, exc.detail)
             return None
         except curio.TaskTimeout:
             budget.charge_retry()
-            standing.record_failure(await curio.clock())
-            standing.record_duration(within)
-            self._failed(relay, server, "silent", f"nothing in {within:.2f} s")
+            stats.record_failure(await curio.clock())
+            stats.record_duration(timeout_s)
+            self._log_failed(relay, server, "silent", f"no response in {timeout_s:.2f} s")
             return None
         if relay.prompt_processed:
-            # Only the first reading is no repeat.
+            # Each processing of the prompt after the first counts as a retry.
             budget.charge_retry()
         relay.prompt_processed = True
         await self._quarantine.record_completed(relay, relay.work_key(prompt_only=True))
-        took = await curio.clock() - began
-        standing.record_success(took)
-        relay.log_fields.update(reader=server.incarnation_id, read_ms=round(took * 1000))
-        return PromptKvCache(server, handle, took)
+        duration_s = await curio.clock() - started_at
+        stats.record_success(duration_s)
+        relay.log_fields.update(reader=server.incarnation_id, read_ms=round(duration_s * 1000))
+        return PromptKvCache(server, cache_handle, duration_s)
 
-    async def _leg(self, relay: Relay, server: Server, leg: AttemptParams) -> str:
-        async with self._legs.open(relay, server, leg) as stream:
+    async def _send(self, relay: Relay, server: Server, params: AttemptParams) -> str:
+        async with self._attempts.open(relay, server, params) as stream:
             body = await stream.read_all()
             if stream.status != 200:
                 self._backends.stats(server.incarnation_id).record_refusal(await curio.clock())
-                raise BackendFailed(f"status {stream.status}")
+                raise BackendFailed(f"prompt engine responded with status {stream.status}")
             return self._backends.dialect.parse_kv_cache_handle(body)
 
-    def _failed(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
+    def _log_failed(self, relay: Relay, server: Server, outcome: str, why: str) -> None:
         self._log.info(
             "reading_failed",
             request=relay.request.request_id,
@@ -170,6 +173,6 @@
         )
 
     async def free(self, kv_cache: PromptKvCache) -> None:
-        """Free a memory that nobody will fetch."""
+        """Free a KV cache that no engine will fetch."""
         call = self._backends.dialect.free_kv_cache_call(kv_cache.cache_handle)
         await self._backends.side_call_in_background(kv_cache.server, call)
