--- a/src/crankhinge_bench/_bound.py
+++ b/src/crankhinge_bench/_bound.py
@@ -15,7 +15,7 @@
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
 from crankhinge_bench._trace import Arrival, Load, make_trace
 
-SAMPLE_SECONDS = 400.0
+CAPACITY_SAMPLE_S = 400.0
 
 
 def decode_tokens_per_s(spec: ClusterSpec) -> float:
@@ -34,7 +34,7 @@
 
 def capacity_per_s(spec: ClusterSpec, load: Load) -> float:
     """Return the requests a second at which one kind of engine is fully used."""
-    sample = make_trace(_at_rate(load, 20.0, SAMPLE_SECONDS), seed=0)
+    sample = make_trace(_at_rate(load, 20.0, CAPACITY_SAMPLE_S), seed=0)
     asks = [arrival for arrival in sample if not arrival.path]
     outputs = sum(arrival.max_tokens for arrival in asks) / len(asks)
     inputs = sum(_unshared(arrival, load) for arrival in asks) / len(asks)
@@ -46,7 +46,7 @@
     return Load(**{**values, "per_s": per_s, "seconds": seconds, "calls_per_s": 0.0})
 
 
-def at_load(load: Load, per_s: float) -> Load:
+def with_rate(load: Load, per_s: float) -> Load:
     """Return *load* with its rate set."""
     values = {name: getattr(load, name) for name in load.__struct_fields__}
     return Load(**{**values, "per_s": per_s})
@@ -55,12 +55,12 @@
 def _unshared(arrival: Arrival, load: Load) -> int:
     """Return the prompt tokens that no other prompt of the trace shares."""
     words = arrival.prompt.count(" ") + 1
-    return max(1, words - load.prefix_words) if arrival.shared else words
+    return max(1, words - load.prefix_words) if arrival.has_shared_prefix else words
 
 
 def goodput_bound(spec: ClusterSpec, load: Load, trace: list[Arrival]) -> int:
     """Return the most requests of *trace* that could be answered in time."""
-    asks = [a for a in trace if not a.path and not a.cancel_after]
+    asks = [a for a in trace if not a.path and not a.cancel_after_tokens]
     asks = [a for a in asks if _alone_s(spec, load, a) <= spec.first_token_s]
     span = max((a.at for a in asks), default=0.0) + spec.first_token_s
     held = sum(e.slots * e.count for e in spec.engines if e.kind == "decode")
--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -20,19 +20,26 @@
     load_private_key,
     sign_envelope,
 )
-from crankhinge_bench._procs import HOST, POLL_S, READY_S, Procs, free_ports, http_json
+from crankhinge_bench._procs import (
+    HOST,
+    POLL_INTERVAL_S,
+    READY_TIMEOUT_S,
+    Procs,
+    free_ports,
+    http_json,
+)
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
 
-READ_AT_ONCE = 2
-SEEDS = 3
-PUBLISH_TRIES = 20
-EXIT_UNKNOWN = 4
+PREFILL_SLOTS = 2
+SEED_COUNT = 3
+MAX_PUBLISH_RETRIES = 20
+EXIT_OUTCOME_UNKNOWN = 4
 # Who signs each bundle; the members are all the first one's.
 PARTNERS = ("partner-a", "partner-b")
 
 
 @dataclass
-class Place:
+class AgentConfig:
     """A backend server with its agent.
 
     Attributes:
@@ -67,12 +74,12 @@
         super().__init__(logs)
         self.spec = spec
         self._backends = backends
-        self.places: list[Place] = []
+        self.agents: list[AgentConfig] = []
         self.entry_ports: list[int] = []
         self.platform_port = 0
         self.credentials = {name: secrets.token_urlsafe(24) for name, _ in spec.members}
         self._keys: dict[str, str] = {}
-        self.version = 0
+        self.bundle_version = 0
 
     def __enter__(self) -> Cluster:
         try:
@@ -90,10 +97,10 @@
         self._make_keys()
         self._plan()
         self._start_standins()
-        backends = [place.backend_port for place in self.places if self._backends]
+        backends = [place.backend_port for place in self.agents if self._backends]
         self.wait_for_ports([self.platform_port, *backends])
         self.publish(self.bundle_text(1))
-        for place in self.places:
+        for place in self.agents:
             self.start_agent(place)
         for number in range(self.spec.entries):
             self.start_entry(number)
@@ -112,23 +119,23 @@
         self.entry_ports = [ports.pop() for _ in range(spec.entries)]
         for pool, kind, n in backends:
             zone = spec.zones[n % len(spec.zones)]
-            place = Place(f"{pool}-{n}", kind, pool, zone, ports.pop(), ports.pop())
-            self.places.append(place)
+            place = AgentConfig(f"{pool}-{n}", kind, pool, zone, ports.pop(), ports.pop())
+            self.agents.append(place)
 
     def _start_standins(self) -> None:
         standin = "crankhinge_standins.main"
         self.run("platform", standin, "platform", "--port", str(self.platform_port),
                  "--list-lag-s", "0.2")  # fmt: skip
-        for place in self.places if self._backends else ():
+        for place in self.agents if self._backends else ():
             self.start_backend(place)
 
-    def start_backend(self, place: Place) -> None:
-        """Start the backend server of *place*."""
-        args = self._backend_args(place)
-        self.run(f"backend-{place.name}", "crankhinge_standins.main", *args)
+    def start_backend(self, agent: AgentConfig) -> None:
+        """Start the backend server of *agent*."""
+        args = self._backend_args(agent)
+        self.run(f"backend-{agent.name}", "crankhinge_standins.main", *args)
 
-    def _backend_args(self, place: Place) -> list[str]:
-        record = str(self.record_of(place))
+    def _backend_args(self, place: AgentConfig) -> list[str]:
+        record = str(self.record_path(place))
         if place.kind == "plain":
             service = next(s for s in self.spec.services if s.pool == place.pool)
             work = str(service.work_s)
@@ -149,21 +156,21 @@
             *("--step-per-request-s", str(engine.step_per_request_s)),
         ]
 
-    def record_of(self, place: Place) -> Path:
-        """Return the file in which the backend server of *place* records its runs."""
-        return self.dir / f"{place.name}.runs"
+    def record_path(self, agent: AgentConfig) -> Path:
+        """Return the file in which the backend server of *agent* records its runs."""
+        return self.dir / f"{agent.name}.runs"
 
-    def records(self, *kinds: str) -> list[dict[str, Any]]:
+    def read_records(self, *kinds: str) -> list[dict[str, Any]]:
         """Return what the backend servers of some kinds recorded, with each row's place."""
         rows = []
-        for place in self.places:
-            path = self.record_of(place)
+        for place in self.agents:
+            path = self.record_path(place)
             if place.kind not in kinds or not path.exists():
                 continue
             rows += [{**json.loads(line), "place": place.name} for line in path.open()]
         return rows
 
-    def _engine(self, place: Place) -> EngineSpec:
+    def _engine(self, place: AgentConfig) -> EngineSpec:
         return next(e for e in self.spec.engines if e.pool == place.pool)
 
     def _peer_settings(self, name: str, zone: str, port: int) -> list[str]:
@@ -185,45 +192,45 @@
         path.write_text("\n".join([*lines, "[keys]", *keys]) + "\n")
         return str(path)
 
-    def start_agent(self, place: Place) -> None:
-        """Start the agent of *place* and show it in the platform's list."""
-        lines = self._peer_settings(place.name, place.zone, place.port)
+    def start_agent(self, agent: AgentConfig) -> None:
+        """Start the agent of *agent* and show it in the platform's list."""
+        lines = self._peer_settings(agent.name, agent.zone, agent.port)
         lines += [
-            f'role = "{place.kind}"',
-            f'pool = "{place.pool}"',
-            f'backend = "{HOST}:{place.backend_port}"',
-            *self._role_settings(place),
+            f'role = "{agent.kind}"',
+            f'pool = "{agent.pool}"',
+            f'backend = "{HOST}:{agent.backend_port}"',
+            *self._role_settings(agent),
         ]
-        self.run(place.name, "crankhinge.agent.main", self._write_settings(place.name, lines))
-        self.register(place)
+        self.run(agent.name, "crankhinge.agent.main", self._write_settings(agent.name, lines))
+        self.register_agent(agent)
 
-    def _role_settings(self, place: Place) -> list[str]:
+    def _role_settings(self, place: AgentConfig) -> list[str]:
         if place.kind == "plain":
             service = next(s for s in self.spec.services if s.pool == place.pool)
             rate = service.slots / max(service.work_s, 0.001)
             return [f"slots = {service.slots}", f"rate = {rate}"]
         engine = self._engine(place)
         if place.kind == "prefill":
-            return [f"slots = {READ_AT_ONCE}", f"rate = {engine.prefill_rate}"]
+            return [f"slots = {PREFILL_SLOTS}", f"rate = {engine.prefill_rate}"]
         return [f"slots = {engine.slots}", f"step_s = {engine.step_s * 1.5}"]
 
-    def register(self, place: Place, *, state: str = "live") -> None:
+    def register_agent(self, agent: AgentConfig, *, state: str = "live") -> None:
         """Show an instance in the platform's list."""
         service = {
-            "ID": place.name,
+            "ID": agent.name,
             "Address": HOST,
-            "Port": place.port,
-            "Meta": {"zone": place.zone, "pool": place.pool, "state": state},
+            "Port": agent.port,
+            "Meta": {"zone": agent.zone, "pool": agent.pool, "state": state},
         }
         http_json("PUT", self.platform_port, "/v1/agent/service/register", service)
 
-    def start_entry(self, number: int, extra: tuple[str, ...] = ()) -> None:
+    def start_entry(self, number: int, extra_settings: tuple[str, ...] = ()) -> None:
         """Start an entry, with further lines of settings."""
         name = f"entry-{number}"
         zone = self.spec.zones[number % len(self.spec.zones)]
         lines = self._peer_settings(name, zone, self.entry_ports[number])
-        seeds = [f"{HOST}:{place.port}" for place in self.places[:SEEDS]]
-        lines += [f"seeds = {seeds}", f"subset = {self.spec.subset}", *extra]
+        seeds = [f"{HOST}:{place.port}" for place in self.agents[:SEED_COUNT]]
+        lines += [f"seeds = {seeds}", f"subset = {self.spec.subset}", *extra_settings]
         self.run(name, "crankhinge.entry.main", self._write_settings(name, lines))
 
     def bundle_text(self, version: int, adapters: Mapping[str, int] | None = None) -> str:
@@ -263,7 +270,7 @@
         out = []
         for engine in self.spec.engines:
             out += ["[[pools]]", f'name = "{engine.pool}"', f'kind = "{engine.kind}"']
-            out += [f"slots = {READ_AT_ONCE if engine.kind == 'prefill' else engine.slots}", ""]
+            out += [f"slots = {PREFILL_SLOTS if engine.kind == 'prefill' else engine.slots}", ""]
         for service in self.spec.services:
             out += ["[[pools]]", f'name = "{service.pool}"', 'kind = "plain"']
             out += [f"slots = {service.slots}"]
@@ -286,7 +293,7 @@
             "",
         ]
 
-    def envelope(self, text: str) -> bytes:
+    def signed_bundle(self, text: str) -> bytes:
         """Return the bundle signed by both partners."""
         envelope = Envelope(text)
         for partner in self._keys:
@@ -298,13 +305,13 @@
     def publish(self, text: str) -> None:
         """Sign and publish a bundle with the operators' command line."""
         path = self.dir / "bundle.signed"
-        path.write_bytes(self.envelope(text))
+        path.write_bytes(self.signed_bundle(text))
         command = [sys.executable, "-m", "crankhinge.ctl.main", "bundle", "publish", str(path)]
-        command += ["--settings", self.ctl_settings()]
+        command += ["--settings", self.write_ctl_settings()]
         subprocess.run(command, check=True, stdout=subprocess.DEVNULL)
-        self.version += 1
+        self.bundle_version += 1
 
-    def race(self, version: int) -> bool:
+    def publish_concurrently(self, version: int) -> bool:
         """Let two operators publish different bundles of one version; True if one was accepted.
 
         A publication whose outcome isn't known is repeated, as its operator would.
@@ -313,24 +320,24 @@
         for name, patience in (("one", 1.5), ("two", 2.0)):
             text = self.bundle_text(version) + f"patience = {patience}\n"
             path = self.dir / f"bundle-{name}.signed"
-            path.write_bytes(self.envelope(text))
+            path.write_bytes(self.signed_bundle(text))
             procs.append(self._publish_until_known(path))
         statuses = [proc() for proc in procs]
         won = 0 in statuses
         if won:
-            self.version = version
+            self.bundle_version = version
         return won
 
     def _publish_until_known(self, path: Path) -> Callable[[], int]:
         command = [sys.executable, "-m", "crankhinge.ctl.main", "bundle", "publish", str(path)]
-        command += ["--settings", self.ctl_settings()]
+        command += ["--settings", self.write_ctl_settings()]
         nowhere = subprocess.DEVNULL
         proc = subprocess.Popen(command, stdout=nowhere, stderr=nowhere)
 
         def finish() -> int:
             status = proc.wait()
-            for _ in range(PUBLISH_TRIES):
-                if status != EXIT_UNKNOWN:
+            for _ in range(MAX_PUBLISH_RETRIES):
+                if status != EXIT_OUTCOME_UNKNOWN:
                     break
                 time.sleep(1.0)
                 status = subprocess.call(command, stdout=nowhere, stderr=nowhere)
@@ -338,27 +345,27 @@
 
         return finish
 
-    def ctl_settings(self) -> str:
+    def write_ctl_settings(self) -> str:
         """Return the path of the command line's settings."""
-        seeds = [f"{HOST}:{place.port}" for place in self.places[:SEEDS]]
+        seeds = [f"{HOST}:{place.port}" for place in self.agents[:SEED_COUNT]]
         return self._write_settings(
             "ctl", [f'key_value = "{HOST}:{self.platform_port}"', f"seeds = {seeds}"]
         )
 
     def wait_ready(self) -> None:
         """Wait until every entry has a bundle and answers a request."""
-        until = time.monotonic() + READY_S
-        self.wait_for_ports([*self.entry_ports, *(place.port for place in self.places)])
+        until = time.monotonic() + READY_TIMEOUT_S
+        self.wait_for_ports([*self.entry_ports, *(place.port for place in self.agents)])
         for port in self.entry_ports:
             while not self._is_ready(port):
                 if time.monotonic() > until:
                     raise TimeoutError(f"entry on {port} isn't ready")
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
         holders = [f"{s.pool}-{n}" for s in self.spec.services if s.count > 1 for n in (0, 1)]
         while not all(self._is_paired(name) for name in holders):
             if time.monotonic() > until:
                 raise TimeoutError("the fence records have no holders")
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def _is_paired(self, name: str) -> bool:
         """Whether a fence holder has its record, by its log."""
@@ -369,14 +376,14 @@
             state = http_json("GET", port, "/readyz")
         except OSError:
             return False
-        return bool(state["linked"] >= min(len(self.places), self.spec.subset))
+        return bool(state["linked"] >= min(len(self.agents), self.spec.subset))
 
-    def start_again(self, name: str) -> None:
+    def restart(self, name: str) -> None:
         """Start a process that was killed."""
         if name.startswith("entry-"):
             self.start_entry(int(name.removeprefix("entry-")))
             return
-        place = next(p for p in self.places if p.name == name.removeprefix("backend-"))
+        place = next(p for p in self.agents if p.name == name.removeprefix("backend-"))
         if name.startswith("backend-"):
             self.start_backend(place)
         else:
@@ -387,13 +394,13 @@
         if name == "platform":
             return self.platform_port
         wanted = name.removeprefix("backend-")
-        return next(p.backend_port for p in self.places if p.name == wanted)
+        return next(p.backend_port for p in self.agents if p.name == wanted)
 
     def engine_stats(self) -> list[dict[str, Any]]:
         """Return each engine's own counts."""
-        engines = [place for place in self.places if place.kind != "plain"]
+        engines = [place for place in self.agents if place.kind != "plain"]
         return [http_json("GET", place.backend_port, "/stats") for place in engines]
 
-    def faults(self, port: int, **faults: Any) -> None:
+    def set_faults(self, port: int, **faults: Any) -> None:
         """Switch faults of a stand-in on or off."""
         http_json("PUT", port, "/faults", faults)
--- a/src/crankhinge_bench/_days.py
+++ b/src/crankhinge_bench/_days.py
@@ -24,14 +24,14 @@
 from crankhinge.errors import SettingsError
 
 # When a trouble may begin, in seconds from the start of traffic, and how long a day lasts.
-FIRST_S, LAST_S = 0.5, 28.0
-PLAY_S = 600.0
-BROKEN = re.compile(r"BROKEN: (.*?)(?: \(|$)")
+MIN_START_S, MAX_START_S = 0.5, 28.0
+PLAY_TIMEOUT_S = 600.0
+BROKEN_RULE = re.compile(r"BROKEN: (.*?)(?: \(|$)")
 
-Trouble = dict[str, Any]
+Event = dict[str, Any]
 
 # Kinds for servers, with the variants that fit them; {llm} is a service of engines.
-SERVERS: dict[str, tuple[str, ...]] = {
+SERVER_KINDS: dict[str, tuple[str, ...]] = {
     "srv_crash": ("", "dark", "gone", "across", "domain"),
     "srv_grey": ("errors", "shed", "busy", "hang", "reset", "mute", "slow", "errors one_zone"),
     "release": ("",),
@@ -47,7 +47,7 @@
     "applied_late": ("orders", "cloud", "grants", "all"),
 }
 # Kinds for the system's own instances, the platform, the callers and the operators.
-OTHERS: dict[str, tuple[str, ...]] = {
+OTHER_KINDS: dict[str, tuple[str, ...]] = {
     "burst": ("",),
     "shift": ("",),
     "retry_abuse": ("",),
@@ -83,13 +83,13 @@
     "big_config": ("",),
 }
 # Fields that a kind wants beside its own defaults.
-FIELDS: dict[str, Trouble] = {
+EXTRA_FIELDS: dict[str, Event] = {
     "config_storm": {"for_s": 2.0, "gap_s": 0.1},
     "big_config": {"count": 1400},
     "herd_kill": {"share": 0.6, "for_s": 2.0},
     "burst": {"x": 2.0, "for_s": 5.0},
 }
-PLANNED = frozenset(
+PLANNED_KINDS = frozenset(
     {"release", "scale_in", "scale_out", "roll_term", "config_change", "config_storm", "big_config"}
 )
 
@@ -100,18 +100,18 @@
 
     name: str
     seed: int
-    troubles: tuple[Trouble, ...]
+    events: tuple[Event, ...]
 
-    def text(self) -> str:
+    def to_toml(self) -> str:
         """Return the day file."""
         lines = [f'name = "{self.name}"', f"seed = {self.seed}"]
         for part, planned in (("plan", True), ("faults", False)):
-            rows = [t for t in self.troubles if (t["kind"] in PLANNED) is planned]
+            rows = [t for t in self.events if (t["kind"] in PLANNED_KINDS) is planned]
             lines += [f"{part} = [", *(f"  {_inline(row)}," for row in rows), "]"]
         return "\n".join(lines) + "\n"
 
 
-def _inline(trouble: Trouble) -> str:
+def _inline(trouble: Event) -> str:
     pairs = (
         f'{key} = "{value}"' if isinstance(value, str) else f"{key} = {value}"
         for key, value in trouble.items()
@@ -119,66 +119,72 @@
     return "{ " + ", ".join(pairs) + " }"
 
 
-def variants(kinds: Collection[str] = ()) -> list[tuple[str, str]]:
+def list_variants(kinds: Collection[str] = ()) -> list[tuple[str, str]]:
     """Return every kind, or those of *kinds*, with each of its variants."""
-    both = itertools.chain(SERVERS.items(), OTHERS.items())
+    both = itertools.chain(SERVER_KINDS.items(), OTHER_KINDS.items())
     return [(kind, how) for kind, hows in both for how in hows if not kinds or kind in kinds]
 
 
-def engines_of(site: dict[str, Any]) -> list[str]:
+def engine_services(site: dict[str, Any]) -> list[str]:
     """Return the names of the services that are engines."""
     return [row["name"] for row in site["services"] if "llm" in row]
 
 
-def trouble(kind: str, how: str, site: dict[str, Any], rng: random.Random) -> Trouble:
+def make_event(kind: str, variant: str, site: dict[str, Any], rng: random.Random) -> Event:
     """Return a trouble that begins at a drawn moment."""
-    row: Trouble = {"kind": kind, "at": round(rng.uniform(FIRST_S, LAST_S), 2), "how": how}
-    row.update(FIELDS.get(kind, {}))
-    if kind in SERVERS:
+    row: Event = {
+        "kind": kind,
+        "at": round(rng.uniform(MIN_START_S, MAX_START_S), 2),
+        "how": variant,
+    }
+    row.update(EXTRA_FIELDS.get(kind, {}))
+    if kind in SERVER_KINDS:
         names = [service["name"] for service in site["services"]]
         only_engines = kind in ("kv_slow", "handle_short", "applied_late")
-        row["service"] = rng.choice(engines_of(site) if only_engines else names)
+        row["service"] = rng.choice(engine_services(site) if only_engines else names)
     return row
 
 
-def days(
+def make_days(
     site: dict[str, Any],
     *,
-    each: int,
-    pairs: int,
+    days_per_variant: int,
+    mixed_days: int,
     seed: int,
     kinds: Collection[str] = (),
-    most: int = 3,
+    max_events: int = 3,
 ) -> Iterator[Day]:
     """Return days with one kind each, then with several drawn ones, repeated at times.
 
     Args:
         site: the site file.
-        each: days of each kind and variant.
-        pairs: days of two or more drawn ones.
+        days_per_variant: days of each kind and variant.
+        mixed_days: days of two or more drawn ones.
         seed: of everything that is drawn.
         kinds: what is drawn from; everything by default.
-        most: troubles of a drawn day.
+        max_events: troubles of a drawn day.
     """
     rng = random.Random(seed)
     number = 0
-    for kind, how in variants(kinds):
-        for _ in range(each):
+    for kind, how in list_variants(kinds):
+        for _ in range(days_per_variant):
             number += 1
-            rows = tuple(trouble(kind, how, site, rng) for _ in range(rng.choice((1, 1, 2))))
+            rows = tuple(make_event(kind, how, site, rng) for _ in range(rng.choice((1, 1, 2))))
             name = re.sub(r"\W+", "-", f"{kind} {how}".strip())
             yield Day(f"one-{number}-{name}", rng.randrange(2**31), rows)
-    for index in range(pairs):
+    for index in range(mixed_days):
         # Two are the commonest, and a trouble may come twice.
-        drawn = rng.choices(variants(kinds), k=rng.choice((2, *range(2, most + 1))))
-        rows = tuple(trouble(kind, how, site, rng) for kind, how in drawn)
+        drawn = rng.choices(list_variants(kinds), k=rng.choice((2, *range(2, max_events + 1))))
+        rows = tuple(make_event(kind, how, site, rng) for kind, how in drawn)
         yield Day(f"drawn-{index}", rng.randrange(2**31), rows)
 
 
 def _play(command: str, path: Path) -> tuple[Path, str, list[str]]:
     words = [word.replace("{day}", str(path)) for word in shlex.split(command)]
-    done = subprocess.run(words, capture_output=True, text=True, timeout=PLAY_S, check=False)
-    found = BROKEN.findall(done.stdout)
+    done = subprocess.run(
+        words, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S, check=False
+    )
+    found = BROKEN_RULE.findall(done.stdout)
     if done.returncode != 0 and not found:
         found = [f"FAULT: exit {done.returncode}: {(done.stdout + done.stderr)[-200:]!r}"]
     (path.with_suffix(".txt")).write_text(done.stdout)
@@ -196,23 +202,28 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--play", default="", help="command that plays {day}; none: only write")
     parser.add_argument("--jobs", type=int, default=4, help="days played at once")
-    parser.set_defaults(run=run)
+    parser.set_defaults(run=run_days)
 
 
-def run(args: argparse.Namespace) -> int:
+def run_days(args: argparse.Namespace) -> int:
     """Write the days, play them where asked; 1 if a rule broke."""
     site = tomllib.loads(args.site.read_text())
     args.out.mkdir(parents=True, exist_ok=True)
     paths = []
     kinds = {name for name in args.kinds.split(",") if name}
-    if unknown := kinds - {*SERVERS, *OTHERS}:
+    if unknown := kinds - {*SERVER_KINDS, *OTHER_KINDS}:
         raise SettingsError(f"--kinds: no such kind: {sorted(unknown)}")
-    drawn = days(
-        site, each=args.each, pairs=args.pairs, seed=args.seed, kinds=kinds, most=args.most
+    drawn = make_days(
+        site,
+        days_per_variant=args.each,
+        mixed_days=args.pairs,
+        seed=args.seed,
+        kinds=kinds,
+        max_events=args.most,
     )
     for day in drawn:
         path = args.out / f"{day.name}.toml"
-        path.write_text(day.text())
+        path.write_text(day.to_toml())
         paths.append(path)
     print(f"{len(paths)} days written")
     if not args.play:
--- a/src/crankhinge_bench/_demo.py
+++ b/src/crankhinge_bench/_demo.py
@@ -6,27 +6,27 @@
 from pathlib import Path
 
 from crankhinge_bench._cluster import Cluster
-from crankhinge_bench._run import play
+from crankhinge_bench._run import run_trace
 from crankhinge_bench._scenario import Scenario
 from crankhinge_bench._spec import ClusterSpec
-from crankhinge_bench._summary import render
+from crankhinge_bench._summary import format_summary
 from crankhinge_bench._trace import Load
 
-SEED = 7
-SECONDS = 8.0
+TRACE_SEED = 7
+TRACE_S = 8.0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
     parser.add_argument("--logs", default="", help="directory for the programs' logs")
-    parser.set_defaults(run=demo)
+    parser.set_defaults(run=run_demo)
 
 
-def demo(args: argparse.Namespace) -> int:
+def run_demo(args: argparse.Namespace) -> int:
     """Run the demo; returns the exit status."""
     spec = ClusterSpec(entries=2)
     load = Load(
-        seconds=SECONDS,
+        seconds=TRACE_S,
         per_s=12.0,
         calls_per_s=3.0,
         cancel_share=0.05,
@@ -37,10 +37,10 @@
     if logs is not None:
         logs.mkdir(parents=True, exist_ok=True)
     with Cluster(spec, logs=logs) as cluster:
-        print(f"sending mixed traffic for {SECONDS:.0f} s to ports {cluster.entry_ports}")
+        print(f"sending mixed traffic for {TRACE_S:.0f} s to ports {cluster.entry_ports}")
         scenario = Scenario(name="demo", cluster=spec, load=load)
-        summary, _ = play(cluster, scenario, load.per_s, SEED)
+        summary, _ = run_trace(cluster, scenario, load.per_s, TRACE_SEED)
         if logs is not None:
             (logs / "bundle.toml").write_text(cluster.bundle_text(1))
-    print(render(summary))
-    return 0 if not summary.broken else 1
+    print(format_summary(summary))
+    return 0 if not summary.violations else 1
--- a/src/crankhinge_bench/_fakes.py
+++ b/src/crankhinge_bench/_fakes.py
@@ -69,11 +69,11 @@
         finally:
             await reader.cancel()
 
-    def bytes_in(self) -> int:
+    def bytes_received(self) -> int:
         """Return the bytes that the real process has sent."""
         return sum(link.bytes_in for link in self.links)
 
-    def bytes_out(self) -> int:
+    def bytes_sent(self) -> int:
         """Return the bytes that it was sent."""
         return sum(link.bytes_out for link in self.links)
 
@@ -90,15 +90,15 @@
         super().__init__(beat_s)
         self._ports = ports
 
-    def name(self, number: int) -> str:
+    def agent_name(self, number: int) -> str:
         """Return an agent's name."""
         return f"fake-{number}"
 
-    async def main(self) -> None:
+    async def serve(self) -> None:
         """Listen on every port."""
         async with curio.TaskGroup() as group:
             for number, port in enumerate(self._ports):
-                handler = partial(self._serve, self.name(number))
+                handler = partial(self._serve, self.agent_name(number))
                 await group.spawn(partial(serve_tcp, HOST, port, handler, log=self._log))
 
     async def _serve(self, name: str, sock: Any, _addr: Any) -> None:
@@ -121,7 +121,7 @@
         self._port = port
         self._count = count
 
-    async def main(self) -> None:
+    async def connect_all(self) -> None:
         """Connect all."""
         async with curio.TaskGroup() as group:
             for number in range(self._count):
--- a/src/crankhinge_bench/_faults.py
+++ b/src/crankhinge_bench/_faults.py
@@ -11,7 +11,7 @@
 from crankhinge_bench._scenario import Fault
 
 
-class FaultPlayer:
+class FaultInjector:
     """Plays faults on a thread of its own.
 
     Args:
@@ -46,7 +46,7 @@
         cluster = self._cluster
         name = fault.target
         if fault.kind == "kill":
-            return (lambda: cluster.kill(name)), (lambda: cluster.start_again(name))
+            return (lambda: cluster.kill(name)), (lambda: cluster.restart(name))
         if fault.kind == "pause":
             return (
                 lambda: cluster.signal(name, signal.SIGSTOP),
@@ -57,6 +57,6 @@
         on = fault.factor if fault.kind == "slow" else True
         off = 1.0 if fault.kind == "slow" else False
         return (
-            lambda: cluster.faults(port, **{key: on}),
-            lambda: cluster.faults(port, **{key: off}),
+            lambda: cluster.set_faults(port, **{key: on}),
+            lambda: cluster.set_faults(port, **{key: off}),
         )
--- a/src/crankhinge_bench/_fit.py
+++ b/src/crankhinge_bench/_fit.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class Slope(msgspec.Struct, kw_only=True):
@@ -31,7 +31,7 @@
     error: float
 
 
-def fit(name: str, unit: str, points: list[tuple[float, float]]) -> Slope:
+def fit_line(name: str, unit: str, points: list[tuple[float, float]]) -> Slope:
     """Fit a line by least squares."""
     xs = [x for x, _ in points]
     ys = [y for _, y in points]
@@ -41,13 +41,13 @@
     return Slope(name=name, unit=unit, points=points, slope=slope, base=base, error=error)
 
 
-def cpu_s(pid: int) -> float:
+def read_cpu_s(pid: int) -> float:
     """Return the processor seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def rss_kb(pid: int) -> int:
+def read_rss_kib(pid: int) -> int:
     """Return a process's resident memory in KiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
--- a/src/crankhinge_bench/_load.py
+++ b/src/crankhinge_bench/_load.py
@@ -17,12 +17,12 @@
 
 REQUEST_TIMEOUT_S = 60.0
 NOT_RUN = "not-run"
-REPEAT_PAUSE_S = 0.7
+RETRY_PAUSE_S = 0.7
 FINAL_CODES = frozenset({"already-taken", "key-too-old"})
 
 
 @dataclass
-class Outcome:
+class RequestResult:
     """What a caller saw.
 
     Attributes:
@@ -30,39 +30,39 @@
         status: HTTP status; 0 when there was no answer.
         code: machine-readable cause of a failure.
         outcome: what the header said of a failure.
-        first_s: seconds until the first token; 0 for none.
-        gap_s: mean seconds between tokens.
+        first_token_s: seconds until the first token; 0 for none.
+        mean_gap_s: mean seconds between tokens.
         total_s: seconds until the end.
         tokens: tokens received.
-        whole: whether the answer was complete and right.
+        complete: whether the answer was complete and right.
         wrong: whether what came differs from what the engine's model says.
         cancelled: whether the caller went of its own accord.
         key: idempotency key of a plain call.
-        sent: how often it was sent.
-        ident: the entry's identity of it.
-        entry: port of the entry that it was last sent to.
-        began: wall clock.
-        gone: wall clock at which the caller went of its own accord; 0 for never.
+        attempts: how often it was sent.
+        request_id: the entry's identity of it.
+        entry_port: port of the entry that it was last sent to.
+        started_at: wall clock.
+        cancelled_at: wall clock at which the caller went of its own accord; 0 for never.
     """
 
     arrival: Arrival
     status: int = 0
     code: str = ""
     outcome: str = ""
-    first_s: float = 0.0
-    gap_s: float = 0.0
+    first_token_s: float = 0.0
+    mean_gap_s: float = 0.0
     total_s: float = 0.0
     tokens: int = 0
-    whole: bool = False
+    complete: bool = False
     wrong: bool = False
     cancelled: bool = False
     key: str = ""
-    sent: int = 0
-    ident: str = ""
-    entry: int = 0
-    began: float = 0.0
-    gone: float = 0.0
-    texts: list[str] = field(default_factory=list)
+    attempts: int = 0
+    request_id: str = ""
+    entry_port: int = 0
+    started_at: float = 0.0
+    cancelled_at: float = 0.0
+    received_tokens: list[str] = field(default_factory=list)
 
 
 class _Event(msgspec.Struct):
@@ -73,14 +73,14 @@
 _events = msgspec.json.Decoder(_Event)
 
 
-class LoadRun:
+class LoadGenerator:
     """Plays a trace.
 
     Args:
         ports: of the entries.
         credentials: bearer credential of each member.
         host: of the entries.
-        repeats: how often a caller repeats a plain call whose outcome it doesn't know.
+        max_retries: how often a caller repeats a plain call whose outcome it doesn't know.
     """
 
     def __init__(
@@ -89,16 +89,16 @@
         credentials: Mapping[str, str],
         host: str = "127.0.0.1",
         *,
-        repeats: int = 0,
+        max_retries: int = 0,
     ) -> None:
         self._clients = [HttpClient(host, port) for port in ports]
         self._turn = 0
-        self._repeats = repeats
-        self.shunned: set[int] = set()
+        self._repeats = max_retries
+        self.excluded_ports: set[int] = set()
         self._credentials = credentials
-        self.outcomes: list[Outcome] = []
+        self.results: list[RequestResult] = []
 
-    async def play(self, trace: list[Arrival]) -> list[Outcome]:
+    async def run(self, trace: list[Arrival]) -> list[RequestResult]:
         """Send each arrival at its time and return what came of all of them."""
         began = await curio.clock()
         async with curio.TaskGroup() as group:
@@ -107,35 +107,35 @@
                 if wait > 0:
                     await curio.sleep(wait)
                 await group.spawn(self._one, arrival)
-        return self.outcomes
+        return self.results
 
     def _next(self) -> HttpClient:
         """Return the next entry in turn, as a balancer would: not one that it was told to shun."""
         for _ in self._clients:
             self._turn += 1
             client = self._clients[self._turn % len(self._clients)]
-            if client.port not in self.shunned:
+            if client.port not in self.excluded_ports:
                 break
         return client
 
     async def _one(self, arrival: Arrival) -> None:
-        seen = Outcome(arrival, began=time.time())
-        self.outcomes.append(seen)
+        seen = RequestResult(arrival, started_at=time.time())
+        self.results.append(seen)
         await self._try(arrival, seen)
-        while self._unknown(seen) and seen.sent <= self._repeats:
-            await curio.sleep(REPEAT_PAUSE_S)
+        while self._unknown(seen) and seen.attempts <= self._repeats:
+            await curio.sleep(RETRY_PAUSE_S)
             seen.status, seen.code, seen.outcome = 0, "", ""
             await self._try(arrival, seen)
 
-    def _unknown(self, seen: Outcome) -> bool:
+    def _unknown(self, seen: RequestResult) -> bool:
         """Whether the caller of a plain call has yet to learn what became of it."""
-        final = seen.whole or seen.outcome == NOT_RUN or seen.code in FINAL_CODES
+        final = seen.complete or seen.outcome == NOT_RUN or seen.code in FINAL_CODES
         return bool(seen.arrival.path) and not final
 
-    async def _try(self, arrival: Arrival, seen: Outcome) -> None:
+    async def _try(self, arrival: Arrival, seen: RequestResult) -> None:
         client = self._next()
-        seen.entry = client.port
-        seen.sent += 1
+        seen.entry_port = client.port
+        seen.attempts += 1
         began = await curio.clock()
         try:
             await curio.timeout_after(REQUEST_TIMEOUT_S, self._send, client, arrival, seen, began)
@@ -156,7 +156,7 @@
         return headers
 
     async def _send(
-        self, client: HttpClient, arrival: Arrival, seen: Outcome, began: float
+        self, client: HttpClient, arrival: Arrival, seen: RequestResult, began: float
     ) -> None:
         if arrival.path:
             await self._call(client, arrival, seen)
@@ -176,7 +176,7 @@
         )
         try:
             seen.status = stream.status
-            seen.ident = stream.headers.get("x-request-id", "")
+            seen.request_id = stream.headers.get("x-request-id", "")
             if stream.status != 200:
                 _note_failure(seen, stream, await stream.read_all())
                 return
@@ -184,58 +184,61 @@
         finally:
             await stream.close()
 
-    async def _call(self, client: HttpClient, arrival: Arrival, seen: Outcome) -> None:
+    async def _call(self, client: HttpClient, arrival: Arrival, seen: RequestResult) -> None:
         seen.key = seen.key or str(uuid6.uuid7())
         headers = {**self._headers(arrival), "idempotency-key": seen.key}
         resp = await client.call(
             "POST", arrival.path, headers=headers, body=seen.key.encode(), new_connection=True
         )
         seen.status = resp.status
-        seen.whole = resp.status == 200
+        seen.complete = resp.status == 200
         seen.outcome = resp.headers.get("x-request-outcome", "")
-        seen.ident = resp.headers.get("x-request-id", "")
+        seen.request_id = resp.headers.get("x-request-id", "")
         if resp.status == 200:
             seen.wrong = msgspec.json.decode(resp.body).get("body") != seen.key
         else:
             seen.code = _code_of(resp.body, resp.status)
 
     async def _read(
-        self, stream: ClientStream, arrival: Arrival, seen: Outcome, began: float
+        self, stream: ClientStream, arrival: Arrival, seen: RequestResult, began: float
     ) -> None:
         parser = SseParser()
         last = 0.0
         while chunk := await stream.next_chunk():
             for data in parser.feed(chunk):
                 if data == b"[DONE]":
-                    seen.whole = True
+                    seen.complete = True
                     continue
                 text = _text_of(data, seen)
                 if not text:
                     continue
                 now = await curio.clock()
-                seen.first_s = seen.first_s or now - began
-                seen.texts.append(text)
+                seen.first_token_s = seen.first_token_s or now - began
+                seen.received_tokens.append(text)
                 last = now
-            if arrival.cancel_after and len(seen.texts) >= arrival.cancel_after:
+            if (
+                arrival.cancel_after_tokens
+                and len(seen.received_tokens) >= arrival.cancel_after_tokens
+            ):
                 seen.cancelled = True
-                seen.gone = time.time()
+                seen.cancelled_at = time.time()
                 break
-        seen.tokens = len(seen.texts)
+        seen.tokens = len(seen.received_tokens)
         if seen.tokens > 1:
-            seen.gap_s = (last - began - seen.first_s) / (seen.tokens - 1)
+            seen.mean_gap_s = (last - began - seen.first_token_s) / (seen.tokens - 1)
         _check_answer(arrival, seen)
 
 
-def _check_answer(arrival: Arrival, seen: Outcome) -> None:
+def _check_answer(arrival: Arrival, seen: RequestResult) -> None:
     """Compare what came with what the engine's model says."""
     right = make_answer({"prompt": arrival.prompt, "max_tokens": arrival.max_tokens})
-    seen.wrong = seen.texts != right[: len(seen.texts)]
-    if seen.whole and len(seen.texts) != len(right):
+    seen.wrong = seen.received_tokens != right[: len(seen.received_tokens)]
+    if seen.complete and len(seen.received_tokens) != len(right):
         seen.wrong = True
-    seen.texts = []
+    seen.received_tokens = []
 
 
-def _text_of(data: bytes, seen: Outcome) -> str:
+def _text_of(data: bytes, seen: RequestResult) -> str:
     event = _events.decode(data)
     if event.error is not None:
         seen.code = str(event.error.get("code", ""))
@@ -244,7 +247,7 @@
     return "".join(str(choice.get("text", "")) for choice in event.choices)
 
 
-def _note_failure(seen: Outcome, stream: ClientStream, body: bytes) -> None:
+def _note_failure(seen: RequestResult, stream: ClientStream, body: bytes) -> None:
     seen.outcome = stream.headers.get("x-request-outcome", "")
     seen.code = _code_of(body, stream.status)
 
--- a/src/crankhinge_bench/_perf.py
+++ b/src/crankhinge_bench/_perf.py
@@ -15,23 +15,23 @@
 from crankhinge.adapters.openai_engine import OpenAiEngine
 from crankhinge.runtime import write_json
 from crankhinge_bench._cluster import Cluster
-from crankhinge_bench._fit import cpu_s, rss_kb
-from crankhinge_bench._load import LoadRun, Outcome
+from crankhinge_bench._fit import read_cpu_s, read_rss_kib
+from crankhinge_bench._load import LoadGenerator, RequestResult
 from crankhinge_bench._procs import HOST, http_json
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
 from crankhinge_bench._summary import percentile
 from crankhinge_bench._trace import Arrival
 
-PAIRS = 150
-STREAMS = 200
+LATENCY_PAIRS = 150
+STREAM_COUNT = 200
 STREAM_TOKENS = 100
-CANCELS = 20
-STARTS = 5
-POLL_S = 0.002
-PATH = "/v1/completions"
+CANCEL_COUNT = 20
+START_COUNT = 5
+POLL_INTERVAL_S = 0.002
+COMPLETIONS_PATH = "/v1/completions"
 
 
-class Perf(msgspec.Struct, kw_only=True):
+class PerfResult(msgspec.Struct, kw_only=True):
     """Figures of one run; milliseconds, KiB, core seconds.
 
     Attributes:
@@ -69,13 +69,13 @@
 
 async def _direct(cluster: Cluster, number: int) -> float:
     """Return the seconds to the first token when the engines are called directly."""
-    read = next(p for p in cluster.places if p.kind == "prefill")
-    write = next(p for p in cluster.places if p.kind == "decode")
+    read = next(p for p in cluster.agents if p.kind == "prefill")
+    write = next(p for p in cluster.agents if p.kind == "decode")
     body = json.dumps({"model": "m1", "prompt": f"direct {number}", "max_tokens": 3}).encode()
     began = await curio.clock()
-    result = await OpenAiEngine(HOST, read.backend_port).prefill(PATH, body, req=number)
+    result = await OpenAiEngine(HOST, read.backend_port).prefill(COMPLETIONS_PATH, body, req=number)
     engine = OpenAiEngine(HOST, write.backend_port)
-    stream = await engine.decode(PATH, body, result.kv, req=number)
+    stream = await engine.decode(COMPLETIONS_PATH, body, result.kv, req=number)
     await stream.next()
     first = await curio.clock() - began
     while await stream.next():
@@ -85,14 +85,14 @@
 
 
 async def _through(cluster: Cluster, number: int) -> float:
-    runner = LoadRun(cluster.entry_ports, cluster.credentials)
-    [seen] = await runner.play([Arrival(0.0, "naas-office", f"through {number}", 3)])
-    return seen.first_s
+    runner = LoadGenerator(cluster.entry_ports, cluster.credentials)
+    [seen] = await runner.run([Arrival(0.0, "naas-office", f"through {number}", 3)])
+    return seen.first_token_s
 
 
 async def _pairs(cluster: Cluster) -> tuple[list[float], list[float]]:
     direct, through = [], []
-    for number in range(PAIRS):
+    for number in range(LATENCY_PAIRS):
         direct.append(await _direct(cluster, number) * 1000)
         through.append(await _through(cluster, number) * 1000)
     return direct, through
@@ -119,18 +119,18 @@
     )
 
 
-def _streams(cluster: Cluster) -> tuple[list[Outcome], float]:
+def _streams(cluster: Cluster) -> tuple[list[RequestResult], float]:
     trace = [
         Arrival(n * 0.01, "naas-office", f"stream {n} of many", STREAM_TOKENS)
-        for n in range(STREAMS)
+        for n in range(STREAM_COUNT)
     ]
     began = time.monotonic()
-    outcomes = curio.run(LoadRun(cluster.entry_ports, cluster.credentials).play, trace)
+    outcomes = curio.run(LoadGenerator(cluster.entry_ports, cluster.credentials).run, trace)
     return outcomes, time.monotonic() - began
 
 
 def _held(cluster: Cluster) -> int:
-    places = [place for place in cluster.places if place.kind == "decode"]
+    places = [place for place in cluster.agents if place.kind == "decode"]
     return sum(http_json("GET", p.backend_port, "/stats")["running"] for p in places)
 
 
@@ -140,7 +140,7 @@
         {"model": "m1", "prompt": f"cancel {number}", "max_tokens": 400, "stream": True}
     )
     head = (
-        f"POST {PATH} HTTP/1.1\r\nhost: x\r\n"
+        f"POST {COMPLETIONS_PATH} HTTP/1.1\r\nhost: x\r\n"
         f"authorization: Bearer {cluster.credentials['naas-office']}\r\n"
         f"content-length: {len(body)}\r\n\r\n"
     )
@@ -149,14 +149,14 @@
         sock.recv(1000)
     began = time.perf_counter()
     while _held(cluster):
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
     return (time.perf_counter() - began) * 1000
 
 
 def _start_ms(cluster: Cluster, module: str, settings: str) -> float:
     command = [sys.executable, "-m", module, "--check", str(cluster.dir / settings)]
     times = []
-    for _ in range(STARTS):
+    for _ in range(START_COUNT):
         began = time.perf_counter()
         subprocess.run(command, check=True, stdout=subprocess.DEVNULL)
         times.append((time.perf_counter() - began) * 1000)
@@ -165,34 +165,34 @@
 
 def _memory(cluster: Cluster) -> dict[str, int]:
     names = {"entry": "entry-0", "decode agent": "write-0", "prefill agent": "read-0"}
-    return {role: rss_kb(cluster.procs[name].pid) for role, name in names.items()}
+    return {role: read_rss_kib(cluster.procs[name].pid) for role, name in names.items()}
 
 
-def measure() -> Perf:
+def measure_perf() -> PerfResult:
     """Return all figures."""
     direct, through = _latency()
     added = [t - d for d, t in zip(direct, through, strict=True)]
     with Cluster(_stream_spec()) as cluster:
-        agents = [place.name for place in cluster.places if place.kind == "decode"]
+        agents = [place.name for place in cluster.agents if place.kind == "decode"]
         idle = _memory(cluster)
-        entry_before = cpu_s(cluster.procs["entry-0"].pid)
-        agents_before = sum(cpu_s(cluster.procs[name].pid) for name in agents)
+        entry_before = read_cpu_s(cluster.procs["entry-0"].pid)
+        agents_before = sum(read_cpu_s(cluster.procs[name].pid) for name in agents)
         outcomes, took = _streams(cluster)
         tokens = sum(seen.tokens for seen in outcomes)
-        entry_s = cpu_s(cluster.procs["entry-0"].pid) - entry_before
-        agents_s = sum(cpu_s(cluster.procs[name].pid) for name in agents) - agents_before
+        entry_s = read_cpu_s(cluster.procs["entry-0"].pid) - entry_before
+        agents_s = sum(read_cpu_s(cluster.procs[name].pid) for name in agents) - agents_before
         loaded = _memory(cluster)
-        cancels = [_cancel_ms(cluster, number) for number in range(CANCELS)]
+        cancels = [_cancel_ms(cluster, number) for number in range(CANCEL_COUNT)]
         starts = {
             "entry": _start_ms(cluster, "crankhinge.entry.main", "entry-0.toml"),
             "agent": _start_ms(cluster, "crankhinge.agent.main", "write-0.toml"),
         }
-    return Perf(
+    return PerfResult(
         direct_ms=_spread(direct),
         through_ms=_spread(through),
         added_ms=_spread(added),
         streams=len(outcomes),
-        wrong=sum(seen.wrong or not seen.whole for seen in outcomes),
+        wrong=sum(seen.wrong or not seen.complete for seen in outcomes),
         tokens_per_s=tokens / took,
         entry_us_per_token=entry_s / tokens * 1e6,
         agent_us_per_token=agents_s / tokens * 1e6,
@@ -203,7 +203,7 @@
     )
 
 
-def render(perf: Perf) -> str:
+def format_perf(perf: PerfResult) -> str:
     """Return the figures as a table."""
     rows = [
         ("first token, engines called directly", _pair(perf.direct_ms)),
@@ -227,15 +227,15 @@
     return f"p50 {values[0]:.1f} ms, p99 {values[1]:.1f} ms"
 
 
-def perf(args: argparse.Namespace) -> int:
+def run_perf(args: argparse.Namespace) -> int:
     """Run the command; returns 0 when every answer was whole and right."""
-    found = measure()
+    found = measure_perf()
     write_json(args.json, found)
-    print(render(found))
+    print(format_perf(found))
     return 1 if found.wrong else 0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
     parser.add_argument("--json", default="", help="file for the results")
-    parser.set_defaults(run=perf)
+    parser.set_defaults(run=run_perf)
--- a/src/crankhinge_bench/_plot.py
+++ b/src/crankhinge_bench/_plot.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from crankhinge_bench._cell import Cell
+from crankhinge_bench._run_result import RunResult
 
 FIGURES: tuple[tuple[str, Callable[[Any], float]], ...] = (
     ("in time, % of the bound", lambda cell: cell.of_bound * 100),
@@ -16,15 +16,15 @@
 )
 
 
-def plot(cells: list[Cell], path: Path) -> None:
+def plot_results(results: list[RunResult], path: Path) -> None:
     """Write a PNG: a row for each scenario, a column for each figure, a line for each policy."""
     from matplotlib.figure import Figure
 
-    scenarios = sorted({cell.scenario for cell in cells})
+    scenarios = sorted({cell.scenario for cell in results})
     figure = Figure(figsize=(13, 3.6 * len(scenarios)), layout="constrained")
     grid = figure.subplots(len(scenarios), len(FIGURES), squeeze=False)
     for row, scenario in zip(grid, scenarios, strict=True):
-        mine = [cell for cell in cells if cell.scenario == scenario]
+        mine = [cell for cell in results if cell.scenario == scenario]
         for axes, (label, value) in zip(row, FIGURES, strict=True):
             _draw(axes, mine, value)
             axes.set_title(f"{scenario}: {label}", fontsize=10)
@@ -34,7 +34,7 @@
     figure.savefig(path, dpi=100)
 
 
-def _draw(axes: Any, cells: list[Cell], value: Callable[[Any], float]) -> None:
+def _draw(axes: Any, cells: list[RunResult], value: Callable[[Any], float]) -> None:
     for policy in sorted({cell.policy for cell in cells}):
         loads = sorted({cell.load for cell in cells if cell.policy == policy})
         middles = []
--- a/src/crankhinge_bench/_ports.py
+++ b/src/crankhinge_bench/_ports.py
@@ -10,12 +10,12 @@
 # can be taken between the call that finds it and the time it is listened on.
 FIRST_PORT = 12_000
 END_PORT = 30_000
-BLOCK_PORTS = 100
+PORTS_PER_BLOCK = 100
 # What one process holds at most, that several find room; it then begins again with its first.
-MOST_BLOCKS = 30
+MAX_BLOCKS = 30
 
 
-class Ports:
+class PortAllocator:
     """Ports that no other process gets from here for as long as this object lives.
 
     The range is split into blocks. Whoever listens on a block's first port holds all of it: ports
@@ -23,8 +23,8 @@
     """
 
     def __init__(self) -> None:
-        count = (END_PORT - FIRST_PORT) // BLOCK_PORTS
-        starts = [FIRST_PORT + BLOCK_PORTS * at for at in range(count)]
+        count = (END_PORT - FIRST_PORT) // PORTS_PER_BLOCK
+        starts = [FIRST_PORT + PORTS_PER_BLOCK * at for at in range(count)]
         # Processes that are started together have neighbouring ids; far places spare them refusals.
         turn = os.getpid() * 101 % count
         self._unasked = starts[turn:] + starts[:turn]
@@ -40,7 +40,7 @@
             RuntimeError: no port is free.
         """
         found: list[int] = []
-        for _ in range(MOST_BLOCKS * BLOCK_PORTS):
+        for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK):
             port = self._next()
             if _is_free(port):
                 found.append(port)
@@ -57,7 +57,7 @@
         port = next(self._ports, None)
         if port is not None:
             return port
-        if len(self._blocks) < MOST_BLOCKS:
+        if len(self._blocks) < MAX_BLOCKS:
             self._hold_one_more()
         if not self._blocks:
             raise RuntimeError("no free ports are left")
@@ -76,7 +76,7 @@
                 hold.close()
                 continue
             self._holds.append(hold)
-            self._blocks.append(range(start + 1, start + BLOCK_PORTS))
+            self._blocks.append(range(start + 1, start + PORTS_PER_BLOCK))
             return
 
 
--- a/src/crankhinge_bench/_procs.py
+++ b/src/crankhinge_bench/_procs.py
@@ -19,12 +19,12 @@
 import msgspec
 
 from crankhinge_bench._ports import HOST as HOST
-from crankhinge_bench._ports import Ports
+from crankhinge_bench._ports import PortAllocator
 
-READY_S = 60.0
-STOP_S = 10.0
-POLL_S = 0.05
-_PORTS = Ports()
+READY_TIMEOUT_S = 60.0
+STOP_TIMEOUT_S = 10.0
+POLL_INTERVAL_S = 0.05
+_PORTS = PortAllocator()
 
 
 def free_ports(count: int) -> list[int]:
@@ -72,14 +72,14 @@
 
     def wait_for_ports(self, ports: list[int]) -> None:
         """Wait until something listens on each. Raises TimeoutError."""
-        until = time.monotonic() + READY_S
+        until = time.monotonic() + READY_TIMEOUT_S
         for port in ports:
             while True:
                 with contextlib.suppress(OSError), socket.create_connection((HOST, port), 1.0):
                     break
                 if time.monotonic() > until:
                     raise TimeoutError(f"nothing listens on {port}")
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
 
     def signal(self, name: str, signum: int) -> None:
         """Send a signal to a process that was started here."""
@@ -97,6 +97,6 @@
             proc.send_signal(signal.SIGCONT)
             proc.kill()
         for proc in self.procs.values():
-            proc.wait(STOP_S)
+            proc.wait(STOP_TIMEOUT_S)
         self.procs.clear()
         self._stack.close()
--- a/src/crankhinge_bench/_spread.py
+++ b/src/crankhinge_bench/_propagation.py
@@ -13,13 +13,13 @@
 from crankhinge_bench._cluster import Cluster
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
 
-COUNTS = (10, 50, 150)
-ENTRIES = 2
-WAIT_S = 30.0
-POLL_S = 0.2
+PROCESS_COUNTS = (10, 50, 150)
+ENTRY_COUNT = 2
+PROPAGATION_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.2
 
 
-class Spread(msgspec.Struct, kw_only=True):
+class Propagation(msgspec.Struct, kw_only=True):
     """One measurement.
 
     Attributes:
@@ -41,7 +41,7 @@
 
 def _names(cluster: Cluster) -> list[str]:
     entries = [f"entry-{number}" for number in range(cluster.spec.entries)]
-    return entries + [place.name for place in cluster.places]
+    return entries + [place.name for place in cluster.agents]
 
 
 def _times(cluster: Cluster, version: int) -> list[float]:
@@ -55,21 +55,21 @@
     return times
 
 
-def _publish(cluster: Cluster, outage: bool) -> Spread:
-    version = cluster.version + 1
+def _publish(cluster: Cluster, outage: bool) -> Propagation:
+    version = cluster.bundle_version + 1
     if outage:
-        cluster.faults(cluster.platform_port, down_after_write=True)
+        cluster.set_faults(cluster.platform_port, down_after_write=True)
     began = time.time()
     cluster.publish(cluster.bundle_text(version))
     count = len(_names(cluster))
-    until = time.monotonic() + WAIT_S
+    until = time.monotonic() + PROPAGATION_TIMEOUT_S
     while len(times := _times(cluster, version)) < count and time.monotonic() < until:
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
     if outage:
-        cluster.faults(cluster.platform_port, down=False)
+        cluster.set_faults(cluster.platform_port, down=False)
     delays = sorted(at - began for at in times) or [0.0]
     missing = count - len(times)
-    return Spread(
+    return Propagation(
         processes=count,
         outage=outage,
         first_s=delays[0],
@@ -79,11 +79,11 @@
     )
 
 
-def measure(count: int, repeat: int) -> list[Spread]:
+def measure_propagation(count: int, repeat: int) -> list[Propagation]:
     """Measure with *count* processes, calm and with an outage, *repeat* times each."""
-    agents = count - ENTRIES - 1
+    agents = count - ENTRY_COUNT - 1
     spec = ClusterSpec(
-        entries=ENTRIES,
+        entries=ENTRY_COUNT,
         engines=(EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", agents)),
         services=(),
     )
@@ -91,11 +91,11 @@
         return [_publish(cluster, outage) for _ in range(repeat) for outage in (False, True)]
 
 
-def spread(args: argparse.Namespace) -> int:
+def run_spread(args: argparse.Namespace) -> int:
     """Run the command; returns 0 when every process had every bundle."""
-    found: list[Spread] = []
+    found: list[Propagation] = []
     for count in args.counts.split(","):
-        found += measure(int(count), args.repeat)
+        found += measure_propagation(int(count), args.repeat)
     write_json(args.json, found)
     print("| processes | service out after the swap | first | half | all | missing |")
     print("|---|---|---|---|---|---|")
@@ -110,7 +110,7 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
-    parser.add_argument("--counts", default=",".join(str(count) for count in COUNTS))
+    parser.add_argument("--counts", default=",".join(str(count) for count in PROCESS_COUNTS))
     parser.add_argument("--repeat", type=int, default=3)
     parser.add_argument("--json", default="", help="file for the results")
-    parser.set_defaults(run=spread)
+    parser.set_defaults(run=run_spread)
--- a/src/crankhinge_bench/_run.py
+++ b/src/crankhinge_bench/_run.py
@@ -12,12 +12,12 @@
 
 from crankhinge.decisions import mechanisms_for
 from crankhinge.runtime import write_json
-from crankhinge_bench._bound import at_load, capacity_per_s, goodput_bound
-from crankhinge_bench._cell import Cell
+from crankhinge_bench._bound import capacity_per_s, goodput_bound, with_rate
 from crankhinge_bench._cluster import Cluster
-from crankhinge_bench._faults import FaultPlayer
-from crankhinge_bench._load import LoadRun
-from crankhinge_bench._plot import plot
+from crankhinge_bench._faults import FaultInjector
+from crankhinge_bench._load import LoadGenerator
+from crankhinge_bench._plot import plot_results
+from crankhinge_bench._run_result import RunResult
 from crankhinge_bench._scenario import Scenario, read_scenario
 from crankhinge_bench._spec import ClusterSpec
 from crankhinge_bench._summary import Summary, summarise
@@ -26,19 +26,19 @@
 SETTLE_S = 1.0
 
 
-def play(cluster: Cluster, scenario: Scenario, per_s: float, seed: int) -> tuple[Summary, int]:
+def run_trace(cluster: Cluster, scenario: Scenario, per_s: float, seed: int) -> tuple[Summary, int]:
     """Play a scenario's trace and faults; returns the figures and the bound."""
-    load = at_load(scenario.load, per_s)
+    load = with_rate(scenario.load, per_s)
     trace = make_trace(load, seed)
-    faults = FaultPlayer(cluster, scenario.faults)
-    runner = LoadRun(cluster.entry_ports, cluster.credentials)
+    faults = FaultInjector(cluster, scenario.faults)
+    runner = LoadGenerator(cluster.entry_ports, cluster.credentials)
     faults.start()
-    outcomes = curio.run(runner.play, trace)
+    outcomes = curio.run(runner.run, trace)
     faults.join()
     time.sleep(SETTLE_S)
     for seen in outcomes:
-        if seen.first_s:
-            seen.first_s += 2 * scenario.client_delay_s
+        if seen.first_token_s:
+            seen.first_token_s += 2 * scenario.client_delay_s
     spec = cluster.spec
     summary = summarise(
         outcomes,
@@ -46,7 +46,7 @@
         first_token_s=spec.first_token_s,
         between_tokens_s=spec.between_tokens_s,
         engines=cluster.engine_stats(),
-        runs=cluster.records("plain"),
+        runs=cluster.read_records("plain"),
     )
     return summary, goodput_bound(spec, load, trace)
 
@@ -59,7 +59,7 @@
 
 def run_scenario(
     scenario: Scenario, policies: list[str], *, seed: int, repeat: int, logs: Path | None = None
-) -> list[Cell]:
+) -> list[RunResult]:
     """Run every policy at every load, alternately, *repeat* times."""
     capacity = capacity_per_s(scenario.cluster, scenario.load)
     cells = []
@@ -68,8 +68,8 @@
             for policy in policies:
                 spec = with_policy(scenario.cluster, policy)
                 with Cluster(spec, logs=logs) as cluster:
-                    summary, bound = play(cluster, scenario, capacity * load, seed + number)
-                cell = Cell(
+                    summary, bound = run_trace(cluster, scenario, capacity * load, seed + number)
+                cell = RunResult(
                     scenario=scenario.name,
                     policy=policy,
                     load=load,
@@ -79,26 +79,26 @@
                     of_bound=summary.in_time / max(1, bound),
                     summary=summary,
                 )
-                print(line_of(cell), file=sys.stderr, flush=True)
+                print(format_line(cell), file=sys.stderr, flush=True)
                 cells.append(cell)
     return cells
 
 
-def line_of(cell: Cell) -> str:
+def format_line(result: RunResult) -> str:
     """Return one run's line for the terminal."""
-    summary = cell.summary
+    summary = result.summary
     return (
-        f"{cell.scenario} load {cell.load:g} {cell.policy:<16} offered {summary.offered:4d} "
-        f"in time {summary.in_time:4d} = {cell.of_bound:6.1%} of bound, "
+        f"{result.scenario} load {result.load:g} {result.policy:<16} offered {summary.offered:4d} "
+        f"in time {summary.in_time:4d} = {result.of_bound:6.1%} of bound, "
         f"waste {summary.wasted_share:6.2%}, refused {summary.refused}, failed {summary.failed}, "
-        f"first p95 {summary.first_p95 * 1000:.0f} ms, broken {summary.broken}"
+        f"first p95 {summary.first_p95 * 1000:.0f} ms, broken {summary.violations}"
     )
 
 
-def table_of(cells: list[Cell]) -> str:
+def format_table(results: list[RunResult]) -> str:
     """Return medians and spread for each scenario, load and policy."""
-    groups: dict[tuple[str, float, str], list[Cell]] = {}
-    for cell in cells:
+    groups: dict[tuple[str, float, str], list[RunResult]] = {}
+    for cell in results:
         groups.setdefault((cell.scenario, cell.load, cell.policy), []).append(cell)
     lines = ["| scenario | load | policy | of bound | goodput/s | waste | broken |"]
     lines.append("|---|---|---|---|---|---|---|")
@@ -106,7 +106,7 @@
         bound = _spread([cell.of_bound * 100 for cell in group], "%")
         goodput = _spread([cell.summary.goodput for cell in group], "")
         waste = _spread([cell.summary.wasted_share * 100 for cell in group], "%")
-        broken = sum(cell.summary.broken for cell in group)
+        broken = sum(cell.summary.violations for cell in group)
         lines.append(
             f"| {scenario} | {load:g} | {policy} | {bound} | {goodput} | {waste} | {broken} |"
         )
@@ -118,21 +118,21 @@
     return f"{middle:.1f}{unit} ({min(values):.1f} to {max(values):.1f})"
 
 
-def run(args: argparse.Namespace) -> int:
+def run_policies(args: argparse.Namespace) -> int:
     """Run the command; returns the exit status."""
     policies = args.policy.split(",")
     for policy in policies:
         mechanisms_for(policy)
     scenarios = [read_scenario(path) for path in args.scenario]
     logs = Path(args.logs) if args.logs else None
-    cells: list[Cell] = []
+    cells: list[RunResult] = []
     for scenario in scenarios:
         cells += run_scenario(scenario, policies, seed=args.seed, repeat=args.repeat, logs=logs)
     write_json(args.json, cells)
     if args.plot:
-        plot(cells, Path(args.plot))
-    print(table_of(cells))
-    return 0 if not any(cell.summary.broken for cell in cells) else 1
+        plot_results(cells, Path(args.plot))
+    print(format_table(cells))
+    return 0 if not any(cell.summary.violations for cell in cells) else 1
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -144,4 +144,4 @@
     parser.add_argument("--json", default="", help="file for the results")
     parser.add_argument("--plot", default="", help="PNG file: goodput and waste against load")
     parser.add_argument("--logs", default="", help="directory for the programs' logs")
-    parser.set_defaults(run=run)
+    parser.set_defaults(run=run_policies)
--- a/src/crankhinge_bench/_cell.py
+++ b/src/crankhinge_bench/_run_result.py
@@ -7,7 +7,7 @@
 from crankhinge_bench._summary import Summary
 
 
-class Cell(msgspec.Struct, kw_only=True):
+class RunResult(msgspec.Struct, kw_only=True):
     """One run of one policy.
 
     Attributes:
--- a/src/crankhinge_bench/_slopes.py
+++ b/src/crankhinge_bench/_slopes.py
@@ -23,34 +23,34 @@
     SlotTable,
 )
 from crankhinge.runtime import write_json
-from crankhinge_bench._cluster import Cluster, Place
+from crankhinge_bench._cluster import AgentConfig, Cluster
 from crankhinge_bench._fakes import FakeAgents, FakeEntries, FakePeers
-from crankhinge_bench._fit import Slope, cpu_s, fit, rss_kb
-from crankhinge_bench._load import LoadRun
+from crankhinge_bench._fit import Slope, fit_line, read_cpu_s, read_rss_kib
+from crankhinge_bench._load import LoadGenerator
 from crankhinge_bench._procs import HOST, free_ports, http_json
 from crankhinge_bench._spec import ClusterSpec, EngineSpec, ServiceSpec
 from crankhinge_bench._trace import Arrival
 
-REST_S = 8.0
+IDLE_S = 8.0
 SETTLE_S = 3.0
-LINKS = (10, 50, 100, 200)
-SERVERS = (10, 100, 600, 3000)
+LINK_COUNTS = (10, 50, 100, 200)
+SERVER_COUNTS = (10, 100, 600, 3000)
 RELAY_RATES = (4, 8, 12, 16)
 RELAY_S = 6.0
-BEAT_S = 1.0
+HEARTBEAT_S = 1.0
 
 
 class _Rest:
     """What one process uses while nothing is asked of it."""
 
     def __init__(self, pid: int, peers: FakePeers) -> None:
-        began, before = time.monotonic(), cpu_s(pid)
-        sent, received = peers.bytes_in(), peers.bytes_out()
-        time.sleep(REST_S)
+        began, before = time.monotonic(), read_cpu_s(pid)
+        sent, received = peers.bytes_received(), peers.bytes_sent()
+        time.sleep(IDLE_S)
         took = time.monotonic() - began
-        self.cpu = (cpu_s(pid) - before) / took
-        self.bytes_s = (peers.bytes_in() - sent + peers.bytes_out() - received) / took
-        self.rss = rss_kb(pid)
+        self.cpu = (read_cpu_s(pid) - before) / took
+        self.bytes_s = (peers.bytes_received() - sent + peers.bytes_sent() - received) / took
+        self.rss = read_rss_kib(pid)
 
 
 def _bare_spec() -> ClusterSpec:
@@ -58,14 +58,14 @@
         entries=0,
         engines=(EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", 1)),
         services=(ServiceSpec("ledger", "/ledger/", 1),),
-        beat_s=BEAT_S,
+        beat_s=HEARTBEAT_S,
     )
 
 
-def entry_rest() -> list[Slope]:
+def measure_idle_entry() -> list[Slope]:
     """Measure an entry at rest against the number of its links."""
     rows = []
-    for count in LINKS:
+    for count in LINK_COUNTS:
         with Cluster(_bare_spec()) as cluster:
             rows.append((count, _entry_with(cluster, count)))
     return _rest_slopes("entry", rows)
@@ -74,12 +74,12 @@
 def _entry_with(cluster: Cluster, count: int) -> _Rest:
     ports = free_ports(count + 1)
     cluster.entry_ports = [ports.pop()]
-    agents = FakeAgents(ports, BEAT_S)
-    agents.start(agents.main)
+    agents = FakeAgents(ports, HEARTBEAT_S)
+    agents.start(agents.serve)
     try:
         for number, port in enumerate(ports):
-            place = Place(agents.name(number), "decode", "write", "naas", port, 0)
-            cluster.register(place)
+            place = AgentConfig(agents.agent_name(number), "decode", "write", "naas", port, 0)
+            cluster.register_agent(place)
         cluster.start_entry(0)
         _wait(lambda: _linked(cluster) >= count)
         time.sleep(SETTLE_S)
@@ -104,14 +104,14 @@
         time.sleep(0.1)
 
 
-def agent_rest() -> list[Slope]:
+def measure_idle_agent() -> list[Slope]:
     """Measure an agent at rest against the number of its links."""
     rows = []
-    for count in LINKS:
+    for count in LINK_COUNTS:
         with Cluster(_bare_spec()) as cluster:
-            place = next(p for p in cluster.places if p.kind == "decode")
-            entries = FakeEntries(place.port, count, BEAT_S)
-            entries.start(entries.main)
+            place = next(p for p in cluster.agents if p.kind == "decode")
+            entries = FakeEntries(place.port, count, HEARTBEAT_S)
+            entries.start(entries.connect_all)
             try:
                 _wait(lambda peers=entries, n=count: len(peers.links) >= n)  # type: ignore[misc]
                 time.sleep(SETTLE_S)
@@ -122,20 +122,20 @@
 
 
 def _rest_slopes(role: str, rows: list[tuple[int, _Rest]]) -> list[Slope]:
-    beats = f"at rest, per link, a heartbeat each way every {BEAT_S:g} s"
+    beats = f"at rest, per link, a heartbeat each way every {HEARTBEAT_S:g} s"
     return [
-        fit(f"{role}: CPU {beats}", "core", [(n, rest.cpu) for n, rest in rows]),
-        fit(f"{role}: payload {beats}", "B/s", [(n, rest.bytes_s) for n, rest in rows]),
-        fit(f"{role}: memory per link", "KiB", [(n, float(rest.rss)) for n, rest in rows]),
+        fit_line(f"{role}: CPU {beats}", "core", [(n, rest.cpu) for n, rest in rows]),
+        fit_line(f"{role}: payload {beats}", "B/s", [(n, rest.bytes_s) for n, rest in rows]),
+        fit_line(f"{role}: memory per link", "KiB", [(n, float(rest.rss)) for n, rest in rows]),
     ]
 
 
-def relay() -> list[Slope]:
+def measure_relay() -> list[Slope]:
     """Measure entry and decode agent against the tokens that they relay."""
     spec = ClusterSpec(
         engines=(EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", 1, slots=200)),
         services=(),
-        beat_s=BEAT_S,
+        beat_s=HEARTBEAT_S,
     )
     points: dict[str, list[tuple[float, float]]] = {"entry-0": [], "write-0": []}
     rss = {"entry-0": 0, "write-0": 0}
@@ -143,11 +143,11 @@
         for rate in RELAY_RATES:
             _relay_point(cluster, rate, points, rss)
     slopes = [
-        fit(f"{name}: CPU per relayed token (100 a request)", "core s", rows)
+        fit_line(f"{name}: CPU per relayed token (100 a request)", "core s", rows)
         for name, rows in points.items()
     ]
     for name, value in rss.items():
-        slopes.append(fit(f"{name}: memory after relaying", "KiB", [(0, value), (1, value)]))
+        slopes.append(fit_line(f"{name}: memory after relaying", "KiB", [(0, value), (1, value)]))
     return slopes
 
 
@@ -159,15 +159,15 @@
 ) -> None:
     count = int(rate * RELAY_S)
     trace = [Arrival(n / rate, "naas-office", f"p{n} q r s", 100) for n in range(count)]
-    before = {name: cpu_s(cluster.procs[name].pid) for name in points}
+    before = {name: read_cpu_s(cluster.procs[name].pid) for name in points}
     began = time.monotonic()
-    outcomes = curio.run(LoadRun(cluster.entry_ports, cluster.credentials).play, trace)
+    outcomes = curio.run(LoadGenerator(cluster.entry_ports, cluster.credentials).run, trace)
     took = time.monotonic() - began
     tokens = sum(seen.tokens for seen in outcomes)
     for name, rows in points.items():
         pid = cluster.procs[name].pid
-        rows.append((tokens / took, (cpu_s(pid) - before[name]) / took))
-        rss[name] = rss_kb(pid)
+        rows.append((tokens / took, (read_cpu_s(pid) - before[name]) / took))
+        rss[name] = read_rss_kib(pid)
 
 
 def _router(count: int) -> Router:
@@ -189,10 +189,10 @@
     return (time.perf_counter() - began) / calls * 1e6
 
 
-def decisions() -> list[Slope]:
+def measure_decisions() -> list[Slope]:
     """Measure the cost of decisions against the number of backend servers and waiting asks."""
     ask = RouteRequest(1000, tuple(range(40)), 64)
-    routers = {count: _router(count) for count in SERVERS}
+    routers = {count: _router(count) for count in SERVER_COUNTS}
     choose = [
         (float(n), _per_call_us(lambda r=r: r.choose_backends(["write"], 0.0)))  # type: ignore[misc]
         for n, r in routers.items()
@@ -203,9 +203,9 @@
     ]
     waiting = [(float(n), _ask_cost_us(n)) for n in (10, 50, 100, 200)]
     return [
-        fit("entry: choice of a decode engine, per known server", "us", choose),
-        fit("entry: choice of a prefill engine, per known server", "us", prefill),
-        fit("agent: a request for a slot, per waiting request", "us", waiting),
+        fit_line("entry: choice of a decode engine, per known server", "us", choose),
+        fit_line("entry: choice of a prefill engine, per known server", "us", prefill),
+        fit_line("agent: a request for a slot, per waiting request", "us", waiting),
     ]
 
 
@@ -236,7 +236,7 @@
     return _per_call_us(one)
 
 
-def memory() -> list[Slope]:
+def measure_memory() -> list[Slope]:
     """Measure the memory of state against its amount."""
 
     def index(count: int) -> PrefixIndex:
@@ -267,23 +267,23 @@
         tracemalloc.stop()
         del kept
         points.append((float(count), size / 1024))
-    return fit(name, "KiB", points)
+    return fit_line(name, "KiB", points)
 
 
-def key_value_calls() -> list[Slope]:
+def measure_key_value_reads() -> list[Slope]:
     """Measure the key-value service's calls against the number of processes."""
     points = []
     for count in (2, 6, 12):
         engines = (EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", count))
-        spec = ClusterSpec(engines=engines, services=(), beat_s=BEAT_S)
+        spec = ClusterSpec(engines=engines, services=(), beat_s=HEARTBEAT_S)
         with Cluster(spec) as cluster:
             time.sleep(SETTLE_S)
             before = _reads(cluster)
             for _ in range(3):
-                cluster.publish(cluster.bundle_text(cluster.version + 1))
+                cluster.publish(cluster.bundle_text(cluster.bundle_version + 1))
                 time.sleep(1.0)
             points.append((count + 2.0, (_reads(cluster) - before) / 3))
-    return [fit("key-value reads per change of the bundle, per process", "calls", points)]
+    return [fit_line("key-value reads per change of the bundle, per process", "calls", points)]
 
 
 def _reads(cluster: Cluster) -> int:
@@ -291,17 +291,17 @@
     return int(stats["reads"]["total"])
 
 
-PARTS: dict[str, Callable[[], list[Slope]]] = {
-    "decisions": decisions,
-    "memory": memory,
-    "entry": entry_rest,
-    "agent": agent_rest,
-    "relay": relay,
-    "key-value": key_value_calls,
+MEASUREMENTS: dict[str, Callable[[], list[Slope]]] = {
+    "decisions": measure_decisions,
+    "memory": measure_memory,
+    "entry": measure_idle_entry,
+    "agent": measure_idle_agent,
+    "relay": measure_relay,
+    "key-value": measure_key_value_reads,
 }
 
 
-def table_of(slopes: list[Slope]) -> str:
+def format_table(slopes: list[Slope]) -> str:
     """Return the slopes as a table."""
     lines = ["| what | unit | base | slope | error | points |", "|---|---|---|---|---|---|"]
     for slope in slopes:
@@ -313,19 +313,21 @@
     return "\n".join(lines)
 
 
-def slopes(args: argparse.Namespace) -> int:
+def run_slopes(args: argparse.Namespace) -> int:
     """Run the command; returns the exit status."""
     found: list[Slope] = []
     for name in args.parts.split(","):
         print(f"measuring {name} on {HOST}", file=sys.stderr, flush=True)
-        found += PARTS[name]()
+        found += MEASUREMENTS[name]()
     write_json(args.json, found)
-    print(table_of(found))
+    print(format_table(found))
     return 0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
-    parser.add_argument("--parts", default=",".join(PARTS), help="names, separated by commas")
+    parser.add_argument(
+        "--parts", default=",".join(MEASUREMENTS), help="names, separated by commas"
+    )
     parser.add_argument("--json", default="", help="file for the results")
-    parser.set_defaults(run=slopes)
+    parser.set_defaults(run=run_slopes)
--- a/src/crankhinge_bench/_summary.py
+++ b/src/crankhinge_bench/_summary.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from crankhinge_bench._load import NOT_RUN, Outcome
+from crankhinge_bench._load import NOT_RUN, RequestResult
 
 
 class Summary(msgspec.Struct, kw_only=True):
@@ -61,27 +61,27 @@
     members: dict[str, float]
 
     @property
-    def broken(self) -> int:
+    def violations(self) -> int:
         """Promises broken, of the kinds that a run can show."""
         return self.wrong + self.doubled + self.refused_but_ran
 
 
-def percentile(values: list[float], part: float) -> float:
-    """Return the value below which *part* of *values* lies; 0 for none."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return the value below which *fraction* of *values* lies; 0 for none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def is_in_time(seen: Outcome, first_token_s: float, between_tokens_s: float) -> bool:
+def is_in_time(result: RequestResult, first_token_s: float, between_tokens_s: float) -> bool:
     """Whether an answer is whole, right and within both targets."""
-    good = seen.whole and not seen.wrong
-    return good and seen.first_s <= first_token_s and seen.gap_s <= between_tokens_s
+    good = result.complete and not result.wrong
+    return good and result.first_token_s <= first_token_s and result.mean_gap_s <= between_tokens_s
 
 
 def summarise(
-    outcomes: list[Outcome],
+    results: list[RequestResult],
     *,
     seconds: float,
     first_token_s: float,
@@ -92,19 +92,19 @@
     """Return the figures of a run.
 
     Args:
-        outcomes: what each caller saw.
+        results: what each caller saw.
         seconds: length of the trace.
         first_token_s: latency target.
         between_tokens_s: latency target.
         engines: counts of the engines, taken over the run.
         runs: what the plain services ran.
     """
-    asks = [seen for seen in outcomes if not seen.arrival.path]
-    calls = [seen for seen in outcomes if seen.arrival.path]
-    whole = [seen for seen in asks if seen.whole and not seen.wrong]
+    asks = [seen for seen in results if not seen.arrival.path]
+    calls = [seen for seen in results if seen.arrival.path]
+    whole = [seen for seen in asks if seen.complete and not seen.wrong]
     timely = [s for s in asks if is_in_time(s, first_token_s, between_tokens_s)]
     stayed = [seen for seen in asks if not seen.cancelled]
-    refused = [seen for seen in stayed if not seen.whole and seen.outcome == NOT_RUN]
+    refused = [seen for seen in stayed if not seen.complete and seen.outcome == NOT_RUN]
     prefill = sum(engine["prefill_tokens"] for engine in engines)
     wasted = sum(engine["wasted_tokens"] for engine in engines)
     return Summary(
@@ -114,21 +114,21 @@
         refused=len(refused),
         failed=len(stayed) - len(whole) - len(refused),
         cancelled=len(asks) - len(stayed),
-        wrong=sum(seen.wrong for seen in outcomes),
+        wrong=sum(seen.wrong for seen in results),
         goodput=len(timely) / seconds,
         in_time_share=len(timely) / max(1, len(stayed)),
-        first_p50=percentile([seen.first_s for seen in whole], 0.5),
-        first_p95=percentile([seen.first_s for seen in whole], 0.95),
-        gap_p50=percentile([seen.gap_s for seen in whole], 0.5),
-        gap_p95=percentile([seen.gap_s for seen in whole], 0.95),
+        first_p50=percentile([seen.first_token_s for seen in whole], 0.5),
+        first_p95=percentile([seen.first_token_s for seen in whole], 0.95),
+        gap_p50=percentile([seen.mean_gap_s for seen in whole], 0.5),
+        gap_p95=percentile([seen.mean_gap_s for seen in whole], 0.95),
         prefill_tokens=prefill,
         wasted_tokens=wasted,
         wasted_share=wasted / max(1, prefill),
         calls=len(calls),
-        calls_answered=sum(seen.whole for seen in calls),
+        calls_answered=sum(seen.complete for seen in calls),
         doubled=_doubled(runs),
         refused_but_ran=_refused_but_ran(calls, runs),
-        causes=_causes(outcomes),
+        causes=_causes(results),
         members=_members(stayed, timely),
     )
 
@@ -138,13 +138,13 @@
     return len(keys) - len(set(keys))
 
 
-def _refused_but_ran(calls: list[Outcome], runs: list[dict[str, Any]]) -> int:
+def _refused_but_ran(calls: list[RequestResult], runs: list[dict[str, Any]]) -> int:
     ran = {run["key"] for run in runs}
-    refused = [seen for seen in calls if not seen.whole and seen.outcome == NOT_RUN]
+    refused = [seen for seen in calls if not seen.complete and seen.outcome == NOT_RUN]
     return sum(seen.key in ran for seen in refused)
 
 
-def _causes(outcomes: list[Outcome]) -> dict[str, int]:
+def _causes(outcomes: list[RequestResult]) -> dict[str, int]:
     causes: dict[str, int] = {}
     for seen in outcomes:
         if seen.code:
@@ -152,7 +152,7 @@
     return causes
 
 
-def _members(stayed: list[Outcome], timely: list[Outcome]) -> dict[str, float]:
+def _members(stayed: list[RequestResult], timely: list[RequestResult]) -> dict[str, float]:
     shares = {}
     for name in sorted({seen.arrival.member for seen in stayed}):
         offered = sum(seen.arrival.member == name for seen in stayed)
@@ -161,7 +161,7 @@
     return shares
 
 
-def render(summary: Summary) -> str:
+def format_summary(summary: Summary) -> str:
     """Return the figures as a page of text."""
     first = f"p50 {_ms(summary.first_p50)}, p95 {_ms(summary.first_p95)}"
     gaps = f"p50 {_ms(summary.gap_p50)}, p95 {_ms(summary.gap_p95)}"
@@ -179,7 +179,7 @@
         ("between tokens", gaps),
         ("wasted prefill", f"{waste} ({summary.wasted_share:.2%})"),
         ("plain calls", f"{summary.calls_answered} of {summary.calls} answered"),
-        ("broken promises", f"{summary.broken}"),
+        ("broken promises", f"{summary.violations}"),
         ("causes", causes or "none"),
     ]
     return "\n".join(f"{name:<22}{value}" for name, value in rows)
--- a/src/crankhinge_bench/_trace.py
+++ b/src/crankhinge_bench/_trace.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-WORDS = 4000
-FEW_TOKENS = 20
+VOCABULARY_SIZE = 4000
+MAX_TOKENS_BEFORE_CANCEL = 20
 
 
 @dataclass(frozen=True)
@@ -21,10 +21,10 @@
         prompt: text of the prompt; empty for a call to a plain service.
         max_tokens: length of the answer.
         rank: priority class.
-        cancel_after: tokens after which the caller goes; 0 for never.
+        cancel_after_tokens: tokens after which the caller goes; 0 for never.
         path: of a plain call; empty for a completion.
         repeatable: whether it may be run again.
-        shared: whether the prompt begins with a shared prefix.
+        has_shared_prefix: whether the prompt begins with a shared prefix.
     """
 
     at: float
@@ -32,10 +32,10 @@
     prompt: str = ""
     max_tokens: int = 0
     rank: int = 1
-    cancel_after: int = 0
+    cancel_after_tokens: int = 0
     path: str = ""
     repeatable: bool = True
-    shared: bool = False
+    has_shared_prefix: bool = False
 
 
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -79,7 +79,7 @@
 
 
 def _words(rng: random.Random, count: int) -> str:
-    return " ".join(f"x{rng.randrange(WORDS)}" for _ in range(count))
+    return " ".join(f"x{rng.randrange(VOCABULARY_SIZE)}" for _ in range(count))
 
 
 def _length(rng: random.Random, median: float, sigma: float, most: int) -> int:
@@ -117,6 +117,6 @@
     tokens = _length(rng, load.output_tokens, load.output_sigma, load.max_output_tokens)
     cancel = rng.randint(1, tokens) if rng.random() < load.cancel_share else 0
     if cancel and load.cancel_tokens:
-        tokens, cancel = load.cancel_tokens, min(cancel, FEW_TOKENS)
+        tokens, cancel = load.cancel_tokens, min(cancel, MAX_TOKENS_BEFORE_CANCEL)
     rank = rng.choices(range(len(load.ranks)), load.ranks)[0]
-    return Arrival(at, member, prompt, tokens, rank, cancel, shared=shared)
+    return Arrival(at, member, prompt, tokens, rank, cancel, has_shared_prefix=shared)
--- a/src/crankhinge_bench/main.py
+++ b/src/crankhinge_bench/main.py
@@ -13,9 +13,9 @@
 from crankhinge_bench._days import add_arguments as add_days
 from crankhinge_bench._demo import add_arguments as add_demo
 from crankhinge_bench._perf import add_arguments as add_perf
+from crankhinge_bench._propagation import add_arguments as add_spread
 from crankhinge_bench._run import add_arguments as add_run
 from crankhinge_bench._slopes import add_arguments as add_slopes
-from crankhinge_bench._spread import add_arguments as add_spread
 
 PROGRAM = "crankhinge-bench"
 EXIT_BAD_INPUT = 2
--- a/src/crankhinge_soak/_entries.py
+++ b/src/crankhinge_soak/_entries.py
@@ -13,7 +13,7 @@
 import curio
 
 from crankhinge_bench._cluster import Cluster
-from crankhinge_bench._load import LoadRun
+from crankhinge_bench._load import LoadGenerator
 from crankhinge_bench._spec import ClusterSpec, EngineSpec, ServiceSpec
 from crankhinge_bench._summary import summarise
 from crankhinge_bench._trace import Load, make_trace
@@ -55,7 +55,7 @@
         rng: draws the schedule.
     """
 
-    def __init__(self, cluster: Cluster, runner: LoadRun, rng: random.Random) -> None:
+    def __init__(self, cluster: Cluster, runner: LoadGenerator, rng: random.Random) -> None:
         self.counts: dict[str, int] = {}
         self.drains: list[Drain] = []
         self.published: list[tuple[float, int]] = []
@@ -116,7 +116,7 @@
 
     def _group_processes(self) -> list[list[str]]:
         """Return groups of processes that can replace each other."""
-        places = self._cluster.places
+        places = self._cluster.agents
         pools = {place.pool for place in places}
         groups = [[f"entry-{n}" for n in range(self._cluster.spec.entries)]]
         for pool in sorted(pools):
@@ -139,7 +139,7 @@
         self.ended += 1
         self._cluster.kill(name)
         time.sleep(self._rng.uniform(0.2, 3.0))
-        self._cluster.start_again(name)
+        self._cluster.restart(name)
         time.sleep(1.5)
         self._release(name)
 
@@ -161,7 +161,7 @@
         self._count("drain-" + re.sub(r"-\d+$", "", name))
         port = self._find_entry_port(name)
         if port:
-            self._runner.shunned.add(port)
+            self._runner.excluded_ports.add(port)
         proc = self._cluster.procs[name]
         at = time.time()
         proc.send_signal(signal.SIGTERM)
@@ -173,10 +173,10 @@
         self.drains.append(
             Drain(name=name, at=at, until=until, status=status, backend=backend, cut=cut)
         )
-        self._cluster.start_again(name)
+        self._cluster.restart(name)
         time.sleep(1.5)
         if port:
-            self._runner.shunned.discard(port)
+            self._runner.excluded_ports.discard(port)
         self._release(name)
 
     def _find_entry_port(self, name: str) -> int:
@@ -195,22 +195,22 @@
         )
         self._count("platform-" + next(iter(fault)))
         port = self._cluster.platform_port
-        self._cluster.faults(port, **fault)
+        self._cluster.set_faults(port, **fault)
         time.sleep(self._rng.uniform(1.0, 10.0))
-        self._cluster.faults(port, down=False, delay_s=0.0, lose_answers=False)
+        self._cluster.set_faults(port, down=False, delay_s=0.0, lose_answers=False)
         self._release("platform")
 
     def _fail_engine(self) -> None:
-        places = [place for place in self._cluster.places if place.kind != "plain"]
+        places = [place for place in self._cluster.agents if place.kind != "plain"]
         place = self._rng.choice(places)
         fault: dict[str, Any] = self._rng.choice([{"slow": 4.0}, {"stall": True}, {"refuse": True}])
         if self._claim([f"backend-{p.name}" for p in places if p.pool == place.pool]) is None:
             return
         self._count("engine-" + next(iter(fault)))
         try:
-            self._cluster.faults(place.backend_port, **fault)
+            self._cluster.set_faults(place.backend_port, **fault)
             time.sleep(self._rng.uniform(0.5, 3.0))
-            self._cluster.faults(place.backend_port, slow=1.0, stall=False, refuse=False)
+            self._cluster.set_faults(place.backend_port, slow=1.0, stall=False, refuse=False)
         except OSError:
             pass
         for other in places:
@@ -223,8 +223,8 @@
                 return
             self._claimed.add("bundle")
         try:
-            version = self._cluster.version + 1
-            accepted = self._cluster.race(version)
+            version = self._cluster.bundle_version + 1
+            accepted = self._cluster.publish_concurrently(version)
             if accepted:
                 self._count("publish")
                 self.published.append((time.time(), version))
@@ -245,16 +245,16 @@
         members=dict(spec.members),
     )
     with Cluster(spec, logs=logs) as cluster:
-        runner = LoadRun(cluster.entry_ports, cluster.credentials, repeats=6)
+        runner = LoadGenerator(cluster.entry_ports, cluster.credentials, max_retries=6)
         chaos = EntryFaultInjector(cluster, runner, random.Random(seed))
         chaos.start()
-        outcomes = curio.run(runner.play, make_trace(load, seed))
+        outcomes = curio.run(runner.run, make_trace(load, seed))
         chaos.finish()
         time.sleep(SETTLE_S)
         history = History(
             outcomes=outcomes,
-            runs=cluster.records("plain"),
-            work=[row for row in cluster.records("prefill", "decode") if "prompt" in row],
+            runs=cluster.read_records("plain"),
+            work=[row for row in cluster.read_records("prefill", "decode") if "prompt" in row],
             held=wait_until_freed(cluster),
             drains=chaos.drains,
             bundles=read_bundles_seen(cluster),
@@ -275,7 +275,7 @@
         faults=dict(sorted(chaos.counts.items())),
         verdicts=check(history),
         requests=summary.offered + summary.calls,
-        answered=sum(seen.whole for seen in outcomes),
+        answered=sum(seen.complete for seen in outcomes),
         note=(
             f"; completions {summary.offered}: in time {summary.in_time_share:.1%}, "
             f"refused {summary.refused}, failed {summary.failed}, waste "
--- a/src/crankhinge_soak/_entries_check.py
+++ b/src/crankhinge_soak/_entries_check.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from crankhinge_bench._load import NOT_RUN, Outcome
+from crankhinge_bench._load import NOT_RUN, RequestResult
 from crankhinge_soak._verdict import Verdict, make_verdict
 
 
@@ -65,7 +65,7 @@
         ended: how often an entry or agent was killed, paused or cut off.
     """
 
-    outcomes: list[Outcome]
+    outcomes: list[RequestResult]
     runs: list[dict[str, Any]]
     work: list[dict[str, Any]]
     held: dict[str, int]
@@ -98,19 +98,21 @@
 
 def _check_memory_freed(history: History) -> Verdict:
     """Check that engines free the memory of requests that ended or whose caller left."""
-    incomplete = sum(seen.cancelled or not seen.whole for seen in history.outcomes)
+    incomplete = sum(seen.cancelled or not seen.complete for seen in history.outcomes)
     cases = [f"{name}: {held} held" for name, held in history.held.items() if held]
     ends = {row["prompt"]: row["at"] for row in history.work if row["kind"] == "end"}
     for seen in history.outcomes:
         end = ends.get(zlib.crc32(seen.arrival.prompt.encode()), 0.0)
-        if seen.gone and end - seen.gone > MEMORY_RELEASE_S:
-            cases.append(f"{seen.ident}: held {end - seen.gone:.1f} s after its caller left")
+        if seen.cancelled_at and end - seen.cancelled_at > MEMORY_RELEASE_S:
+            cases.append(
+                f"{seen.request_id}: held {end - seen.cancelled_at:.1f} s after its caller left"
+            )
     return make_verdict("no engine memory stays tied", incomplete + history.ended, cases)
 
 
 def _check_answered_once(history: History) -> Verdict:
     """Check that a repeated call is answered from one run: no key has more than one."""
-    repeated = [seen for seen in history.outcomes if seen.arrival.path and seen.sent > 1]
+    repeated = [seen for seen in history.outcomes if seen.arrival.path and seen.attempts > 1]
     runs = Counter(run["key"] for run in history.runs if run["key"])
     cases = [seen.key for seen in repeated if runs[seen.key] > 1]
     return make_verdict("no request is answered twice", len(repeated), cases)
@@ -118,14 +120,14 @@
 
 def _check_responses(history: History) -> Verdict:
     """Check that each response has the tokens of its own request."""
-    answered = [seen for seen in history.outcomes if seen.whole or seen.tokens]
-    cases = [f"{seen.ident}: wrong tokens" for seen in answered if seen.wrong]
+    answered = [seen for seen in history.outcomes if seen.complete or seen.tokens]
+    cases = [f"{seen.request_id}: wrong tokens" for seen in answered if seen.wrong]
     return make_verdict("whole answer to its own request", len(answered), cases)
 
 
 def _check_not_run_responses(history: History) -> Verdict:
     """Check that a request that was reported as not run did not run."""
-    denials = [s for s in history.outcomes if not s.whole and s.outcome == NOT_RUN]
+    denials = [s for s in history.outcomes if not s.complete and s.outcome == NOT_RUN]
     keys = {run["key"] for run in history.runs}
     prompts = {row["prompt"] for row in history.work if row["kind"] != "end"}
     cases = []
@@ -135,7 +137,7 @@
         else:
             ran = zlib.crc32(seen.arrival.prompt.encode()) in prompts
         if ran:
-            cases.append(f"{seen.ident or seen.key}: {seen.code}")
+            cases.append(f"{seen.request_id or seen.key}: {seen.code}")
     return make_verdict("not run is true", len(denials), cases)
 
 
--- a/src/crankhinge_soak/_entries_evidence.py
+++ b/src/crankhinge_soak/_entries_evidence.py
@@ -29,7 +29,7 @@
     """Return the bundle versions that each run of each process had in force, from the logs."""
     seen = []
     names = [f"entry-{n}" for n in range(cluster.spec.entries)]
-    for name in names + [place.name for place in cluster.places]:
+    for name in names + [place.name for place in cluster.agents]:
         run: BundleSeen | None = None
         for line in (cluster.logs / f"{name}.log").read_text().splitlines():
             if "event=started" in line:
@@ -48,7 +48,7 @@
     until = time.monotonic() + MEMORY_RELEASE_TIMEOUT_S
     while True:
         held = {}
-        for place in cluster.places:
+        for place in cluster.agents:
             if place.kind != "plain":
                 stats = http_json("GET", place.backend_port, "/stats")
                 held[place.name] = stats["running"] + stats["waiting"]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,11 +14,11 @@
 @pytest.fixture(scope="session")
 def cluster() -> Iterator[Cluster]:
     """A running cluster with short intervals."""
-    with Cluster(patient_spec()) as running:
+    with Cluster(long_target_spec()) as running:
         yield running
 
 
-def patient_spec() -> ClusterSpec:
+def long_target_spec() -> ClusterSpec:
     """Return a cluster whose targets a slow machine meets too: speed is no matter of tests."""
     engines = (
         EngineSpec("read", "prefill", 2, kv_life_s=30.0),
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -101,7 +101,7 @@
     )
     def test_random_bytes_stop_no_process(self, cluster: Cluster, data: bytes) -> None:
         """Random bytes to any port end no process, and valid requests still succeed."""
-        for port in [*cluster.entry_ports, *(place.port for place in cluster.places)]:
+        for port in [*cluster.entry_ports, *(place.port for place in cluster.agents)]:
             send_and_receive(port, data)
         assert all(proc.poll() is None for proc in cluster.procs.values())
         assert request_succeeds(cluster)
@@ -174,7 +174,7 @@
             assert sock.recv(100)
         held = 1
         for _ in range(100):
-            decode = [p for p in cluster.places if p.kind == "decode"]
+            decode = [p for p in cluster.agents if p.kind == "decode"]
             held = sum(http_json("GET", p.backend_port, "/stats")["running"] for p in decode)
             if not held:
                 break
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,7 +7,7 @@
 import pytest
 
 from crankhinge.runtime import get_log
-from crankhinge_bench._load import Outcome
+from crankhinge_bench._load import RequestResult
 from crankhinge_bench._summary import percentile
 from crankhinge_bench._trace import Arrival, Load, make_trace
 from crankhinge_soak._entries_check import BundleSeen, Drain, History, check
@@ -23,9 +23,9 @@
     """Return a history in which every invariant was tested and none was violated."""
     values: dict[str, Any] = {
         "outcomes": [
-            Outcome(ASK, whole=True, tokens=3),
-            Outcome(ASK, outcome="not-run", code="overloaded", sent=1),
-            Outcome(CALL, whole=True, key="k1", sent=2),
+            RequestResult(ASK, complete=True, tokens=3),
+            RequestResult(ASK, outcome="not-run", code="overloaded", attempts=1),
+            RequestResult(CALL, complete=True, key="k1", attempts=2),
         ],
         "runs": [{"key": "k1", "place": "a", "at": 90.0}],
         "work": [],
@@ -57,7 +57,7 @@
             ({"held": {"write-0": 1}}, "no engine memory stays tied"),
             (
                 {
-                    "outcomes": [Outcome(ASK, cancelled=True, gone=10.0)],
+                    "outcomes": [RequestResult(ASK, cancelled=True, cancelled_at=10.0)],
                     "work": [{"kind": "end", "prompt": CRC, "at": 19.0, "place": "w"}],
                 },
                 "no engine memory stays tied",
@@ -67,7 +67,7 @@
                 "no request is answered twice",
             ),
             (
-                {"outcomes": [Outcome(ASK, whole=True, wrong=True, tokens=3)]},
+                {"outcomes": [RequestResult(ASK, complete=True, wrong=True, tokens=3)]},
                 "whole answer to its own request",
             ),
             (
@@ -75,7 +75,7 @@
                 "not run is true",
             ),
             (
-                {"outcomes": [Outcome(CALL, outcome="not-run", key="k1")]},
+                {"outcomes": [RequestResult(CALL, outcome="not-run", key="k1")]},
                 "not run is true",
             ),
             (
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -5,7 +5,7 @@
 import tomllib
 from pathlib import Path
 
-from crankhinge_bench._days import FIRST_S, LAST_S, PLANNED, days, variants
+from crankhinge_bench._days import MAX_START_S, MIN_START_S, PLANNED_KINDS, list_variants, make_days
 from crankhinge_bench.main import main
 
 SITE = {"services": [{"name": "plain"}, {"name": "engines", "llm": {}}]}
@@ -16,33 +16,37 @@
 
     def test_every_variant_stands_alone_the_asked_number_of_times(self) -> None:
         """Each kind with each variant."""
-        drawn = list(days(SITE, each=3, pairs=0, seed=1))
-        assert len(drawn) == 3 * len(variants())
-        seen = {(row["kind"], row["how"]) for day in drawn for row in day.troubles}
-        assert seen == set(variants())
+        drawn = list(make_days(SITE, days_per_variant=3, mixed_days=0, seed=1))
+        assert len(drawn) == 3 * len(list_variants())
+        seen = {(row["kind"], row["how"]) for day in drawn for row in day.events}
+        assert seen == set(list_variants())
 
     def test_a_seed_draws_the_same_days_again(self) -> None:
         """What broke can be played again."""
-        first, again = (list(days(SITE, each=1, pairs=5, seed=7)) for _ in range(2))
+        first, again = (
+            list(make_days(SITE, days_per_variant=1, mixed_days=5, seed=7)) for _ in range(2)
+        )
         assert first == again
-        assert first != list(days(SITE, each=1, pairs=5, seed=8))
+        assert first != list(make_days(SITE, days_per_variant=1, mixed_days=5, seed=8))
 
     def test_kinds_may_be_chosen_and_come_in_numbers(self) -> None:
         """Only these are drawn, up to as many as asked for, at times the same twice."""
         chosen = {"big_config", "config_change"}
-        drawn = list(days(SITE, each=0, pairs=40, seed=5, kinds=chosen, most=5))
-        assert {row["kind"] for day in drawn for row in day.troubles} == chosen
-        assert {len(day.troubles) for day in drawn} == {2, 3, 4, 5}
+        drawn = list(
+            make_days(SITE, days_per_variant=0, mixed_days=40, seed=5, kinds=chosen, max_events=5)
+        )
+        assert {row["kind"] for day in drawn for row in day.events} == chosen
+        assert {len(day.events) for day in drawn} == {2, 3, 4, 5}
 
     def test_files_are_read_back(self) -> None:
         """Planned work and faults stand apart; moments lie within the day."""
-        for day in days(SITE, each=1, pairs=20, seed=3):
-            read = tomllib.loads(day.text())
+        for day in make_days(SITE, days_per_variant=1, mixed_days=20, seed=3):
+            read = tomllib.loads(day.to_toml())
             assert read["name"] == day.name
             rows = read["plan"] + read["faults"]
-            assert len(rows) == len(day.troubles)
-            assert all(row["kind"] in PLANNED for row in read["plan"])
-            assert all(FIRST_S <= row["at"] <= LAST_S for row in rows)
+            assert len(rows) == len(day.events)
+            assert all(row["kind"] in PLANNED_KINDS for row in read["plan"])
+            assert all(MIN_START_S <= row["at"] <= MAX_START_S for row in rows)
 
 
 class TestPlay:
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crankhinge_bench._cluster import Cluster
-from crankhinge_bench._load import LoadRun
+from crankhinge_bench._load import LoadGenerator
 from crankhinge_bench._trace import Arrival
 from crankhinge_standins._model import make_answer
 
@@ -61,6 +61,6 @@
     def test_concurrent_streams_are_neither_crossed_nor_cut(self, cluster: Cluster) -> None:
         """Every answer of 36 at once equals the engine's, token for token."""
         trace = [Arrival(0.0, "naas-office", f"prompt {n}", 30) for n in range(36)]
-        runner = LoadRun(cluster.entry_ports, cluster.credentials)
-        outcomes = curio.run(runner.play, trace)
-        assert [seen for seen in outcomes if seen.wrong or not seen.whole] == []
+        runner = LoadGenerator(cluster.entry_ports, cluster.credentials)
+        outcomes = curio.run(runner.run, trace)
+        assert [seen for seen in outcomes if seen.wrong or not seen.complete] == []
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -15,13 +15,13 @@
 
 import pytest
 
-from crankhinge_bench._ports import BLOCK_PORTS, HOST, MOST_BLOCKS, Ports
+from crankhinge_bench._ports import HOST, MAX_BLOCKS, PORTS_PER_BLOCK, PortAllocator
 
 
 @pytest.fixture
-def two() -> Iterator[tuple[Ports, Ports]]:
+def two() -> Iterator[tuple[PortAllocator, PortAllocator]]:
     """Return what two processes with one id would use."""
-    both = Ports(), Ports()
+    both = PortAllocator(), PortAllocator()
     yield both
     for ports in both:
         ports.close()
@@ -30,34 +30,36 @@
 class TestPorts:
     """What is given to whom."""
 
-    def test_are_never_given_to_two_at_once(self, two: tuple[Ports, Ports]) -> None:
+    def test_are_never_given_to_two_at_once(self, two: tuple[PortAllocator, PortAllocator]) -> None:
         """However long both go on taking ports."""
         one, other = ({port for _ in range(200) for port in ports.take(20)} for ports in two)
         assert not one & other
-        assert len(one) > BLOCK_PORTS
+        assert len(one) > PORTS_PER_BLOCK
 
-    def test_taken_in_turns_are_never_those_of_the_other(self, two: tuple[Ports, Ports]) -> None:
+    def test_taken_in_turns_are_never_those_of_the_other(
+        self, two: tuple[PortAllocator, PortAllocator]
+    ) -> None:
         """Taken by turns, as by two runs that go on beside each other."""
         taken: tuple[set[int], set[int]] = (set(), set())
-        for _ in range(MOST_BLOCKS * BLOCK_PORTS // 10):
+        for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK // 10):
             for ports, mine in zip(two, taken, strict=True):
                 mine.update(ports.take(20))
         assert not taken[0] & taken[1]
 
     @pytest.mark.parametrize("kind", [socket.SOCK_STREAM, socket.SOCK_DGRAM], ids=["tcp", "udp"])
     def test_on_which_somebody_listens_are_passed_over(
-        self, two: tuple[Ports, Ports], kind: socket.SocketKind
+        self, two: tuple[PortAllocator, PortAllocator], kind: socket.SocketKind
     ) -> None:
         """Also when all have been given once."""
         ports, _ = two
         [taken] = ports.take(1)
         with socket.socket(socket.AF_INET, kind) as sock:
             sock.bind((HOST, taken))
-            later = {port for _ in range(2 * MOST_BLOCKS) for port in ports.take(BLOCK_PORTS)}
+            later = {port for _ in range(2 * MAX_BLOCKS) for port in ports.take(PORTS_PER_BLOCK)}
         assert taken not in later
-        assert BLOCK_PORTS < len(later) < MOST_BLOCKS * (BLOCK_PORTS - 1)
+        assert PORTS_PER_BLOCK < len(later) < MAX_BLOCKS * (PORTS_PER_BLOCK - 1)
 
-    def test_more_than_there_are_is_refused(self, two: tuple[Ports, Ports]) -> None:
+    def test_more_than_there_are_is_refused(self, two: tuple[PortAllocator, PortAllocator]) -> None:
         """Rather than looked for without end."""
         with pytest.raises(RuntimeError):
-            two[0].take(MOST_BLOCKS * BLOCK_PORTS + 1)
+            two[0].take(MAX_BLOCKS * PORTS_PER_BLOCK + 1)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -2,7 +2,7 @@
 
 import time
 
-from conftest import patient_spec
+from conftest import long_target_spec
 from crankhinge.decisions import (
     RolloutLease,
     RolloutRecord,
@@ -54,12 +54,12 @@
 
     def test_an_adapter_is_loaded_and_served(self) -> None:
         """A bundle with a new adapter brings it to every engine, one of a pool at a time."""
-        with Cluster(patient_spec()) as cluster:
+        with Cluster(long_target_spec()) as cluster:
             cluster.publish(cluster.bundle_text(2, {"m1-fr": 1}))
             client = make_client(cluster)
             until = time.monotonic() + 30.0
             while time.monotonic() < until:
-                rows = cluster.records("prefill", "decode")
+                rows = cluster.read_records("prefill", "decode")
                 if sum(row["kind"] == "loaded" for row in rows) == 5:
                     break
                 time.sleep(0.1)
