--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -94,23 +94,23 @@
 
     def start(self) -> None:
         """Start everything and wait until the entries are ready."""
-        self._make_keys()
-        self._plan()
+        self._create_keys()
+        self._assign_ports()
         self._start_standins()
-        backends = [place.backend_port for place in self.agents if self._backends]
+        backends = [agent.backend_port for agent in self.agents if self._backends]
         self.wait_for_ports([self.platform_port, *backends])
         self.publish(self.bundle_text(1))
-        for place in self.agents:
-            self.start_agent(place)
+        for agent in self.agents:
+            self.start_agent(agent)
         for number in range(self.spec.entries):
             self.start_entry(number)
         self.wait_ready()
 
-    def _make_keys(self) -> None:
+    def _create_keys(self) -> None:
         for partner in PARTNERS:
             self._keys[partner] = create_key_pair(self.dir / f"{partner}.key")
 
-    def _plan(self) -> None:
+    def _assign_ports(self) -> None:
         spec = self.spec
         backends = [(e.pool, e.kind, n) for e in spec.engines for n in range(e.count)]
         backends += [(s.pool, "plain", n) for s in spec.services for n in range(s.count)]
@@ -119,34 +119,34 @@
         self.entry_ports = [ports.pop() for _ in range(spec.entries)]
         for pool, kind, n in backends:
             zone = spec.zones[n % len(spec.zones)]
-            place = AgentConfig(f"{pool}-{n}", kind, pool, zone, ports.pop(), ports.pop())
-            self.agents.append(place)
+            agent = AgentConfig(f"{pool}-{n}", kind, pool, zone, ports.pop(), ports.pop())
+            self.agents.append(agent)
 
     def _start_standins(self) -> None:
         standin = "crankhinge_standins.main"
         self.run("platform", standin, "platform", "--port", str(self.platform_port),
                  "--list-lag-s", "0.2")  # fmt: skip
-        for place in self.agents if self._backends else ():
-            self.start_backend(place)
+        for agent in self.agents if self._backends else ():
+            self.start_backend(agent)
 
     def start_backend(self, agent: AgentConfig) -> None:
         """Start the backend server of *agent*."""
         args = self._backend_args(agent)
         self.run(f"backend-{agent.name}", "crankhinge_standins.main", *args)
 
-    def _backend_args(self, place: AgentConfig) -> list[str]:
-        record = str(self.record_path(place))
-        if place.kind == "plain":
-            service = next(s for s in self.spec.services if s.pool == place.pool)
+    def _backend_args(self, agent: AgentConfig) -> list[str]:
+        record = str(self.record_path(agent))
+        if agent.kind == "plain":
+            service = next(s for s in self.spec.services if s.pool == agent.pool)
             work = str(service.work_s)
-            port = str(place.backend_port)
+            port = str(agent.backend_port)
             return ["service", "--port", port, "--work-s", work, "--record", record]
-        engine = self._engine(place)
+        engine = self._engine_spec(agent)
         return [
             "engine",
             *("--record", record),
             *("--weights", f"{HOST}:{self.platform_port}"),
-            *("--port", str(place.backend_port)),
+            *("--port", str(agent.backend_port)),
             *("--slots", str(engine.slots)),
             *("--step-s", str(engine.step_s)),
             *("--prefill-rate", str(engine.prefill_rate)),
@@ -163,17 +163,17 @@
     def read_records(self, *kinds: str) -> list[dict[str, Any]]:
         """Return what the backend servers of some kinds recorded, with each row's place."""
         rows = []
-        for place in self.agents:
-            path = self.record_path(place)
-            if place.kind not in kinds or not path.exists():
+        for agent in self.agents:
+            path = self.record_path(agent)
+            if agent.kind not in kinds or not path.exists():
                 continue
-            rows += [{**json.loads(line), "place": place.name} for line in path.open()]
+            rows += [{**json.loads(line), "place": agent.name} for line in path.open()]
         return rows
 
-    def _engine(self, place: AgentConfig) -> EngineSpec:
-        return next(e for e in self.spec.engines if e.pool == place.pool)
+    def _engine_spec(self, agent: AgentConfig) -> EngineSpec:
+        return next(e for e in self.spec.engines if e.pool == agent.pool)
 
-    def _peer_settings(self, name: str, zone: str, port: int) -> list[str]:
+    def _peer_setting_lines(self, name: str, zone: str, port: int) -> list[str]:
         return [
             f'name = "{name}"',
             f'zone = "{zone}"',
@@ -194,23 +194,23 @@
 
     def start_agent(self, agent: AgentConfig) -> None:
         """Start the agent of *agent* and show it in the platform's list."""
-        lines = self._peer_settings(agent.name, agent.zone, agent.port)
+        lines = self._peer_setting_lines(agent.name, agent.zone, agent.port)
         lines += [
             f'role = "{agent.kind}"',
             f'pool = "{agent.pool}"',
             f'backend = "{HOST}:{agent.backend_port}"',
-            *self._role_settings(agent),
+            *self._role_setting_lines(agent),
         ]
         self.run(agent.name, "crankhinge.agent.main", self._write_settings(agent.name, lines))
         self.register_agent(agent)
 
-    def _role_settings(self, place: AgentConfig) -> list[str]:
-        if place.kind == "plain":
-            service = next(s for s in self.spec.services if s.pool == place.pool)
+    def _role_setting_lines(self, agent: AgentConfig) -> list[str]:
+        if agent.kind == "plain":
+            service = next(s for s in self.spec.services if s.pool == agent.pool)
             rate = service.slots / max(service.work_s, 0.001)
             return [f"slots = {service.slots}", f"rate = {rate}"]
-        engine = self._engine(place)
-        if place.kind == "prefill":
+        engine = self._engine_spec(agent)
+        if agent.kind == "prefill":
             return [f"slots = {PREFILL_SLOTS}", f"rate = {engine.prefill_rate}"]
         return [f"slots = {engine.slots}", f"step_s = {engine.step_s * 1.5}"]
 
@@ -228,8 +228,8 @@
         """Start an entry, with further lines of settings."""
         name = f"entry-{number}"
         zone = self.spec.zones[number % len(self.spec.zones)]
-        lines = self._peer_settings(name, zone, self.entry_ports[number])
-        seeds = [f"{HOST}:{place.port}" for place in self.agents[:SEED_COUNT]]
+        lines = self._peer_setting_lines(name, zone, self.entry_ports[number])
+        seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_COUNT]]
         lines += [f"seeds = {seeds}", f"subset = {self.spec.subset}", *extra_settings]
         self.run(name, "crankhinge.entry.main", self._write_settings(name, lines))
 
@@ -321,18 +321,18 @@
             text = self.bundle_text(version) + f"patience = {patience}\n"
             path = self.dir / f"bundle-{name}.signed"
             path.write_bytes(self.signed_bundle(text))
-            procs.append(self._publish_until_known(path))
+            procs.append(self._start_publication(path))
         statuses = [proc() for proc in procs]
-        won = 0 in statuses
-        if won:
+        accepted = 0 in statuses
+        if accepted:
             self.bundle_version = version
-        return won
+        return accepted
 
-    def _publish_until_known(self, path: Path) -> Callable[[], int]:
+    def _start_publication(self, path: Path) -> Callable[[], int]:
         command = [sys.executable, "-m", "crankhinge.ctl.main", "bundle", "publish", str(path)]
         command += ["--settings", self.write_ctl_settings()]
-        nowhere = subprocess.DEVNULL
-        proc = subprocess.Popen(command, stdout=nowhere, stderr=nowhere)
+        devnull = subprocess.DEVNULL
+        proc = subprocess.Popen(command, stdout=devnull, stderr=devnull)
 
         def finish() -> int:
             status = proc.wait()
@@ -340,34 +340,34 @@
                 if status != EXIT_OUTCOME_UNKNOWN:
                     break
                 time.sleep(1.0)
-                status = subprocess.call(command, stdout=nowhere, stderr=nowhere)
+                status = subprocess.call(command, stdout=devnull, stderr=devnull)
             return status
 
         return finish
 
     def write_ctl_settings(self) -> str:
         """Return the path of the command line's settings."""
-        seeds = [f"{HOST}:{place.port}" for place in self.agents[:SEED_COUNT]]
+        seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_COUNT]]
         return self._write_settings(
             "ctl", [f'key_value = "{HOST}:{self.platform_port}"', f"seeds = {seeds}"]
         )
 
     def wait_ready(self) -> None:
         """Wait until every entry has a bundle and answers a request."""
-        until = time.monotonic() + READY_TIMEOUT_S
-        self.wait_for_ports([*self.entry_ports, *(place.port for place in self.agents)])
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        self.wait_for_ports([*self.entry_ports, *(agent.port for agent in self.agents)])
         for port in self.entry_ports:
             while not self._is_ready(port):
-                if time.monotonic() > until:
+                if time.monotonic() > deadline:
                     raise TimeoutError(f"entry on {port} isn't ready")
                 time.sleep(POLL_INTERVAL_S)
-        holders = [f"{s.pool}-{n}" for s in self.spec.services if s.count > 1 for n in (0, 1)]
-        while not all(self._is_paired(name) for name in holders):
-            if time.monotonic() > until:
+        replicas = [f"{s.pool}-{n}" for s in self.spec.services if s.count > 1 for n in (0, 1)]
+        while not all(self._has_fence_record(name) for name in replicas):
+            if time.monotonic() > deadline:
                 raise TimeoutError("the fence records have no holders")
             time.sleep(POLL_INTERVAL_S)
 
-    def _is_paired(self, name: str) -> bool:
+    def _has_fence_record(self, name: str) -> bool:
         """Whether a fence holder has its record, by its log."""
         return "role=paired" in (self.logs / f"{name}.log").read_text()
 
@@ -383,23 +383,23 @@
         if name.startswith("entry-"):
             self.start_entry(int(name.removeprefix("entry-")))
             return
-        place = next(p for p in self.agents if p.name == name.removeprefix("backend-"))
+        agent = next(a for a in self.agents if a.name == name.removeprefix("backend-"))
         if name.startswith("backend-"):
-            self.start_backend(place)
+            self.start_backend(agent)
         else:
-            self.start_agent(place)
+            self.start_agent(agent)
 
     def standin_port(self, name: str) -> int:
         """Return the port of the platform or of a backend server."""
         if name == "platform":
             return self.platform_port
         wanted = name.removeprefix("backend-")
-        return next(p.backend_port for p in self.agents if p.name == wanted)
+        return next(agent.backend_port for agent in self.agents if agent.name == wanted)
 
     def engine_stats(self) -> list[dict[str, Any]]:
         """Return each engine's own counts."""
-        engines = [place for place in self.agents if place.kind != "plain"]
-        return [http_json("GET", place.backend_port, "/stats") for place in engines]
+        engines = [agent for agent in self.agents if agent.kind != "plain"]
+        return [http_json("GET", agent.backend_port, "/stats") for agent in engines]
 
     def set_faults(self, port: int, **faults: Any) -> None:
         """Switch faults of a stand-in on or off."""
--- a/src/crankhinge_bench/_days.py
+++ b/src/crankhinge_bench/_days.py
@@ -106,23 +106,28 @@
         """Return the day file."""
         lines = [f'name = "{self.name}"', f"seed = {self.seed}"]
         for part, planned in (("plan", True), ("faults", False)):
-            rows = [t for t in self.events if (t["kind"] in PLANNED_KINDS) is planned]
-            lines += [f"{part} = [", *(f"  {_inline(row)}," for row in rows), "]"]
+            rows = [event for event in self.events if (event["kind"] in PLANNED_KINDS) is planned]
+            lines += [f"{part} = [", *(f"  {_inline_table(row)}," for row in rows), "]"]
         return "\n".join(lines) + "\n"
 
 
-def _inline(trouble: Event) -> str:
+def _inline_table(event: Event) -> str:
     pairs = (
         f'{key} = "{value}"' if isinstance(value, str) else f"{key} = {value}"
-        for key, value in trouble.items()
+        for key, value in event.items()
     )
     return "{ " + ", ".join(pairs) + " }"
 
 
 def list_variants(kinds: Collection[str] = ()) -> list[tuple[str, str]]:
     """Return every kind, or those of *kinds*, with each of its variants."""
-    both = itertools.chain(SERVER_KINDS.items(), OTHER_KINDS.items())
-    return [(kind, how) for kind, hows in both for how in hows if not kinds or kind in kinds]
+    all_kinds = itertools.chain(SERVER_KINDS.items(), OTHER_KINDS.items())
+    return [
+        (kind, variant)
+        for kind, variants in all_kinds
+        for variant in variants
+        if not kinds or kind in kinds
+    ]
 
 
 def engine_services(site: dict[str, Any]) -> list[str]:
@@ -166,29 +171,31 @@
     """
     rng = random.Random(seed)
     number = 0
-    for kind, how in list_variants(kinds):
+    for kind, variant in list_variants(kinds):
         for _ in range(days_per_variant):
             number += 1
-            rows = tuple(make_event(kind, how, site, rng) for _ in range(rng.choice((1, 1, 2))))
-            name = re.sub(r"\W+", "-", f"{kind} {how}".strip())
+            rows = tuple(make_event(kind, variant, site, rng) for _ in range(rng.choice((1, 1, 2))))
+            name = re.sub(r"\W+", "-", f"{kind} {variant}".strip())
             yield Day(f"one-{number}-{name}", rng.randrange(2**31), rows)
     for index in range(mixed_days):
         # Two are the commonest, and a trouble may come twice.
         drawn = rng.choices(list_variants(kinds), k=rng.choice((2, *range(2, max_events + 1))))
-        rows = tuple(make_event(kind, how, site, rng) for kind, how in drawn)
+        rows = tuple(make_event(kind, variant, site, rng) for kind, variant in drawn)
         yield Day(f"drawn-{index}", rng.randrange(2**31), rows)
 
 
-def _play(command: str, path: Path) -> tuple[Path, str, list[str]]:
-    words = [word.replace("{day}", str(path)) for word in shlex.split(command)]
-    done = subprocess.run(
-        words, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S, check=False
+def _play_day(command: str, path: Path) -> tuple[Path, str, list[str]]:
+    command_line = [word.replace("{day}", str(path)) for word in shlex.split(command)]
+    completed = subprocess.run(
+        command_line, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S, check=False
     )
-    found = BROKEN_RULE.findall(done.stdout)
-    if done.returncode != 0 and not found:
-        found = [f"FAULT: exit {done.returncode}: {(done.stdout + done.stderr)[-200:]!r}"]
-    (path.with_suffix(".txt")).write_text(done.stdout)
-    return path, done.stdout, found
+    found = BROKEN_RULE.findall(completed.stdout)
+    if completed.returncode != 0 and not found:
+        found = [
+            f"FAULT: exit {completed.returncode}: {(completed.stdout + completed.stderr)[-200:]!r}"
+        ]
+    (path.with_suffix(".txt")).write_text(completed.stdout)
+    return path, completed.stdout, found
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -230,7 +237,7 @@
         return 0
     broken: Counter[str] = Counter()
     with ThreadPoolExecutor(args.jobs) as pool:
-        for path, _, found in pool.map(lambda path: _play(args.play, path), paths):
+        for path, _, found in pool.map(lambda path: _play_day(args.play, path), paths):
             for rules in found:
                 print(f"{path.stem}: {rules}", flush=True)
                 broken[rules.split()[0]] += 1
--- a/src/crankhinge_bench/_fakes.py
+++ b/src/crankhinge_bench/_fakes.py
@@ -24,7 +24,7 @@
 HOST = "127.0.0.1"
 
 
-async def _ignore(_link: Link, _msg: Message) -> None:
+async def _ignore_message(_link: Link, _msg: Message) -> None:
     """Take no notice of a message."""
 
 
@@ -38,30 +38,30 @@
     def __init__(self, beat_s: float) -> None:
         self.links: list[Link] = []
         self._beat_s = beat_s
-        self._stop = threading.Event()
+        self._stop_requested = threading.Event()
         self._thread: threading.Thread | None = None
         self._log = get_log(program="fakes")
 
     def start(self, main: Callable[[], Awaitable[Any]]) -> None:
         """Run *main* on the thread."""
-        self._thread = threading.Thread(target=curio.run, args=(self._until_stop, main))
+        self._thread = threading.Thread(target=curio.run, args=(self._run_until_stopped, main))
         self._thread.start()
 
-    async def _until_stop(self, main: Callable[[], Awaitable[Any]]) -> None:
+    async def _run_until_stopped(self, main: Callable[[], Awaitable[Any]]) -> None:
         task = await curio.spawn(main)
-        while not self._stop.is_set():
+        while not self._stop_requested.is_set():
             await curio.sleep(0.1)
         await task.cancel()
 
     def stop(self) -> None:
         """End the thread."""
-        self._stop.set()
+        self._stop_requested.set()
         if self._thread is not None:
             self._thread.join()
 
-    async def _beat(self, link: Link, load: Load | None) -> None:
+    async def _send_heartbeats(self, link: Link, load: Load | None) -> None:
         self.links.append(link)
-        reader = await curio.spawn(link.run, _ignore, daemon=True)
+        reader = await curio.spawn(link.run, _ignore_message, daemon=True)
         try:
             while not link.closed:
                 await link.send(Beat(1, load))
@@ -104,7 +104,7 @@
     async def _serve(self, name: str, sock: Any, _addr: Any) -> None:
         hello = Hello(WIRE_VERSION, name, "decode", "naas", 1, "write", 1)
         link = await accept_link(sock, hello)
-        await self._beat(link, Load(5, 0, 0.25, 0.03))
+        await self._send_heartbeats(link, Load(5, 0, 0.25, 0.03))
 
 
 class FakeEntries(FakePeers):
@@ -125,9 +125,9 @@
         """Connect all."""
         async with curio.TaskGroup() as group:
             for number in range(self._count):
-                await group.spawn(self._dial, number)
+                await group.spawn(self._connect, number)
 
-    async def _dial(self, number: int) -> None:
+    async def _connect(self, number: int) -> None:
         hello = Hello(WIRE_VERSION, f"fake-entry-{number}", "entry", "naas", 1, bundle=1)
         link = await connect_link(HOST, self._port, hello)
-        await self._beat(link, None)
+        await self._send_heartbeats(link, None)
--- a/src/crankhinge_bench/_faults.py
+++ b/src/crankhinge_bench/_faults.py
@@ -21,12 +21,12 @@
 
     def __init__(self, cluster: Cluster, faults: tuple[Fault, ...]) -> None:
         self._cluster = cluster
-        steps: list[tuple[float, Callable[[], None]]] = []
+        schedule: list[tuple[float, Callable[[], None]]] = []
         for fault in faults:
-            begin, end = self._steps(fault)
-            steps += [(fault.at, begin), (fault.at + fault.seconds, end)]
-        self._steps_due = sorted(steps, key=lambda step: step[0])
-        self._thread = threading.Thread(target=self._play, daemon=True)
+            start, end = self._make_actions(fault)
+            schedule += [(fault.at, start), (fault.at + fault.seconds, end)]
+        self._schedule = sorted(schedule, key=lambda action: action[0])
+        self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
         """Begin; times count from now."""
@@ -36,13 +36,13 @@
         """Wait until the last fault has been taken back."""
         self._thread.join()
 
-    def _play(self) -> None:
-        began = time.monotonic()
-        for at, step in self._steps_due:
-            time.sleep(max(0.0, began + at - time.monotonic()))
-            step()
+    def _run(self) -> None:
+        started_at = time.monotonic()
+        for at, action in self._schedule:
+            time.sleep(max(0.0, started_at + at - time.monotonic()))
+            action()
 
-    def _steps(self, fault: Fault) -> tuple[Callable[[], None], Callable[[], None]]:
+    def _make_actions(self, fault: Fault) -> tuple[Callable[[], None], Callable[[], None]]:
         cluster = self._cluster
         name = fault.target
         if fault.kind == "kill":
@@ -54,9 +54,9 @@
             )
         port = cluster.standin_port(name)
         key = fault.kind.replace("-", "_")
-        on = fault.factor if fault.kind == "slow" else True
-        off = 1.0 if fault.kind == "slow" else False
+        faulty = fault.factor if fault.kind == "slow" else True
+        normal = 1.0 if fault.kind == "slow" else False
         return (
-            lambda: cluster.set_faults(port, **{key: on}),
-            lambda: cluster.set_faults(port, **{key: off}),
+            lambda: cluster.set_faults(port, **{key: faulty}),
+            lambda: cluster.set_faults(port, **{key: normal}),
         )
--- a/src/crankhinge_bench/_fit.py
+++ b/src/crankhinge_bench/_fit.py
@@ -36,8 +36,8 @@
     xs = [x for x, _ in points]
     ys = [y for _, y in points]
     slope, base = statistics.linear_regression(xs, ys)
-    off = max(abs(y - (slope * x + base)) for x, y in points)
-    error = off / max(abs(y) for y in ys)
+    max_distance = max(abs(y - (slope * x + base)) for x, y in points)
+    error = max_distance / max(abs(y) for y in ys)
     return Slope(name=name, unit=unit, points=points, slope=slope, base=base, error=error)
 
 
--- a/src/crankhinge_bench/_load.py
+++ b/src/crankhinge_bench/_load.py
@@ -70,7 +70,7 @@
     error: dict[str, object] | None = None
 
 
-_events = msgspec.json.Decoder(_Event)
+_event_decoder = msgspec.json.Decoder(_Event)
 
 
 class LoadGenerator:
@@ -92,58 +92,60 @@
         max_retries: int = 0,
     ) -> None:
         self._clients = [HttpClient(host, port) for port in ports]
-        self._turn = 0
-        self._repeats = max_retries
+        self._round_robin = 0
+        self._max_retries = max_retries
         self.excluded_ports: set[int] = set()
         self._credentials = credentials
         self.results: list[RequestResult] = []
 
     async def run(self, trace: list[Arrival]) -> list[RequestResult]:
         """Send each arrival at its time and return what came of all of them."""
-        began = await curio.clock()
+        started_at = await curio.clock()
         async with curio.TaskGroup() as group:
             for arrival in trace:
-                wait = began + arrival.at - await curio.clock()
+                wait = started_at + arrival.at - await curio.clock()
                 if wait > 0:
                     await curio.sleep(wait)
-                await group.spawn(self._one, arrival)
+                await group.spawn(self._send_with_retries, arrival)
         return self.results
 
-    def _next(self) -> HttpClient:
+    def _next_client(self) -> HttpClient:
         """Return the next entry in turn, as a balancer would: not one that it was told to shun."""
         for _ in self._clients:
-            self._turn += 1
-            client = self._clients[self._turn % len(self._clients)]
+            self._round_robin += 1
+            client = self._clients[self._round_robin % len(self._clients)]
             if client.port not in self.excluded_ports:
                 break
         return client
 
-    async def _one(self, arrival: Arrival) -> None:
-        seen = RequestResult(arrival, started_at=time.time())
-        self.results.append(seen)
-        await self._try(arrival, seen)
-        while self._unknown(seen) and seen.attempts <= self._repeats:
+    async def _send_with_retries(self, arrival: Arrival) -> None:
+        result = RequestResult(arrival, started_at=time.time())
+        self.results.append(result)
+        await self._attempt(arrival, result)
+        while self._is_outcome_unknown(result) and result.attempts <= self._max_retries:
             await curio.sleep(RETRY_PAUSE_S)
-            seen.status, seen.code, seen.outcome = 0, "", ""
-            await self._try(arrival, seen)
+            result.status, result.code, result.outcome = 0, "", ""
+            await self._attempt(arrival, result)
 
-    def _unknown(self, seen: RequestResult) -> bool:
+    def _is_outcome_unknown(self, result: RequestResult) -> bool:
         """Whether the caller of a plain call has yet to learn what became of it."""
-        final = seen.complete or seen.outcome == NOT_RUN or seen.code in FINAL_CODES
-        return bool(seen.arrival.path) and not final
-
-    async def _try(self, arrival: Arrival, seen: RequestResult) -> None:
-        client = self._next()
-        seen.entry_port = client.port
-        seen.attempts += 1
-        began = await curio.clock()
+        known = result.complete or result.outcome == NOT_RUN or result.code in FINAL_CODES
+        return bool(result.arrival.path) and not known
+
+    async def _attempt(self, arrival: Arrival, result: RequestResult) -> None:
+        client = self._next_client()
+        result.entry_port = client.port
+        result.attempts += 1
+        started_at = await curio.clock()
         try:
-            await curio.timeout_after(REQUEST_TIMEOUT_S, self._send, client, arrival, seen, began)
+            await curio.timeout_after(
+                REQUEST_TIMEOUT_S, self._send, client, arrival, result, started_at
+            )
         except (HttpClosed, BadHttp) as exc:
-            seen.code = seen.code or exc.code
+            result.code = result.code or exc.code
         except curio.TaskTimeout:
-            seen.code = "caller-timeout"
-        seen.total_s = await curio.clock() - began
+            result.code = "caller-timeout"
+        result.total_s = await curio.clock() - started_at
 
     def _headers(self, arrival: Arrival) -> dict[str, str]:
         headers = {
@@ -156,10 +158,10 @@
         return headers
 
     async def _send(
-        self, client: HttpClient, arrival: Arrival, seen: RequestResult, began: float
+        self, client: HttpClient, arrival: Arrival, result: RequestResult, started_at: float
     ) -> None:
         if arrival.path:
-            await self._call(client, arrival, seen)
+            await self._call_service(client, arrival, result)
             return
         body = {
             "model": "m1",
@@ -175,84 +177,88 @@
             new_connection=True,
         )
         try:
-            seen.status = stream.status
-            seen.request_id = stream.headers.get("x-request-id", "")
+            result.status = stream.status
+            result.request_id = stream.headers.get("x-request-id", "")
             if stream.status != 200:
-                _note_failure(seen, stream, await stream.read_all())
+                _record_failure(result, stream, await stream.read_all())
                 return
-            await self._read(stream, arrival, seen, began)
+            await self._read_stream(stream, arrival, result, started_at)
         finally:
             await stream.close()
 
-    async def _call(self, client: HttpClient, arrival: Arrival, seen: RequestResult) -> None:
-        seen.key = seen.key or str(uuid6.uuid7())
-        headers = {**self._headers(arrival), "idempotency-key": seen.key}
+    async def _call_service(
+        self, client: HttpClient, arrival: Arrival, result: RequestResult
+    ) -> None:
+        result.key = result.key or str(uuid6.uuid7())
+        headers = {**self._headers(arrival), "idempotency-key": result.key}
         resp = await client.call(
-            "POST", arrival.path, headers=headers, body=seen.key.encode(), new_connection=True
+            "POST", arrival.path, headers=headers, body=result.key.encode(), new_connection=True
         )
-        seen.status = resp.status
-        seen.complete = resp.status == 200
-        seen.outcome = resp.headers.get("x-request-outcome", "")
-        seen.request_id = resp.headers.get("x-request-id", "")
+        result.status = resp.status
+        result.complete = resp.status == 200
+        result.outcome = resp.headers.get("x-request-outcome", "")
+        result.request_id = resp.headers.get("x-request-id", "")
         if resp.status == 200:
-            seen.wrong = msgspec.json.decode(resp.body).get("body") != seen.key
+            result.wrong = msgspec.json.decode(resp.body).get("body") != result.key
         else:
-            seen.code = _code_of(resp.body, resp.status)
+            result.code = _error_code(resp.body, resp.status)
 
-    async def _read(
-        self, stream: ClientStream, arrival: Arrival, seen: RequestResult, began: float
+    async def _read_stream(
+        self, stream: ClientStream, arrival: Arrival, result: RequestResult, started_at: float
     ) -> None:
         parser = SseParser()
-        last = 0.0
+        last_token_at = 0.0
         while chunk := await stream.next_chunk():
             for data in parser.feed(chunk):
                 if data == b"[DONE]":
-                    seen.complete = True
+                    result.complete = True
                     continue
-                text = _text_of(data, seen)
+                text = _read_event(data, result)
                 if not text:
                     continue
                 now = await curio.clock()
-                seen.first_token_s = seen.first_token_s or now - began
-                seen.received_tokens.append(text)
-                last = now
+                result.first_token_s = result.first_token_s or now - started_at
+                result.received_tokens.append(text)
+                last_token_at = now
             if (
                 arrival.cancel_after_tokens
-                and len(seen.received_tokens) >= arrival.cancel_after_tokens
+                and len(result.received_tokens) >= arrival.cancel_after_tokens
             ):
-                seen.cancelled = True
-                seen.cancelled_at = time.time()
+                result.cancelled = True
+                result.cancelled_at = time.time()
                 break
-        seen.tokens = len(seen.received_tokens)
-        if seen.tokens > 1:
-            seen.mean_gap_s = (last - began - seen.first_token_s) / (seen.tokens - 1)
-        _check_answer(arrival, seen)
+        result.tokens = len(result.received_tokens)
+        if result.tokens > 1:
+            result.mean_gap_s = (last_token_at - started_at - result.first_token_s) / (
+                result.tokens - 1
+            )
+        _check_answer(arrival, result)
 
 
-def _check_answer(arrival: Arrival, seen: RequestResult) -> None:
+def _check_answer(arrival: Arrival, result: RequestResult) -> None:
     """Compare what came with what the engine's model says."""
-    right = make_answer({"prompt": arrival.prompt, "max_tokens": arrival.max_tokens})
-    seen.wrong = seen.received_tokens != right[: len(seen.received_tokens)]
-    if seen.complete and len(seen.received_tokens) != len(right):
-        seen.wrong = True
-    seen.received_tokens = []
+    expected = make_answer({"prompt": arrival.prompt, "max_tokens": arrival.max_tokens})
+    result.wrong = result.received_tokens != expected[: len(result.received_tokens)]
+    if result.complete and len(result.received_tokens) != len(expected):
+        result.wrong = True
+    result.received_tokens = []
 
 
-def _text_of(data: bytes, seen: RequestResult) -> str:
-    event = _events.decode(data)
+def _read_event(data: bytes, result: RequestResult) -> str:
+    event = _event_decoder.decode(data)
     if event.error is not None:
-        seen.code = str(event.error.get("code", ""))
-        seen.outcome = str(event.error.get("outcome", ""))
+        result.code = str(event.error.get("code", ""))
+        result.outcome = str(event.error.get("outcome", ""))
         return ""
     return "".join(str(choice.get("text", "")) for choice in event.choices)
 
 
-def _note_failure(seen: RequestResult, stream: ClientStream, body: bytes) -> None:
-    seen.outcome = stream.headers.get("x-request-outcome", "")
-    seen.code = _code_of(body, stream.status)
+def _record_failure(result: RequestResult, stream: ClientStream, body: bytes) -> None:
+    result.outcome = stream.headers.get("x-request-outcome", "")
+    result.code = _error_code(body, stream.status)
 
 
-def _code_of(body: bytes, status: int) -> str:
+def _error_code(body: bytes, status: int) -> str:
     """Return the machine-readable cause of a failure."""
     try:
         return str(msgspec.json.decode(body)["error"]["code"])
--- a/src/crankhinge_bench/_perf.py
+++ b/src/crankhinge_bench/_perf.py
@@ -63,42 +63,44 @@
     start_ms: dict[str, float]
 
 
-def _spread(values: list[float]) -> tuple[float, float]:
+def _p50_and_p99(values: list[float]) -> tuple[float, float]:
     return percentile(values, 0.5), percentile(values, 0.99)
 
 
-async def _direct(cluster: Cluster, number: int) -> float:
+async def _direct_first_token_s(cluster: Cluster, number: int) -> float:
     """Return the seconds to the first token when the engines are called directly."""
-    read = next(p for p in cluster.agents if p.kind == "prefill")
-    write = next(p for p in cluster.agents if p.kind == "decode")
+    prefill = next(agent for agent in cluster.agents if agent.kind == "prefill")
+    decode = next(agent for agent in cluster.agents if agent.kind == "decode")
     body = json.dumps({"model": "m1", "prompt": f"direct {number}", "max_tokens": 3}).encode()
-    began = await curio.clock()
-    result = await OpenAiEngine(HOST, read.backend_port).prefill(COMPLETIONS_PATH, body, req=number)
-    engine = OpenAiEngine(HOST, write.backend_port)
+    started_at = await curio.clock()
+    result = await OpenAiEngine(HOST, prefill.backend_port).prefill(
+        COMPLETIONS_PATH, body, req=number
+    )
+    engine = OpenAiEngine(HOST, decode.backend_port)
     stream = await engine.decode(COMPLETIONS_PATH, body, result.kv, req=number)
     await stream.next()
-    first = await curio.clock() - began
+    first_token_s = await curio.clock() - started_at
     while await stream.next():
         pass
     await stream.close()
-    return float(first)
+    return float(first_token_s)
 
 
-async def _through(cluster: Cluster, number: int) -> float:
+async def _proxied_first_token_s(cluster: Cluster, number: int) -> float:
     runner = LoadGenerator(cluster.entry_ports, cluster.credentials)
-    [seen] = await runner.run([Arrival(0.0, "naas-office", f"through {number}", 3)])
-    return seen.first_token_s
+    [request] = await runner.run([Arrival(0.0, "naas-office", f"through {number}", 3)])
+    return request.first_token_s
 
 
-async def _pairs(cluster: Cluster) -> tuple[list[float], list[float]]:
+async def _measure_pairs(cluster: Cluster) -> tuple[list[float], list[float]]:
     direct, through = [], []
     for number in range(LATENCY_PAIRS):
-        direct.append(await _direct(cluster, number) * 1000)
-        through.append(await _through(cluster, number) * 1000)
+        direct.append(await _direct_first_token_s(cluster, number) * 1000)
+        through.append(await _proxied_first_token_s(cluster, number) * 1000)
     return direct, through
 
 
-def _latency() -> tuple[list[float], list[float]]:
+def _measure_latency() -> tuple[list[float], list[float]]:
     spec = ClusterSpec(
         engines=(
             EngineSpec("read", "prefill", 1),
@@ -107,7 +109,7 @@
         services=(),
     )
     with Cluster(spec) as cluster:
-        direct, through = curio.run(_pairs, cluster)
+        direct, through = curio.run(_measure_pairs, cluster)
     return direct, through
 
 
@@ -119,22 +121,22 @@
     )
 
 
-def _streams(cluster: Cluster) -> tuple[list[RequestResult], float]:
+def _run_streams(cluster: Cluster) -> tuple[list[RequestResult], float]:
     trace = [
         Arrival(n * 0.01, "naas-office", f"stream {n} of many", STREAM_TOKENS)
         for n in range(STREAM_COUNT)
     ]
-    began = time.monotonic()
-    outcomes = curio.run(LoadGenerator(cluster.entry_ports, cluster.credentials).run, trace)
-    return outcomes, time.monotonic() - began
+    started_at = time.monotonic()
+    results = curio.run(LoadGenerator(cluster.entry_ports, cluster.credentials).run, trace)
+    return results, time.monotonic() - started_at
 
 
-def _held(cluster: Cluster) -> int:
-    places = [place for place in cluster.agents if place.kind == "decode"]
-    return sum(http_json("GET", p.backend_port, "/stats")["running"] for p in places)
+def _count_running(cluster: Cluster) -> int:
+    agents = [agent for agent in cluster.agents if agent.kind == "decode"]
+    return sum(http_json("GET", a.backend_port, "/stats")["running"] for a in agents)
 
 
-def _cancel_ms(cluster: Cluster, number: int) -> float:
+def _measure_cancel_ms(cluster: Cluster, number: int) -> float:
     """Return the time from a caller's going until no engine holds its request."""
     body = json.dumps(
         {"model": "m1", "prompt": f"cancel {number}", "max_tokens": 400, "stream": True}
@@ -147,56 +149,56 @@
     with socket.create_connection((HOST, cluster.entry_ports[0])) as sock:
         sock.sendall((head + body).encode())
         sock.recv(1000)
-    began = time.perf_counter()
-    while _held(cluster):
+    started_at = time.perf_counter()
+    while _count_running(cluster):
         time.sleep(POLL_INTERVAL_S)
-    return (time.perf_counter() - began) * 1000
+    return (time.perf_counter() - started_at) * 1000
 
 
-def _start_ms(cluster: Cluster, module: str, settings: str) -> float:
+def _measure_start_ms(cluster: Cluster, module: str, settings: str) -> float:
     command = [sys.executable, "-m", module, "--check", str(cluster.dir / settings)]
     times = []
     for _ in range(START_COUNT):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         subprocess.run(command, check=True, stdout=subprocess.DEVNULL)
-        times.append((time.perf_counter() - began) * 1000)
+        times.append((time.perf_counter() - started_at) * 1000)
     return percentile(times, 0.5)
 
 
-def _memory(cluster: Cluster) -> dict[str, int]:
+def _read_memory_kib(cluster: Cluster) -> dict[str, int]:
     names = {"entry": "entry-0", "decode agent": "write-0", "prefill agent": "read-0"}
     return {role: read_rss_kib(cluster.procs[name].pid) for role, name in names.items()}
 
 
 def measure_perf() -> PerfResult:
     """Return all figures."""
-    direct, through = _latency()
+    direct, through = _measure_latency()
     added = [t - d for d, t in zip(direct, through, strict=True)]
     with Cluster(_stream_spec()) as cluster:
-        agents = [place.name for place in cluster.agents if place.kind == "decode"]
-        idle = _memory(cluster)
+        agents = [agent.name for agent in cluster.agents if agent.kind == "decode"]
+        idle = _read_memory_kib(cluster)
         entry_before = read_cpu_s(cluster.procs["entry-0"].pid)
         agents_before = sum(read_cpu_s(cluster.procs[name].pid) for name in agents)
-        outcomes, took = _streams(cluster)
-        tokens = sum(seen.tokens for seen in outcomes)
+        results, elapsed_s = _run_streams(cluster)
+        tokens = sum(request.tokens for request in results)
         entry_s = read_cpu_s(cluster.procs["entry-0"].pid) - entry_before
         agents_s = sum(read_cpu_s(cluster.procs[name].pid) for name in agents) - agents_before
-        loaded = _memory(cluster)
-        cancels = [_cancel_ms(cluster, number) for number in range(CANCEL_COUNT)]
+        loaded = _read_memory_kib(cluster)
+        cancels = [_measure_cancel_ms(cluster, number) for number in range(CANCEL_COUNT)]
         starts = {
-            "entry": _start_ms(cluster, "crankhinge.entry.main", "entry-0.toml"),
-            "agent": _start_ms(cluster, "crankhinge.agent.main", "write-0.toml"),
+            "entry": _measure_start_ms(cluster, "crankhinge.entry.main", "entry-0.toml"),
+            "agent": _measure_start_ms(cluster, "crankhinge.agent.main", "write-0.toml"),
         }
     return PerfResult(
-        direct_ms=_spread(direct),
-        through_ms=_spread(through),
-        added_ms=_spread(added),
-        streams=len(outcomes),
-        wrong=sum(seen.wrong or not seen.complete for seen in outcomes),
-        tokens_per_s=tokens / took,
+        direct_ms=_p50_and_p99(direct),
+        through_ms=_p50_and_p99(through),
+        added_ms=_p50_and_p99(added),
+        streams=len(results),
+        wrong=sum(request.wrong or not request.complete for request in results),
+        tokens_per_s=tokens / elapsed_s,
         entry_us_per_token=entry_s / tokens * 1e6,
         agent_us_per_token=agents_s / tokens * 1e6,
-        cancel_ms=_spread(cancels),
+        cancel_ms=_p50_and_p99(cancels),
         idle_kb=idle,
         loaded_kb=loaded,
         start_ms=starts,
@@ -206,14 +208,14 @@
 def format_perf(perf: PerfResult) -> str:
     """Return the figures as a table."""
     rows = [
-        ("first token, engines called directly", _pair(perf.direct_ms)),
-        ("first token, through the product", _pair(perf.through_ms)),
-        ("added, pair by pair", _pair(perf.added_ms)),
+        ("first token, engines called directly", _format_percentiles(perf.direct_ms)),
+        ("first token, through the product", _format_percentiles(perf.through_ms)),
+        ("added, pair by pair", _format_percentiles(perf.added_ms)),
         ("streams at once through one entry", f"{perf.streams}, {perf.wrong} wrong or cut"),
         ("tokens relayed meanwhile", f"{perf.tokens_per_s:.0f} a second"),
         ("entry, processor time per token", f"{perf.entry_us_per_token:.0f} us"),
         ("agent, processor time per token", f"{perf.agent_us_per_token:.0f} us"),
-        ("caller goes until memory is free", _pair(perf.cancel_ms)),
+        ("caller goes until memory is free", _format_percentiles(perf.cancel_ms)),
     ]
     for role, value in perf.idle_kb.items():
         loaded = perf.loaded_kb[role]
@@ -223,16 +225,16 @@
     return "\n".join(lines + [f"| {name} | {value} |" for name, value in rows])
 
 
-def _pair(values: tuple[float, float]) -> str:
+def _format_percentiles(values: tuple[float, float]) -> str:
     return f"p50 {values[0]:.1f} ms, p99 {values[1]:.1f} ms"
 
 
 def run_perf(args: argparse.Namespace) -> int:
     """Run the command; returns 0 when every answer was whole and right."""
-    found = measure_perf()
-    write_json(args.json, found)
-    print(format_perf(found))
-    return 1 if found.wrong else 0
+    result = measure_perf()
+    write_json(args.json, result)
+    print(format_perf(result))
+    return 1 if result.wrong else 0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
--- a/src/crankhinge_bench/_plot.py
+++ b/src/crankhinge_bench/_plot.py
@@ -10,9 +10,9 @@
 from crankhinge_bench._run_result import RunResult
 
 FIGURES: tuple[tuple[str, Callable[[Any], float]], ...] = (
-    ("in time, % of the bound", lambda cell: cell.of_bound * 100),
-    ("goodput, requests a second", lambda cell: cell.summary.goodput),
-    ("wasted prefill, % of tokens", lambda cell: cell.summary.wasted_share * 100),
+    ("in time, % of the bound", lambda result: result.of_bound * 100),
+    ("goodput, requests a second", lambda result: result.summary.goodput),
+    ("wasted prefill, % of tokens", lambda result: result.summary.wasted_share * 100),
 )
 
 
@@ -20,13 +20,13 @@
     """Write a PNG: a row for each scenario, a column for each figure, a line for each policy."""
     from matplotlib.figure import Figure
 
-    scenarios = sorted({cell.scenario for cell in results})
+    scenarios = sorted({result.scenario for result in results})
     figure = Figure(figsize=(13, 3.6 * len(scenarios)), layout="constrained")
     grid = figure.subplots(len(scenarios), len(FIGURES), squeeze=False)
     for row, scenario in zip(grid, scenarios, strict=True):
-        mine = [cell for cell in results if cell.scenario == scenario]
-        for axes, (label, value) in zip(row, FIGURES, strict=True):
-            _draw(axes, mine, value)
+        scenario_results = [result for result in results if result.scenario == scenario]
+        for axes, (label, get_value) in zip(row, FIGURES, strict=True):
+            _draw_policies(axes, scenario_results, get_value)
             axes.set_title(f"{scenario}: {label}", fontsize=10)
             axes.set_xlabel("load, multiple of the capacity")
             axes.set_ylim(bottom=0)
@@ -34,11 +34,11 @@
     figure.savefig(path, dpi=100)
 
 
-def _draw(axes: Any, cells: list[RunResult], value: Callable[[Any], float]) -> None:
-    for policy in sorted({cell.policy for cell in cells}):
-        loads = sorted({cell.load for cell in cells if cell.policy == policy})
-        middles = []
+def _draw_policies(axes: Any, results: list[RunResult], get_value: Callable[[Any], float]) -> None:
+    for policy in sorted({result.policy for result in results}):
+        loads = sorted({result.load for result in results if result.policy == policy})
+        medians = []
         for load in loads:
-            same = [value(c) for c in cells if c.policy == policy and c.load == load]
-            middles.append(statistics.median(same))
-        axes.plot(loads, middles, marker="o", label=policy)
+            values = [get_value(r) for r in results if r.policy == policy and r.load == load]
+            medians.append(statistics.median(values))
+        axes.plot(loads, medians, marker="o", label=policy)
--- a/src/crankhinge_bench/_ports.py
+++ b/src/crankhinge_bench/_ports.py
@@ -24,14 +24,14 @@
 
     def __init__(self) -> None:
         count = (END_PORT - FIRST_PORT) // PORTS_PER_BLOCK
-        starts = [FIRST_PORT + PORTS_PER_BLOCK * at for at in range(count)]
+        starts = [FIRST_PORT + PORTS_PER_BLOCK * block for block in range(count)]
         # Processes that are started together have neighbouring ids; far places spare them refusals.
-        turn = os.getpid() * 101 % count
-        self._unasked = starts[turn:] + starts[:turn]
-        self._holds: list[socket.socket] = []
+        first_block = os.getpid() * 101 % count
+        self._untried_blocks = starts[first_block:] + starts[:first_block]
+        self._lock_sockets: list[socket.socket] = []
         self._blocks: list[range] = []
         self._ports = iter(range(0))
-        self._turn = 0
+        self._next_block_index = 0
 
     def take(self, count: int) -> list[int]:
         """Return ports on which nothing listens now.
@@ -41,7 +41,7 @@
         """
         found: list[int] = []
         for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK):
-            port = self._next()
+            port = self._next_port()
             if _is_free(port):
                 found.append(port)
             if len(found) == count:
@@ -50,32 +50,32 @@
 
     def close(self) -> None:
         """Let others have the blocks."""
-        for hold in self._holds:
-            hold.close()
+        for lock in self._lock_sockets:
+            lock.close()
 
-    def _next(self) -> int:
+    def _next_port(self) -> int:
         port = next(self._ports, None)
         if port is not None:
             return port
         if len(self._blocks) < MAX_BLOCKS:
-            self._hold_one_more()
+            self._lock_untried_block()
         if not self._blocks:
             raise RuntimeError("no free ports are left")
-        self._ports = iter(self._blocks[self._turn % len(self._blocks)])
-        self._turn += 1
+        self._ports = iter(self._blocks[self._next_block_index % len(self._blocks)])
+        self._next_block_index += 1
         return next(self._ports)
 
-    def _hold_one_more(self) -> None:
-        while self._unasked:
-            start = self._unasked.pop(0)
-            hold = socket.socket()
+    def _lock_untried_block(self) -> None:
+        while self._untried_blocks:
+            start = self._untried_blocks.pop(0)
+            lock = socket.socket()
             try:
-                hold.bind((HOST, start))
-                hold.listen(1)
+                lock.bind((HOST, start))
+                lock.listen(1)
             except OSError:
-                hold.close()
+                lock.close()
                 continue
-            self._holds.append(hold)
+            self._lock_sockets.append(lock)
             self._blocks.append(range(start + 1, start + PORTS_PER_BLOCK))
             return
 
--- a/src/crankhinge_bench/_procs.py
+++ b/src/crankhinge_bench/_procs.py
@@ -24,7 +24,7 @@
 READY_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 10.0
 POLL_INTERVAL_S = 0.05
-_PORTS = PortAllocator()
+_PORT_ALLOCATOR = PortAllocator()
 
 
 def free_ports(count: int) -> list[int]:
@@ -33,7 +33,7 @@
     Raises:
         RuntimeError: no port is free.
     """
-    return _PORTS.take(count)
+    return _PORT_ALLOCATOR.take(count)
 
 
 def http_json(method: str, port: int, path: str, body: Any = None, timeout_s: float = 5.0) -> Any:
@@ -72,12 +72,12 @@
 
     def wait_for_ports(self, ports: list[int]) -> None:
         """Wait until something listens on each. Raises TimeoutError."""
-        until = time.monotonic() + READY_TIMEOUT_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         for port in ports:
             while True:
                 with contextlib.suppress(OSError), socket.create_connection((HOST, port), 1.0):
                     break
-                if time.monotonic() > until:
+                if time.monotonic() > deadline:
                     raise TimeoutError(f"nothing listens on {port}")
                 time.sleep(POLL_INTERVAL_S)
 
--- a/src/crankhinge_bench/_propagation.py
+++ b/src/crankhinge_bench/_propagation.py
@@ -39,35 +39,35 @@
     missing: int
 
 
-def _names(cluster: Cluster) -> list[str]:
+def _process_names(cluster: Cluster) -> list[str]:
     entries = [f"entry-{number}" for number in range(cluster.spec.entries)]
-    return entries + [place.name for place in cluster.agents]
+    return entries + [agent.name for agent in cluster.agents]
 
 
-def _times(cluster: Cluster, version: int) -> list[float]:
+def _bundle_times(cluster: Cluster, version: int) -> list[float]:
     """Return when each process that has *version* took it in force."""
     pattern = re.compile(rf"ts=(\S+) .*event=bundle_in_force .*version={version}\b")
     times = []
-    for name in _names(cluster):
+    for name in _process_names(cluster):
         match = pattern.search((cluster.logs / f"{name}.log").read_text())
         if match:
             times.append(datetime.fromisoformat(match[1]).timestamp())
     return times
 
 
-def _publish(cluster: Cluster, outage: bool) -> Propagation:
+def _measure_publication(cluster: Cluster, outage: bool) -> Propagation:
     version = cluster.bundle_version + 1
     if outage:
         cluster.set_faults(cluster.platform_port, down_after_write=True)
-    began = time.time()
+    started_at = time.time()
     cluster.publish(cluster.bundle_text(version))
-    count = len(_names(cluster))
-    until = time.monotonic() + PROPAGATION_TIMEOUT_S
-    while len(times := _times(cluster, version)) < count and time.monotonic() < until:
+    count = len(_process_names(cluster))
+    deadline = time.monotonic() + PROPAGATION_TIMEOUT_S
+    while len(times := _bundle_times(cluster, version)) < count and time.monotonic() < deadline:
         time.sleep(POLL_INTERVAL_S)
     if outage:
         cluster.set_faults(cluster.platform_port, down=False)
-    delays = sorted(at - began for at in times) or [0.0]
+    delays = sorted(at - started_at for at in times) or [0.0]
     missing = count - len(times)
     return Propagation(
         processes=count,
@@ -88,24 +88,26 @@
         services=(),
     )
     with Cluster(spec, backends=False) as cluster:
-        return [_publish(cluster, outage) for _ in range(repeat) for outage in (False, True)]
+        return [
+            _measure_publication(cluster, outage) for _ in range(repeat) for outage in (False, True)
+        ]
 
 
 def run_spread(args: argparse.Namespace) -> int:
     """Run the command; returns 0 when every process had every bundle."""
-    found: list[Propagation] = []
+    results: list[Propagation] = []
     for count in args.counts.split(","):
-        found += measure_propagation(int(count), args.repeat)
-    write_json(args.json, found)
+        results += measure_propagation(int(count), args.repeat)
+    write_json(args.json, results)
     print("| processes | service out after the swap | first | half | all | missing |")
     print("|---|---|---|---|---|---|")
-    for row in found:
+    for row in results:
         out = "yes" if row.outage else "no"
         print(
             f"| {row.processes} | {out} | {row.first_s:.2f} s | {row.half_s:.2f} s "
             f"| {row.all_s:.2f} s | {row.missing} |"
         )
-    return 1 if any(row.missing for row in found) else 0
+    return 1 if any(row.missing for row in results) else 0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
--- a/src/crankhinge_bench/_run.py
+++ b/src/crankhinge_bench/_run.py
@@ -31,17 +31,17 @@
     load = with_rate(scenario.load, per_s)
     trace = make_trace(load, seed)
     faults = FaultInjector(cluster, scenario.faults)
-    runner = LoadGenerator(cluster.entry_ports, cluster.credentials)
+    generator = LoadGenerator(cluster.entry_ports, cluster.credentials)
     faults.start()
-    outcomes = curio.run(runner.run, trace)
+    request_results = curio.run(generator.run, trace)
     faults.join()
     time.sleep(SETTLE_S)
-    for seen in outcomes:
-        if seen.first_token_s:
-            seen.first_token_s += 2 * scenario.client_delay_s
+    for request in request_results:
+        if request.first_token_s:
+            request.first_token_s += 2 * scenario.client_delay_s
     spec = cluster.spec
     summary = summarise(
-        outcomes,
+        request_results,
         seconds=load.seconds,
         first_token_s=spec.first_token_s,
         between_tokens_s=spec.between_tokens_s,
@@ -62,14 +62,14 @@
 ) -> list[RunResult]:
     """Run every policy at every load, alternately, *repeat* times."""
     capacity = capacity_per_s(scenario.cluster, scenario.load)
-    cells = []
+    results = []
     for load in scenario.loads:
         for number in range(repeat):
             for policy in policies:
                 spec = with_policy(scenario.cluster, policy)
                 with Cluster(spec, logs=logs) as cluster:
                     summary, bound = run_trace(cluster, scenario, capacity * load, seed + number)
-                cell = RunResult(
+                result = RunResult(
                     scenario=scenario.name,
                     policy=policy,
                     load=load,
@@ -79,9 +79,9 @@
                     of_bound=summary.in_time / max(1, bound),
                     summary=summary,
                 )
-                print(format_line(cell), file=sys.stderr, flush=True)
-                cells.append(cell)
-    return cells
+                print(format_line(result), file=sys.stderr, flush=True)
+                results.append(result)
+    return results
 
 
 def format_line(result: RunResult) -> str:
@@ -98,24 +98,24 @@
 def format_table(results: list[RunResult]) -> str:
     """Return medians and spread for each scenario, load and policy."""
     groups: dict[tuple[str, float, str], list[RunResult]] = {}
-    for cell in results:
-        groups.setdefault((cell.scenario, cell.load, cell.policy), []).append(cell)
+    for result in results:
+        groups.setdefault((result.scenario, result.load, result.policy), []).append(result)
     lines = ["| scenario | load | policy | of bound | goodput/s | waste | broken |"]
     lines.append("|---|---|---|---|---|---|---|")
     for (scenario, load, policy), group in groups.items():
-        bound = _spread([cell.of_bound * 100 for cell in group], "%")
-        goodput = _spread([cell.summary.goodput for cell in group], "")
-        waste = _spread([cell.summary.wasted_share * 100 for cell in group], "%")
-        broken = sum(cell.summary.violations for cell in group)
+        bound = _format_range([result.of_bound * 100 for result in group], "%")
+        goodput = _format_range([result.summary.goodput for result in group], "")
+        waste = _format_range([result.summary.wasted_share * 100 for result in group], "%")
+        broken = sum(result.summary.violations for result in group)
         lines.append(
             f"| {scenario} | {load:g} | {policy} | {bound} | {goodput} | {waste} | {broken} |"
         )
     return "\n".join(lines)
 
 
-def _spread(values: list[float], unit: str) -> str:
-    middle = statistics.median(values)
-    return f"{middle:.1f}{unit} ({min(values):.1f} to {max(values):.1f})"
+def _format_range(values: list[float], unit: str) -> str:
+    median = statistics.median(values)
+    return f"{median:.1f}{unit} ({min(values):.1f} to {max(values):.1f})"
 
 
 def run_policies(args: argparse.Namespace) -> int:
@@ -125,14 +125,14 @@
         mechanisms_for(policy)
     scenarios = [read_scenario(path) for path in args.scenario]
     logs = Path(args.logs) if args.logs else None
-    cells: list[RunResult] = []
+    results: list[RunResult] = []
     for scenario in scenarios:
-        cells += run_scenario(scenario, policies, seed=args.seed, repeat=args.repeat, logs=logs)
-    write_json(args.json, cells)
+        results += run_scenario(scenario, policies, seed=args.seed, repeat=args.repeat, logs=logs)
+    write_json(args.json, results)
     if args.plot:
-        plot_results(cells, Path(args.plot))
-    print(format_table(cells))
-    return 0 if not any(cell.summary.violations for cell in cells) else 1
+        plot_results(results, Path(args.plot))
+    print(format_table(results))
+    return 0 if not any(result.summary.violations for result in results) else 1
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
--- a/src/crankhinge_bench/_slopes.py
+++ b/src/crankhinge_bench/_slopes.py
@@ -40,20 +40,22 @@
 HEARTBEAT_S = 1.0
 
 
-class _Rest:
+class _IdleUsage:
     """What one process uses while nothing is asked of it."""
 
     def __init__(self, pid: int, peers: FakePeers) -> None:
-        began, before = time.monotonic(), read_cpu_s(pid)
+        started_at, before = time.monotonic(), read_cpu_s(pid)
         sent, received = peers.bytes_received(), peers.bytes_sent()
         time.sleep(IDLE_S)
-        took = time.monotonic() - began
-        self.cpu = (read_cpu_s(pid) - before) / took
-        self.bytes_s = (peers.bytes_received() - sent + peers.bytes_sent() - received) / took
-        self.rss = read_rss_kib(pid)
+        elapsed_s = time.monotonic() - started_at
+        self.cpu_cores = (read_cpu_s(pid) - before) / elapsed_s
+        self.payload_bytes_per_s = (
+            peers.bytes_received() - sent + peers.bytes_sent() - received
+        ) / elapsed_s
+        self.rss_kib = read_rss_kib(pid)
 
 
-def _bare_spec() -> ClusterSpec:
+def _idle_spec() -> ClusterSpec:
     return ClusterSpec(
         entries=0,
         engines=(EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", 1)),
@@ -66,29 +68,29 @@
     """Measure an entry at rest against the number of its links."""
     rows = []
     for count in LINK_COUNTS:
-        with Cluster(_bare_spec()) as cluster:
-            rows.append((count, _entry_with(cluster, count)))
-    return _rest_slopes("entry", rows)
+        with Cluster(_idle_spec()) as cluster:
+            rows.append((count, _measure_idle_entry_at(cluster, count)))
+    return _fit_idle_usage("entry", rows)
 
 
-def _entry_with(cluster: Cluster, count: int) -> _Rest:
+def _measure_idle_entry_at(cluster: Cluster, count: int) -> _IdleUsage:
     ports = free_ports(count + 1)
     cluster.entry_ports = [ports.pop()]
     agents = FakeAgents(ports, HEARTBEAT_S)
     agents.start(agents.serve)
     try:
         for number, port in enumerate(ports):
-            place = AgentConfig(agents.agent_name(number), "decode", "write", "naas", port, 0)
-            cluster.register_agent(place)
+            agent = AgentConfig(agents.agent_name(number), "decode", "write", "naas", port, 0)
+            cluster.register_agent(agent)
         cluster.start_entry(0)
-        _wait(lambda: _linked(cluster) >= count)
+        _wait_until(lambda: _count_links(cluster) >= count)
         time.sleep(SETTLE_S)
-        return _Rest(cluster.procs["entry-0"].pid, agents)
+        return _IdleUsage(cluster.procs["entry-0"].pid, agents)
     finally:
         agents.stop()
 
 
-def _linked(cluster: Cluster) -> int:
+def _count_links(cluster: Cluster) -> int:
     try:
         state = http_json("GET", cluster.entry_ports[0], "/readyz")
     except OSError:
@@ -96,10 +98,10 @@
     return int(state["linked"])
 
 
-def _wait(done: Callable[[], bool], seconds: float = 30.0) -> None:
-    until = time.monotonic() + seconds
+def _wait_until(done: Callable[[], bool], seconds: float = 30.0) -> None:
+    deadline = time.monotonic() + seconds
     while not done():
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             raise TimeoutError("a measurement didn't come about")
         time.sleep(0.1)
 
@@ -108,25 +110,31 @@
     """Measure an agent at rest against the number of its links."""
     rows = []
     for count in LINK_COUNTS:
-        with Cluster(_bare_spec()) as cluster:
-            place = next(p for p in cluster.agents if p.kind == "decode")
-            entries = FakeEntries(place.port, count, HEARTBEAT_S)
+        with Cluster(_idle_spec()) as cluster:
+            agent = next(a for a in cluster.agents if a.kind == "decode")
+            entries = FakeEntries(agent.port, count, HEARTBEAT_S)
             entries.start(entries.connect_all)
             try:
-                _wait(lambda peers=entries, n=count: len(peers.links) >= n)  # type: ignore[misc]
+                _wait_until(lambda peers=entries, n=count: len(peers.links) >= n)  # type: ignore[misc]
                 time.sleep(SETTLE_S)
-                rows.append((count, _Rest(cluster.procs[place.name].pid, entries)))
+                rows.append((count, _IdleUsage(cluster.procs[agent.name].pid, entries)))
             finally:
                 entries.stop()
-    return _rest_slopes("agent", rows)
+    return _fit_idle_usage("agent", rows)
 
 
-def _rest_slopes(role: str, rows: list[tuple[int, _Rest]]) -> list[Slope]:
-    beats = f"at rest, per link, a heartbeat each way every {HEARTBEAT_S:g} s"
+def _fit_idle_usage(role: str, rows: list[tuple[int, _IdleUsage]]) -> list[Slope]:
+    condition = f"at rest, per link, a heartbeat each way every {HEARTBEAT_S:g} s"
     return [
-        fit_line(f"{role}: CPU {beats}", "core", [(n, rest.cpu) for n, rest in rows]),
-        fit_line(f"{role}: payload {beats}", "B/s", [(n, rest.bytes_s) for n, rest in rows]),
-        fit_line(f"{role}: memory per link", "KiB", [(n, float(rest.rss)) for n, rest in rows]),
+        fit_line(f"{role}: CPU {condition}", "core", [(n, usage.cpu_cores) for n, usage in rows]),
+        fit_line(
+            f"{role}: payload {condition}",
+            "B/s",
+            [(n, usage.payload_bytes_per_s) for n, usage in rows],
+        ),
+        fit_line(
+            f"{role}: memory per link", "KiB", [(n, float(usage.rss_kib)) for n, usage in rows]
+        ),
     ]
 
 
@@ -141,7 +149,7 @@
     rss = {"entry-0": 0, "write-0": 0}
     with Cluster(spec) as cluster:
         for rate in RELAY_RATES:
-            _relay_point(cluster, rate, points, rss)
+            _measure_relay_rate(cluster, rate, points, rss)
     slopes = [
         fit_line(f"{name}: CPU per relayed token (100 a request)", "core s", rows)
         for name, rows in points.items()
@@ -151,7 +159,7 @@
     return slopes
 
 
-def _relay_point(
+def _measure_relay_rate(
     cluster: Cluster,
     rate: int,
     points: dict[str, list[tuple[float, float]]],
@@ -160,17 +168,17 @@
     count = int(rate * RELAY_S)
     trace = [Arrival(n / rate, "naas-office", f"p{n} q r s", 100) for n in range(count)]
     before = {name: read_cpu_s(cluster.procs[name].pid) for name in points}
-    began = time.monotonic()
-    outcomes = curio.run(LoadGenerator(cluster.entry_ports, cluster.credentials).run, trace)
-    took = time.monotonic() - began
-    tokens = sum(seen.tokens for seen in outcomes)
+    started_at = time.monotonic()
+    results = curio.run(LoadGenerator(cluster.entry_ports, cluster.credentials).run, trace)
+    elapsed_s = time.monotonic() - started_at
+    tokens = sum(result.tokens for result in results)
     for name, rows in points.items():
         pid = cluster.procs[name].pid
-        rows.append((tokens / took, (read_cpu_s(pid) - before[name]) / took))
+        rows.append((tokens / elapsed_s, (read_cpu_s(pid) - before[name]) / elapsed_s))
         rss[name] = read_rss_kib(pid)
 
 
-def _router(count: int) -> Router:
+def _make_router(count: int) -> Router:
     router = Router(costs=RoutingCosts(zone="z0"), rng=random.Random(1))
     for number in range(count):
         name = f"backend-{number}"
@@ -180,28 +188,28 @@
     return router
 
 
-def _per_call_us(call: Callable[[], object], least_s: float = 0.3) -> float:
+def _measure_call_us(call: Callable[[], object], min_s: float = 0.3) -> float:
     calls = 0
-    began = time.perf_counter()
-    while time.perf_counter() - began < least_s:
+    started_at = time.perf_counter()
+    while time.perf_counter() - started_at < min_s:
         call()
         calls += 1
-    return (time.perf_counter() - began) / calls * 1e6
+    return (time.perf_counter() - started_at) / calls * 1e6
 
 
 def measure_decisions() -> list[Slope]:
     """Measure the cost of decisions against the number of backend servers and waiting asks."""
-    ask = RouteRequest(1000, tuple(range(40)), 64)
-    routers = {count: _router(count) for count in SERVER_COUNTS}
+    request = RouteRequest(1000, tuple(range(40)), 64)
+    routers = {count: _make_router(count) for count in SERVER_COUNTS}
     choose = [
-        (float(n), _per_call_us(lambda r=r: r.choose_backends(["write"], 0.0)))  # type: ignore[misc]
+        (float(n), _measure_call_us(lambda r=r: r.choose_backends(["write"], 0.0)))  # type: ignore[misc]
         for n, r in routers.items()
     ]
     prefill = [
-        (float(n), _per_call_us(lambda r=r: r.choose_prefill(["write"], ask, "z0", 0.0)))  # type: ignore[misc]
+        (float(n), _measure_call_us(lambda r=r: r.choose_prefill(["write"], request, "z0", 0.0)))  # type: ignore[misc]
         for n, r in routers.items()
     ]
-    waiting = [(float(n), _ask_cost_us(n)) for n in (10, 50, 100, 200)]
+    waiting = [(float(n), _measure_slot_request_us(n)) for n in (10, 50, 100, 200)]
     return [
         fit_line("entry: choice of a decode engine, per known server", "us", choose),
         fit_line("entry: choice of a prefill engine, per known server", "us", prefill),
@@ -209,7 +217,7 @@
     ]
 
 
-def _slot_ask(req: int) -> SlotRequest:
+def _make_slot_request(req: int) -> SlotRequest:
     return SlotRequest(
         req=req,
         partner="p",
@@ -221,51 +229,57 @@
     )
 
 
-def _ask_cost_us(waiting: int) -> float:
+def _measure_slot_request_us(waiting: int) -> float:
     table = SlotTable(capacity=20, step_s=0.03)
     for req in range(20 + waiting):
-        table.submit(_slot_ask(req), 0.0)
+        table.submit(_make_slot_request(req), 0.0)
         table.start(req, 0.0)
-    asks = iter(range(10**6, 10**9))
+    request_ids = iter(range(10**6, 10**9))
 
-    def one() -> None:
-        req = next(asks)
-        table.submit(_slot_ask(req), 0.0)
+    def submit_and_release() -> None:
+        req = next(request_ids)
+        table.submit(_make_slot_request(req), 0.0)
         table.release(req, 0.0)
 
-    return _per_call_us(one)
+    return _measure_call_us(submit_and_release)
 
 
 def measure_memory() -> list[Slope]:
     """Measure the memory of state against its amount."""
 
-    def index(count: int) -> PrefixIndex:
-        made = PrefixIndex(limit=count)
-        made.record_cached("backend-1", range(2**32, 2**32 + count))
-        return made
+    def make_index(count: int) -> PrefixIndex:
+        state = PrefixIndex(limit=count)
+        state.record_cached("backend-1", range(2**32, 2**32 + count))
+        return state
 
-    def queue(count: int) -> FairQueue[int]:
-        made: FairQueue[int] = FairQueue()
+    def make_queue(count: int) -> FairQueue[int]:
+        state: FairQueue[int] = FairQueue()
         for key in range(count):
-            made.push(key, key, path=("1", "p", f"m{key}"), weights=(1, 1, 1), deadline=1.0, cost=1)
-        return made
+            state.push(
+                key, key, path=("1", "p", f"m{key}"), weights=(1, 1, 1), deadline=1.0, cost=1
+            )
+        return state
 
     return [
-        _memory_slope("entry: memory per known server", _router, (100, 600, 3000)),
-        _memory_slope("entry: memory per cached prefix block", index, (1000, 5000, 20_000)),
-        _memory_slope("agent: memory per member that waits", queue, (100, 480, 2000)),
+        _measure_memory_slope("entry: memory per known server", _make_router, (100, 600, 3000)),
+        _measure_memory_slope(
+            "entry: memory per cached prefix block", make_index, (1000, 5000, 20_000)
+        ),
+        _measure_memory_slope("agent: memory per member that waits", make_queue, (100, 480, 2000)),
     ]
 
 
-def _memory_slope(name: str, make: Callable[[int], object], counts: tuple[int, ...]) -> Slope:
+def _measure_memory_slope(
+    name: str, make: Callable[[int], object], counts: tuple[int, ...]
+) -> Slope:
     points = []
     for count in counts:
         gc.collect()
         tracemalloc.start()
-        kept = make(count)
+        state = make(count)
         size, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        del kept
+        del state
         points.append((float(count), size / 1024))
     return fit_line(name, "KiB", points)
 
@@ -278,15 +292,15 @@
         spec = ClusterSpec(engines=engines, services=(), beat_s=HEARTBEAT_S)
         with Cluster(spec) as cluster:
             time.sleep(SETTLE_S)
-            before = _reads(cluster)
+            before = _count_reads(cluster)
             for _ in range(3):
                 cluster.publish(cluster.bundle_text(cluster.bundle_version + 1))
                 time.sleep(1.0)
-            points.append((count + 2.0, (_reads(cluster) - before) / 3))
+            points.append((count + 2.0, (_count_reads(cluster) - before) / 3))
     return [fit_line("key-value reads per change of the bundle, per process", "calls", points)]
 
 
-def _reads(cluster: Cluster) -> int:
+def _count_reads(cluster: Cluster) -> int:
     stats = http_json("GET", cluster.platform_port, "/stats")
     return int(stats["reads"]["total"])
 
@@ -315,12 +329,12 @@
 
 def run_slopes(args: argparse.Namespace) -> int:
     """Run the command; returns the exit status."""
-    found: list[Slope] = []
+    measured: list[Slope] = []
     for name in args.parts.split(","):
         print(f"measuring {name} on {HOST}", file=sys.stderr, flush=True)
-        found += MEASUREMENTS[name]()
-    write_json(args.json, found)
-    print(format_table(found))
+        measured += MEASUREMENTS[name]()
+    write_json(args.json, measured)
+    print(format_table(measured))
     return 0
 
 
--- a/src/crankhinge_bench/_summary.py
+++ b/src/crankhinge_bench/_summary.py
@@ -76,8 +76,10 @@
 
 def is_in_time(result: RequestResult, first_token_s: float, between_tokens_s: float) -> bool:
     """Whether an answer is whole, right and within both targets."""
-    good = result.complete and not result.wrong
-    return good and result.first_token_s <= first_token_s and result.mean_gap_s <= between_tokens_s
+    correct = result.complete and not result.wrong
+    return (
+        correct and result.first_token_s <= first_token_s and result.mean_gap_s <= between_tokens_s
+    )
 
 
 def summarise(
@@ -99,65 +101,69 @@
         engines: counts of the engines, taken over the run.
         runs: what the plain services ran.
     """
-    asks = [seen for seen in results if not seen.arrival.path]
-    calls = [seen for seen in results if seen.arrival.path]
-    whole = [seen for seen in asks if seen.complete and not seen.wrong]
-    timely = [s for s in asks if is_in_time(s, first_token_s, between_tokens_s)]
-    stayed = [seen for seen in asks if not seen.cancelled]
-    refused = [seen for seen in stayed if not seen.complete and seen.outcome == NOT_RUN]
+    completions = [result for result in results if not result.arrival.path]
+    calls = [result for result in results if result.arrival.path]
+    correct = [result for result in completions if result.complete and not result.wrong]
+    in_time = [r for r in completions if is_in_time(r, first_token_s, between_tokens_s)]
+    not_cancelled = [result for result in completions if not result.cancelled]
+    refused = [
+        result for result in not_cancelled if not result.complete and result.outcome == NOT_RUN
+    ]
     prefill = sum(engine["prefill_tokens"] for engine in engines)
     wasted = sum(engine["wasted_tokens"] for engine in engines)
     return Summary(
-        offered=len(asks),
-        answered=len(whole),
-        in_time=len(timely),
+        offered=len(completions),
+        answered=len(correct),
+        in_time=len(in_time),
         refused=len(refused),
-        failed=len(stayed) - len(whole) - len(refused),
-        cancelled=len(asks) - len(stayed),
-        wrong=sum(seen.wrong for seen in results),
-        goodput=len(timely) / seconds,
-        in_time_share=len(timely) / max(1, len(stayed)),
-        first_p50=percentile([seen.first_token_s for seen in whole], 0.5),
-        first_p95=percentile([seen.first_token_s for seen in whole], 0.95),
-        gap_p50=percentile([seen.mean_gap_s for seen in whole], 0.5),
-        gap_p95=percentile([seen.mean_gap_s for seen in whole], 0.95),
+        failed=len(not_cancelled) - len(correct) - len(refused),
+        cancelled=len(completions) - len(not_cancelled),
+        wrong=sum(result.wrong for result in results),
+        goodput=len(in_time) / seconds,
+        in_time_share=len(in_time) / max(1, len(not_cancelled)),
+        first_p50=percentile([result.first_token_s for result in correct], 0.5),
+        first_p95=percentile([result.first_token_s for result in correct], 0.95),
+        gap_p50=percentile([result.mean_gap_s for result in correct], 0.5),
+        gap_p95=percentile([result.mean_gap_s for result in correct], 0.95),
         prefill_tokens=prefill,
         wasted_tokens=wasted,
         wasted_share=wasted / max(1, prefill),
         calls=len(calls),
-        calls_answered=sum(seen.complete for seen in calls),
-        doubled=_doubled(runs),
-        refused_but_ran=_refused_but_ran(calls, runs),
-        causes=_causes(results),
-        members=_members(stayed, timely),
+        calls_answered=sum(result.complete for result in calls),
+        doubled=_count_repeated_runs(runs),
+        refused_but_ran=_count_refused_but_ran(calls, runs),
+        causes=_count_causes(results),
+        members=_in_time_shares(not_cancelled, in_time),
     )
 
 
-def _doubled(runs: list[dict[str, Any]]) -> int:
+def _count_repeated_runs(runs: list[dict[str, Any]]) -> int:
     keys = [run["key"] for run in runs if run["key"]]
     return len(keys) - len(set(keys))
 
 
-def _refused_but_ran(calls: list[RequestResult], runs: list[dict[str, Any]]) -> int:
+def _count_refused_but_ran(calls: list[RequestResult], runs: list[dict[str, Any]]) -> int:
     ran = {run["key"] for run in runs}
-    refused = [seen for seen in calls if not seen.complete and seen.outcome == NOT_RUN]
-    return sum(seen.key in ran for seen in refused)
+    refused = [result for result in calls if not result.complete and result.outcome == NOT_RUN]
+    return sum(result.key in ran for result in refused)
 
 
-def _causes(outcomes: list[RequestResult]) -> dict[str, int]:
+def _count_causes(results: list[RequestResult]) -> dict[str, int]:
     causes: dict[str, int] = {}
-    for seen in outcomes:
-        if seen.code:
-            causes[seen.code] = causes.get(seen.code, 0) + 1
+    for result in results:
+        if result.code:
+            causes[result.code] = causes.get(result.code, 0) + 1
     return causes
 
 
-def _members(stayed: list[RequestResult], timely: list[RequestResult]) -> dict[str, float]:
+def _in_time_shares(
+    not_cancelled: list[RequestResult], in_time: list[RequestResult]
+) -> dict[str, float]:
     shares = {}
-    for name in sorted({seen.arrival.member for seen in stayed}):
-        offered = sum(seen.arrival.member == name for seen in stayed)
-        good = sum(seen.arrival.member == name for seen in timely)
-        shares[name] = good / offered
+    for name in sorted({result.arrival.member for result in not_cancelled}):
+        offered = sum(result.arrival.member == name for result in not_cancelled)
+        correct = sum(result.arrival.member == name for result in in_time)
+        shares[name] = correct / offered
     return shares
 
 
--- a/src/crankhinge_bench/_trace.py
+++ b/src/crankhinge_bench/_trace.py
@@ -78,18 +78,18 @@
     ranks: tuple[float, ...] = (0.1, 0.7, 0.2)
 
 
-def _words(rng: random.Random, count: int) -> str:
+def _random_words(rng: random.Random, count: int) -> str:
     return " ".join(f"x{rng.randrange(VOCABULARY_SIZE)}" for _ in range(count))
 
 
-def _length(rng: random.Random, median: float, sigma: float, most: int) -> int:
-    return max(1, min(most, int(median * rng.lognormvariate(0.0, sigma))))
+def _random_length(rng: random.Random, median: float, sigma: float, max_length: int) -> int:
+    return max(1, min(max_length, int(median * rng.lognormvariate(0.0, sigma))))
 
 
 def make_trace(load: Load, seed: int) -> list[Arrival]:
     """Return the arrivals, in order of time."""
     rng = random.Random(seed)
-    prefixes = [_words(rng, load.prefix_words) for _ in range(load.prefixes)]
+    prefixes = [_random_words(rng, load.prefix_words) for _ in range(load.prefixes)]
     shares = load.members or {"naas-office": 1.0}
     names = list(shares)
     weights = list(shares.values())
@@ -97,7 +97,7 @@
     at = 0.0
     while load.per_s and (at := at + rng.expovariate(load.per_s)) < load.seconds:
         member = rng.choices(names, weights)[0]
-        trace.append(_completion(rng, load, at, member, prefixes))
+        trace.append(_make_completion(rng, load, at, member, prefixes))
     at = 0.0
     while load.calls_per_s and (at := at + rng.expovariate(load.calls_per_s)) < load.seconds:
         member = rng.choices(names, weights)[0]
@@ -106,15 +106,15 @@
     return trace
 
 
-def _completion(
+def _make_completion(
     rng: random.Random, load: Load, at: float, member: str, prefixes: list[str]
 ) -> Arrival:
-    words = _length(rng, load.prompt_words, load.prompt_sigma, load.max_prompt_words)
-    prompt = _words(rng, words)
+    words = _random_length(rng, load.prompt_words, load.prompt_sigma, load.max_prompt_words)
+    prompt = _random_words(rng, words)
     shared = bool(prefixes) and rng.random() < load.prefix_share
     if shared:
         prompt = f"{rng.choice(prefixes)} {prompt}"
-    tokens = _length(rng, load.output_tokens, load.output_sigma, load.max_output_tokens)
+    tokens = _random_length(rng, load.output_tokens, load.output_sigma, load.max_output_tokens)
     cancel = rng.randint(1, tokens) if rng.random() < load.cancel_share else 0
     if cancel and load.cancel_tokens:
         tokens, cancel = load.cancel_tokens, min(cancel, MAX_TOKENS_BEFORE_CANCEL)
--- a/src/crankhinge_bench/main.py
+++ b/src/crankhinge_bench/main.py
@@ -35,7 +35,7 @@
     return parser
 
 
-def _interrupt(_signum: int, _frame: FrameType | None) -> None:
+def _on_signal(_signum: int, _frame: FrameType | None) -> None:
     # Only the first one counts: a second must not break off the ending of the processes.
     for signum in (signal.SIGINT, signal.SIGTERM):
         signal.signal(signum, signal.SIG_IGN)
@@ -46,8 +46,8 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Run the program; returns its exit status."""
-    signal.signal(signal.SIGINT, _interrupt)
-    signal.signal(signal.SIGTERM, _interrupt)
+    signal.signal(signal.SIGINT, _on_signal)
+    signal.signal(signal.SIGTERM, _on_signal)
     args = make_parser().parse_args(argv)
     try:
         return int(args.run(args))
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-FILE = "KNOWN-RED.txt"
-PARTS = 3
+LIST_FILE = "KNOWN-RED.txt"
+FIELDS_PER_LINE = 3
 
 
 def read_known_red(root: Path) -> dict[str, str]:
@@ -21,27 +21,27 @@
     Raises:
         pytest.UsageError: a line is not of the form ``test | cause | issue``.
     """
-    path = root / FILE
-    known = {}
+    path = root / LIST_FILE
+    reasons = {}
     for line in path.read_text().splitlines() if path.exists() else ():
         if not line.strip():
             continue
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != PARTS or not all(parts):
-            raise pytest.UsageError(f"{FILE}: not 'test | cause | issue': {line}")
-        known[parts[0]] = f"{parts[1]} ({parts[2]})"
-    return known
+        fields = [part.strip() for part in line.split("|")]
+        if len(fields) != FIELDS_PER_LINE or not all(fields):
+            raise pytest.UsageError(f"{LIST_FILE}: not 'test | cause | issue': {line}")
+        reasons[fields[0]] = f"{fields[1]} ({fields[2]})"
+    return reasons
 
 
 def pytest_collection_modifyitems(config: Any, items: list[Any]) -> None:
     """Let the listed tests fail, and only fail."""
-    known = read_known_red(config.rootpath)
+    reasons = read_known_red(config.rootpath)
     for item in items:
-        if item.nodeid in known:
-            item.add_marker(pytest.mark.xfail(reason=known[item.nodeid], strict=True))
+        if item.nodeid in reasons:
+            item.add_marker(pytest.mark.xfail(reason=reasons[item.nodeid], strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: Any, config: Any) -> None:
     """Print what is listed."""
-    for test, why in read_known_red(config.rootpath).items():
-        terminalreporter.write_line(f"KNOWN RED {test}: {why}")
+    for test, reason in read_known_red(config.rootpath).items():
+        terminalreporter.write_line(f"KNOWN RED {test}: {reason}")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -15,7 +15,7 @@
 from crankhinge_platform.gateway import SETTINGS_PATH
 
 ROOT = Path(__file__).resolve().parent.parent
-GIVEN = {
+TEMPLATE_VALUES = {
     "node": "frontend-a-1",
     "zone": "a",
     "ip": "10.1.0.38",
@@ -26,25 +26,25 @@
 }
 
 
-def fill(template: str, given: dict[str, Any] = GIVEN) -> str:
+def fill_template(template: str, values: dict[str, Any] = TEMPLATE_VALUES) -> str:
     """Fill gaps as the platform does: a path of names, as JSON where asked."""
 
-    def look_up(path: str) -> Any:
-        found: Any = given
+    def find_value(path: str) -> Any:
+        found: Any = values
         for name in path.split("."):
             found = found.get(name) if isinstance(found, dict) else None
         return found
 
-    def section(match: re.Match[str]) -> str:
-        return match[2] if look_up(match[1]) else ""
+    def fill_section(match: re.Match[str]) -> str:
+        return match[2] if find_value(match[1]) else ""
 
-    def value(gap: re.Match[str]) -> str:
+    def fill_value(gap: re.Match[str]) -> str:
         path, _, form = gap[1].partition("|")
-        found = look_up(path)
+        found = find_value(path)
         return json.dumps(found) if form == "json" else str(found)
 
-    template = re.sub(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", section, template)
-    return re.sub(r"\{\{([^}]+)\}\}", value, template)
+    template = re.sub(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", fill_section, template)
+    return re.sub(r"\{\{([^}]+)\}\}", fill_value, template)
 
 
 class TestDeploy:
@@ -53,7 +53,7 @@
     def test_the_template_makes_settings_that_are_accepted(self) -> None:
         """Every gap is filled, every key is known."""
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
-        text = fill((ROOT / deploy["roles"]["gateway"]["template"]).read_text())
+        text = fill_template((ROOT / deploy["roles"]["gateway"]["template"]).read_text())
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
         assert settings.listen == "10.1.0.38:8149"
         assert settings.ready_path == "/v1/ready"
@@ -62,15 +62,15 @@
 
     def test_bounds_that_are_not_stated_have_defaults(self) -> None:
         """A deployment without them still starts."""
-        given = {**GIVEN, "bounds": {"grace_s": 8}}
-        text = fill((ROOT / "deploy" / "gateway.toml.template").read_text(), given)
+        values = {**TEMPLATE_VALUES, "bounds": {"grace_s": 8}}
+        text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text(), values)
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
         assert (settings.apply_s, settings.leave_s, settings.contact_s) == (2.0, 2.0, 3.0)
 
     def test_repeats_are_those_that_the_sheet_allows(self) -> None:
         """A sheet that allows a twentieth must not get the seventh of others."""
-        given = {**GIVEN, "bounds": {"grace_s": 8, "retry_budget_ratio": 0.05}}
-        text = fill((ROOT / "deploy" / "gateway.toml.template").read_text(), given)
+        values = {**TEMPLATE_VALUES, "bounds": {"grace_s": 8, "retry_budget_ratio": 0.05}}
+        text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text(), values)
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
         assert settings.repeat_ratio == 0.05
         budget = repeat_budget(settings)
@@ -86,7 +86,7 @@
         """Port and path of the deploy file are those of the template."""
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         port, _, path = deploy["roles"]["gateway"]["metrics"].partition("/")
-        text = fill((ROOT / "deploy" / "gateway.toml.template").read_text())
+        text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text())
         assert tomllib.loads(text)["metrics"].endswith(f":{port}")
         assert path == "metrics"
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -19,7 +19,7 @@
 
 
 @pytest.fixture
-def two() -> Iterator[tuple[PortAllocator, PortAllocator]]:
+def two_allocators() -> Iterator[tuple[PortAllocator, PortAllocator]]:
     """Return what two processes with one id would use."""
     both = PortAllocator(), PortAllocator()
     yield both
@@ -30,28 +30,32 @@
 class TestPorts:
     """What is given to whom."""
 
-    def test_are_never_given_to_two_at_once(self, two: tuple[PortAllocator, PortAllocator]) -> None:
+    def test_are_never_given_to_two_at_once(
+        self, two_allocators: tuple[PortAllocator, PortAllocator]
+    ) -> None:
         """However long both go on taking ports."""
-        one, other = ({port for _ in range(200) for port in ports.take(20)} for ports in two)
-        assert not one & other
-        assert len(one) > PORTS_PER_BLOCK
+        first, second = (
+            {port for _ in range(200) for port in ports.take(20)} for ports in two_allocators
+        )
+        assert not first & second
+        assert len(first) > PORTS_PER_BLOCK
 
     def test_taken_in_turns_are_never_those_of_the_other(
-        self, two: tuple[PortAllocator, PortAllocator]
+        self, two_allocators: tuple[PortAllocator, PortAllocator]
     ) -> None:
         """Taken by turns, as by two runs that go on beside each other."""
         taken: tuple[set[int], set[int]] = (set(), set())
         for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK // 10):
-            for ports, mine in zip(two, taken, strict=True):
+            for ports, mine in zip(two_allocators, taken, strict=True):
                 mine.update(ports.take(20))
         assert not taken[0] & taken[1]
 
     @pytest.mark.parametrize("kind", [socket.SOCK_STREAM, socket.SOCK_DGRAM], ids=["tcp", "udp"])
     def test_on_which_somebody_listens_are_passed_over(
-        self, two: tuple[PortAllocator, PortAllocator], kind: socket.SocketKind
+        self, two_allocators: tuple[PortAllocator, PortAllocator], kind: socket.SocketKind
     ) -> None:
         """Also when all have been given once."""
-        ports, _ = two
+        ports, _ = two_allocators
         [taken] = ports.take(1)
         with socket.socket(socket.AF_INET, kind) as sock:
             sock.bind((HOST, taken))
@@ -59,7 +63,9 @@
         assert taken not in later
         assert PORTS_PER_BLOCK < len(later) < MAX_BLOCKS * (PORTS_PER_BLOCK - 1)
 
-    def test_more_than_there_are_is_refused(self, two: tuple[PortAllocator, PortAllocator]) -> None:
+    def test_more_than_there_are_is_refused(
+        self, two_allocators: tuple[PortAllocator, PortAllocator]
+    ) -> None:
         """Rather than looked for without end."""
         with pytest.raises(RuntimeError):
-            two[0].take(MAX_BLOCKS * PORTS_PER_BLOCK + 1)
+            two_allocators[0].take(MAX_BLOCKS * PORTS_PER_BLOCK + 1)
