--- a/src/crankhinge_bench/__init__.py
+++ b/src/crankhinge_bench/__init__.py
@@ -1,1 +1,1 @@
-"""The load and experiment tool: starts the programs over the stand-ins and measures them."""
+"""Load and experiment tool: runs the programs against stand-in servers and measures them."""
--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -1,4 +1,4 @@
-"""Starts the stand-ins and the product's programs on loopback, and ends them again."""
+"""Starts the stand-ins and the product's programs on loopback and stops them."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
 SEED_COUNT = 3
 MAX_PUBLISH_RETRIES = 20
 EXIT_OUTCOME_UNKNOWN = 4
-# Who signs each bundle; the members are all the first one's.
+# Both partners sign each bundle; every member belongs to the first one.
 PARTNERS = ("partner-a", "partner-b")
 
 
 @dataclass
 class AgentConfig:
-    """A backend server with its agent.
+    """An agent and the backend server that it serves.
 
     Attributes:
-        name: of the agent.
+        name: name of the agent.
         kind: ``prefill``, ``decode`` or ``plain``.
-        pool: its pool.
-        zone: its availability zone.
-        port: of the agent.
-        backend_port: of the backend server.
+        pool: pool of the backend server.
+        zone: availability zone of both.
+        port: port of the agent.
+        backend_port: port of the backend server.
     """
 
     name: str
@@ -60,11 +60,11 @@
 
 
 class Cluster(Procs):
-    """Processes on loopback, in a directory of their own.
+    """A whole system on loopback: the platform, backend servers, agents and entries.
 
     Args:
-        spec: what to start.
-        logs: directory for the programs' logs; a temporary one by default.
+        spec: the programs to start.
+        logs: directory for the programs' logs; a temporary directory by default.
         backends: whether backend servers are started.
     """
 
@@ -93,7 +93,11 @@
         self.stop()
 
     def start(self) -> None:
-        """Start everything and wait until the entries are ready."""
+        """Start all processes, publish the first bundle and wait until the entries are ready.
+
+        Raises:
+            TimeoutError: a process isn't ready within ``READY_TIMEOUT_S``.
+        """
         self._create_keys()
         self._assign_ports()
         self._start_standins()
@@ -157,11 +161,14 @@
         ]
 
     def record_path(self, agent: AgentConfig) -> Path:
-        """Return the file in which the backend server of *agent* records its runs."""
+        """Return the file in which the backend server of *agent* records what it runs."""
         return self.dir / f"{agent.name}.runs"
 
     def read_records(self, *kinds: str) -> list[dict[str, Any]]:
-        """Return what the backend servers of some kinds recorded, with each row's place."""
+        """Return the rows that backend servers of *kinds* recorded.
+
+        Each row gets the name of the server's agent under the key ``place``.
+        """
         rows = []
         for agent in self.agents:
             path = self.record_path(agent)
@@ -193,7 +200,7 @@
         return str(path)
 
     def start_agent(self, agent: AgentConfig) -> None:
-        """Start the agent of *agent* and show it in the platform's list."""
+        """Start *agent* and add it to the platform's list of instances."""
         lines = self._peer_setting_lines(agent.name, agent.zone, agent.port)
         lines += [
             f'role = "{agent.kind}"',
@@ -215,7 +222,7 @@
         return [f"slots = {engine.slots}", f"step_s = {engine.step_s * 1.5}"]
 
     def register_agent(self, agent: AgentConfig, *, state: str = "live") -> None:
-        """Show an instance in the platform's list."""
+        """Add *agent* to the platform's list of instances, or replace its row there."""
         service = {
             "ID": agent.name,
             "Address": HOST,
@@ -225,7 +232,7 @@
         http_json("PUT", self.platform_port, "/v1/agent/service/register", service)
 
     def start_entry(self, number: int, extra_settings: tuple[str, ...] = ()) -> None:
-        """Start an entry, with further lines of settings."""
+        """Start entry *number*; *extra_settings* are lines added to its settings file."""
         name = f"entry-{number}"
         zone = self.spec.zones[number % len(self.spec.zones)]
         lines = self._peer_setting_lines(name, zone, self.entry_ports[number])
@@ -234,7 +241,7 @@
         self.run(name, "crankhinge.entry.main", self._write_settings(name, lines))
 
     def bundle_text(self, version: int, adapters: Mapping[str, int] | None = None) -> str:
-        """Return the bundle's TOML, with adapters by name and version."""
+        """Return the TOML text of a bundle; *adapters* maps names to versions."""
         spec = self.spec
         out = [f"version = {version}", ""]
         for partner in self._keys:
@@ -294,7 +301,7 @@
         ]
 
     def signed_bundle(self, text: str) -> bytes:
-        """Return the bundle signed by both partners."""
+        """Return the envelope with the bundle *text*, signed by both partners."""
         envelope = Envelope(text)
         for partner in self._keys:
             envelope = sign_envelope(
@@ -303,7 +310,11 @@
         return encode_envelope(envelope)
 
     def publish(self, text: str) -> None:
-        """Sign and publish a bundle with the operators' command line."""
+        """Sign the bundle *text* and publish it with ``crankhinge-ctl``.
+
+        Raises:
+            subprocess.CalledProcessError: the bundle wasn't published.
+        """
         path = self.dir / "bundle.signed"
         path.write_bytes(self.signed_bundle(text))
         command = [sys.executable, "-m", "crankhinge.ctl.main", "bundle", "publish", str(path)]
@@ -312,9 +323,12 @@
         self.bundle_version += 1
 
     def publish_concurrently(self, version: int) -> bool:
-        """Let two operators publish different bundles of one version; True if one was accepted.
+        """Publish two different bundles of one version at the same time.
+
+        A publication whose outcome is unknown is repeated, as an operator would do.
 
-        A publication whose outcome isn't known is repeated, as its operator would.
+        Returns:
+            Whether one of the bundles was accepted.
         """
         procs = []
         for name, patience in (("one", 1.5), ("two", 2.0)):
@@ -346,29 +360,33 @@
         return finish
 
     def write_ctl_settings(self) -> str:
-        """Return the path of the command line's settings."""
+        """Write the settings file of ``crankhinge-ctl`` and return its path."""
         seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_COUNT]]
         return self._write_settings(
             "ctl", [f'key_value = "{HOST}:{self.platform_port}"', f"seeds = {seeds}"]
         )
 
     def wait_ready(self) -> None:
-        """Wait until every entry has a bundle and answers a request."""
+        """Wait until every entry is linked to its agents and every fence record has its replicas.
+
+        Raises:
+            TimeoutError: the system isn't ready within ``READY_TIMEOUT_S``.
+        """
         deadline = time.monotonic() + READY_TIMEOUT_S
         self.wait_for_ports([*self.entry_ports, *(agent.port for agent in self.agents)])
         for port in self.entry_ports:
             while not self._is_ready(port):
                 if time.monotonic() > deadline:
-                    raise TimeoutError(f"entry on {port} isn't ready")
+                    raise TimeoutError(f"entry on port {port} is not ready")
                 time.sleep(POLL_INTERVAL_S)
         replicas = [f"{s.pool}-{n}" for s in self.spec.services if s.count > 1 for n in (0, 1)]
         while not all(self._has_fence_record(name) for name in replicas):
             if time.monotonic() > deadline:
-                raise TimeoutError("the fence records have no holders")
+                raise TimeoutError("not every fence record has two replicas")
             time.sleep(POLL_INTERVAL_S)
 
     def _has_fence_record(self, name: str) -> bool:
-        """Whether a fence holder has its record, by its log."""
+        """Return whether the log of agent *name* says that its fence record is paired."""
         return "role=paired" in (self.logs / f"{name}.log").read_text()
 
     def _is_ready(self, port: int) -> bool:
@@ -379,7 +397,7 @@
         return bool(state["linked"] >= min(len(self.agents), self.spec.subset))
 
     def restart(self, name: str) -> None:
-        """Start a process that was killed."""
+        """Start an entry, an agent or a backend server again after it was killed."""
         if name.startswith("entry-"):
             self.start_entry(int(name.removeprefix("entry-")))
             return
@@ -390,17 +408,17 @@
             self.start_agent(agent)
 
     def standin_port(self, name: str) -> int:
-        """Return the port of the platform or of a backend server."""
+        """Return the port of ``platform`` or of a backend server such as ``backend-write-0``."""
         if name == "platform":
             return self.platform_port
         wanted = name.removeprefix("backend-")
         return next(agent.backend_port for agent in self.agents if agent.name == wanted)
 
     def engine_stats(self) -> list[dict[str, Any]]:
-        """Return each engine's own counts."""
+        """Return the counters that each engine keeps of itself."""
         engines = [agent for agent in self.agents if agent.kind != "plain"]
         return [http_json("GET", agent.backend_port, "/stats") for agent in engines]
 
     def set_faults(self, port: int, **faults: Any) -> None:
-        """Switch faults of a stand-in on or off."""
+        """Set faults of the stand-in on *port* by name, for example ``down=True``."""
         http_json("PUT", port, "/faults", faults)
--- a/src/crankhinge_bench/_days.py
+++ b/src/crankhinge_bench/_days.py
@@ -1,8 +1,9 @@
-"""Writes day files for the users' bench: every kind of trouble alone, then drawn together.
+"""Writes day files for the users' bench and runs them.
 
-A day file names what goes wrong and when. The kinds and their variants are those that the users'
-bench lists; sites give the names of services and availability zones, nothing else. With a command
-to play a day, the days are played side by side and what broke is listed by rule.
+A day file lists events, planned operations and faults, and when each begins. The first days have
+one kind of event each, the later ones a random mix. The kinds and their variants are those that the
+users' bench knows. A site file gives only the names of services and availability zones. With a
+command that runs a day, the days run concurrently and the rules that broke are listed.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 
 from crankhinge.errors import SettingsError
 
-# When a trouble may begin, in seconds from the start of traffic, and how long a day lasts.
+# Earliest and latest start of an event, in seconds from the start of traffic.
 MIN_START_S, MAX_START_S = 0.5, 28.0
 PLAY_TIMEOUT_S = 600.0
 BROKEN_RULE = re.compile(r"BROKEN: (.*?)(?: \(|$)")
 
 Event = dict[str, Any]
 
-# Kinds for servers, with the variants that fit them; {llm} is a service of engines.
+# Kinds of events that affect the servers of one service, with their variants.
 SERVER_KINDS: dict[str, tuple[str, ...]] = {
     "srv_crash": ("", "dark", "gone", "across", "domain"),
     "srv_grey": ("errors", "shed", "busy", "hang", "reset", "mute", "slow", "errors one_zone"),
@@ -46,7 +47,7 @@
     "handle_short": ("",),
     "applied_late": ("orders", "cloud", "grants", "all"),
 }
-# Kinds for the system's own instances, the platform, the callers and the operators.
+# Kinds that affect the system's own instances, the platform, callers or operators.
 OTHER_KINDS: dict[str, tuple[str, ...]] = {
     "burst": ("",),
     "shift": ("",),
@@ -82,7 +83,7 @@
     "config_storm": ("",),
     "big_config": ("",),
 }
-# Fields that a kind wants beside its own defaults.
+# Fields that are set for a kind in place of the defaults of the users' bench.
 EXTRA_FIELDS: dict[str, Event] = {
     "config_storm": {"for_s": 2.0, "gap_s": 0.1},
     "big_config": {"count": 1400},
@@ -96,14 +97,20 @@
 
 @dataclass(frozen=True)
 class Day:
-    """One day: a name and what goes wrong."""
+    """One day.
+
+    Attributes:
+        name: name of the day and of its file.
+        seed: seed of the users' bench for this day.
+        events: planned operations and faults.
+    """
 
     name: str
     seed: int
     events: tuple[Event, ...]
 
     def to_toml(self) -> str:
-        """Return the day file."""
+        """Return the text of the day file."""
         lines = [f'name = "{self.name}"', f"seed = {self.seed}"]
         for part, planned in (("plan", True), ("faults", False)):
             rows = [event for event in self.events if (event["kind"] in PLANNED_KINDS) is planned]
@@ -120,7 +127,7 @@
 
 
 def list_variants(kinds: Collection[str] = ()) -> list[tuple[str, str]]:
-    """Return every kind, or those of *kinds*, with each of its variants."""
+    """Return all pairs of kind and variant; only those of *kinds* unless it is empty."""
     all_kinds = itertools.chain(SERVER_KINDS.items(), OTHER_KINDS.items())
     return [
         (kind, variant)
@@ -131,12 +138,12 @@
 
 
 def engine_services(site: dict[str, Any]) -> list[str]:
-    """Return the names of the services that are engines."""
+    """Return the names of the services whose servers are engines."""
     return [row["name"] for row in site["services"] if "llm" in row]
 
 
 def make_event(kind: str, variant: str, site: dict[str, Any], rng: random.Random) -> Event:
-    """Return a trouble that begins at a drawn moment."""
+    """Return an event with a random start and, if its kind affects servers, a random service."""
     row: Event = {
         "kind": kind,
         "at": round(rng.uniform(MIN_START_S, MAX_START_S), 2),
@@ -159,15 +166,17 @@
     kinds: Collection[str] = (),
     max_events: int = 3,
 ) -> Iterator[Day]:
-    """Return days with one kind each, then with several drawn ones, repeated at times.
+    """Yield days with one variant each, then days with several random variants.
+
+    A day of one variant has one or two events of it.
 
     Args:
-        site: the site file.
-        days_per_variant: days of each kind and variant.
-        mixed_days: days of two or more drawn ones.
-        seed: of everything that is drawn.
-        kinds: what is drawn from; everything by default.
-        max_events: troubles of a drawn day.
+        site: the parsed site file.
+        days_per_variant: number of days for each kind and variant.
+        mixed_days: number of days with two or more random events.
+        seed: seed of all random choices; the same seed gives the same days.
+        kinds: kinds to choose from; all by default.
+        max_events: maximum number of events of a mixed day.
     """
     rng = random.Random(seed)
     number = 0
@@ -178,7 +187,7 @@
             name = re.sub(r"\W+", "-", f"{kind} {variant}".strip())
             yield Day(f"one-{number}-{name}", rng.randrange(2**31), rows)
     for index in range(mixed_days):
-        # Two are the commonest, and a trouble may come twice.
+        # Two events are the most common number, and a variant may occur twice.
         drawn = rng.choices(list_variants(kinds), k=rng.choice((2, *range(2, max_events + 1))))
         rows = tuple(make_event(kind, variant, site, rng) for kind, variant in drawn)
         yield Day(f"drawn-{index}", rng.randrange(2**31), rows)
@@ -199,27 +208,43 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the command line."""
+    """Declare the command's arguments."""
     parser.add_argument("site", type=Path, help="site file")
-    parser.add_argument("--out", type=Path, required=True, help="folder for the day files")
-    parser.add_argument("--each", type=int, default=3, help="days of each kind and variant")
-    parser.add_argument("--pairs", type=int, default=200, help="days of two or three drawn kinds")
-    parser.add_argument("--kinds", default="", help="kinds to draw from, with commas")
-    parser.add_argument("--most", type=int, default=3, help="troubles of a drawn day")
+    parser.add_argument("--out", type=Path, required=True, help="directory for the day files")
+    parser.add_argument(
+        "--each", type=int, default=3, help="number of days for each kind and variant"
+    )
+    parser.add_argument(
+        "--pairs", type=int, default=200, help="number of days with several random kinds"
+    )
+    parser.add_argument("--kinds", default="", help="kinds to choose from, separated by commas")
+    parser.add_argument(
+        "--most", type=int, default=3, help="maximum number of events of a mixed day"
+    )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--play", default="", help="command that plays {day}; none: only write")
-    parser.add_argument("--jobs", type=int, default=4, help="days played at once")
+    parser.add_argument(
+        "--play",
+        default="",
+        help="command that runs the day file {day}; without it, days are only written",
+    )
+    parser.add_argument(
+        "--jobs", type=int, default=4, help="number of days that run at the same time"
+    )
     parser.set_defaults(run=run_days)
 
 
 def run_days(args: argparse.Namespace) -> int:
-    """Write the days, play them where asked; 1 if a rule broke."""
+    """Write the days and, with ``--play``, run them; return 1 if a rule broke, else 0.
+
+    Raises:
+        SettingsError: ``--kinds`` names an unknown kind.
+    """
     site = tomllib.loads(args.site.read_text())
     args.out.mkdir(parents=True, exist_ok=True)
     paths = []
     kinds = {name for name in args.kinds.split(",") if name}
     if unknown := kinds - {*SERVER_KINDS, *OTHER_KINDS}:
-        raise SettingsError(f"--kinds: no such kind: {sorted(unknown)}")
+        raise SettingsError(f"--kinds: unknown kinds: {sorted(unknown)}")
     drawn = make_days(
         site,
         days_per_variant=args.each,
--- a/src/crankhinge_bench/_demo.py
+++ b/src/crankhinge_bench/_demo.py
@@ -1,4 +1,4 @@
-"""``crankhinge-bench demo``: the whole system on one machine, for under half a minute."""
+"""``crankhinge-bench demo``: runs the whole system on one machine in under half a minute."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
-    parser.add_argument("--logs", default="", help="directory for the programs' logs")
+    parser.add_argument("--logs", default="", help="directory for the logs of the programs")
     parser.set_defaults(run=run_demo)
 
 
 def run_demo(args: argparse.Namespace) -> int:
-    """Run the demo; returns the exit status."""
+    """Run the demo; return 0 if no invariant was violated, else 1."""
     spec = ClusterSpec(entries=2)
     load = Load(
         seconds=TRACE_S,
--- a/src/crankhinge_bench/_fakes.py
+++ b/src/crankhinge_bench/_fakes.py
@@ -1,4 +1,4 @@
-"""Fake agents and fake entries on one thread: peers for measuring one real process."""
+"""Fake agents and entries, run on one thread, that are the peers of one measured process."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 async def _ignore_message(_link: Link, _msg: Message) -> None:
-    """Take no notice of a message."""
+    """Discard a message."""
 
 
 class FakePeers:
-    """Links to one real process, each sending heartbeats.
+    """Links to one measured process, each of which sends heartbeats.
 
     Args:
-        beat_s: seconds between heartbeats.
+        beat_s: seconds between the heartbeats of a link.
     """
 
     def __init__(self, beat_s: float) -> None:
@@ -43,7 +43,7 @@
         self._log = get_log(program="fakes")
 
     def start(self, main: Callable[[], Awaitable[Any]]) -> None:
-        """Run *main* on the thread."""
+        """Run *main* on a new thread until :meth:`stop`."""
         self._thread = threading.Thread(target=curio.run, args=(self._run_until_stopped, main))
         self._thread.start()
 
@@ -54,7 +54,7 @@
         await task.cancel()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread and wait for its end."""
         self._stop_requested.set()
         if self._thread is not None:
             self._thread.join()
@@ -70,20 +70,20 @@
             await reader.cancel()
 
     def bytes_received(self) -> int:
-        """Return the bytes that the real process has sent."""
+        """Return the bytes received from the measured process on all links."""
         return sum(link.bytes_in for link in self.links)
 
     def bytes_sent(self) -> int:
-        """Return the bytes that it was sent."""
+        """Return the bytes sent to the measured process on all links."""
         return sum(link.bytes_out for link in self.links)
 
 
 class FakeAgents(FakePeers):
-    """Agents that an entry finds in the list.
+    """Fake agents that accept links of an entry.
 
     Args:
-        ports: one for each agent.
-        beat_s: seconds between heartbeats.
+        ports: ports to listen on, one for each agent.
+        beat_s: seconds between the heartbeats of a link.
     """
 
     def __init__(self, ports: list[int], beat_s: float) -> None:
@@ -91,11 +91,11 @@
         self._ports = ports
 
     def agent_name(self, number: int) -> str:
-        """Return an agent's name."""
+        """Return the name of agent *number*."""
         return f"fake-{number}"
 
     async def serve(self) -> None:
-        """Listen on every port."""
+        """Accept links on every port until cancelled."""
         async with curio.TaskGroup() as group:
             for number, port in enumerate(self._ports):
                 handler = partial(self._serve, self.agent_name(number))
@@ -108,12 +108,12 @@
 
 
 class FakeEntries(FakePeers):
-    """Entries that are linked to one agent.
+    """Fake entries that are linked to one agent.
 
     Args:
-        port: of the agent.
-        count: how many.
-        beat_s: seconds between heartbeats.
+        port: port of the agent.
+        count: number of entries.
+        beat_s: seconds between the heartbeats of a link.
     """
 
     def __init__(self, port: int, count: int, beat_s: float) -> None:
@@ -122,7 +122,7 @@
         self._count = count
 
     async def connect_all(self) -> None:
-        """Connect all."""
+        """Connect every entry to the agent and keep the links open until cancelled."""
         async with curio.TaskGroup() as group:
             for number in range(self._count):
                 await group.spawn(self._connect, number)
--- a/src/crankhinge_bench/_faults.py
+++ b/src/crankhinge_bench/_faults.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a scenario beside its load."""
+"""Injects the faults of a scenario while its load runs."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class FaultInjector:
-    """Plays faults on a thread of its own.
+    """Injects faults into a cluster from a separate thread.
 
     Args:
-        cluster: what they befall.
-        faults: in any order.
+        cluster: the cluster that the faults affect.
+        faults: faults in any order; they may overlap.
     """
 
     def __init__(self, cluster: Cluster, faults: tuple[Fault, ...]) -> None:
@@ -29,11 +29,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin; times count from now."""
+        """Start the thread; the times of the faults count from now."""
         self._thread.start()
 
     def join(self) -> None:
-        """Wait until the last fault has been taken back."""
+        """Wait until the last fault has ended."""
         self._thread.join()
 
     def _run(self) -> None:
--- a/src/crankhinge_bench/_fit.py
+++ b/src/crankhinge_bench/_fit.py
@@ -1,4 +1,4 @@
-"""Lines fitted to measured points, and readings of a process."""
+"""Fits lines to measured points and reads the resource use of a process."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """A line fitted to measured points.
 
     Attributes:
-        name: what grows with what.
-        unit: of the slope.
+        name: name of the measurement: what grows with what.
+        unit: unit of y.
         points: x and y of each measurement.
-        slope: per unit of x.
-        base: at x = 0.
-        error: largest distance of a point from the line, as a part of the largest y.
+        slope: increase of y per unit of x.
+        base: y of the line at x = 0.
+        error: largest distance of a point from the line, as a fraction of the largest y.
     """
 
     name: str
@@ -32,7 +32,7 @@
 
 
 def fit_line(name: str, unit: str, points: list[tuple[float, float]]) -> Slope:
-    """Fit a line by least squares."""
+    """Fit a line to *points* by least squares."""
     xs = [x for x, _ in points]
     ys = [y for _, y in points]
     slope, base = statistics.linear_regression(xs, ys)
@@ -42,13 +42,13 @@
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the CPU seconds, user and system, that process *pid* has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def read_rss_kib(pid: int) -> int:
-    """Return a process's resident memory in KiB."""
+    """Return the resident memory of process *pid* in KiB; 0 if the kernel doesn't state it."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1])
--- a/src/crankhinge_bench/_load.py
+++ b/src/crankhinge_bench/_load.py
@@ -1,4 +1,4 @@
-"""Sends a trace to the entries, as callers would, and checks every answer."""
+"""Sends a trace of requests to the entries and checks every response, as a caller does."""
 
 from __future__ import annotations
 
@@ -23,26 +23,27 @@
 
 @dataclass
 class RequestResult:
-    """What a caller saw.
+    """What a caller observed of one request.
 
     Attributes:
-        arrival: what it asked.
-        status: HTTP status; 0 when there was no answer.
+        arrival: the request.
+        status: HTTP status; 0 if there was no response.
         code: machine-readable cause of a failure.
-        outcome: what the header said of a failure.
-        first_token_s: seconds until the first token; 0 for none.
+        outcome: value of the ``X-Request-Outcome`` header, or of its field in an error event.
+        first_token_s: seconds from sending to the first token; 0 if none came.
         mean_gap_s: mean seconds between tokens.
-        total_s: seconds until the end.
-        tokens: tokens received.
-        complete: whether the answer was complete and right.
-        wrong: whether what came differs from what the engine's model says.
-        cancelled: whether the caller went of its own accord.
-        key: idempotency key of a plain call.
-        attempts: how often it was sent.
-        request_id: the entry's identity of it.
-        entry_port: port of the entry that it was last sent to.
-        started_at: wall clock.
-        cancelled_at: wall clock at which the caller went of its own accord; 0 for never.
+        total_s: seconds from sending to the end.
+        tokens: number of tokens received.
+        complete: whether a stream came to its regular end or a plain call got status 200.
+        wrong: whether the content differs from what the backend server must return.
+        cancelled: whether the caller ended the request itself.
+        key: idempotency key of a call to a plain service.
+        attempts: how often the request was sent.
+        request_id: identifier that the entry gave to the request.
+        entry_port: port of the entry that the request was last sent to.
+        started_at: wall-clock time of the first attempt.
+        cancelled_at: wall-clock time at which the caller ended the request; 0 if it didn't.
+        received_tokens: the tokens themselves, until they have been checked.
     """
 
     arrival: Arrival
@@ -74,13 +75,13 @@
 
 
 class LoadGenerator:
-    """Plays a trace.
+    """Sends the requests of a trace at their times.
 
     Args:
-        ports: of the entries.
+        ports: ports of the entries.
         credentials: bearer credential of each member.
-        host: of the entries.
-        max_retries: how often a caller repeats a plain call whose outcome it doesn't know.
+        host: host of the entries.
+        max_retries: how often a caller repeats a plain call whose outcome is unknown.
     """
 
     def __init__(
@@ -99,7 +100,7 @@
         self.results: list[RequestResult] = []
 
     async def run(self, trace: list[Arrival]) -> list[RequestResult]:
-        """Send each arrival at its time and return what came of all of them."""
+        """Send each request at its arrival time and return the results of all."""
         started_at = await curio.clock()
         async with curio.TaskGroup() as group:
             for arrival in trace:
@@ -110,7 +111,10 @@
         return self.results
 
     def _next_client(self) -> HttpClient:
-        """Return the next entry in turn, as a balancer would: not one that it was told to shun."""
+        """Return the next entry in turn, as a load balancer does, skipping excluded ones.
+
+        If all are excluded, the last one tried is returned.
+        """
         for _ in self._clients:
             self._round_robin += 1
             client = self._clients[self._round_robin % len(self._clients)]
@@ -128,7 +132,7 @@
             await self._attempt(arrival, result)
 
     def _is_outcome_unknown(self, result: RequestResult) -> bool:
-        """Whether the caller of a plain call has yet to learn what became of it."""
+        """Return whether the request is a plain call of which the caller can't tell if it ran."""
         known = result.complete or result.outcome == NOT_RUN or result.code in FINAL_CODES
         return bool(result.arrival.path) and not known
 
@@ -236,7 +240,7 @@
 
 
 def _check_answer(arrival: Arrival, result: RequestResult) -> None:
-    """Compare what came with what the engine's model says."""
+    """Compare the received tokens with those that the stand-in's model generates."""
     expected = make_answer({"prompt": arrival.prompt, "max_tokens": arrival.max_tokens})
     result.wrong = result.received_tokens != expected[: len(result.received_tokens)]
     if result.complete and len(result.received_tokens) != len(expected):
@@ -259,7 +263,7 @@
 
 
 def _error_code(body: bytes, status: int) -> str:
-    """Return the machine-readable cause of a failure."""
+    """Return the error code of a response body, or ``status-`` and the HTTP status."""
     try:
         return str(msgspec.json.decode(body)["error"]["code"])
     except (msgspec.DecodeError, LookupError, TypeError):
--- a/src/crankhinge_bench/_perf.py
+++ b/src/crankhinge_bench/_perf.py
@@ -1,4 +1,4 @@
-"""``crankhinge-bench perf``: what the product adds to calling the engines directly."""
+"""``crankhinge-bench perf``: measures the overhead of the product over direct engine calls."""
 
 from __future__ import annotations
 
@@ -32,21 +32,23 @@
 
 
 class PerfResult(msgspec.Struct, kw_only=True):
-    """Figures of one run; milliseconds, KiB, core seconds.
+    """Figures of one run.
 
     Attributes:
-        direct_ms: first token, p50 and p99, engines called directly.
-        through_ms: first token, p50 and p99, through an entry and agents.
-        added_ms: difference pair by pair, p50 and p99.
-        streams: streams at once through one entry.
-        wrong: of these, answers that differ from the engine's or are cut.
-        tokens_per_s: relayed meanwhile.
-        entry_us_per_token: processor time of the entry, per relayed token.
-        agent_us_per_token: processor time of all decode agents, per relayed token.
-        cancel_ms: from a caller's going until its engine's memory is free, p50 and p99.
-        idle_kb: resident memory of each program, idle.
-        loaded_kb: the same after the streams.
-        start_ms: until a program has imported everything and checked its settings, median.
+        direct_ms: p50 and p99 of the milliseconds to the first token, engines called directly.
+        through_ms: the same for requests through an entry and agents.
+        added_ms: p50 and p99 of the differences, taken pair by pair.
+        streams: number of concurrent streams through one entry.
+        wrong: number of these streams that were cut or differ from what the engine generates.
+        tokens_per_s: tokens relayed per second during the streams.
+        entry_us_per_token: CPU microseconds of the entry per relayed token.
+        agent_us_per_token: CPU microseconds of all decode agents together per relayed token.
+        cancel_ms: p50 and p99 of the milliseconds from a caller's disconnect until no engine holds
+            the request in memory.
+        idle_kb: resident memory of each idle program in KiB.
+        loaded_kb: resident memory of each program in KiB after the streams.
+        start_ms: median milliseconds until a program has imported all modules and checked its
+            settings.
     """
 
     direct_ms: tuple[float, float]
@@ -68,7 +70,7 @@
 
 
 async def _direct_first_token_s(cluster: Cluster, number: int) -> float:
-    """Return the seconds to the first token when the engines are called directly."""
+    """Return the seconds to the first token of a request sent directly to the engines."""
     prefill = next(agent for agent in cluster.agents if agent.kind == "prefill")
     decode = next(agent for agent in cluster.agents if agent.kind == "decode")
     body = json.dumps({"model": "m1", "prompt": f"direct {number}", "max_tokens": 3}).encode()
@@ -137,7 +139,7 @@
 
 
 def _measure_cancel_ms(cluster: Cluster, number: int) -> float:
-    """Return the time from a caller's going until no engine holds its request."""
+    """Return the milliseconds from a caller's disconnect until no engine runs its request."""
     body = json.dumps(
         {"model": "m1", "prompt": f"cancel {number}", "max_tokens": 400, "stream": True}
     )
@@ -171,7 +173,7 @@
 
 
 def measure_perf() -> PerfResult:
-    """Return all figures."""
+    """Measure and return all figures."""
     direct, through = _measure_latency()
     added = [t - d for d, t in zip(direct, through, strict=True)]
     with Cluster(_stream_spec()) as cluster:
@@ -206,7 +208,7 @@
 
 
 def format_perf(perf: PerfResult) -> str:
-    """Return the figures as a table."""
+    """Return the figures as a Markdown table."""
     rows = [
         ("first token, engines called directly", _format_percentiles(perf.direct_ms)),
         ("first token, through the product", _format_percentiles(perf.through_ms)),
@@ -230,7 +232,7 @@
 
 
 def run_perf(args: argparse.Namespace) -> int:
-    """Run the command; returns 0 when every answer was whole and right."""
+    """Run the command; return 0 if every stream was complete and correct, else 1."""
     result = measure_perf()
     write_json(args.json, result)
     print(format_perf(result))
--- a/src/crankhinge_bench/_plot.py
+++ b/src/crankhinge_bench/_plot.py
@@ -1,4 +1,4 @@
-"""Draws goodput and wasted prefill against load."""
+"""Plots goodput and wasted prefill work against the load."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def plot_results(results: list[RunResult], path: Path) -> None:
-    """Write a PNG: a row for each scenario, a column for each figure, a line for each policy."""
+    """Write a PNG with a row per scenario, a column per figure and a line per policy.
+
+    Each point is the median of the runs with the same policy and load.
+    """
     from matplotlib.figure import Figure
 
     scenarios = sorted({result.scenario for result in results})
--- a/src/crankhinge_bench/_ports.py
+++ b/src/crankhinge_bench/_ports.py
@@ -1,4 +1,4 @@
-"""Ports for programs that are started side by side, also by several test runs at once."""
+"""Allocates loopback ports so that concurrent test runs never get the same port."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 import socket
 
 HOST = "127.0.0.1"
-# Below the range from which the kernel takes ports for outgoing connections: one from that range
-# can be taken between the call that finds it and the time it is listened on.
+# The range lies below the kernel's ephemeral ports: an outgoing connection could take an ephemeral
+# port after it was found free and before the program listens on it.
 FIRST_PORT = 12_000
 END_PORT = 30_000
 PORTS_PER_BLOCK = 100
-# What one process holds at most, that several find room; it then begins again with its first.
+# Limits the blocks of one process so that several processes find enough. A process that has as
+# many reuses their ports, beginning with its first block.
 MAX_BLOCKS = 30
 
 
 class PortAllocator:
-    """Ports that no other process gets from here for as long as this object lives.
+    """Allocates ports that no other process gets from its own allocator.
 
-    The range is split into blocks. Whoever listens on a block's first port holds all of it: ports
-    that were only looked for would be found by two processes at once.
+    The range is split into blocks. A process locks a block by listening on the block's first port
+    until :meth:`close`. Without that lock, two processes could find the same port free at the same
+    time.
     """
 
     def __init__(self) -> None:
         count = (END_PORT - FIRST_PORT) // PORTS_PER_BLOCK
         starts = [FIRST_PORT + PORTS_PER_BLOCK * block for block in range(count)]
-        # Processes that are started together have neighbouring ids; far places spare them refusals.
+        # Processes that start together have adjacent ids. The factor makes them start at distant
+        # blocks, so that they seldom try a block that is already locked.
         first_block = os.getpid() * 101 % count
         self._untried_blocks = starts[first_block:] + starts[:first_block]
         self._lock_sockets: list[socket.socket] = []
@@ -34,10 +37,10 @@
         self._next_block_index = 0
 
     def take(self, count: int) -> list[int]:
-        """Return ports on which nothing listens now.
+        """Return *count* ports that no socket, TCP or UDP, is bound to now.
 
         Raises:
-            RuntimeError: no port is free.
+            RuntimeError: there aren't enough free ports.
         """
         found: list[int] = []
         for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK):
@@ -49,7 +52,7 @@
         raise RuntimeError("no free ports are left")
 
     def close(self) -> None:
-        """Let others have the blocks."""
+        """Unlock the blocks so that other processes can use them."""
         for lock in self._lock_sockets:
             lock.close()
 
--- a/src/crankhinge_bench/_procs.py
+++ b/src/crankhinge_bench/_procs.py
@@ -1,4 +1,4 @@
-"""Programs of the project as processes on loopback: ports, logs, signals, their end."""
+"""Starts programs of the project as processes on loopback, signals and stops them."""
 
 from __future__ import annotations
 
@@ -28,16 +28,22 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free now and that no other process finds here.
+    """Return *count* free loopback ports that no other test run allocates.
 
     Raises:
-        RuntimeError: no port is free.
+        RuntimeError: there aren't enough free ports.
     """
     return _PORT_ALLOCATOR.take(count)
 
 
 def http_json(method: str, port: int, path: str, body: Any = None, timeout_s: float = 5.0) -> Any:
-    """Call a stand-in or an entry and return its JSON."""
+    """Send a request to a loopback port and return the decoded JSON body of the response.
+
+    *body* is sent as JSON unless it is None.
+
+    Raises:
+        OSError: there was no response, or its status reports an error.
+    """
     data = None if body is None else msgspec.json.encode(body)
     req = urllib.request.Request(f"http://{HOST}:{port}{path}", data=data, method=method)
     with urllib.request.urlopen(req, timeout=timeout_s) as resp:
@@ -45,10 +51,10 @@
 
 
 class Procs:
-    """Processes, each with a name, in a directory of their own.
+    """Named processes with a common temporary directory.
 
     Args:
-        logs: directory for their logs; a temporary one by default.
+        logs: directory for the processes' logs; the temporary directory by default.
     """
 
     def __init__(self, logs: Path | None = None) -> None:
@@ -58,7 +64,10 @@
         self.logs = logs or self.dir
 
     def run(self, name: str, module: str, *args: str, env: Mapping[str, str] | None = None) -> None:
-        """Start a program; its logs go to a file of its name, *env* is added to its variables."""
+        """Start *module* as a process that logs to ``<name>.log``.
+
+        *env* is added to the environment variables of this process.
+        """
         log = (self.logs / f"{name}.log").open("ab")
         self.procs[name] = subprocess.Popen(
             [sys.executable, "-m", module, *args],
@@ -71,28 +80,32 @@
         log.close()
 
     def wait_for_ports(self, ports: list[int]) -> None:
-        """Wait until something listens on each. Raises TimeoutError."""
+        """Wait until each of *ports* accepts connections.
+
+        Raises:
+            TimeoutError: a port doesn't within ``READY_TIMEOUT_S``.
+        """
         deadline = time.monotonic() + READY_TIMEOUT_S
         for port in ports:
             while True:
                 with contextlib.suppress(OSError), socket.create_connection((HOST, port), 1.0):
                     break
                 if time.monotonic() > deadline:
-                    raise TimeoutError(f"nothing listens on {port}")
+                    raise TimeoutError(f"no process listens on port {port}")
                 time.sleep(POLL_INTERVAL_S)
 
     def signal(self, name: str, signum: int) -> None:
-        """Send a signal to a process that was started here."""
+        """Send a signal to the process *name*."""
         self.procs[name].send_signal(signum)
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill the process *name* with SIGKILL and wait for its end."""
         proc = self.procs.pop(name)
         proc.kill()
         proc.wait()
 
     def stop(self) -> None:
-        """End every process that was started here, by its id."""
+        """Kill every started process, also paused ones, and remove the temporary directory."""
         for proc in self.procs.values():
             proc.send_signal(signal.SIGCONT)
             proc.kill()
--- a/src/crankhinge_bench/_propagation.py
+++ b/src/crankhinge_bench/_propagation.py
@@ -1,4 +1,4 @@
-"""``crankhinge-bench spread``: how soon a bundle is in force everywhere."""
+"""``crankhinge-bench spread``: measures how fast a bundle takes effect in all processes."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class Propagation(msgspec.Struct, kw_only=True):
-    """One measurement.
+    """Propagation of one bundle.
 
     Attributes:
-        processes: entries and agents.
-        outage: whether the key-value service went out right after the swap.
-        first_s: from the publication's start until the first process had it.
-        half_s: until half had it.
-        all_s: until all had it; 0 when some never did.
-        missing: processes that never had it.
+        processes: number of entries and agents.
+        outage: whether the key-value service failed right after the write of the bundle.
+        first_s: seconds from the start of the publication until the first process applied it.
+        half_s: the same until half of those that applied it had done so.
+        all_s: the same until all had applied it; 0 if some never did.
+        missing: number of processes that never applied it within ``PROPAGATION_TIMEOUT_S``.
     """
 
     processes: int
@@ -45,7 +45,10 @@
 
 
 def _bundle_times(cluster: Cluster, version: int) -> list[float]:
-    """Return when each process that has *version* took it in force."""
+    """Return the time at which each process applied *version*, from the logs.
+
+    Processes that haven't applied it are left out.
+    """
     pattern = re.compile(rf"ts=(\S+) .*event=bundle_in_force .*version={version}\b")
     times = []
     for name in _process_names(cluster):
@@ -80,7 +83,7 @@
 
 
 def measure_propagation(count: int, repeat: int) -> list[Propagation]:
-    """Measure with *count* processes, calm and with an outage, *repeat* times each."""
+    """Measure with *count* processes, without and with an outage, *repeat* times each."""
     agents = count - ENTRY_COUNT - 1
     spec = ClusterSpec(
         entries=ENTRY_COUNT,
@@ -94,7 +97,7 @@
 
 
 def run_spread(args: argparse.Namespace) -> int:
-    """Run the command; returns 0 when every process had every bundle."""
+    """Run the command; return 0 if every process applied every bundle, else 1."""
     results: list[Propagation] = []
     for count in args.counts.split(","):
         results += measure_propagation(int(count), args.repeat)
--- a/src/crankhinge_bench/_run.py
+++ b/src/crankhinge_bench/_run.py
@@ -1,4 +1,4 @@
-"""``crankhinge-bench run``: policies side by side on one scenario."""
+"""``crankhinge-bench run``: compares policies on scenarios."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def run_trace(cluster: Cluster, scenario: Scenario, per_s: float, seed: int) -> tuple[Summary, int]:
-    """Play a scenario's trace and faults; returns the figures and the bound."""
+    """Run a scenario's trace and faults; return the figures and the bound on goodput."""
     load = with_rate(scenario.load, per_s)
     trace = make_trace(load, seed)
     faults = FaultInjector(cluster, scenario.faults)
@@ -52,7 +52,7 @@
 
 
 def with_policy(spec: ClusterSpec, policy: str) -> ClusterSpec:
-    """Return *spec* under a named policy."""
+    """Return a copy of *spec* whose programs use the policy named *policy*."""
     values = {name: getattr(spec, name) for name in spec.__struct_fields__}
     return ClusterSpec(**{**values, "mechanisms": policy})
 
@@ -60,7 +60,10 @@
 def run_scenario(
     scenario: Scenario, policies: list[str], *, seed: int, repeat: int, logs: Path | None = None
 ) -> list[RunResult]:
-    """Run every policy at every load, alternately, *repeat* times."""
+    """Run every policy at every load, *repeat* times.
+
+    The policies alternate within a load, and run *n* of each uses the same trace.
+    """
     capacity = capacity_per_s(scenario.cluster, scenario.load)
     results = []
     for load in scenario.loads:
@@ -85,7 +88,7 @@
 
 
 def format_line(result: RunResult) -> str:
-    """Return one run's line for the terminal."""
+    """Return a one-line summary of a run for the terminal."""
     summary = result.summary
     return (
         f"{result.scenario} load {result.load:g} {result.policy:<16} offered {summary.offered:4d} "
@@ -96,7 +99,7 @@
 
 
 def format_table(results: list[RunResult]) -> str:
-    """Return medians and spread for each scenario, load and policy."""
+    """Return a Markdown table of median, minimum and maximum per scenario, load and policy."""
     groups: dict[tuple[str, float, str], list[RunResult]] = {}
     for result in results:
         groups.setdefault((result.scenario, result.load, result.policy), []).append(result)
@@ -119,7 +122,7 @@
 
 
 def run_policies(args: argparse.Namespace) -> int:
-    """Run the command; returns the exit status."""
+    """Run the command; return 0 if no invariant was violated, else 1."""
     policies = args.policy.split(",")
     for policy in policies:
         mechanisms_for(policy)
@@ -138,10 +141,16 @@
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
     parser.add_argument("scenario", nargs="+", help="scenario file (TOML)")
-    parser.add_argument("--policy", default="full,naive", help="names, separated by commas")
+    parser.add_argument(
+        "--policy", default="full,naive", help="names of policies, separated by commas"
+    )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--repeat", type=int, default=1)
     parser.add_argument("--json", default="", help="file for the results")
-    parser.add_argument("--plot", default="", help="PNG file: goodput and waste against load")
-    parser.add_argument("--logs", default="", help="directory for the programs' logs")
+    parser.add_argument(
+        "--plot",
+        default="",
+        help="PNG file for a plot of goodput and wasted prefill work against load",
+    )
+    parser.add_argument("--logs", default="", help="directory for the logs of the programs")
     parser.set_defaults(run=run_policies)
--- a/src/crankhinge_bench/_run_result.py
+++ b/src/crankhinge_bench/_run_result.py
@@ -1,4 +1,4 @@
-"""One run of one policy, as results are kept and drawn."""
+"""One run of one policy, as results are kept in JSON and plotted."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     """One run of one policy.
 
     Attributes:
-        scenario: its name.
-        policy: its name.
-        load: multiple of the capacity.
+        scenario: name of the scenario.
+        policy: name of the policy.
+        load: multiple of the engines' capacity.
         repeat: number of the run, from 0.
-        per_s: requests a second.
-        bound: most requests that could be in time.
-        of_bound: those in time, as a part of it.
+        per_s: completions offered per second.
+        bound: upper bound on the number of completions answered in time.
+        of_bound: completions answered in time divided by ``bound``.
         summary: all figures.
     """
 
--- a/src/crankhinge_bench/_scenario.py
+++ b/src/crankhinge_bench/_scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file: what is started, what is asked of it, and what goes wrong when."""
+"""Scenario files: the programs to start, the load, and the faults to inject."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One thing that goes wrong.
+    """One fault to inject.
 
     Attributes:
-        at: seconds after the start of the trace.
+        at: start in seconds after the start of the trace.
         kind: ``kill`` ends a process with SIGKILL and starts it again after ``seconds``; ``pause``
-            stops it for ``seconds``; the others switch a stand-in's fault on for ``seconds``.
+            stops it for ``seconds``; any other kind switches a fault of a stand-in on for
+            ``seconds``.
         target: name of an agent (``write-0``), of a backend server (``backend-write-0``), of an
             entry (``entry-0``) or ``platform``.
-        seconds: how long it lasts.
-        factor: of ``slow``.
+        seconds: duration of the fault.
+        factor: factor by which ``slow`` slows a stand-in down.
     """
 
     at: float
@@ -32,15 +33,17 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A whole scenario.
+    """A scenario.
 
     Attributes:
-        name: for the results.
-        loads: multiples of the engines' capacity at which the trace is played.
-        cluster: what is started.
-        load: how arrivals are drawn; ``per_s`` is worked out from ``loads`` and the capacity.
-        faults: what goes wrong.
-        client_delay_s: one way between callers and entries, added to what callers see.
+        name: name of the scenario in the results.
+        loads: offered loads as multiples of the engines' capacity; each one is run.
+        cluster: the programs to start.
+        load: distribution of the arrivals; its ``per_s`` is ignored and computed from ``loads`` and
+            the capacity.
+        faults: faults to inject.
+        client_delay_s: one-way delay in seconds between callers and entries. Twice the delay is
+            added to the measured time to the first token.
     """
 
     name: str
@@ -52,9 +55,10 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Read a scenario.
+    """Read a scenario file.
 
     Raises:
-        SettingsError: naming the file, the key and the reason.
+        SettingsError: the file can't be read or is invalid; the detail states the file, the key and
+            the reason.
     """
     return load_settings(path, Scenario)
--- a/src/crankhinge_bench/_slopes.py
+++ b/src/crankhinge_bench/_slopes.py
@@ -1,4 +1,4 @@
-"""``crankhinge-bench slopes``: what each further link, token, server and prefix costs."""
+"""``crankhinge-bench slopes``: measures the cost of each further link, token, server and prefix."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class _IdleUsage:
-    """What one process uses while nothing is asked of it."""
+    """Resource use of one process that serves no requests, measured over ``IDLE_S`` seconds."""
 
     def __init__(self, pid: int, peers: FakePeers) -> None:
         started_at, before = time.monotonic(), read_cpu_s(pid)
@@ -65,7 +65,7 @@
 
 
 def measure_idle_entry() -> list[Slope]:
-    """Measure an entry at rest against the number of its links."""
+    """Measure the resource use of an idle entry as a function of its number of links."""
     rows = []
     for count in LINK_COUNTS:
         with Cluster(_idle_spec()) as cluster:
@@ -83,7 +83,7 @@
             agent = AgentConfig(agents.agent_name(number), "decode", "write", "naas", port, 0)
             cluster.register_agent(agent)
         cluster.start_entry(0)
-        _wait_until(lambda: _count_links(cluster) >= count)
+        _wait_for_links(lambda: _count_links(cluster) >= count)
         time.sleep(SETTLE_S)
         return _IdleUsage(cluster.procs["entry-0"].pid, agents)
     finally:
@@ -98,16 +98,16 @@
     return int(state["linked"])
 
 
-def _wait_until(done: Callable[[], bool], seconds: float = 30.0) -> None:
+def _wait_for_links(done: Callable[[], bool], seconds: float = 30.0) -> None:
     deadline = time.monotonic() + seconds
     while not done():
         if time.monotonic() > deadline:
-            raise TimeoutError("a measurement didn't come about")
+            raise TimeoutError("the links were not established in time")
         time.sleep(0.1)
 
 
 def measure_idle_agent() -> list[Slope]:
-    """Measure an agent at rest against the number of its links."""
+    """Measure the resource use of an idle agent as a function of its number of links."""
     rows = []
     for count in LINK_COUNTS:
         with Cluster(_idle_spec()) as cluster:
@@ -115,7 +115,7 @@
             entries = FakeEntries(agent.port, count, HEARTBEAT_S)
             entries.start(entries.connect_all)
             try:
-                _wait_until(lambda peers=entries, n=count: len(peers.links) >= n)  # type: ignore[misc]
+                _wait_for_links(lambda peers=entries, n=count: len(peers.links) >= n)  # type: ignore[misc]
                 time.sleep(SETTLE_S)
                 rows.append((count, _IdleUsage(cluster.procs[agent.name].pid, entries)))
             finally:
@@ -139,7 +139,7 @@
 
 
 def measure_relay() -> list[Slope]:
-    """Measure entry and decode agent against the tokens that they relay."""
+    """Measure CPU and memory of an entry and a decode agent as a function of relayed tokens."""
     spec = ClusterSpec(
         engines=(EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", 1, slots=200)),
         services=(),
@@ -198,7 +198,7 @@
 
 
 def measure_decisions() -> list[Slope]:
-    """Measure the cost of decisions against the number of backend servers and waiting asks."""
+    """Measure the time of decisions as a function of known servers and waiting requests."""
     request = RouteRequest(1000, tuple(range(40)), 64)
     routers = {count: _make_router(count) for count in SERVER_COUNTS}
     choose = [
@@ -245,7 +245,7 @@
 
 
 def measure_memory() -> list[Slope]:
-    """Measure the memory of state against its amount."""
+    """Measure the memory of in-process state as a function of its number of items."""
 
     def make_index(count: int) -> PrefixIndex:
         state = PrefixIndex(limit=count)
@@ -285,7 +285,7 @@
 
 
 def measure_key_value_reads() -> list[Slope]:
-    """Measure the key-value service's calls against the number of processes."""
+    """Measure the reads of the key-value service per bundle change as a function of processes."""
     points = []
     for count in (2, 6, 12):
         engines = (EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", count))
@@ -316,7 +316,7 @@
 
 
 def format_table(slopes: list[Slope]) -> str:
-    """Return the slopes as a table."""
+    """Return the slopes as a Markdown table."""
     lines = ["| what | unit | base | slope | error | points |", "|---|---|---|---|---|---|"]
     for slope in slopes:
         points = ", ".join(f"{x:g}: {y:.4g}" for x, y in slope.points)
@@ -328,7 +328,7 @@
 
 
 def run_slopes(args: argparse.Namespace) -> int:
-    """Run the command; returns the exit status."""
+    """Run the measurements of ``--parts``; return exit status 0."""
     measured: list[Slope] = []
     for name in args.parts.split(","):
         print(f"measuring {name} on {HOST}", file=sys.stderr, flush=True)
@@ -341,7 +341,7 @@
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
     parser.add_argument(
-        "--parts", default=",".join(MEASUREMENTS), help="names, separated by commas"
+        "--parts", default=",".join(MEASUREMENTS), help="names of measurements, separated by commas"
     )
     parser.add_argument("--json", default="", help="file for the results")
     parser.set_defaults(run=run_slopes)
--- a/src/crankhinge_bench/_spec.py
+++ b/src/crankhinge_bench/_spec.py
@@ -1,4 +1,4 @@
-"""What a cluster consists of."""
+"""Specification of the programs of a cluster, as scenario files state it."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
     """Engines of one pool.
 
     Attributes:
-        pool: its name.
+        pool: name of the pool.
         kind: ``prefill`` or ``decode``.
-        count: how many.
-        slots: requests in memory, or prompts read at once.
-        step_s: seconds a decode step takes.
-        prefill_rate: prompt tokens a second.
-        kv_life_s: seconds for which a result is kept.
-        link_bytes_per_s: rate of an engine's outgoing link; 0 for no limit.
-        kv_bytes_per_token: size of the KV cache of a token.
-        step_per_request_s: seconds a step takes longer for each further request in memory.
+        count: number of engines.
+        slots: requests that a decode engine holds in memory, or prompts that a prefill engine
+            processes, at the same time.
+        step_s: seconds of a decode step with one request in memory.
+        prefill_rate: prompt tokens that an engine processes per second.
+        kv_life_s: seconds for which a prefill engine keeps the KV cache of a prompt.
+        link_bytes_per_s: bandwidth of an engine's outgoing link in bytes per second; 0 for no
+            limit.
+        kv_bytes_per_token: bytes of KV cache per token.
+        step_per_request_s: seconds that each further request in memory adds to a decode step.
     """
 
     pool: str
@@ -34,7 +36,15 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Replicas of a plain service."""
+    """Replicas of a plain service.
+
+    Attributes:
+        pool: name of the pool and of the service.
+        path: path prefix of the service's requests.
+        count: number of replicas; the first two keep the fence records if there are several.
+        slots: requests that a replica runs at the same time.
+        work_s: seconds that a replica takes for a request.
+    """
 
     pool: str
     path: str
@@ -44,20 +54,20 @@
 
 
 class ClusterSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What is started.
+    """Programs and configuration of a cluster.
 
     Attributes:
-        entries: entry instances.
-        engines: pools of engines, all of one model ``m1``.
+        entries: number of entry instances.
+        engines: pools of engines, which all serve the model ``m1``.
         services: plain services.
-        members: names of members, with weights.
-        zones: availability zones, given out in turn.
-        first_token_s: latency target.
-        between_tokens_s: latency target.
-        policy: the bundle's policy.
-        mechanisms: which mechanisms are at work; see the policies of ``run``.
+        members: name and weight of each member.
+        zones: availability zones; the instances of a pool are assigned to them in turn.
+        first_token_s: latency target for the first token in seconds.
+        between_tokens_s: latency target for the mean gap between tokens in seconds.
+        policy: keys of the bundle's ``[policy]`` table.
+        mechanisms: name of the policy that selects the active mechanisms, as for ``run --policy``.
         beat_s: seconds between heartbeats.
-        subset: most agents of a pool that an entry links to.
+        subset: maximum number of agents of a pool that an entry links to.
     """
 
     entries: int = 1
--- a/src/crankhinge_bench/_summary.py
+++ b/src/crankhinge_bench/_summary.py
@@ -1,4 +1,4 @@
-"""What a run amounts to."""
+"""Computes the figures of a run from the results of its requests."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 class Summary(msgspec.Struct, kw_only=True):
-    """Figures of one run. Seconds, unless a name says otherwise.
+    """Figures of one run.
 
     Attributes:
         offered: completions sent.
-        answered: whole and right.
-        in_time: answered within both latency targets: the goodput's numerator.
-        refused: told "not run".
-        failed: neither answered, refused nor cancelled by the caller.
-        cancelled: given up by the caller.
-        wrong: answers that differ from the engine's: a broken promise.
-        goodput: requests a second answered whole, once and in time.
-        in_time_share: part of the offered, those that callers cancelled left out.
-        first_p50: first token.
-        first_p95: first token.
-        gap_p50: between tokens.
-        gap_p95: between tokens.
-        prefill_tokens: prompt tokens computed by the engines.
-        wasted_tokens: of these, never used.
-        wasted_share: their ratio.
+        answered: completions whose answer was complete and correct.
+        in_time: completions answered within both latency targets; the numerator of the goodput.
+        refused: completions refused with the outcome "not run".
+        failed: completions neither answered, refused nor cancelled by the caller.
+        cancelled: completions cancelled by the caller.
+        wrong: answers, also of plain calls, with wrong content: a violated invariant.
+        goodput: completions per second that were answered in time.
+        in_time_share: ``in_time`` as a fraction of the completions that callers didn't cancel.
+        first_p50: median seconds to the first token.
+        first_p95: 95th percentile of the seconds to the first token.
+        gap_p50: median of the mean seconds between the tokens of an answer.
+        gap_p95: 95th percentile of the mean seconds between the tokens of an answer.
+        prefill_tokens: prompt tokens that the engines processed.
+        wasted_tokens: prompt tokens that were processed but never used.
+        wasted_share: ``wasted_tokens`` as a fraction of ``prefill_tokens``.
         calls: plain calls sent.
-        calls_answered: answered.
-        doubled: plain calls that ran more than once: a broken promise.
-        refused_but_ran: plain calls told "not run" that ran: a broken promise.
-        causes: failures and refusals by cause.
+        calls_answered: plain calls answered.
+        doubled: runs of plain calls beyond the first one: a violated invariant.
+        refused_but_ran: plain calls refused with "not run" that ran: a violated invariant.
+        causes: number of failures and refusals by cause.
         members: in-time share of each member.
     """
 
@@ -62,12 +62,12 @@
 
     @property
     def violations(self) -> int:
-        """Promises broken, of the kinds that a run can show."""
+        """Number of violations of the invariants that the results of a run can show."""
         return self.wrong + self.doubled + self.refused_but_ran
 
 
 def percentile(values: list[float], fraction: float) -> float:
-    """Return the value below which *fraction* of *values* lies; 0 for none."""
+    """Return the value below which *fraction* of *values* lies; 0 if there are no values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -75,7 +75,7 @@
 
 
 def is_in_time(result: RequestResult, first_token_s: float, between_tokens_s: float) -> bool:
-    """Whether an answer is whole, right and within both targets."""
+    """Return whether an answer is complete, correct and within both latency targets."""
     correct = result.complete and not result.wrong
     return (
         correct and result.first_token_s <= first_token_s and result.mean_gap_s <= between_tokens_s
@@ -94,12 +94,12 @@
     """Return the figures of a run.
 
     Args:
-        results: what each caller saw.
-        seconds: length of the trace.
-        first_token_s: latency target.
-        between_tokens_s: latency target.
-        engines: counts of the engines, taken over the run.
-        runs: what the plain services ran.
+        results: result of each request.
+        seconds: length of the trace in seconds.
+        first_token_s: latency target for the first token in seconds.
+        between_tokens_s: latency target for the mean gap between tokens in seconds.
+        engines: counters of each engine over the run.
+        runs: rows that the plain services recorded, one for each call that they ran.
     """
     completions = [result for result in results if not result.arrival.path]
     calls = [result for result in results if result.arrival.path]
@@ -168,7 +168,7 @@
 
 
 def format_summary(summary: Summary) -> str:
-    """Return the figures as a page of text."""
+    """Return the figures as lines of text for the terminal."""
     first = f"p50 {_ms(summary.first_p50)}, p95 {_ms(summary.first_p95)}"
     gaps = f"p50 {_ms(summary.gap_p50)}, p95 {_ms(summary.gap_p95)}"
     waste = f"{summary.wasted_tokens} of {summary.prefill_tokens} tokens"
--- a/src/crankhinge_bench/_trace.py
+++ b/src/crankhinge_bench/_trace.py
@@ -1,4 +1,4 @@
-"""What is asked of the cluster: a list of arrivals, made from a seed before the run."""
+"""Generates the trace of a run, a list of requests with arrival times, from a seed."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     """One request of the trace.
 
     Attributes:
-        at: seconds after the start.
-        member: who asks.
+        at: arrival time in seconds after the start of the trace.
+        member: member that sends the request.
         prompt: text of the prompt; empty for a call to a plain service.
-        max_tokens: length of the answer.
+        max_tokens: length of the answer in tokens.
         rank: priority class.
-        cancel_after_tokens: tokens after which the caller goes; 0 for never.
-        path: of a plain call; empty for a completion.
-        repeatable: whether it may be run again.
+        cancel_after_tokens: number of tokens after which the caller cancels; 0 for never.
+        path: path of a call to a plain service; empty for a completion.
+        repeatable: whether the request may run more than once.
         has_shared_prefix: whether the prompt begins with a shared prefix.
     """
 
@@ -39,24 +39,25 @@
 
 
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """How arrivals are drawn.
+    """Distribution of the requests of a trace.
 
     Attributes:
-        seconds: length of the trace.
-        per_s: completions a second (Poisson).
-        calls_per_s: calls to the plain service a second.
-        prompt_words: median prompt length; log-normal.
-        prompt_sigma: of its logarithm.
-        output_tokens: median answer length; log-normal.
-        output_sigma: of its logarithm.
-        max_prompt_words: longest prompt.
-        max_output_tokens: longest answer.
+        seconds: length of the trace in seconds.
+        per_s: mean completions per second; a Poisson process.
+        calls_per_s: mean calls to the plain service per second; a Poisson process.
+        prompt_words: median of the log-normal prompt length in words, without a shared prefix.
+        prompt_sigma: standard deviation of the logarithm of the prompt length.
+        output_tokens: median of the log-normal answer length in tokens.
+        output_sigma: standard deviation of the logarithm of the answer length.
+        max_prompt_words: maximum prompt length in words, without a shared prefix.
+        max_output_tokens: maximum answer length in tokens.
         prefixes: number of shared prefixes.
-        prefix_words: length of a shared prefix.
-        prefix_share: part of the requests that begin with one.
-        cancel_share: part of the requests whose callers go in mid-answer.
-        cancel_tokens: length of the answers of which callers go after a few tokens; 0 for as drawn.
-        members: weight of each member's arrivals; empty for the first member of the cluster.
+        prefix_words: length of a shared prefix in words.
+        prefix_share: fraction of the completions that begin with a shared prefix.
+        cancel_share: fraction of the completions whose callers cancel during the answer.
+        cancel_tokens: answer length of the completions that callers cancel, each within its first
+            20 tokens; 0 to keep the random length and cancel at any token.
+        members: weight of each member's requests; empty if all come from ``naas-office``.
         ranks: weight of each priority class.
     """
 
@@ -87,7 +88,7 @@
 
 
 def make_trace(load: Load, seed: int) -> list[Arrival]:
-    """Return the arrivals, in order of time."""
+    """Return the requests of a trace, ordered by arrival time."""
     rng = random.Random(seed)
     prefixes = [_random_words(rng, load.prefix_words) for _ in range(load.prefixes)]
     shares = load.members or {"naas-office": 1.0}
--- a/src/crankhinge_bench/main.py
+++ b/src/crankhinge_bench/main.py
@@ -22,30 +22,32 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog=PROGRAM, description=__doc__)
     parser.add_argument("--version", action="version", version=f"{PROGRAM} {__version__}")
     verbs = parser.add_subparsers(dest="verb", required=True)
-    add_demo(verbs.add_parser("demo", help="the whole system for some seconds"))
-    add_days(verbs.add_parser("days", help="days of trouble for the users' bench"))
-    add_perf(verbs.add_parser("perf", help="what the product adds to calling the engines"))
-    add_spread(verbs.add_parser("spread", help="how soon a bundle is in force everywhere"))
-    add_slopes(verbs.add_parser("slopes", help="what each further link, token or server costs"))
-    add_run(verbs.add_parser("run", help="policies side by side on scenarios"))
+    add_demo(verbs.add_parser("demo", help="run the whole system for some seconds"))
+    add_days(verbs.add_parser("days", help="write day files for the users' bench and run them"))
+    add_perf(verbs.add_parser("perf", help="measure the overhead over direct engine calls"))
+    add_spread(verbs.add_parser("spread", help="measure how fast a bundle takes effect"))
+    add_slopes(
+        verbs.add_parser("slopes", help="measure the cost of each further link, token or server")
+    )
+    add_run(verbs.add_parser("run", help="compare policies on scenarios"))
     return parser
 
 
 def _on_signal(_signum: int, _frame: FrameType | None) -> None:
-    # Only the first one counts: a second must not break off the ending of the processes.
+    # Only the first signal interrupts: a second one must not abort the cleanup of the processes.
     for signum in (signal.SIGINT, signal.SIGTERM):
         signal.signal(signum, signal.SIG_IGN)
-    # The kernel would log the interrupted task with its whole stack.
+    # Curio's kernel would log the interrupted task with its whole stack.
     logging.disable(logging.CRITICAL)
     raise KeyboardInterrupt
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     signal.signal(signal.SIGINT, _on_signal)
     signal.signal(signal.SIGTERM, _on_signal)
     args = make_parser().parse_args(argv)
@@ -55,7 +57,7 @@
         print(f"{PROGRAM}: {exc.detail}", file=sys.stderr)
         return EXIT_BAD_INPUT
     except KeyboardInterrupt:
-        print("interrupted; every process is ended", file=sys.stderr)
+        print("interrupted; all processes were stopped", file=sys.stderr)
         return 0
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: one small cluster of real processes, shared by the tests that only read from it."""
+"""Fixtures: one small cluster of real processes, shared by tests that leave it unchanged."""
 
 from collections.abc import Iterator
 
@@ -13,13 +13,16 @@
 
 @pytest.fixture(scope="session")
 def cluster() -> Iterator[Cluster]:
-    """A running cluster with short intervals."""
+    """Yield a running cluster with short heartbeat intervals."""
     with Cluster(long_target_spec()) as running:
         yield running
 
 
 def long_target_spec() -> ClusterSpec:
-    """Return a cluster whose targets a slow machine meets too: speed is no matter of tests."""
+    """Return a cluster with latency targets long enough for a slow machine.
+
+    The tests check behaviour, not speed.
+    """
     engines = (
         EngineSpec("read", "prefill", 2, kv_life_s=30.0),
         EngineSpec("write", "decode", 3, kv_life_s=30.0),
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Tests that fail for a real fault that is not mended yet, as KNOWN-RED.txt lists them.
+"""Pytest hooks for tests that fail because of a known fault that isn't fixed yet.
 
-A line has the test's identity as pytest prints it, the cause and the issue, parted by bars. A
-listed test may fail; one that passes again fails the run, so that its line is taken out.
+KNOWN-RED.txt lists these tests. Each line has the test's node id as pytest prints it, the cause and
+the issue, separated by ``|``. A listed test may fail. If it passes, the run fails, so that the line
+gets removed.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 def read_known_red(root: Path) -> dict[str, str]:
-    """Return cause and issue by test.
+    """Return the cause and issue of each listed test by node id; empty without a list.
 
     Raises:
         pytest.UsageError: a line is not of the form ``test | cause | issue``.
@@ -34,7 +35,7 @@
 
 
 def pytest_collection_modifyitems(config: Any, items: list[Any]) -> None:
-    """Let the listed tests fail, and only fail."""
+    """Mark the listed tests as expected failures; the run fails if one of them passes."""
     reasons = read_known_red(config.rootpath)
     for item in items:
         if item.nodeid in reasons:
@@ -42,6 +43,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: Any, config: Any) -> None:
-    """Print what is listed."""
+    """Print each listed test with its cause and issue."""
     for test, reason in read_known_red(config.rootpath).items():
         terminalreporter.write_line(f"KNOWN RED {test}: {reason}")
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -12,25 +12,25 @@
 
 
 class TestDays:
-    """What is drawn."""
+    """Days that are generated from a site."""
 
-    def test_every_variant_stands_alone_the_asked_number_of_times(self) -> None:
-        """Each kind with each variant."""
+    def test_every_variant_gets_the_requested_number_of_days(self) -> None:
+        """With 3 days per variant, each variant of each kind has 3 days without other variants."""
         drawn = list(make_days(SITE, days_per_variant=3, mixed_days=0, seed=1))
         assert len(drawn) == 3 * len(list_variants())
         seen = {(row["kind"], row["how"]) for day in drawn for row in day.events}
         assert seen == set(list_variants())
 
-    def test_a_seed_draws_the_same_days_again(self) -> None:
-        """What broke can be played again."""
+    def test_same_seed_gives_the_same_days(self) -> None:
+        """A day that broke a rule can be generated and run again; another seed gives other days."""
         first, again = (
             list(make_days(SITE, days_per_variant=1, mixed_days=5, seed=7)) for _ in range(2)
         )
         assert first == again
         assert first != list(make_days(SITE, days_per_variant=1, mixed_days=5, seed=8))
 
-    def test_kinds_may_be_chosen_and_come_in_numbers(self) -> None:
-        """Only these are drawn, up to as many as asked for, at times the same twice."""
+    def test_only_chosen_kinds_occur_up_to_the_maximum_number(self) -> None:
+        """Mixed days have 2 to *max_events* events of the chosen kinds, some of them twice."""
         chosen = {"big_config", "config_change"}
         drawn = list(
             make_days(SITE, days_per_variant=0, mixed_days=40, seed=5, kinds=chosen, max_events=5)
@@ -38,8 +38,8 @@
         assert {row["kind"] for day in drawn for row in day.events} == chosen
         assert {len(day.events) for day in drawn} == {2, 3, 4, 5}
 
-    def test_files_are_read_back(self) -> None:
-        """Planned work and faults stand apart; moments lie within the day."""
+    def test_day_files_can_be_parsed(self) -> None:
+        """Planned operations and faults are listed apart; every start lies within its bounds."""
         for day in make_days(SITE, days_per_variant=1, mixed_days=20, seed=3):
             read = tomllib.loads(day.to_toml())
             assert read["name"] == day.name
@@ -50,10 +50,10 @@
 
 
 class TestPlay:
-    """Playing them with a command."""
+    """The ``days`` command with ``--play``."""
 
-    def test_what_broke_is_listed_by_rule(self, tmp_path: Path, capsys: object) -> None:
-        """The command's output is searched for broken rules; one is enough for status 1."""
+    def test_status_is_1_if_a_rule_broke(self, tmp_path: Path, capsys: object) -> None:
+        """A broken rule in the output of the played command, or its failure, gives status 1."""
         site = tmp_path / "site.toml"
         site.write_text('services = [{ name = "a", llm = { x = 1 } }]')
         words = ["days", str(site), "--out", str(tmp_path / "d"), "--each", "0", "--pairs", "2"]
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""Tests of the deploy file and the settings template."""
+"""Tests of the deploy file and of the settings template that the platform fills in."""
 
 from __future__ import annotations
 
@@ -27,7 +27,11 @@
 
 
 def fill_template(template: str, values: dict[str, Any] = TEMPLATE_VALUES) -> str:
-    """Fill gaps as the platform does: a path of names, as JSON where asked."""
+    """Fill in a template as the platform does.
+
+    A placeholder is a dotted path into *values*; with the suffix ``|json``, its value is written as
+    JSON. A section is left out if its path has no value.
+    """
 
     def find_value(path: str) -> Any:
         found: Any = values
@@ -48,10 +52,10 @@
 
 
 class TestDeploy:
-    """What the platform is given."""
+    """Files that the platform reads to deploy the gateway."""
 
-    def test_the_template_makes_settings_that_are_accepted(self) -> None:
-        """Every gap is filled, every key is known."""
+    def test_filled_template_is_valid_settings(self) -> None:
+        """All placeholders are filled in and the settings have no unknown key."""
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         text = fill_template((ROOT / deploy["roles"]["gateway"]["template"]).read_text())
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
@@ -60,15 +64,15 @@
         assert settings.drain_s == 8
         assert (settings.apply_s, settings.leave_s, settings.contact_s) == (4.0, 2.5, 5.0)
 
-    def test_bounds_that_are_not_stated_have_defaults(self) -> None:
-        """A deployment without them still starts."""
+    def test_missing_bounds_have_defaults(self) -> None:
+        """A deployment that states no optional bounds still starts."""
         values = {**TEMPLATE_VALUES, "bounds": {"grace_s": 8}}
         text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text(), values)
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
         assert (settings.apply_s, settings.leave_s, settings.contact_s) == (2.0, 2.0, 3.0)
 
-    def test_repeats_are_those_that_the_sheet_allows(self) -> None:
-        """A sheet that allows a twentieth must not get the seventh of others."""
+    def test_retry_budget_follows_the_deployment_ratio(self) -> None:
+        """A deployment that allows a twentieth must not get the default of about a seventh."""
         values = {**TEMPLATE_VALUES, "bounds": {"grace_s": 8, "retry_budget_ratio": 0.05}}
         text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text(), values)
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
@@ -82,20 +86,20 @@
             spent += budget.try_retry()
         assert 20 <= spent <= 50
 
-    def test_metrics_are_where_the_settings_say(self) -> None:
-        """Port and path of the deploy file are those of the template."""
+    def test_metrics_address_matches_the_settings(self) -> None:
+        """The deploy file states the metrics port and path of the template."""
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         port, _, path = deploy["roles"]["gateway"]["metrics"].partition("/")
         text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text())
         assert tomllib.loads(text)["metrics"].endswith(f":{port}")
         assert path == "metrics"
 
-    def test_requirements_are_the_locked_ones(self) -> None:
-        """What is played is what is tested."""
+    def test_requirements_are_locked(self) -> None:
+        """The versions that are deployed are those that are tested."""
         locked = set((ROOT / "requirements.lock").read_text().split())
         wanted = (ROOT / "deploy" / "requirements.txt").read_text().split()
         assert set(wanted) <= locked
 
-    def test_the_variable_with_the_settings_path_is_the_products(self) -> None:
-        """The platform derives it from the product's name."""
+    def test_settings_path_variable_has_the_product_name(self) -> None:
+        """The platform derives the name of the environment variable from the product's name."""
         assert SETTINGS_PATH == "CRANKHINGE_CONFIG"
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path, as separate processes."""
+"""Requests through an entry, agents and engines that run as separate processes."""
 
 import curio
 import openai
@@ -11,7 +11,7 @@
 
 
 def make_client(cluster: Cluster, credential: str | None = None) -> openai.OpenAI:
-    """Return an unchanged client library that talks to the entry."""
+    """Return a client of the unmodified OpenAI library that calls the first entry."""
     return openai.OpenAI(
         base_url=f"http://127.0.0.1:{cluster.entry_ports[0]}/v1",
         api_key=credential or cluster.credentials["naas-office"],
@@ -20,10 +20,10 @@
 
 
 class TestClientLibrary:
-    """An unchanged client library gets answers."""
+    """The unmodified OpenAI library as a caller."""
 
-    def test_streams_a_chat_completion(self, cluster: Cluster) -> None:
-        """The pieces of a streamed chat answer are the engine's."""
+    def test_chat_completion_is_streamed(self, cluster: Cluster) -> None:
+        """The chunks of a streamed chat answer equal the tokens that the engine generates."""
         messages = [{"role": "user", "content": "who approves the sheet"}]
         stream = make_client(cluster).chat.completions.create(
             model="m1", messages=messages, max_tokens=7, stream=True
@@ -31,8 +31,8 @@
         pieces = [c.choices[0].delta.content for c in stream if c.choices[0].delta.content]
         assert pieces == make_answer({"messages": messages, "max_tokens": 7})
 
-    def test_answers_whole(self, cluster: Cluster) -> None:
-        """An answer that isn't streamed carries its usage."""
+    def test_completion_without_streaming_has_usage(self, cluster: Cluster) -> None:
+        """An answer that isn't streamed has the engine's text and states its token usage."""
         answer = make_client(cluster).completions.create(
             model="m1", prompt="one two three", max_tokens=4
         )
@@ -42,24 +42,24 @@
         assert answer.usage is not None
         assert answer.usage.completion_tokens == 4
 
-    def test_refuses_a_wrong_credential(self, cluster: Cluster) -> None:
-        """A wrong credential is a typed error that says "not run"."""
+    def test_wrong_credential_is_refused(self, cluster: Cluster) -> None:
+        """A wrong credential raises the library's typed error with the outcome "not run"."""
         with pytest.raises(openai.AuthenticationError) as caught:
             make_client(cluster, "wrong").completions.create(model="m1", prompt="x")
         assert caught.value.response.headers["x-request-outcome"] == "not-run"
 
-    def test_names_an_unknown_model(self, cluster: Cluster) -> None:
-        """An unknown model is a typed error."""
+    def test_unknown_model_is_refused(self, cluster: Cluster) -> None:
+        """An unknown model raises the library's typed error with the code ``unknown-model``."""
         with pytest.raises(openai.NotFoundError) as caught:
             make_client(cluster).completions.create(model="m9", prompt="x")
         assert caught.value.code == "unknown-model"
 
 
 class TestStreams:
-    """Many streams at once."""
+    """Concurrent streams."""
 
-    def test_concurrent_streams_are_neither_crossed_nor_cut(self, cluster: Cluster) -> None:
-        """Every answer of 36 at once equals the engine's, token for token."""
+    def test_concurrent_streams_are_neither_mixed_nor_cut(self, cluster: Cluster) -> None:
+        """Each of 36 concurrent answers equals what the engine generates, token for token."""
         trace = [Arrival(0.0, "naas-office", f"prompt {n}", 30) for n in range(36)]
         runner = LoadGenerator(cluster.entry_ports, cluster.credentials)
         outcomes = curio.run(runner.run, trace)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of tests that are known to fail."""
+"""Tests of KNOWN-RED.txt, the list of tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_pytest(pytester: pytest.Pytester, list_text: str) -> pytest.RunResult:
-    """Run two tests, a failing and a passing one, with a list."""
+    """Run a failing and a passing test with *list_text* as KNOWN-RED.txt."""
     folder = Path(__file__).parent
     pytester.makeconftest(
         f"import sys; sys.path.insert(0, {str(folder)!r})\nfrom known_red import *"
@@ -23,23 +23,23 @@
 
 
 class TestKnownRed:
-    """What the run makes of it."""
+    """Result of a test run with a list."""
 
-    def test_a_failure_fails_without_a_list(self, pytester: pytest.Pytester) -> None:
-        """An empty list changes nothing."""
+    def test_unlisted_failure_fails_the_run(self, pytester: pytest.Pytester) -> None:
+        """With an empty list, a failing test fails the run."""
         assert run_pytest(pytester, "").ret == 1
 
-    def test_a_listed_failure_passes_and_is_printed(self, pytester: pytest.Pytester) -> None:
-        """One line for each."""
+    def test_listed_failure_is_tolerated_and_printed(self, pytester: pytest.Pytester) -> None:
+        """A listed failure doesn't fail the run; its line is printed at the end."""
         result = run_pytest(pytester, "test_two.py::test_bad | a real fault | issue 9\n")
         assert result.ret == 0
         result.stdout.fnmatch_lines(["KNOWN RED test_two.py::test_bad: a real fault (issue 9)"])
 
-    def test_a_listed_test_that_passes_fails_the_run(self, pytester: pytest.Pytester) -> None:
-        """Its line has to go."""
+    def test_listed_test_that_passes_fails_the_run(self, pytester: pytest.Pytester) -> None:
+        """A test that passes again must be removed from the list."""
         listed = "test_two.py::test_bad | x | 9\ntest_two.py::test_good | x | 9\n"
         assert run_pytest(pytester, listed).ret == 1
 
-    def test_a_line_without_a_cause_is_refused(self, pytester: pytest.Pytester) -> None:
-        """Test, cause and issue."""
+    def test_line_without_cause_is_refused(self, pytester: pytest.Pytester) -> None:
+        """A line that lacks the cause or the issue is a usage error of pytest."""
         assert run_pytest(pytester, "test_two.py::test_bad\n").ret == 4
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,13 +1,10 @@
-"""Two test runs, started together on one machine, took each other's ports.
+"""Concurrent test runs on one machine must not get the same ports.
 
-What was seen: 2 and 4 of 804 tests failed with "address already in use" where a gateway bound its
-port.
-Events: each process went through one range from a place that its id gave; in the course of a run
-both came by the same place, and a port that was free when it was looked for was taken when it was
-listened on.
-Cause: looking for a port held nothing.
-Evidence: two runs beside each other that began far apart in the range had no such failure, nor had
-single runs beside other load.
+Guards against "address already in use" when a gateway binds its port: in two runs that were started
+together, 2 and 4 of 804 tests failed this way. Each run walked through the same range of ports from
+a start that depended on its process id. Nothing reserved a port between the check that it was free
+and the bind, so both runs could take the same port. Two concurrent runs that started far apart in
+the range didn't fail, nor did single runs under other load.
 """
 
 import socket
@@ -20,7 +17,7 @@
 
 @pytest.fixture
 def two_allocators() -> Iterator[tuple[PortAllocator, PortAllocator]]:
-    """Return what two processes with one id would use."""
+    """Return two allocators that start at the same block, as those of two processes might."""
     both = PortAllocator(), PortAllocator()
     yield both
     for ports in both:
@@ -28,22 +25,22 @@
 
 
 class TestPorts:
-    """What is given to whom."""
+    """Ports that two allocators return."""
 
-    def test_are_never_given_to_two_at_once(
+    def test_two_allocators_never_return_the_same_port(
         self, two_allocators: tuple[PortAllocator, PortAllocator]
     ) -> None:
-        """However long both go on taking ports."""
+        """Each allocator takes 4000 ports, more than its blocks have, one after the other."""
         first, second = (
             {port for _ in range(200) for port in ports.take(20)} for ports in two_allocators
         )
         assert not first & second
         assert len(first) > PORTS_PER_BLOCK
 
-    def test_taken_in_turns_are_never_those_of_the_other(
+    def test_alternating_allocators_never_return_the_same_port(
         self, two_allocators: tuple[PortAllocator, PortAllocator]
     ) -> None:
-        """Taken by turns, as by two runs that go on beside each other."""
+        """Both allocators take ports in turn, as two concurrent test runs do."""
         taken: tuple[set[int], set[int]] = (set(), set())
         for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK // 10):
             for ports, mine in zip(two_allocators, taken, strict=True):
@@ -51,10 +48,10 @@
         assert not taken[0] & taken[1]
 
     @pytest.mark.parametrize("kind", [socket.SOCK_STREAM, socket.SOCK_DGRAM], ids=["tcp", "udp"])
-    def test_on_which_somebody_listens_are_passed_over(
+    def test_bound_port_is_skipped(
         self, two_allocators: tuple[PortAllocator, PortAllocator], kind: socket.SocketKind
     ) -> None:
-        """Also when all have been given once."""
+        """A port with a TCP or UDP socket is skipped, also when all ports were returned once."""
         ports, _ = two_allocators
         [taken] = ports.take(1)
         with socket.socket(socket.AF_INET, kind) as sock:
@@ -63,9 +60,9 @@
         assert taken not in later
         assert PORTS_PER_BLOCK < len(later) < MAX_BLOCKS * (PORTS_PER_BLOCK - 1)
 
-    def test_more_than_there_are_is_refused(
+    def test_too_many_ports_raise_an_error(
         self, two_allocators: tuple[PortAllocator, PortAllocator]
     ) -> None:
-        """Rather than looked for without end."""
+        """A request for more ports than one process may lock doesn't search forever."""
         with pytest.raises(RuntimeError):
             two_allocators[0].take(MAX_BLOCKS * PORTS_PER_BLOCK + 1)
