--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -40,7 +40,7 @@
 
 @dataclass
 class AgentConfig:
-    """An agent and the backend server that it serves.
+    """An agent and its backend server.
 
     Attributes:
         name: name of the agent.
@@ -97,6 +97,7 @@
 
         Raises:
             TimeoutError: a process isn't ready within ``READY_TIMEOUT_S``.
+            subprocess.CalledProcessError: the bundle wasn't published.
         """
         self._create_keys()
         self._assign_ports()
--- a/src/crankhinge_bench/_days.py
+++ b/src/crankhinge_bench/_days.py
@@ -1,9 +1,9 @@
 """Writes day files for the users' bench and runs them.
 
-A day file lists events, planned operations and faults, and when each begins. The first days have
+A day file lists events (planned operations and faults) with their start times. The first days have
 one kind of event each, the later ones a random mix. The kinds and their variants are those that the
-users' bench knows. A site file gives only the names of services and availability zones. With a
-command that runs a day, the days run concurrently and the rules that broke are listed.
+users' bench knows; a site file gives the names of services and availability zones, nothing else.
+With a command that runs a day, the days run concurrently and the rules that broke are listed.
 """
 
 from __future__ import annotations
@@ -29,6 +29,7 @@
 PLAY_TIMEOUT_S = 600.0
 BROKEN_RULE = re.compile(r"BROKEN: (.*?)(?: \(|$)")
 
+# Fields of one planned operation or fault, as a day file has them.
 Event = dict[str, Any]
 
 # Kinds of events that affect the servers of one service, with their variants.
--- a/src/crankhinge_bench/_fakes.py
+++ b/src/crankhinge_bench/_fakes.py
@@ -29,7 +29,7 @@
 
 
 class FakePeers:
-    """Links to one measured process, each of which sends heartbeats.
+    """Peers that are linked to one measured process and send heartbeats on every link.
 
     Args:
         beat_s: seconds between the heartbeats of a link.
@@ -98,10 +98,10 @@
         """Accept links on every port until cancelled."""
         async with curio.TaskGroup() as group:
             for number, port in enumerate(self._ports):
-                handler = partial(self._serve, self.agent_name(number))
+                handler = partial(self._serve_link, self.agent_name(number))
                 await group.spawn(partial(serve_tcp, HOST, port, handler, log=self._log))
 
-    async def _serve(self, name: str, sock: Any, _addr: Any) -> None:
+    async def _serve_link(self, name: str, sock: Any, _addr: Any) -> None:
         hello = Hello(WIRE_VERSION, name, "decode", "naas", 1, "write", 1)
         link = await accept_link(sock, hello)
         await self._send_heartbeats(link, Load(5, 0, 0.25, 0.03))
--- a/src/crankhinge_bench/_perf.py
+++ b/src/crankhinge_bench/_perf.py
@@ -89,8 +89,8 @@
 
 
 async def _proxied_first_token_s(cluster: Cluster, number: int) -> float:
-    runner = LoadGenerator(cluster.entry_ports, cluster.credentials)
-    [request] = await runner.run([Arrival(0.0, "naas-office", f"through {number}", 3)])
+    generator = LoadGenerator(cluster.entry_ports, cluster.credentials)
+    [request] = await generator.run([Arrival(0.0, "naas-office", f"through {number}", 3)])
     return request.first_token_s
 
 
--- a/src/crankhinge_bench/_ports.py
+++ b/src/crankhinge_bench/_ports.py
@@ -11,8 +11,8 @@
 FIRST_PORT = 12_000
 END_PORT = 30_000
 PORTS_PER_BLOCK = 100
-# Limits the blocks of one process so that several processes find enough. A process that has as
-# many reuses their ports, beginning with its first block.
+# Limits the blocks of one process so that several processes find enough. A process that holds
+# this many returns their ports again, beginning with those of its first block.
 MAX_BLOCKS = 30
 
 
--- a/src/crankhinge_bench/_slopes.py
+++ b/src/crankhinge_bench/_slopes.py
@@ -45,12 +45,12 @@
 
     def __init__(self, pid: int, peers: FakePeers) -> None:
         started_at, before = time.monotonic(), read_cpu_s(pid)
-        sent, received = peers.bytes_received(), peers.bytes_sent()
+        received, sent = peers.bytes_received(), peers.bytes_sent()
         time.sleep(IDLE_S)
         elapsed_s = time.monotonic() - started_at
         self.cpu_cores = (read_cpu_s(pid) - before) / elapsed_s
         self.payload_bytes_per_s = (
-            peers.bytes_received() - sent + peers.bytes_sent() - received
+            peers.bytes_received() - received + peers.bytes_sent() - sent
         ) / elapsed_s
         self.rss_kib = read_rss_kib(pid)
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -15,7 +15,7 @@
     """Days that are generated from a site."""
 
     def test_every_variant_gets_the_requested_number_of_days(self) -> None:
-        """With 3 days per variant, each variant of each kind has 3 days without other variants."""
+        """With 3 days per variant, there are 3 times as many days as variants, and each occurs."""
         drawn = list(make_days(SITE, days_per_variant=3, mixed_days=0, seed=1))
         assert len(drawn) == 3 * len(list_variants())
         seen = {(row["kind"], row["how"]) for day in drawn for row in day.events}
@@ -53,7 +53,7 @@
     """The ``days`` command with ``--play``."""
 
     def test_status_is_1_if_a_rule_broke(self, tmp_path: Path, capsys: object) -> None:
-        """A broken rule in the output of the played command, or its failure, gives status 1."""
+        """A broken rule in the output of the command, or its failure, gives status 1."""
         site = tmp_path / "site.toml"
         site.write_text('services = [{ name = "a", llm = { x = 1 } }]')
         words = ["days", str(site), "--out", str(tmp_path / "d"), "--each", "0", "--pairs", "2"]
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -100,6 +100,6 @@
         wanted = (ROOT / "deploy" / "requirements.txt").read_text().split()
         assert set(wanted) <= locked
 
-    def test_settings_path_variable_has_the_product_name(self) -> None:
-        """The platform derives the name of the environment variable from the product's name."""
+    def test_settings_path_variable_is_named_after_the_product(self) -> None:
+        """The platform derives this environment variable's name from the product's name."""
         assert SETTINGS_PATH == "CRANKHINGE_CONFIG"
