--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -1,4 +1,4 @@
-"""Starts the stand-ins and the product's programs on loopback, and ends them again."""
+"""Starts the stand-ins and the product's programs on loopback and stops them."""
 
 from __future__ import annotations
 
@@ -20,28 +20,35 @@
     load_private_key,
     sign_envelope,
 )
-from crankhinge_bench._procs import HOST, POLL_S, READY_S, Procs, free_ports, http_json
+from crankhinge_bench._procs import (
+    HOST,
+    POLL_INTERVAL_S,
+    READY_TIMEOUT_S,
+    Procs,
+    free_ports,
+    http_json,
+)
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
 
-READ_AT_ONCE = 2
-SEEDS = 3
-PUBLISH_TRIES = 20
-EXIT_UNKNOWN = 4
-# Who signs each bundle; the members are all the first one's.
+PREFILL_SLOTS = 2
+SEED_COUNT = 3
+MAX_PUBLISH_RETRIES = 20
+EXIT_OUTCOME_UNKNOWN = 4
+# Both partners sign each bundle; every member belongs to the first one.
 PARTNERS = ("partner-a", "partner-b")
 
 
 @dataclass
-class Place:
-    """A backend server with its agent.
+class AgentConfig:
+    """An agent and its backend server.
 
     Attributes:
-        name: of the agent.
+        name: name of the agent.
         kind: ``prefill``, ``decode`` or ``plain``.
-        pool: its pool.
-        zone: its availability zone.
-        port: of the agent.
-        backend_port: of the backend server.
+        pool: pool of the backend server.
+        zone: availability zone of both.
+        port: port of the agent.
+        backend_port: port of the backend server.
     """
 
     name: str
@@ -53,11 +60,11 @@
 
 
 class Cluster(Procs):
-    """Processes on loopback, in a directory of their own.
+    """A whole system on loopback: the platform, backend servers, agents and entries.
 
     Args:
-        spec: what to start.
-        logs: directory for the programs' logs; a temporary one by default.
+        spec: the programs to start.
+        logs: directory for the programs' logs; a temporary directory by default.
         backends: whether backend servers are started.
     """
 
@@ -67,12 +74,12 @@
         super().__init__(logs)
         self.spec = spec
         self._backends = backends
-        self.places: list[Place] = []
+        self.agents: list[AgentConfig] = []
         self.entry_ports: list[int] = []
         self.platform_port = 0
         self.credentials = {name: secrets.token_urlsafe(24) for name, _ in spec.members}
         self._keys: dict[str, str] = {}
-        self.version = 0
+        self.bundle_version = 0
 
     def __enter__(self) -> Cluster:
         try:
@@ -86,24 +93,29 @@
         self.stop()
 
     def start(self) -> None:
-        """Start everything and wait until the entries are ready."""
-        self._make_keys()
-        self._plan()
+        """Start all processes, publish the first bundle and wait until the entries are ready.
+
+        Raises:
+            TimeoutError: a process isn't ready within ``READY_TIMEOUT_S``.
+            subprocess.CalledProcessError: the bundle wasn't published.
+        """
+        self._create_keys()
+        self._assign_ports()
         self._start_standins()
-        backends = [place.backend_port for place in self.places if self._backends]
+        backends = [agent.backend_port for agent in self.agents if self._backends]
         self.wait_for_ports([self.platform_port, *backends])
         self.publish(self.bundle_text(1))
-        for place in self.places:
-            self.start_agent(place)
+        for agent in self.agents:
+            self.start_agent(agent)
         for number in range(self.spec.entries):
             self.start_entry(number)
         self.wait_ready()
 
-    def _make_keys(self) -> None:
+    def _create_keys(self) -> None:
         for partner in PARTNERS:
             self._keys[partner] = create_key_pair(self.dir / f"{partner}.key")
 
-    def _plan(self) -> None:
+    def _assign_ports(self) -> None:
         spec = self.spec
         backends = [(e.pool, e.kind, n) for e in spec.engines for n in range(e.count)]
         backends += [(s.pool, "plain", n) for s in spec.services for n in range(s.count)]
@@ -112,34 +124,34 @@
         self.entry_ports = [ports.pop() for _ in range(spec.entries)]
         for pool, kind, n in backends:
             zone = spec.zones[n % len(spec.zones)]
-            place = Place(f"{pool}-{n}", kind, pool, zone, ports.pop(), ports.pop())
-            self.places.append(place)
+            agent = AgentConfig(f"{pool}-{n}", kind, pool, zone, ports.pop(), ports.pop())
+            self.agents.append(agent)
 
     def _start_standins(self) -> None:
         standin = "crankhinge_standins.main"
         self.run("platform", standin, "platform", "--port", str(self.platform_port),
                  "--list-lag-s", "0.2")  # fmt: skip
-        for place in self.places if self._backends else ():
-            self.start_backend(place)
-
-    def start_backend(self, place: Place) -> None:
-        """Start the backend server of *place*."""
-        args = self._backend_args(place)
-        self.run(f"backend-{place.name}", "crankhinge_standins.main", *args)
-
-    def _backend_args(self, place: Place) -> list[str]:
-        record = str(self.record_of(place))
-        if place.kind == "plain":
-            service = next(s for s in self.spec.services if s.pool == place.pool)
+        for agent in self.agents if self._backends else ():
+            self.start_backend(agent)
+
+    def start_backend(self, agent: AgentConfig) -> None:
+        """Start the backend server of *agent*."""
+        args = self._backend_args(agent)
+        self.run(f"backend-{agent.name}", "crankhinge_standins.main", *args)
+
+    def _backend_args(self, agent: AgentConfig) -> list[str]:
+        record = str(self.record_path(agent))
+        if agent.kind == "plain":
+            service = next(s for s in self.spec.services if s.pool == agent.pool)
             work = str(service.work_s)
-            port = str(place.backend_port)
+            port = str(agent.backend_port)
             return ["service", "--port", port, "--work-s", work, "--record", record]
-        engine = self._engine(place)
+        engine = self._engine_spec(agent)
         return [
             "engine",
             *("--record", record),
             *("--weights", f"{HOST}:{self.platform_port}"),
-            *("--port", str(place.backend_port)),
+            *("--port", str(agent.backend_port)),
             *("--slots", str(engine.slots)),
             *("--step-s", str(engine.step_s)),
             *("--prefill-rate", str(engine.prefill_rate)),
@@ -149,24 +161,27 @@
             *("--step-per-request-s", str(engine.step_per_request_s)),
         ]
 
-    def record_of(self, place: Place) -> Path:
-        """Return the file in which the backend server of *place* records its runs."""
-        return self.dir / f"{place.name}.runs"
+    def record_path(self, agent: AgentConfig) -> Path:
+        """Return the file in which the backend server of *agent* records what it runs."""
+        return self.dir / f"{agent.name}.runs"
 
-    def records(self, *kinds: str) -> list[dict[str, Any]]:
-        """Return what the backend servers of some kinds recorded, with each row's place."""
+    def read_records(self, *kinds: str) -> list[dict[str, Any]]:
+        """Return the rows that backend servers of *kinds* recorded.
+
+        Each row gets the name of the server's agent under the key ``place``.
+        """
         rows = []
-        for place in self.places:
-            path = self.record_of(place)
-            if place.kind not in kinds or not path.exists():
+        for agent in self.agents:
+            path = self.record_path(agent)
+            if agent.kind not in kinds or not path.exists():
                 continue
-            rows += [{**json.loads(line), "place": place.name} for line in path.open()]
+            rows += [{**json.loads(line), "place": agent.name} for line in path.open()]
         return rows
 
-    def _engine(self, place: Place) -> EngineSpec:
-        return next(e for e in self.spec.engines if e.pool == place.pool)
+    def _engine_spec(self, agent: AgentConfig) -> EngineSpec:
+        return next(e for e in self.spec.engines if e.pool == agent.pool)
 
-    def _peer_settings(self, name: str, zone: str, port: int) -> list[str]:
+    def _peer_setting_lines(self, name: str, zone: str, port: int) -> list[str]:
         return [
             f'name = "{name}"',
             f'zone = "{zone}"',
@@ -185,49 +200,49 @@
         path.write_text("\n".join([*lines, "[keys]", *keys]) + "\n")
         return str(path)
 
-    def start_agent(self, place: Place) -> None:
-        """Start the agent of *place* and show it in the platform's list."""
-        lines = self._peer_settings(place.name, place.zone, place.port)
+    def start_agent(self, agent: AgentConfig) -> None:
+        """Start *agent* and add it to the platform's list of instances."""
+        lines = self._peer_setting_lines(agent.name, agent.zone, agent.port)
         lines += [
-            f'role = "{place.kind}"',
-            f'pool = "{place.pool}"',
-            f'backend = "{HOST}:{place.backend_port}"',
-            *self._role_settings(place),
+            f'role = "{agent.kind}"',
+            f'pool = "{agent.pool}"',
+            f'backend = "{HOST}:{agent.backend_port}"',
+            *self._role_setting_lines(agent),
         ]
-        self.run(place.name, "crankhinge.agent.main", self._write_settings(place.name, lines))
-        self.register(place)
+        self.run(agent.name, "crankhinge.agent.main", self._write_settings(agent.name, lines))
+        self.register_agent(agent)
 
-    def _role_settings(self, place: Place) -> list[str]:
-        if place.kind == "plain":
-            service = next(s for s in self.spec.services if s.pool == place.pool)
+    def _role_setting_lines(self, agent: AgentConfig) -> list[str]:
+        if agent.kind == "plain":
+            service = next(s for s in self.spec.services if s.pool == agent.pool)
             rate = service.slots / max(service.work_s, 0.001)
             return [f"slots = {service.slots}", f"rate = {rate}"]
-        engine = self._engine(place)
-        if place.kind == "prefill":
-            return [f"slots = {READ_AT_ONCE}", f"rate = {engine.prefill_rate}"]
+        engine = self._engine_spec(agent)
+        if agent.kind == "prefill":
+            return [f"slots = {PREFILL_SLOTS}", f"rate = {engine.prefill_rate}"]
         return [f"slots = {engine.slots}", f"step_s = {engine.step_s * 1.5}"]
 
-    def register(self, place: Place, *, state: str = "live") -> None:
-        """Show an instance in the platform's list."""
+    def register_agent(self, agent: AgentConfig, *, state: str = "live") -> None:
+        """Add *agent* to the platform's list of instances, or replace its row there."""
         service = {
-            "ID": place.name,
+            "ID": agent.name,
             "Address": HOST,
-            "Port": place.port,
-            "Meta": {"zone": place.zone, "pool": place.pool, "state": state},
+            "Port": agent.port,
+            "Meta": {"zone": agent.zone, "pool": agent.pool, "state": state},
         }
         http_json("PUT", self.platform_port, "/v1/agent/service/register", service)
 
-    def start_entry(self, number: int, extra: tuple[str, ...] = ()) -> None:
-        """Start an entry, with further lines of settings."""
+    def start_entry(self, number: int, extra_settings: tuple[str, ...] = ()) -> None:
+        """Start entry *number*; *extra_settings* are lines added to its settings file."""
         name = f"entry-{number}"
         zone = self.spec.zones[number % len(self.spec.zones)]
-        lines = self._peer_settings(name, zone, self.entry_ports[number])
-        seeds = [f"{HOST}:{place.port}" for place in self.places[:SEEDS]]
-        lines += [f"seeds = {seeds}", f"subset = {self.spec.subset}", *extra]
+        lines = self._peer_setting_lines(name, zone, self.entry_ports[number])
+        seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_COUNT]]
+        lines += [f"seeds = {seeds}", f"subset = {self.spec.subset}", *extra_settings]
         self.run(name, "crankhinge.entry.main", self._write_settings(name, lines))
 
     def bundle_text(self, version: int, adapters: Mapping[str, int] | None = None) -> str:
-        """Return the bundle's TOML, with adapters by name and version."""
+        """Return the TOML text of a bundle; *adapters* maps names to versions."""
         spec = self.spec
         out = [f"version = {version}", ""]
         for partner in self._keys:
@@ -263,7 +278,7 @@
         out = []
         for engine in self.spec.engines:
             out += ["[[pools]]", f'name = "{engine.pool}"', f'kind = "{engine.kind}"']
-            out += [f"slots = {READ_AT_ONCE if engine.kind == 'prefill' else engine.slots}", ""]
+            out += [f"slots = {PREFILL_SLOTS if engine.kind == 'prefill' else engine.slots}", ""]
         for service in self.spec.services:
             out += ["[[pools]]", f'name = "{service.pool}"', 'kind = "plain"']
             out += [f"slots = {service.slots}"]
@@ -286,8 +301,8 @@
             "",
         ]
 
-    def envelope(self, text: str) -> bytes:
-        """Return the bundle signed by both partners."""
+    def signed_bundle(self, text: str) -> bytes:
+        """Return the envelope with the bundle *text*, signed by both partners."""
         envelope = Envelope(text)
         for partner in self._keys:
             envelope = sign_envelope(
@@ -296,72 +311,83 @@
         return encode_envelope(envelope)
 
     def publish(self, text: str) -> None:
-        """Sign and publish a bundle with the operators' command line."""
+        """Sign the bundle *text* and publish it with ``crankhinge-ctl``.
+
+        Raises:
+            subprocess.CalledProcessError: the bundle wasn't published.
+        """
         path = self.dir / "bundle.signed"
-        path.write_bytes(self.envelope(text))
+        path.write_bytes(self.signed_bundle(text))
         command = [sys.executable, "-m", "crankhinge.ctl.main", "bundle", "publish", str(path)]
-        command += ["--settings", self.ctl_settings()]
+        command += ["--settings", self.write_ctl_settings()]
         subprocess.run(command, check=True, stdout=subprocess.DEVNULL)
-        self.version += 1
+        self.bundle_version += 1
+
+    def publish_concurrently(self, version: int) -> bool:
+        """Publish two different bundles of one version at the same time.
 
-    def race(self, version: int) -> bool:
-        """Let two operators publish different bundles of one version; True if one was accepted.
+        A publication whose outcome is unknown is repeated, as an operator would do.
 
-        A publication whose outcome isn't known is repeated, as its operator would.
+        Returns:
+            Whether one of the bundles was accepted.
         """
         procs = []
         for name, patience in (("one", 1.5), ("two", 2.0)):
             text = self.bundle_text(version) + f"patience = {patience}\n"
             path = self.dir / f"bundle-{name}.signed"
-            path.write_bytes(self.envelope(text))
-            procs.append(self._publish_until_known(path))
+            path.write_bytes(self.signed_bundle(text))
+            procs.append(self._start_publication(path))
         statuses = [proc() for proc in procs]
-        won = 0 in statuses
-        if won:
-            self.version = version
-        return won
+        accepted = 0 in statuses
+        if accepted:
+            self.bundle_version = version
+        return accepted
 
-    def _publish_until_known(self, path: Path) -> Callable[[], int]:
+    def _start_publication(self, path: Path) -> Callable[[], int]:
         command = [sys.executable, "-m", "crankhinge.ctl.main", "bundle", "publish", str(path)]
-        command += ["--settings", self.ctl_settings()]
-        nowhere = subprocess.DEVNULL
-        proc = subprocess.Popen(command, stdout=nowhere, stderr=nowhere)
+        command += ["--settings", self.write_ctl_settings()]
+        devnull = subprocess.DEVNULL
+        proc = subprocess.Popen(command, stdout=devnull, stderr=devnull)
 
         def finish() -> int:
             status = proc.wait()
-            for _ in range(PUBLISH_TRIES):
-                if status != EXIT_UNKNOWN:
+            for _ in range(MAX_PUBLISH_RETRIES):
+                if status != EXIT_OUTCOME_UNKNOWN:
                     break
                 time.sleep(1.0)
-                status = subprocess.call(command, stdout=nowhere, stderr=nowhere)
+                status = subprocess.call(command, stdout=devnull, stderr=devnull)
             return status
 
         return finish
 
-    def ctl_settings(self) -> str:
-        """Return the path of the command line's settings."""
-        seeds = [f"{HOST}:{place.port}" for place in self.places[:SEEDS]]
+    def write_ctl_settings(self) -> str:
+        """Write the settings file of ``crankhinge-ctl`` and return its path."""
+        seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_COUNT]]
         return self._write_settings(
             "ctl", [f'key_value = "{HOST}:{self.platform_port}"', f"seeds = {seeds}"]
         )
 
     def wait_ready(self) -> None:
-        """Wait until every entry has a bundle and answers a request."""
-        until = time.monotonic() + READY_S
-        self.wait_for_ports([*self.entry_ports, *(place.port for place in self.places)])
+        """Wait until every entry is linked to its agents and every fence record has its replicas.
+
+        Raises:
+            TimeoutError: the system isn't ready within ``READY_TIMEOUT_S``.
+        """
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        self.wait_for_ports([*self.entry_ports, *(agent.port for agent in self.agents)])
         for port in self.entry_ports:
             while not self._is_ready(port):
-                if time.monotonic() > until:
-                    raise TimeoutError(f"entry on {port} isn't ready")
-                time.sleep(POLL_S)
-        holders = [f"{s.pool}-{n}" for s in self.spec.services if s.count > 1 for n in (0, 1)]
-        while not all(self._is_paired(name) for name in holders):
-            if time.monotonic() > until:
-                raise TimeoutError("the fence records have no holders")
-            time.sleep(POLL_S)
-
-    def _is_paired(self, name: str) -> bool:
-        """Whether a fence holder has its record, by its log."""
+                if time.monotonic() > deadline:
+                    raise TimeoutError(f"entry on port {port} is not ready")
+                time.sleep(POLL_INTERVAL_S)
+        replicas = [f"{s.pool}-{n}" for s in self.spec.services if s.count > 1 for n in (0, 1)]
+        while not all(self._has_fence_record(name) for name in replicas):
+            if time.monotonic() > deadline:
+                raise TimeoutError("not every fence record has two replicas")
+            time.sleep(POLL_INTERVAL_S)
+
+    def _has_fence_record(self, name: str) -> bool:
+        """Return whether the log of agent *name* says that its fence record is paired."""
         return "role=paired" in (self.logs / f"{name}.log").read_text()
 
     def _is_ready(self, port: int) -> bool:
@@ -369,31 +395,31 @@
             state = http_json("GET", port, "/readyz")
         except OSError:
             return False
-        return bool(state["linked"] >= min(len(self.places), self.spec.subset))
+        return bool(state["linked"] >= min(len(self.agents), self.spec.subset))
 
-    def start_again(self, name: str) -> None:
-        """Start a process that was killed."""
+    def restart(self, name: str) -> None:
+        """Start an entry, an agent or a backend server again after it was killed."""
         if name.startswith("entry-"):
             self.start_entry(int(name.removeprefix("entry-")))
             return
-        place = next(p for p in self.places if p.name == name.removeprefix("backend-"))
+        agent = next(a for a in self.agents if a.name == name.removeprefix("backend-"))
         if name.startswith("backend-"):
-            self.start_backend(place)
+            self.start_backend(agent)
         else:
-            self.start_agent(place)
+            self.start_agent(agent)
 
     def standin_port(self, name: str) -> int:
-        """Return the port of the platform or of a backend server."""
+        """Return the port of ``platform`` or of a backend server such as ``backend-write-0``."""
         if name == "platform":
             return self.platform_port
         wanted = name.removeprefix("backend-")
-        return next(p.backend_port for p in self.places if p.name == wanted)
+        return next(agent.backend_port for agent in self.agents if agent.name == wanted)
 
     def engine_stats(self) -> list[dict[str, Any]]:
-        """Return each engine's own counts."""
-        engines = [place for place in self.places if place.kind != "plain"]
-        return [http_json("GET", place.backend_port, "/stats") for place in engines]
+        """Return the counters that each engine keeps of itself."""
+        engines = [agent for agent in self.agents if agent.kind != "plain"]
+        return [http_json("GET", agent.backend_port, "/stats") for agent in engines]
 
-    def faults(self, port: int, **faults: Any) -> None:
-        """Switch faults of a stand-in on or off."""
+    def set_faults(self, port: int, **faults: Any) -> None:
+        """Set faults of the stand-in on *port* by name, for example ``down=True``."""
         http_json("PUT", port, "/faults", faults)
--- a/src/crankhinge_bench/_days.py
+++ b/src/crankhinge_bench/_days.py
@@ -1,8 +1,9 @@
-"""Writes day files for the users' bench: every kind of trouble alone, then drawn together.
+"""Writes day files for the users' bench and runs them.
 
-A day file names what goes wrong and when. The kinds and their variants are those that the users'
-bench lists; sites give the names of services and availability zones, nothing else. With a command
-to play a day, the days are played side by side and what broke is listed by rule.
+A day file lists events (planned operations and faults) with their start times. The first days have
+one kind of event each, the later ones a random mix. The kinds and their variants are those that the
+users' bench knows; a site file gives the names of services and availability zones, nothing else.
+With a command that runs a day, the days run concurrently and the rules that broke are listed.
 """
 
 from __future__ import annotations
@@ -23,15 +24,16 @@
 
 from crankhinge.errors import SettingsError
 
-# When a trouble may begin, in seconds from the start of traffic, and how long a day lasts.
-FIRST_S, LAST_S = 0.5, 28.0
-PLAY_S = 600.0
-BROKEN = re.compile(r"BROKEN: (.*?)(?: \(|$)")
+# Earliest and latest start of an event, in seconds from the start of traffic.
+MIN_START_S, MAX_START_S = 0.5, 28.0
+PLAY_TIMEOUT_S = 600.0
+BROKEN_RULE = re.compile(r"BROKEN: (.*?)(?: \(|$)")
 
-Trouble = dict[str, Any]
+# Fields of one planned operation or fault, as a day file has them.
+Event = dict[str, Any]
 
-# Kinds for servers, with the variants that fit them; {llm} is a service of engines.
-SERVERS: dict[str, tuple[str, ...]] = {
+# Kinds of events that affect the servers of one service, with their variants.
+SERVER_KINDS: dict[str, tuple[str, ...]] = {
     "srv_crash": ("", "dark", "gone", "across", "domain"),
     "srv_grey": ("errors", "shed", "busy", "hang", "reset", "mute", "slow", "errors one_zone"),
     "release": ("",),
@@ -46,8 +48,8 @@
     "handle_short": ("",),
     "applied_late": ("orders", "cloud", "grants", "all"),
 }
-# Kinds for the system's own instances, the platform, the callers and the operators.
-OTHERS: dict[str, tuple[str, ...]] = {
+# Kinds that affect the system's own instances, the platform, callers or operators.
+OTHER_KINDS: dict[str, tuple[str, ...]] = {
     "burst": ("",),
     "shift": ("",),
     "retry_abuse": ("",),
@@ -82,144 +84,186 @@
     "config_storm": ("",),
     "big_config": ("",),
 }
-# Fields that a kind wants beside its own defaults.
-FIELDS: dict[str, Trouble] = {
+# Fields that are set for a kind in place of the defaults of the users' bench.
+EXTRA_FIELDS: dict[str, Event] = {
     "config_storm": {"for_s": 2.0, "gap_s": 0.1},
     "big_config": {"count": 1400},
     "herd_kill": {"share": 0.6, "for_s": 2.0},
     "burst": {"x": 2.0, "for_s": 5.0},
 }
-PLANNED = frozenset(
+PLANNED_KINDS = frozenset(
     {"release", "scale_in", "scale_out", "roll_term", "config_change", "config_storm", "big_config"}
 )
 
 
 @dataclass(frozen=True)
 class Day:
-    """One day: a name and what goes wrong."""
+    """One day.
+
+    Attributes:
+        name: name of the day and of its file.
+        seed: seed of the users' bench for this day.
+        events: planned operations and faults.
+    """
 
     name: str
     seed: int
-    troubles: tuple[Trouble, ...]
+    events: tuple[Event, ...]
 
-    def text(self) -> str:
-        """Return the day file."""
+    def to_toml(self) -> str:
+        """Return the text of the day file."""
         lines = [f'name = "{self.name}"', f"seed = {self.seed}"]
         for part, planned in (("plan", True), ("faults", False)):
-            rows = [t for t in self.troubles if (t["kind"] in PLANNED) is planned]
-            lines += [f"{part} = [", *(f"  {_inline(row)}," for row in rows), "]"]
+            rows = [event for event in self.events if (event["kind"] in PLANNED_KINDS) is planned]
+            lines += [f"{part} = [", *(f"  {_inline_table(row)}," for row in rows), "]"]
         return "\n".join(lines) + "\n"
 
 
-def _inline(trouble: Trouble) -> str:
+def _inline_table(event: Event) -> str:
     pairs = (
         f'{key} = "{value}"' if isinstance(value, str) else f"{key} = {value}"
-        for key, value in trouble.items()
+        for key, value in event.items()
     )
     return "{ " + ", ".join(pairs) + " }"
 
 
-def variants(kinds: Collection[str] = ()) -> list[tuple[str, str]]:
-    """Return every kind, or those of *kinds*, with each of its variants."""
-    both = itertools.chain(SERVERS.items(), OTHERS.items())
-    return [(kind, how) for kind, hows in both for how in hows if not kinds or kind in kinds]
+def list_variants(kinds: Collection[str] = ()) -> list[tuple[str, str]]:
+    """Return all pairs of kind and variant; only those of *kinds* unless it is empty."""
+    all_kinds = itertools.chain(SERVER_KINDS.items(), OTHER_KINDS.items())
+    return [
+        (kind, variant)
+        for kind, variants in all_kinds
+        for variant in variants
+        if not kinds or kind in kinds
+    ]
 
 
-def engines_of(site: dict[str, Any]) -> list[str]:
-    """Return the names of the services that are engines."""
+def engine_services(site: dict[str, Any]) -> list[str]:
+    """Return the names of the services whose servers are engines."""
     return [row["name"] for row in site["services"] if "llm" in row]
 
 
-def trouble(kind: str, how: str, site: dict[str, Any], rng: random.Random) -> Trouble:
-    """Return a trouble that begins at a drawn moment."""
-    row: Trouble = {"kind": kind, "at": round(rng.uniform(FIRST_S, LAST_S), 2), "how": how}
-    row.update(FIELDS.get(kind, {}))
-    if kind in SERVERS:
+def make_event(kind: str, variant: str, site: dict[str, Any], rng: random.Random) -> Event:
+    """Return an event with a random start and, if its kind affects servers, a random service."""
+    row: Event = {
+        "kind": kind,
+        "at": round(rng.uniform(MIN_START_S, MAX_START_S), 2),
+        "how": variant,
+    }
+    row.update(EXTRA_FIELDS.get(kind, {}))
+    if kind in SERVER_KINDS:
         names = [service["name"] for service in site["services"]]
         only_engines = kind in ("kv_slow", "handle_short", "applied_late")
-        row["service"] = rng.choice(engines_of(site) if only_engines else names)
+        row["service"] = rng.choice(engine_services(site) if only_engines else names)
     return row
 
 
-def days(
+def make_days(
     site: dict[str, Any],
     *,
-    each: int,
-    pairs: int,
+    days_per_variant: int,
+    mixed_days: int,
     seed: int,
     kinds: Collection[str] = (),
-    most: int = 3,
+    max_events: int = 3,
 ) -> Iterator[Day]:
-    """Return days with one kind each, then with several drawn ones, repeated at times.
+    """Yield days with one variant each, then days with several random variants.
+
+    A day of one variant has one or two events of it.
 
     Args:
-        site: the site file.
-        each: days of each kind and variant.
-        pairs: days of two or more drawn ones.
-        seed: of everything that is drawn.
-        kinds: what is drawn from; everything by default.
-        most: troubles of a drawn day.
+        site: the parsed site file.
+        days_per_variant: number of days for each kind and variant.
+        mixed_days: number of days with two or more random events.
+        seed: seed of all random choices; the same seed gives the same days.
+        kinds: kinds to choose from; all by default.
+        max_events: maximum number of events of a mixed day.
     """
     rng = random.Random(seed)
     number = 0
-    for kind, how in variants(kinds):
-        for _ in range(each):
+    for kind, variant in list_variants(kinds):
+        for _ in range(days_per_variant):
             number += 1
-            rows = tuple(trouble(kind, how, site, rng) for _ in range(rng.choice((1, 1, 2))))
-            name = re.sub(r"\W+", "-", f"{kind} {how}".strip())
+            rows = tuple(make_event(kind, variant, site, rng) for _ in range(rng.choice((1, 1, 2))))
+            name = re.sub(r"\W+", "-", f"{kind} {variant}".strip())
             yield Day(f"one-{number}-{name}", rng.randrange(2**31), rows)
-    for index in range(pairs):
-        # Two are the commonest, and a trouble may come twice.
-        drawn = rng.choices(variants(kinds), k=rng.choice((2, *range(2, most + 1))))
-        rows = tuple(trouble(kind, how, site, rng) for kind, how in drawn)
+    for index in range(mixed_days):
+        # Two events are the most common number, and a variant may occur twice.
+        drawn = rng.choices(list_variants(kinds), k=rng.choice((2, *range(2, max_events + 1))))
+        rows = tuple(make_event(kind, variant, site, rng) for kind, variant in drawn)
         yield Day(f"drawn-{index}", rng.randrange(2**31), rows)
 
 
-def _play(command: str, path: Path) -> tuple[Path, str, list[str]]:
-    words = [word.replace("{day}", str(path)) for word in shlex.split(command)]
-    done = subprocess.run(words, capture_output=True, text=True, timeout=PLAY_S, check=False)
-    found = BROKEN.findall(done.stdout)
-    if done.returncode != 0 and not found:
-        found = [f"FAULT: exit {done.returncode}: {(done.stdout + done.stderr)[-200:]!r}"]
-    (path.with_suffix(".txt")).write_text(done.stdout)
-    return path, done.stdout, found
+def _play_day(command: str, path: Path) -> tuple[Path, str, list[str]]:
+    command_line = [word.replace("{day}", str(path)) for word in shlex.split(command)]
+    completed = subprocess.run(
+        command_line, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S, check=False
+    )
+    found = BROKEN_RULE.findall(completed.stdout)
+    if completed.returncode != 0 and not found:
+        found = [
+            f"FAULT: exit {completed.returncode}: {(completed.stdout + completed.stderr)[-200:]!r}"
+        ]
+    (path.with_suffix(".txt")).write_text(completed.stdout)
+    return path, completed.stdout, found
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the command line."""
+    """Declare the command's arguments."""
     parser.add_argument("site", type=Path, help="site file")
-    parser.add_argument("--out", type=Path, required=True, help="folder for the day files")
-    parser.add_argument("--each", type=int, default=3, help="days of each kind and variant")
-    parser.add_argument("--pairs", type=int, default=200, help="days of two or three drawn kinds")
-    parser.add_argument("--kinds", default="", help="kinds to draw from, with commas")
-    parser.add_argument("--most", type=int, default=3, help="troubles of a drawn day")
+    parser.add_argument("--out", type=Path, required=True, help="directory for the day files")
+    parser.add_argument(
+        "--each", type=int, default=3, help="number of days for each kind and variant"
+    )
+    parser.add_argument(
+        "--pairs", type=int, default=200, help="number of days with several random kinds"
+    )
+    parser.add_argument("--kinds", default="", help="kinds to choose from, separated by commas")
+    parser.add_argument(
+        "--most", type=int, default=3, help="maximum number of events of a mixed day"
+    )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--play", default="", help="command that plays {day}; none: only write")
-    parser.add_argument("--jobs", type=int, default=4, help="days played at once")
-    parser.set_defaults(run=run)
+    parser.add_argument(
+        "--play",
+        default="",
+        help="command that runs the day file {day}; without it, days are only written",
+    )
+    parser.add_argument(
+        "--jobs", type=int, default=4, help="number of days that run at the same time"
+    )
+    parser.set_defaults(run=run_days)
 
 
-def run(args: argparse.Namespace) -> int:
-    """Write the days, play them where asked; 1 if a rule broke."""
+def run_days(args: argparse.Namespace) -> int:
+    """Write the days and, with ``--play``, run them; return 1 if a rule broke, else 0.
+
+    Raises:
+        SettingsError: ``--kinds`` names an unknown kind.
+    """
     site = tomllib.loads(args.site.read_text())
     args.out.mkdir(parents=True, exist_ok=True)
     paths = []
     kinds = {name for name in args.kinds.split(",") if name}
-    if unknown := kinds - {*SERVERS, *OTHERS}:
-        raise SettingsError(f"--kinds: no such kind: {sorted(unknown)}")
-    drawn = days(
-        site, each=args.each, pairs=args.pairs, seed=args.seed, kinds=kinds, most=args.most
+    if unknown := kinds - {*SERVER_KINDS, *OTHER_KINDS}:
+        raise SettingsError(f"--kinds: unknown kinds: {sorted(unknown)}")
+    drawn = make_days(
+        site,
+        days_per_variant=args.each,
+        mixed_days=args.pairs,
+        seed=args.seed,
+        kinds=kinds,
+        max_events=args.most,
     )
     for day in drawn:
         path = args.out / f"{day.name}.toml"
-        path.write_text(day.text())
+        path.write_text(day.to_toml())
         paths.append(path)
     print(f"{len(paths)} days written")
     if not args.play:
         return 0
     broken: Counter[str] = Counter()
     with ThreadPoolExecutor(args.jobs) as pool:
-        for path, _, found in pool.map(lambda path: _play(args.play, path), paths):
+        for path, _, found in pool.map(lambda path: _play_day(args.play, path), paths):
             for rules in found:
                 print(f"{path.stem}: {rules}", flush=True)
                 broken[rules.split()[0]] += 1
--- a/src/crankhinge_bench/_faults.py
+++ b/src/crankhinge_bench/_faults.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a scenario beside its load."""
+"""Injects the faults of a scenario while its load runs."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from crankhinge_bench._scenario import Fault
 
 
-class FaultPlayer:
-    """Plays faults on a thread of its own.
+class FaultInjector:
+    """Injects faults into a cluster from a separate thread.
 
     Args:
-        cluster: what they befall.
-        faults: in any order.
+        cluster: the cluster that the faults affect.
+        faults: faults in any order; they may overlap.
     """
 
     def __init__(self, cluster: Cluster, faults: tuple[Fault, ...]) -> None:
         self._cluster = cluster
-        steps: list[tuple[float, Callable[[], None]]] = []
+        schedule: list[tuple[float, Callable[[], None]]] = []
         for fault in faults:
-            begin, end = self._steps(fault)
-            steps += [(fault.at, begin), (fault.at + fault.seconds, end)]
-        self._steps_due = sorted(steps, key=lambda step: step[0])
-        self._thread = threading.Thread(target=self._play, daemon=True)
+            start, end = self._make_actions(fault)
+            schedule += [(fault.at, start), (fault.at + fault.seconds, end)]
+        self._schedule = sorted(schedule, key=lambda action: action[0])
+        self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin; times count from now."""
+        """Start the thread; the times of the faults count from now."""
         self._thread.start()
 
     def join(self) -> None:
-        """Wait until the last fault has been taken back."""
+        """Wait until the last fault has ended."""
         self._thread.join()
 
-    def _play(self) -> None:
-        began = time.monotonic()
-        for at, step in self._steps_due:
-            time.sleep(max(0.0, began + at - time.monotonic()))
-            step()
+    def _run(self) -> None:
+        started_at = time.monotonic()
+        for at, action in self._schedule:
+            time.sleep(max(0.0, started_at + at - time.monotonic()))
+            action()
 
-    def _steps(self, fault: Fault) -> tuple[Callable[[], None], Callable[[], None]]:
+    def _make_actions(self, fault: Fault) -> tuple[Callable[[], None], Callable[[], None]]:
         cluster = self._cluster
         name = fault.target
         if fault.kind == "kill":
-            return (lambda: cluster.kill(name)), (lambda: cluster.start_again(name))
+            return (lambda: cluster.kill(name)), (lambda: cluster.restart(name))
         if fault.kind == "pause":
             return (
                 lambda: cluster.signal(name, signal.SIGSTOP),
@@ -54,9 +54,9 @@
             )
         port = cluster.standin_port(name)
         key = fault.kind.replace("-", "_")
-        on = fault.factor if fault.kind == "slow" else True
-        off = 1.0 if fault.kind == "slow" else False
+        faulty = fault.factor if fault.kind == "slow" else True
+        normal = 1.0 if fault.kind == "slow" else False
         return (
-            lambda: cluster.faults(port, **{key: on}),
-            lambda: cluster.faults(port, **{key: off}),
+            lambda: cluster.set_faults(port, **{key: faulty}),
+            lambda: cluster.set_faults(port, **{key: normal}),
         )
--- a/src/crankhinge_bench/_load.py
+++ b/src/crankhinge_bench/_load.py
@@ -1,4 +1,4 @@
-"""Sends a trace to the entries, as callers would, and checks every answer."""
+"""Sends a trace of requests to the entries and checks every response, as a caller does."""
 
 from __future__ import annotations
 
@@ -17,52 +17,53 @@
 
 REQUEST_TIMEOUT_S = 60.0
 NOT_RUN = "not-run"
-REPEAT_PAUSE_S = 0.7
+RETRY_PAUSE_S = 0.7
 FINAL_CODES = frozenset({"already-taken", "key-too-old"})
 
 
 @dataclass
-class Outcome:
-    """What a caller saw.
+class RequestResult:
+    """What a caller observed of one request.
 
     Attributes:
-        arrival: what it asked.
-        status: HTTP status; 0 when there was no answer.
+        arrival: the request.
+        status: HTTP status; 0 if there was no response.
         code: machine-readable cause of a failure.
-        outcome: what the header said of a failure.
-        first_s: seconds until the first token; 0 for none.
-        gap_s: mean seconds between tokens.
-        total_s: seconds until the end.
-        tokens: tokens received.
-        whole: whether the answer was complete and right.
-        wrong: whether what came differs from what the engine's model says.
-        cancelled: whether the caller went of its own accord.
-        key: idempotency key of a plain call.
-        sent: how often it was sent.
-        ident: the entry's identity of it.
-        entry: port of the entry that it was last sent to.
-        began: wall clock.
-        gone: wall clock at which the caller went of its own accord; 0 for never.
+        outcome: value of the ``X-Request-Outcome`` header, or of its field in an error event.
+        first_token_s: seconds from sending to the first token; 0 if none came.
+        mean_gap_s: mean seconds between tokens.
+        total_s: seconds from sending to the end.
+        tokens: number of tokens received.
+        complete: whether a stream came to its regular end or a plain call got status 200.
+        wrong: whether the content differs from what the backend server must return.
+        cancelled: whether the caller ended the request itself.
+        key: idempotency key of a call to a plain service.
+        attempts: how often the request was sent.
+        request_id: identifier that the entry gave to the request.
+        entry_port: port of the entry that the request was last sent to.
+        started_at: wall-clock time of the first attempt.
+        cancelled_at: wall-clock time at which the caller ended the request; 0 if it didn't.
+        received_tokens: the tokens themselves, until they have been checked.
     """
 
     arrival: Arrival
     status: int = 0
     code: str = ""
     outcome: str = ""
-    first_s: float = 0.0
-    gap_s: float = 0.0
+    first_token_s: float = 0.0
+    mean_gap_s: float = 0.0
     total_s: float = 0.0
     tokens: int = 0
-    whole: bool = False
+    complete: bool = False
     wrong: bool = False
     cancelled: bool = False
     key: str = ""
-    sent: int = 0
-    ident: str = ""
-    entry: int = 0
-    began: float = 0.0
-    gone: float = 0.0
-    texts: list[str] = field(default_factory=list)
+    attempts: int = 0
+    request_id: str = ""
+    entry_port: int = 0
+    started_at: float = 0.0
+    cancelled_at: float = 0.0
+    received_tokens: list[str] = field(default_factory=list)
 
 
 class _Event(msgspec.Struct):
@@ -70,17 +71,17 @@
     error: dict[str, object] | None = None
 
 
-_events = msgspec.json.Decoder(_Event)
+_event_decoder = msgspec.json.Decoder(_Event)
 
 
-class LoadRun:
-    """Plays a trace.
+class LoadGenerator:
+    """Sends the requests of a trace at their times.
 
     Args:
-        ports: of the entries.
+        ports: ports of the entries.
         credentials: bearer credential of each member.
-        host: of the entries.
-        repeats: how often a caller repeats a plain call whose outcome it doesn't know.
+        host: host of the entries.
+        max_retries: how often a caller repeats a plain call whose outcome is unknown.
     """
 
     def __init__(
@@ -89,61 +90,66 @@
         credentials: Mapping[str, str],
         host: str = "127.0.0.1",
         *,
-        repeats: int = 0,
+        max_retries: int = 0,
     ) -> None:
         self._clients = [HttpClient(host, port) for port in ports]
-        self._turn = 0
-        self._repeats = repeats
-        self.shunned: set[int] = set()
+        self._round_robin = 0
+        self._max_retries = max_retries
+        self.excluded_ports: set[int] = set()
         self._credentials = credentials
-        self.outcomes: list[Outcome] = []
+        self.results: list[RequestResult] = []
 
-    async def play(self, trace: list[Arrival]) -> list[Outcome]:
-        """Send each arrival at its time and return what came of all of them."""
-        began = await curio.clock()
+    async def run(self, trace: list[Arrival]) -> list[RequestResult]:
+        """Send each request at its arrival time and return the results of all."""
+        started_at = await curio.clock()
         async with curio.TaskGroup() as group:
             for arrival in trace:
-                wait = began + arrival.at - await curio.clock()
+                wait = started_at + arrival.at - await curio.clock()
                 if wait > 0:
                     await curio.sleep(wait)
-                await group.spawn(self._one, arrival)
-        return self.outcomes
+                await group.spawn(self._send_with_retries, arrival)
+        return self.results
 
-    def _next(self) -> HttpClient:
-        """Return the next entry in turn, as a balancer would: not one that it was told to shun."""
+    def _next_client(self) -> HttpClient:
+        """Return the next entry in turn, as a load balancer does, skipping excluded ones.
+
+        If all are excluded, the last one tried is returned.
+        """
         for _ in self._clients:
-            self._turn += 1
-            client = self._clients[self._turn % len(self._clients)]
-            if client.port not in self.shunned:
+            self._round_robin += 1
+            client = self._clients[self._round_robin % len(self._clients)]
+            if client.port not in self.excluded_ports:
                 break
         return client
 
-    async def _one(self, arrival: Arrival) -> None:
-        seen = Outcome(arrival, began=time.time())
-        self.outcomes.append(seen)
-        await self._try(arrival, seen)
-        while self._unknown(seen) and seen.sent <= self._repeats:
-            await curio.sleep(REPEAT_PAUSE_S)
-            seen.status, seen.code, seen.outcome = 0, "", ""
-            await self._try(arrival, seen)
-
-    def _unknown(self, seen: Outcome) -> bool:
-        """Whether the caller of a plain call has yet to learn what became of it."""
-        final = seen.whole or seen.outcome == NOT_RUN or seen.code in FINAL_CODES
-        return bool(seen.arrival.path) and not final
-
-    async def _try(self, arrival: Arrival, seen: Outcome) -> None:
-        client = self._next()
-        seen.entry = client.port
-        seen.sent += 1
-        began = await curio.clock()
+    async def _send_with_retries(self, arrival: Arrival) -> None:
+        result = RequestResult(arrival, started_at=time.time())
+        self.results.append(result)
+        await self._attempt(arrival, result)
+        while self._is_outcome_unknown(result) and result.attempts <= self._max_retries:
+            await curio.sleep(RETRY_PAUSE_S)
+            result.status, result.code, result.outcome = 0, "", ""
+            await self._attempt(arrival, result)
+
+    def _is_outcome_unknown(self, result: RequestResult) -> bool:
+        """Return whether the request is a plain call of which the caller can't tell if it ran."""
+        known = result.complete or result.outcome == NOT_RUN or result.code in FINAL_CODES
+        return bool(result.arrival.path) and not known
+
+    async def _attempt(self, arrival: Arrival, result: RequestResult) -> None:
+        client = self._next_client()
+        result.entry_port = client.port
+        result.attempts += 1
+        started_at = await curio.clock()
         try:
-            await curio.timeout_after(REQUEST_TIMEOUT_S, self._send, client, arrival, seen, began)
+            await curio.timeout_after(
+                REQUEST_TIMEOUT_S, self._send, client, arrival, result, started_at
+            )
         except (HttpClosed, BadHttp) as exc:
-            seen.code = seen.code or exc.code
+            result.code = result.code or exc.code
         except curio.TaskTimeout:
-            seen.code = "caller-timeout"
-        seen.total_s = await curio.clock() - began
+            result.code = "caller-timeout"
+        result.total_s = await curio.clock() - started_at
 
     def _headers(self, arrival: Arrival) -> dict[str, str]:
         headers = {
@@ -156,10 +162,10 @@
         return headers
 
     async def _send(
-        self, client: HttpClient, arrival: Arrival, seen: Outcome, began: float
+        self, client: HttpClient, arrival: Arrival, result: RequestResult, started_at: float
     ) -> None:
         if arrival.path:
-            await self._call(client, arrival, seen)
+            await self._call_service(client, arrival, result)
             return
         body = {
             "model": "m1",
@@ -175,82 +181,89 @@
             new_connection=True,
         )
         try:
-            seen.status = stream.status
-            seen.ident = stream.headers.get("x-request-id", "")
+            result.status = stream.status
+            result.request_id = stream.headers.get("x-request-id", "")
             if stream.status != 200:
-                _note_failure(seen, stream, await stream.read_all())
+                _record_failure(result, stream, await stream.read_all())
                 return
-            await self._read(stream, arrival, seen, began)
+            await self._read_stream(stream, arrival, result, started_at)
         finally:
             await stream.close()
 
-    async def _call(self, client: HttpClient, arrival: Arrival, seen: Outcome) -> None:
-        seen.key = seen.key or str(uuid6.uuid7())
-        headers = {**self._headers(arrival), "idempotency-key": seen.key}
+    async def _call_service(
+        self, client: HttpClient, arrival: Arrival, result: RequestResult
+    ) -> None:
+        result.key = result.key or str(uuid6.uuid7())
+        headers = {**self._headers(arrival), "idempotency-key": result.key}
         resp = await client.call(
-            "POST", arrival.path, headers=headers, body=seen.key.encode(), new_connection=True
+            "POST", arrival.path, headers=headers, body=result.key.encode(), new_connection=True
         )
-        seen.status = resp.status
-        seen.whole = resp.status == 200
-        seen.outcome = resp.headers.get("x-request-outcome", "")
-        seen.ident = resp.headers.get("x-request-id", "")
+        result.status = resp.status
+        result.complete = resp.status == 200
+        result.outcome = resp.headers.get("x-request-outcome", "")
+        result.request_id = resp.headers.get("x-request-id", "")
         if resp.status == 200:
-            seen.wrong = msgspec.json.decode(resp.body).get("body") != seen.key
+            result.wrong = msgspec.json.decode(resp.body).get("body") != result.key
         else:
-            seen.code = _code_of(resp.body, resp.status)
+            result.code = _error_code(resp.body, resp.status)
 
-    async def _read(
-        self, stream: ClientStream, arrival: Arrival, seen: Outcome, began: float
+    async def _read_stream(
+        self, stream: ClientStream, arrival: Arrival, result: RequestResult, started_at: float
     ) -> None:
         parser = SseParser()
-        last = 0.0
+        last_token_at = 0.0
         while chunk := await stream.next_chunk():
             for data in parser.feed(chunk):
                 if data == b"[DONE]":
-                    seen.whole = True
+                    result.complete = True
                     continue
-                text = _text_of(data, seen)
+                text = _read_event(data, result)
                 if not text:
                     continue
                 now = await curio.clock()
-                seen.first_s = seen.first_s or now - began
-                seen.texts.append(text)
-                last = now
-            if arrival.cancel_after and len(seen.texts) >= arrival.cancel_after:
-                seen.cancelled = True
-                seen.gone = time.time()
+                result.first_token_s = result.first_token_s or now - started_at
+                result.received_tokens.append(text)
+                last_token_at = now
+            if (
+                arrival.cancel_after_tokens
+                and len(result.received_tokens) >= arrival.cancel_after_tokens
+            ):
+                result.cancelled = True
+                result.cancelled_at = time.time()
                 break
-        seen.tokens = len(seen.texts)
-        if seen.tokens > 1:
-            seen.gap_s = (last - began - seen.first_s) / (seen.tokens - 1)
-        _check_answer(arrival, seen)
+        result.tokens = len(result.received_tokens)
+        if result.tokens > 1:
+            result.mean_gap_s = (last_token_at - started_at - result.first_token_s) / (
+                result.tokens - 1
+            )
+        _check_answer(arrival, result)
 
 
-def _check_answer(arrival: Arrival, seen: Outcome) -> None:
-    """Compare what came with what the engine's model says."""
-    right = make_answer({"prompt": arrival.prompt, "max_tokens": arrival.max_tokens})
-    seen.wrong = seen.texts != right[: len(seen.texts)]
-    if seen.whole and len(seen.texts) != len(right):
-        seen.wrong = True
-    seen.texts = []
+def _check_answer(arrival: Arrival, result: RequestResult) -> None:
+    """Compare the received tokens with those that the stand-in's model generates."""
+    expected = make_answer({"prompt": arrival.prompt, "max_tokens": arrival.max_tokens})
+    result.wrong = result.received_tokens != expected[: len(result.received_tokens)]
+    if result.complete and len(result.received_tokens) != len(expected):
+        result.wrong = True
+    result.received_tokens = []
 
 
-def _text_of(data: bytes, seen: Outcome) -> str:
-    event = _events.decode(data)
+def _read_event(data: bytes, result: RequestResult) -> str:
+    event = _event_decoder.decode(data)
     if event.error is not None:
-        seen.code = str(event.error.get("code", ""))
-        seen.outcome = str(event.error.get("outcome", ""))
+        result.code = str(event.error.get("code", ""))
+        result.outcome = str(event.error.get("outcome", ""))
         return ""
     return "".join(str(choice.get("text", "")) for choice in event.choices)
 
 
-def _note_failure(seen: Outcome, stream: ClientStream, body: bytes) -> None:
-    seen.outcome = stream.headers.get("x-request-outcome", "")
-    seen.code = _code_of(body, stream.status)
+def _record_failure(result: RequestResult, stream: ClientStream, body: bytes) -> None:
+    result.outcome = stream.headers.get("x-request-outcome", "")
+    result.code = _error_code(body, stream.status)
 
 
-def _code_of(body: bytes, status: int) -> str:
-    """Return the machine-readable cause of a failure."""
+def _error_code(body: bytes, status: int) -> str:
+    """Return the error code of a response body, or ``status-`` and the HTTP status."""
     try:
         return str(msgspec.json.decode(body)["error"]["code"])
     except (msgspec.DecodeError, LookupError, TypeError):
--- a/src/crankhinge_bench/_perf.py
+++ b/src/crankhinge_bench/_perf.py
@@ -1,4 +1,4 @@
-"""``crankhinge-bench perf``: what the product adds to calling the engines directly."""
+"""``crankhinge-bench perf``: measures the overhead of the product over direct engine calls."""
 
 from __future__ import annotations
 
@@ -15,38 +15,40 @@
 from crankhinge.adapters.openai_engine import OpenAiEngine
 from crankhinge.runtime import write_json
 from crankhinge_bench._cluster import Cluster
-from crankhinge_bench._fit import cpu_s, rss_kb
-from crankhinge_bench._load import LoadRun, Outcome
+from crankhinge_bench._fit import read_cpu_s, read_rss_kib
+from crankhinge_bench._load import LoadGenerator, RequestResult
 from crankhinge_bench._procs import HOST, http_json
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
 from crankhinge_bench._summary import percentile
 from crankhinge_bench._trace import Arrival
 
-PAIRS = 150
-STREAMS = 200
+LATENCY_PAIRS = 150
+STREAM_COUNT = 200
 STREAM_TOKENS = 100
-CANCELS = 20
-STARTS = 5
-POLL_S = 0.002
-PATH = "/v1/completions"
+CANCEL_COUNT = 20
+START_COUNT = 5
+POLL_INTERVAL_S = 0.002
+COMPLETIONS_PATH = "/v1/completions"
 
 
-class Perf(msgspec.Struct, kw_only=True):
-    """Figures of one run; milliseconds, KiB, core seconds.
+class PerfResult(msgspec.Struct, kw_only=True):
+    """Figures of one run.
 
     Attributes:
-        direct_ms: first token, p50 and p99, engines called directly.
-        through_ms: first token, p50 and p99, through an entry and agents.
-        added_ms: difference pair by pair, p50 and p99.
-        streams: streams at once through one entry.
-        wrong: of these, answers that differ from the engine's or are cut.
-        tokens_per_s: relayed meanwhile.
-        entry_us_per_token: processor time of the entry, per relayed token.
-        agent_us_per_token: processor time of all decode agents, per relayed token.
-        cancel_ms: from a caller's going until its engine's memory is free, p50 and p99.
-        idle_kb: resident memory of each program, idle.
-        loaded_kb: the same after the streams.
-        start_ms: until a program has imported everything and checked its settings, median.
+        direct_ms: p50 and p99 of the milliseconds to the first token, engines called directly.
+        through_ms: the same for requests through an entry and agents.
+        added_ms: p50 and p99 of the differences, taken pair by pair.
+        streams: number of concurrent streams through one entry.
+        wrong: number of these streams that were cut or differ from what the engine generates.
+        tokens_per_s: tokens relayed per second during the streams.
+        entry_us_per_token: CPU microseconds of the entry per relayed token.
+        agent_us_per_token: CPU microseconds of all decode agents together per relayed token.
+        cancel_ms: p50 and p99 of the milliseconds from a caller's disconnect until no engine holds
+            the request in memory.
+        idle_kb: resident memory of each idle program in KiB.
+        loaded_kb: resident memory of each program in KiB after the streams.
+        start_ms: median milliseconds until a program has imported all modules and checked its
+            settings.
     """
 
     direct_ms: tuple[float, float]
@@ -63,42 +65,44 @@
     start_ms: dict[str, float]
 
 
-def _spread(values: list[float]) -> tuple[float, float]:
+def _p50_and_p99(values: list[float]) -> tuple[float, float]:
     return percentile(values, 0.5), percentile(values, 0.99)
 
 
-async def _direct(cluster: Cluster, number: int) -> float:
-    """Return the seconds to the first token when the engines are called directly."""
-    read = next(p for p in cluster.places if p.kind == "prefill")
-    write = next(p for p in cluster.places if p.kind == "decode")
+async def _direct_first_token_s(cluster: Cluster, number: int) -> float:
+    """Return the seconds to the first token of a request sent directly to the engines."""
+    prefill = next(agent for agent in cluster.agents if agent.kind == "prefill")
+    decode = next(agent for agent in cluster.agents if agent.kind == "decode")
     body = json.dumps({"model": "m1", "prompt": f"direct {number}", "max_tokens": 3}).encode()
-    began = await curio.clock()
-    result = await OpenAiEngine(HOST, read.backend_port).prefill(PATH, body, request_id=number)
-    engine = OpenAiEngine(HOST, write.backend_port)
-    stream = await engine.decode(PATH, body, result.kv_handle, request_id=number)
+    started_at = await curio.clock()
+    result = await OpenAiEngine(HOST, prefill.backend_port).prefill(
+        COMPLETIONS_PATH, body, request_id=number
+    )
+    engine = OpenAiEngine(HOST, decode.backend_port)
+    stream = await engine.decode(COMPLETIONS_PATH, body, result.kv_handle, request_id=number)
     await stream.next_pieces()
-    first = await curio.clock() - began
+    first_token_s = await curio.clock() - started_at
     while await stream.next_pieces():
         pass
     await stream.close()
-    return float(first)
+    return float(first_token_s)
 
 
-async def _through(cluster: Cluster, number: int) -> float:
-    runner = LoadRun(cluster.entry_ports, cluster.credentials)
-    [seen] = await runner.play([Arrival(0.0, "naas-office", f"through {number}", 3)])
-    return seen.first_s
+async def _proxied_first_token_s(cluster: Cluster, number: int) -> float:
+    generator = LoadGenerator(cluster.entry_ports, cluster.credentials)
+    [request] = await generator.run([Arrival(0.0, "naas-office", f"through {number}", 3)])
+    return request.first_token_s
 
 
-async def _pairs(cluster: Cluster) -> tuple[list[float], list[float]]:
+async def _measure_pairs(cluster: Cluster) -> tuple[list[float], list[float]]:
     direct, through = [], []
-    for number in range(PAIRS):
-        direct.append(await _direct(cluster, number) * 1000)
-        through.append(await _through(cluster, number) * 1000)
+    for number in range(LATENCY_PAIRS):
+        direct.append(await _direct_first_token_s(cluster, number) * 1000)
+        through.append(await _proxied_first_token_s(cluster, number) * 1000)
     return direct, through
 
 
-def _latency() -> tuple[list[float], list[float]]:
+def _measure_latency() -> tuple[list[float], list[float]]:
     spec = ClusterSpec(
         engines=(
             EngineSpec("read", "prefill", 1),
@@ -107,7 +111,7 @@
         services=(),
     )
     with Cluster(spec) as cluster:
-        direct, through = curio.run(_pairs, cluster)
+        direct, through = curio.run(_measure_pairs, cluster)
     return direct, through
 
 
@@ -119,101 +123,101 @@
     )
 
 
-def _streams(cluster: Cluster) -> tuple[list[Outcome], float]:
+def _run_streams(cluster: Cluster) -> tuple[list[RequestResult], float]:
     trace = [
         Arrival(n * 0.01, "naas-office", f"stream {n} of many", STREAM_TOKENS)
-        for n in range(STREAMS)
+        for n in range(STREAM_COUNT)
     ]
-    began = time.monotonic()
-    outcomes = curio.run(LoadRun(cluster.entry_ports, cluster.credentials).play, trace)
-    return outcomes, time.monotonic() - began
+    started_at = time.monotonic()
+    results = curio.run(LoadGenerator(cluster.entry_ports, cluster.credentials).run, trace)
+    return results, time.monotonic() - started_at
 
 
-def _held(cluster: Cluster) -> int:
-    places = [place for place in cluster.places if place.kind == "decode"]
-    return sum(http_json("GET", p.backend_port, "/stats")["running"] for p in places)
+def _count_running(cluster: Cluster) -> int:
+    agents = [agent for agent in cluster.agents if agent.kind == "decode"]
+    return sum(http_json("GET", a.backend_port, "/stats")["running"] for a in agents)
 
 
-def _cancel_ms(cluster: Cluster, number: int) -> float:
-    """Return the time from a caller's going until no engine holds its request."""
+def _measure_cancel_ms(cluster: Cluster, number: int) -> float:
+    """Return the milliseconds from a caller's disconnect until no engine runs its request."""
     body = json.dumps(
         {"model": "m1", "prompt": f"cancel {number}", "max_tokens": 400, "stream": True}
     )
     head = (
-        f"POST {PATH} HTTP/1.1\r\nhost: x\r\n"
+        f"POST {COMPLETIONS_PATH} HTTP/1.1\r\nhost: x\r\n"
         f"authorization: Bearer {cluster.credentials['naas-office']}\r\n"
         f"content-length: {len(body)}\r\n\r\n"
     )
     with socket.create_connection((HOST, cluster.entry_ports[0])) as sock:
         sock.sendall((head + body).encode())
         sock.recv(1000)
-    began = time.perf_counter()
-    while _held(cluster):
-        time.sleep(POLL_S)
-    return (time.perf_counter() - began) * 1000
+    started_at = time.perf_counter()
+    while _count_running(cluster):
+        time.sleep(POLL_INTERVAL_S)
+    return (time.perf_counter() - started_at) * 1000
 
 
-def _start_ms(cluster: Cluster, module: str, settings: str) -> float:
+def _measure_start_ms(cluster: Cluster, module: str, settings: str) -> float:
     command = [sys.executable, "-m", module, "--check", str(cluster.dir / settings)]
     times = []
-    for _ in range(STARTS):
-        began = time.perf_counter()
+    for _ in range(START_COUNT):
+        started_at = time.perf_counter()
         subprocess.run(command, check=True, stdout=subprocess.DEVNULL)
-        times.append((time.perf_counter() - began) * 1000)
+        times.append((time.perf_counter() - started_at) * 1000)
     return percentile(times, 0.5)
 
 
-def _memory(cluster: Cluster) -> dict[str, int]:
+def _read_memory_kib(cluster: Cluster) -> dict[str, int]:
     names = {"entry": "entry-0", "decode agent": "write-0", "prefill agent": "read-0"}
-    return {role: rss_kb(cluster.procs[name].pid) for role, name in names.items()}
+    return {role: read_rss_kib(cluster.procs[name].pid) for role, name in names.items()}
 
 
-def measure() -> Perf:
-    """Return all figures."""
-    direct, through = _latency()
+def measure_perf() -> PerfResult:
+    """Measure and return all figures."""
+    direct, through = _measure_latency()
     added = [t - d for d, t in zip(direct, through, strict=True)]
     with Cluster(_stream_spec()) as cluster:
-        agents = [place.name for place in cluster.places if place.kind == "decode"]
-        idle = _memory(cluster)
-        entry_before = cpu_s(cluster.procs["entry-0"].pid)
-        agents_before = sum(cpu_s(cluster.procs[name].pid) for name in agents)
-        outcomes, took = _streams(cluster)
-        tokens = sum(seen.tokens for seen in outcomes)
-        entry_s = cpu_s(cluster.procs["entry-0"].pid) - entry_before
-        agents_s = sum(cpu_s(cluster.procs[name].pid) for name in agents) - agents_before
-        loaded = _memory(cluster)
-        cancels = [_cancel_ms(cluster, number) for number in range(CANCELS)]
+        agents = [agent.name for agent in cluster.agents if agent.kind == "decode"]
+        idle = _read_memory_kib(cluster)
+        entry_before = read_cpu_s(cluster.procs["entry-0"].pid)
+        agents_before = sum(read_cpu_s(cluster.procs[name].pid) for name in agents)
+        results, elapsed_s = _run_streams(cluster)
+        tokens = sum(request.tokens for request in results)
+        entry_s = read_cpu_s(cluster.procs["entry-0"].pid) - entry_before
+        agents_s = sum(read_cpu_s(cluster.procs[name].pid) for name in agents) - agents_before
+        loaded = _read_memory_kib(cluster)
+        cancels = [_measure_cancel_ms(cluster, number) for number in range(CANCEL_COUNT)]
         starts = {
-            "entry": _start_ms(cluster, "crankhinge.entry.main", "entry-0.toml"),
-            "agent": _start_ms(cluster, "crankhinge.agent.main", "write-0.toml"),
+            "entry": _measure_start_ms(cluster, "crankhinge.entry.main", "entry-0.toml"),
+            "agent": _measure_start_ms(cluster, "crankhinge.agent.main", "write-0.toml"),
         }
-    return Perf(
-        direct_ms=_spread(direct),
-        through_ms=_spread(through),
-        added_ms=_spread(added),
-        streams=len(outcomes),
-        wrong=sum(seen.wrong or not seen.whole for seen in outcomes),
-        tokens_per_s=tokens / took,
+    return PerfResult(
+        direct_ms=_p50_and_p99(direct),
+        through_ms=_p50_and_p99(through),
+        added_ms=_p50_and_p99(added),
+        streams=len(results),
+        wrong=sum(request.wrong or not request.complete for request in results),
+        tokens_per_s=tokens / elapsed_s,
         entry_us_per_token=entry_s / tokens * 1e6,
         agent_us_per_token=agents_s / tokens * 1e6,
-        cancel_ms=_spread(cancels),
+        cancel_ms=_p50_and_p99(cancels),
         idle_kb=idle,
         loaded_kb=loaded,
         start_ms=starts,
     )
 
 
-def render(perf: Perf) -> str:
-    """Return the figures as a table."""
+def format_perf(perf: PerfResult) -> str:
+    """Return the figures as a Markdown table."""
     rows = [
-        ("first token, engines called directly", _pair(perf.direct_ms)),
-        ("first token, through the product", _pair(perf.through_ms)),
-        ("added, pair by pair", _pair(perf.added_ms)),
+        ("first token, engines called directly", _format_percentiles(perf.direct_ms)),
+        ("first token, through the product", _format_percentiles(perf.through_ms)),
+        ("added, pair by pair", _format_percentiles(perf.added_ms)),
         ("streams at once through one entry", f"{perf.streams}, {perf.wrong} wrong or cut"),
         ("tokens relayed meanwhile", f"{perf.tokens_per_s:.0f} a second"),
         ("entry, processor time per token", f"{perf.entry_us_per_token:.0f} us"),
         ("agent, processor time per token", f"{perf.agent_us_per_token:.0f} us"),
-        ("caller goes until memory is free", _pair(perf.cancel_ms)),
+        ("caller goes until memory is free", _format_percentiles(perf.cancel_ms)),
     ]
     for role, value in perf.idle_kb.items():
         loaded = perf.loaded_kb[role]
@@ -223,19 +227,19 @@
     return "\n".join(lines + [f"| {name} | {value} |" for name, value in rows])
 
 
-def _pair(values: tuple[float, float]) -> str:
+def _format_percentiles(values: tuple[float, float]) -> str:
     return f"p50 {values[0]:.1f} ms, p99 {values[1]:.1f} ms"
 
 
-def perf(args: argparse.Namespace) -> int:
-    """Run the command; returns 0 when every answer was whole and right."""
-    found = measure()
-    write_json(args.json, found)
-    print(render(found))
-    return 1 if found.wrong else 0
+def run_perf(args: argparse.Namespace) -> int:
+    """Run the command; return 0 if every stream was complete and correct, else 1."""
+    result = measure_perf()
+    write_json(args.json, result)
+    print(format_perf(result))
+    return 1 if result.wrong else 0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
     parser.add_argument("--json", default="", help="file for the results")
-    parser.set_defaults(run=perf)
+    parser.set_defaults(run=run_perf)
--- a/src/crankhinge_bench/_ports.py
+++ b/src/crankhinge_bench/_ports.py
@@ -1,4 +1,4 @@
-"""Ports for programs that are started side by side, also by several test runs at once."""
+"""Allocates loopback ports so that concurrent test runs never get the same port."""
 
 from __future__ import annotations
 
@@ -6,42 +6,45 @@
 import socket
 
 HOST = "127.0.0.1"
-# Below the range from which the kernel takes ports for outgoing connections: one from that range
-# can be taken between the call that finds it and the time it is listened on.
+# The range lies below the kernel's ephemeral ports: an outgoing connection could take an ephemeral
+# port after it was found free and before the program listens on it.
 FIRST_PORT = 12_000
 END_PORT = 30_000
-BLOCK_PORTS = 100
-# What one process holds at most, that several find room; it then begins again with its first.
-MOST_BLOCKS = 30
+PORTS_PER_BLOCK = 100
+# Limits the blocks of one process so that several processes find enough. A process that holds
+# this many returns their ports again, beginning with those of its first block.
+MAX_BLOCKS = 30
 
 
-class Ports:
-    """Ports that no other process gets from here for as long as this object lives.
+class PortAllocator:
+    """Allocates ports that no other process gets from its own allocator.
 
-    The range is split into blocks. Whoever listens on a block's first port holds all of it: ports
-    that were only looked for would be found by two processes at once.
+    The range is split into blocks. A process locks a block by listening on the block's first port
+    until :meth:`close`. Without that lock, two processes could find the same port free at the same
+    time.
     """
 
     def __init__(self) -> None:
-        count = (END_PORT - FIRST_PORT) // BLOCK_PORTS
-        starts = [FIRST_PORT + BLOCK_PORTS * at for at in range(count)]
-        # Processes that are started together have neighbouring ids; far places spare them refusals.
-        turn = os.getpid() * 101 % count
-        self._unasked = starts[turn:] + starts[:turn]
-        self._holds: list[socket.socket] = []
+        count = (END_PORT - FIRST_PORT) // PORTS_PER_BLOCK
+        starts = [FIRST_PORT + PORTS_PER_BLOCK * block for block in range(count)]
+        # Processes that start together have adjacent ids. The factor makes them start at distant
+        # blocks, so that they seldom try a block that is already locked.
+        first_block = os.getpid() * 101 % count
+        self._untried_blocks = starts[first_block:] + starts[:first_block]
+        self._lock_sockets: list[socket.socket] = []
         self._blocks: list[range] = []
         self._ports = iter(range(0))
-        self._turn = 0
+        self._next_block_index = 0
 
     def take(self, count: int) -> list[int]:
-        """Return ports on which nothing listens now.
+        """Return *count* ports that no socket, TCP or UDP, is bound to now.
 
         Raises:
-            RuntimeError: no port is free.
+            RuntimeError: there aren't enough free ports.
         """
         found: list[int] = []
-        for _ in range(MOST_BLOCKS * BLOCK_PORTS):
-            port = self._next()
+        for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK):
+            port = self._next_port()
             if _is_free(port):
                 found.append(port)
             if len(found) == count:
@@ -49,34 +52,34 @@
         raise RuntimeError("no free ports are left")
 
     def close(self) -> None:
-        """Let others have the blocks."""
-        for hold in self._holds:
-            hold.close()
+        """Unlock the blocks so that other processes can use them."""
+        for lock in self._lock_sockets:
+            lock.close()
 
-    def _next(self) -> int:
+    def _next_port(self) -> int:
         port = next(self._ports, None)
         if port is not None:
             return port
-        if len(self._blocks) < MOST_BLOCKS:
-            self._hold_one_more()
+        if len(self._blocks) < MAX_BLOCKS:
+            self._lock_untried_block()
         if not self._blocks:
             raise RuntimeError("no free ports are left")
-        self._ports = iter(self._blocks[self._turn % len(self._blocks)])
-        self._turn += 1
+        self._ports = iter(self._blocks[self._next_block_index % len(self._blocks)])
+        self._next_block_index += 1
         return next(self._ports)
 
-    def _hold_one_more(self) -> None:
-        while self._unasked:
-            start = self._unasked.pop(0)
-            hold = socket.socket()
+    def _lock_untried_block(self) -> None:
+        while self._untried_blocks:
+            start = self._untried_blocks.pop(0)
+            lock = socket.socket()
             try:
-                hold.bind((HOST, start))
-                hold.listen(1)
+                lock.bind((HOST, start))
+                lock.listen(1)
             except OSError:
-                hold.close()
+                lock.close()
                 continue
-            self._holds.append(hold)
-            self._blocks.append(range(start + 1, start + BLOCK_PORTS))
+            self._lock_sockets.append(lock)
+            self._blocks.append(range(start + 1, start + PORTS_PER_BLOCK))
             return
 
 
--- a/src/crankhinge_bench/_slopes.py
+++ b/src/crankhinge_bench/_slopes.py
@@ -1,4 +1,4 @@
-"""``crankhinge-bench slopes``: what each further link, token, server and prefix costs."""
+"""``crankhinge-bench slopes``: measures the cost of each further link, token, server and prefix."""
 
 from __future__ import annotations
 
@@ -23,72 +23,74 @@
     SlotTable,
 )
 from crankhinge.runtime import write_json
-from crankhinge_bench._cluster import Cluster, Place
+from crankhinge_bench._cluster import AgentConfig, Cluster
 from crankhinge_bench._fakes import FakeAgents, FakeEntries, FakePeers
-from crankhinge_bench._fit import Slope, cpu_s, fit, rss_kb
-from crankhinge_bench._load import LoadRun
+from crankhinge_bench._fit import Slope, fit_line, read_cpu_s, read_rss_kib
+from crankhinge_bench._load import LoadGenerator
 from crankhinge_bench._procs import HOST, free_ports, http_json
 from crankhinge_bench._spec import ClusterSpec, EngineSpec, ServiceSpec
 from crankhinge_bench._trace import Arrival
 
-REST_S = 8.0
+IDLE_S = 8.0
 SETTLE_S = 3.0
-LINKS = (10, 50, 100, 200)
-SERVERS = (10, 100, 600, 3000)
+LINK_COUNTS = (10, 50, 100, 200)
+SERVER_COUNTS = (10, 100, 600, 3000)
 RELAY_RATES = (4, 8, 12, 16)
 RELAY_S = 6.0
-BEAT_S = 1.0
+HEARTBEAT_S = 1.0
 
 
-class _Rest:
-    """What one process uses while nothing is asked of it."""
+class _IdleUsage:
+    """Resource use of one process that serves no requests, measured over ``IDLE_S`` seconds."""
 
     def __init__(self, pid: int, peers: FakePeers) -> None:
-        began, before = time.monotonic(), cpu_s(pid)
-        sent, received = peers.bytes_in(), peers.bytes_out()
-        time.sleep(REST_S)
-        took = time.monotonic() - began
-        self.cpu = (cpu_s(pid) - before) / took
-        self.bytes_s = (peers.bytes_in() - sent + peers.bytes_out() - received) / took
-        self.rss = rss_kb(pid)
-
-
-def _bare_spec() -> ClusterSpec:
+        started_at, before = time.monotonic(), read_cpu_s(pid)
+        received, sent = peers.bytes_received(), peers.bytes_sent()
+        time.sleep(IDLE_S)
+        elapsed_s = time.monotonic() - started_at
+        self.cpu_cores = (read_cpu_s(pid) - before) / elapsed_s
+        self.payload_bytes_per_s = (
+            peers.bytes_received() - received + peers.bytes_sent() - sent
+        ) / elapsed_s
+        self.rss_kib = read_rss_kib(pid)
+
+
+def _idle_spec() -> ClusterSpec:
     return ClusterSpec(
         entries=0,
         engines=(EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", 1)),
         services=(ServiceSpec("ledger", "/ledger/", 1),),
-        beat_s=BEAT_S,
+        beat_s=HEARTBEAT_S,
     )
 
 
-def entry_rest() -> list[Slope]:
-    """Measure an entry at rest against the number of its links."""
+def measure_idle_entry() -> list[Slope]:
+    """Measure the resource use of an idle entry as a function of its number of links."""
     rows = []
-    for count in LINKS:
-        with Cluster(_bare_spec()) as cluster:
-            rows.append((count, _entry_with(cluster, count)))
-    return _rest_slopes("entry", rows)
+    for count in LINK_COUNTS:
+        with Cluster(_idle_spec()) as cluster:
+            rows.append((count, _measure_idle_entry_at(cluster, count)))
+    return _fit_idle_usage("entry", rows)
 
 
-def _entry_with(cluster: Cluster, count: int) -> _Rest:
+def _measure_idle_entry_at(cluster: Cluster, count: int) -> _IdleUsage:
     ports = free_ports(count + 1)
     cluster.entry_ports = [ports.pop()]
-    agents = FakeAgents(ports, BEAT_S)
-    agents.start(agents.main)
+    agents = FakeAgents(ports, HEARTBEAT_S)
+    agents.start(agents.serve)
     try:
         for number, port in enumerate(ports):
-            place = Place(agents.name(number), "decode", "write", "naas", port, 0)
-            cluster.register(place)
+            agent = AgentConfig(agents.agent_name(number), "decode", "write", "naas", port, 0)
+            cluster.register_agent(agent)
         cluster.start_entry(0)
-        _wait(lambda: _linked(cluster) >= count)
+        _wait_for_links(lambda: _count_links(cluster) >= count)
         time.sleep(SETTLE_S)
-        return _Rest(cluster.procs["entry-0"].pid, agents)
+        return _IdleUsage(cluster.procs["entry-0"].pid, agents)
     finally:
         agents.stop()
 
 
-def _linked(cluster: Cluster) -> int:
+def _count_links(cluster: Cluster) -> int:
     try:
         state = http_json("GET", cluster.entry_ports[0], "/readyz")
     except OSError:
@@ -96,62 +98,68 @@
     return int(state["linked"])
 
 
-def _wait(done: Callable[[], bool], seconds: float = 30.0) -> None:
-    until = time.monotonic() + seconds
+def _wait_for_links(done: Callable[[], bool], seconds: float = 30.0) -> None:
+    deadline = time.monotonic() + seconds
     while not done():
-        if time.monotonic() > until:
-            raise TimeoutError("a measurement didn't come about")
+        if time.monotonic() > deadline:
+            raise TimeoutError("the links were not established in time")
         time.sleep(0.1)
 
 
-def agent_rest() -> list[Slope]:
-    """Measure an agent at rest against the number of its links."""
+def measure_idle_agent() -> list[Slope]:
+    """Measure the resource use of an idle agent as a function of its number of links."""
     rows = []
-    for count in LINKS:
-        with Cluster(_bare_spec()) as cluster:
-            place = next(p for p in cluster.places if p.kind == "decode")
-            entries = FakeEntries(place.port, count, BEAT_S)
-            entries.start(entries.main)
+    for count in LINK_COUNTS:
+        with Cluster(_idle_spec()) as cluster:
+            agent = next(a for a in cluster.agents if a.kind == "decode")
+            entries = FakeEntries(agent.port, count, HEARTBEAT_S)
+            entries.start(entries.connect_all)
             try:
-                _wait(lambda peers=entries, n=count: len(peers.links) >= n)  # type: ignore[misc]
+                _wait_for_links(lambda peers=entries, n=count: len(peers.links) >= n)  # type: ignore[misc]
                 time.sleep(SETTLE_S)
-                rows.append((count, _Rest(cluster.procs[place.name].pid, entries)))
+                rows.append((count, _IdleUsage(cluster.procs[agent.name].pid, entries)))
             finally:
                 entries.stop()
-    return _rest_slopes("agent", rows)
+    return _fit_idle_usage("agent", rows)
 
 
-def _rest_slopes(role: str, rows: list[tuple[int, _Rest]]) -> list[Slope]:
-    beats = f"at rest, per link, a heartbeat each way every {BEAT_S:g} s"
+def _fit_idle_usage(role: str, rows: list[tuple[int, _IdleUsage]]) -> list[Slope]:
+    condition = f"at rest, per link, a heartbeat each way every {HEARTBEAT_S:g} s"
     return [
-        fit(f"{role}: CPU {beats}", "core", [(n, rest.cpu) for n, rest in rows]),
-        fit(f"{role}: payload {beats}", "B/s", [(n, rest.bytes_s) for n, rest in rows]),
-        fit(f"{role}: memory per link", "KiB", [(n, float(rest.rss)) for n, rest in rows]),
+        fit_line(f"{role}: CPU {condition}", "core", [(n, usage.cpu_cores) for n, usage in rows]),
+        fit_line(
+            f"{role}: payload {condition}",
+            "B/s",
+            [(n, usage.payload_bytes_per_s) for n, usage in rows],
+        ),
+        fit_line(
+            f"{role}: memory per link", "KiB", [(n, float(usage.rss_kib)) for n, usage in rows]
+        ),
     ]
 
 
-def relay() -> list[Slope]:
-    """Measure entry and decode agent against the tokens that they relay."""
+def measure_relay() -> list[Slope]:
+    """Measure CPU and memory of an entry and a decode agent as a function of relayed tokens."""
     spec = ClusterSpec(
         engines=(EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", 1, slots=200)),
         services=(),
-        beat_s=BEAT_S,
+        beat_s=HEARTBEAT_S,
     )
     points: dict[str, list[tuple[float, float]]] = {"entry-0": [], "write-0": []}
     rss = {"entry-0": 0, "write-0": 0}
     with Cluster(spec) as cluster:
         for rate in RELAY_RATES:
-            _relay_point(cluster, rate, points, rss)
+            _measure_relay_rate(cluster, rate, points, rss)
     slopes = [
-        fit(f"{name}: CPU per relayed token (100 a request)", "core s", rows)
+        fit_line(f"{name}: CPU per relayed token (100 a request)", "core s", rows)
         for name, rows in points.items()
     ]
     for name, value in rss.items():
-        slopes.append(fit(f"{name}: memory after relaying", "KiB", [(0, value), (1, value)]))
+        slopes.append(fit_line(f"{name}: memory after relaying", "KiB", [(0, value), (1, value)]))
     return slopes
 
 
-def _relay_point(
+def _measure_relay_rate(
     cluster: Cluster,
     rate: int,
     points: dict[str, list[tuple[float, float]]],
@@ -159,18 +167,18 @@
 ) -> None:
     count = int(rate * RELAY_S)
     trace = [Arrival(n / rate, "naas-office", f"p{n} q r s", 100) for n in range(count)]
-    before = {name: cpu_s(cluster.procs[name].pid) for name in points}
-    began = time.monotonic()
-    outcomes = curio.run(LoadRun(cluster.entry_ports, cluster.credentials).play, trace)
-    took = time.monotonic() - began
-    tokens = sum(seen.tokens for seen in outcomes)
+    before = {name: read_cpu_s(cluster.procs[name].pid) for name in points}
+    started_at = time.monotonic()
+    results = curio.run(LoadGenerator(cluster.entry_ports, cluster.credentials).run, trace)
+    elapsed_s = time.monotonic() - started_at
+    tokens = sum(result.tokens for result in results)
     for name, rows in points.items():
         pid = cluster.procs[name].pid
-        rows.append((tokens / took, (cpu_s(pid) - before[name]) / took))
-        rss[name] = rss_kb(pid)
+        rows.append((tokens / elapsed_s, (read_cpu_s(pid) - before[name]) / elapsed_s))
+        rss[name] = read_rss_kib(pid)
 
 
-def _router(count: int) -> Router:
+def _make_router(count: int) -> Router:
     router = Router(costs=RoutingCosts(zone="z0"), rng=random.Random(1))
     for number in range(count):
         name = f"backend-{number}"
@@ -180,36 +188,36 @@
     return router
 
 
-def _per_call_us(call: Callable[[], object], least_s: float = 0.3) -> float:
+def _measure_call_us(call: Callable[[], object], min_s: float = 0.3) -> float:
     calls = 0
-    began = time.perf_counter()
-    while time.perf_counter() - began < least_s:
+    started_at = time.perf_counter()
+    while time.perf_counter() - started_at < min_s:
         call()
         calls += 1
-    return (time.perf_counter() - began) / calls * 1e6
+    return (time.perf_counter() - started_at) / calls * 1e6
 
 
-def decisions() -> list[Slope]:
-    """Measure the cost of decisions against the number of backend servers and waiting asks."""
-    ask = RouteRequest(1000, tuple(range(40)), 64)
-    routers = {count: _router(count) for count in SERVERS}
+def measure_decisions() -> list[Slope]:
+    """Measure the time of decisions as a function of known servers and waiting requests."""
+    request = RouteRequest(1000, tuple(range(40)), 64)
+    routers = {count: _make_router(count) for count in SERVER_COUNTS}
     choose = [
-        (float(n), _per_call_us(lambda r=r: r.choose_backends(["write"], 0.0)))  # type: ignore[misc]
+        (float(n), _measure_call_us(lambda r=r: r.choose_backends(["write"], 0.0)))  # type: ignore[misc]
         for n, r in routers.items()
     ]
     prefill = [
-        (float(n), _per_call_us(lambda r=r: r.choose_prefill(["write"], ask, "z0", 0.0)))  # type: ignore[misc]
+        (float(n), _measure_call_us(lambda r=r: r.choose_prefill(["write"], request, "z0", 0.0)))  # type: ignore[misc]
         for n, r in routers.items()
     ]
-    waiting = [(float(n), _ask_cost_us(n)) for n in (10, 50, 100, 200)]
+    waiting = [(float(n), _measure_slot_request_us(n)) for n in (10, 50, 100, 200)]
     return [
-        fit("entry: choice of a decode engine, per known server", "us", choose),
-        fit("entry: choice of a prefill engine, per known server", "us", prefill),
-        fit("agent: a request for a slot, per waiting request", "us", waiting),
+        fit_line("entry: choice of a decode engine, per known server", "us", choose),
+        fit_line("entry: choice of a prefill engine, per known server", "us", prefill),
+        fit_line("agent: a request for a slot, per waiting request", "us", waiting),
     ]
 
 
-def _slot_ask(req: int) -> SlotRequest:
+def _make_slot_request(req: int) -> SlotRequest:
     return SlotRequest(
         req=req,
         partner="p",
@@ -221,88 +229,94 @@
     )
 
 
-def _ask_cost_us(waiting: int) -> float:
+def _measure_slot_request_us(waiting: int) -> float:
     table = SlotTable(capacity=20, step_s=0.03)
     for req in range(20 + waiting):
-        table.submit(_slot_ask(req), 0.0)
+        table.submit(_make_slot_request(req), 0.0)
         table.start(req, 0.0)
-    asks = iter(range(10**6, 10**9))
+    request_ids = iter(range(10**6, 10**9))
 
-    def one() -> None:
-        req = next(asks)
-        table.submit(_slot_ask(req), 0.0)
+    def submit_and_release() -> None:
+        req = next(request_ids)
+        table.submit(_make_slot_request(req), 0.0)
         table.release(req, 0.0)
 
-    return _per_call_us(one)
+    return _measure_call_us(submit_and_release)
 
 
-def memory() -> list[Slope]:
-    """Measure the memory of state against its amount."""
+def measure_memory() -> list[Slope]:
+    """Measure the memory of in-process state as a function of its number of items."""
 
-    def index(count: int) -> PrefixIndex:
-        made = PrefixIndex(limit=count)
-        made.record_cached("backend-1", range(2**32, 2**32 + count))
-        return made
+    def make_index(count: int) -> PrefixIndex:
+        state = PrefixIndex(limit=count)
+        state.record_cached("backend-1", range(2**32, 2**32 + count))
+        return state
 
-    def queue(count: int) -> FairQueue[int]:
-        made: FairQueue[int] = FairQueue()
+    def make_queue(count: int) -> FairQueue[int]:
+        state: FairQueue[int] = FairQueue()
         for key in range(count):
-            made.push(key, key, path=("1", "p", f"m{key}"), weights=(1, 1, 1), deadline=1.0, cost=1)
-        return made
+            state.push(
+                key, key, path=("1", "p", f"m{key}"), weights=(1, 1, 1), deadline=1.0, cost=1
+            )
+        return state
 
     return [
-        _memory_slope("entry: memory per known server", _router, (100, 600, 3000)),
-        _memory_slope("entry: memory per cached prefix block", index, (1000, 5000, 20_000)),
-        _memory_slope("agent: memory per member that waits", queue, (100, 480, 2000)),
+        _measure_memory_slope("entry: memory per known server", _make_router, (100, 600, 3000)),
+        _measure_memory_slope(
+            "entry: memory per cached prefix block", make_index, (1000, 5000, 20_000)
+        ),
+        _measure_memory_slope("agent: memory per member that waits", make_queue, (100, 480, 2000)),
     ]
 
 
-def _memory_slope(name: str, make: Callable[[int], object], counts: tuple[int, ...]) -> Slope:
+def _measure_memory_slope(
+    name: str, make: Callable[[int], object], counts: tuple[int, ...]
+) -> Slope:
     points = []
     for count in counts:
         gc.collect()
         tracemalloc.start()
-        kept = make(count)
+        state = make(count)
         size, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        del kept
+        del state
         points.append((float(count), size / 1024))
-    return fit(name, "KiB", points)
+    return fit_line(name, "KiB", points)
 
 
-def key_value_calls() -> list[Slope]:
-    """Measure the key-value service's calls against the number of processes."""
+def measure_key_value_reads() -> list[Slope]:
+    """Measure the reads of the key-value service per bundle change as a function of processes."""
     points = []
     for count in (2, 6, 12):
         engines = (EngineSpec("read", "prefill", 1), EngineSpec("write", "decode", count))
-        spec = ClusterSpec(engines=engines, services=(), beat_s=BEAT_S)
+        spec = ClusterSpec(engines=engines, services=(), beat_s=HEARTBEAT_S)
         with Cluster(spec) as cluster:
             time.sleep(SETTLE_S)
-            before = _reads(cluster)
+            before = _count_reads(cluster)
             for _ in range(3):
-                cluster.publish(cluster.bundle_text(cluster.version + 1))
+                cluster.publish(cluster.bundle_text(cluster.bundle_version + 1))
                 time.sleep(1.0)
-            points.append((count + 2.0, (_reads(cluster) - before) / 3))
-    return [fit("key-value reads per change of the bundle, per process", "calls", points)]
+            points.append((count + 2.0, (_count_reads(cluster) - before) / 3))
+    return [fit_line("key-value reads per change of the bundle, per process", "calls", points)]
 
 
-def _reads(cluster: Cluster) -> int:
+def _count_reads(cluster: Cluster) -> int:
     stats = http_json("GET", cluster.platform_port, "/stats")
     return int(stats["reads"]["total"])
 
 
-PARTS: dict[str, Callable[[], list[Slope]]] = {
-    "decisions": decisions,
-    "memory": memory,
-    "entry": entry_rest,
-    "agent": agent_rest,
-    "relay": relay,
-    "key-value": key_value_calls,
+MEASUREMENTS: dict[str, Callable[[], list[Slope]]] = {
+    "decisions": measure_decisions,
+    "memory": measure_memory,
+    "entry": measure_idle_entry,
+    "agent": measure_idle_agent,
+    "relay": measure_relay,
+    "key-value": measure_key_value_reads,
 }
 
 
-def table_of(slopes: list[Slope]) -> str:
-    """Return the slopes as a table."""
+def format_table(slopes: list[Slope]) -> str:
+    """Return the slopes as a Markdown table."""
     lines = ["| what | unit | base | slope | error | points |", "|---|---|---|---|---|---|"]
     for slope in slopes:
         points = ", ".join(f"{x:g}: {y:.4g}" for x, y in slope.points)
@@ -313,19 +327,21 @@
     return "\n".join(lines)
 
 
-def slopes(args: argparse.Namespace) -> int:
-    """Run the command; returns the exit status."""
-    found: list[Slope] = []
+def run_slopes(args: argparse.Namespace) -> int:
+    """Run the measurements of ``--parts``; return exit status 0."""
+    measured: list[Slope] = []
     for name in args.parts.split(","):
         print(f"measuring {name} on {HOST}", file=sys.stderr, flush=True)
-        found += PARTS[name]()
-    write_json(args.json, found)
-    print(table_of(found))
+        measured += MEASUREMENTS[name]()
+    write_json(args.json, measured)
+    print(format_table(measured))
     return 0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the command's arguments."""
-    parser.add_argument("--parts", default=",".join(PARTS), help="names, separated by commas")
+    parser.add_argument(
+        "--parts", default=",".join(MEASUREMENTS), help="names of measurements, separated by commas"
+    )
     parser.add_argument("--json", default="", help="file for the results")
-    parser.set_defaults(run=slopes)
+    parser.set_defaults(run=run_slopes)
