--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -12,7 +12,7 @@
     SharedLimits,
     ShareLease,
 )
-from limit_worlds import most_in_window
+from limit_worlds import max_in_window
 from member_fleet import RESPONSE_TIMEOUT_S, MemberFleet, MemberNode
 
 SERVER = "s"
@@ -230,7 +230,7 @@
 
     def max_requests_in_window(self, since: float = 0.0) -> int:
         """Return the most requests that reached the server within one window."""
-        return most_in_window(moment for moment in self.tally.arrived if moment >= since)
+        return max_in_window(moment for moment in self.tally.arrived if moment >= since)
 
     def arrived(self, since: float, until: float) -> int:
         """Return how many requests reached the server in a period."""
--- a/tests/limit_worlds.py
+++ b/tests/limit_worlds.py
@@ -17,36 +17,38 @@
 # What the operators allow beyond a server's own word: in some four seconds one and a half times
 # that, and five requests.
 WINDOW_S = 4.0
-OVERRUN = 0.5
-SLACK = 5
+ALLOWED_OVERRUN = 0.5
+EXTRA_REQUESTS = 5
 # Seconds after which instances know each other.
-SETTLED_S = 8.0
+FLEET_READY_S = 8.0
 
 # Target of the routes below, in seconds.
-TARGET_S = 0.9
+TARGET_LATENCY_S = 0.9
 
 route = operator.route
-ONCE = route("r-once", "/once/", "unsafe", "plain")
-SAFE = route("r-safe", "/safe/", "safe", "plain", max_attempts=2)
-STREAM = route("r-stream", "/stream/", "streaming", "llm")
-RESUMED = route("r-resumed", "/resumed/", "streaming", "llm", max_attempts=2, resumable=True)
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
+SAFE_ROUTE = route("r-safe", "/safe/", "safe", "plain", max_attempts=2)
+STREAM_ROUTE = route("r-stream", "/stream/", "streaming", "llm")
+RESUMABLE_ROUTE = route(
+    "r-resumed", "/resumed/", "streaming", "llm", max_attempts=2, resumable=True
+)
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
 
 
-def allowed(per_s: float) -> int:
+def max_allowed_in_window(per_s: float) -> int:
     """Return how many requests may reach a server in a window that takes *per_s*."""
-    return int(per_s * WINDOW_S * (1 + OVERRUN) + SLACK)
+    return int(per_s * WINDOW_S * (1 + ALLOWED_OVERRUN) + EXTRA_REQUESTS)
 
 
-def most_in_window(times: Iterable[float]) -> int:
+def max_in_window(times: Iterable[float]) -> int:
     """Return how many of these moments lie within one window."""
     ordered = sorted(times)
-    most = first = 0
-    for last, moment in enumerate(ordered):
-        while moment - ordered[first] > WINDOW_S:
+    highest = first = 0
+    for last, at in enumerate(ordered):
+        while at - ordered[first] > WINDOW_S:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        highest = max(highest, last - first + 1)
+    return highest
 
 
 @dataclass(frozen=True)
@@ -60,10 +62,10 @@
         back_s: seconds after which its caller is told to come back; 0 for no such word.
     """
 
-    sent: float
-    took_s: float
+    sent_at: float
+    response_s: float
     status: int
-    back_s: float
+    retry_after_s: float
 
 
 class LimitedFleet:
@@ -78,50 +80,54 @@
         others = [self.world.beside(f"g{number}") for number in range(1, instances)]
         self.gateways = [self.world, *others]
         self.outcomes: list[Outcome] = []
-        self._asked = 0
+        self._request_count = 0
 
-    def add(self, ident: str, service: str = "plain", phase: str = "", **more: Any) -> FakeReplica:
+    def add(
+        self, incarnation_id: str, service: str = "plain", phase: str = "", **options: Any
+    ) -> FakeReplica:
         """Add a server."""
-        return self.world.add(ident, service, phase, **more)
+        return self.world.add(incarnation_id, service, phase, **options)
 
-    async def ask(self, path: str, **more: Any) -> Outcome:
+    async def send(self, path: str, **options: Any) -> Outcome:
         """Send a request to the next instance."""
-        gateway = self.gateways[self._asked % len(self.gateways)]
-        ident = f"q{self._asked}"
-        self._asked += 1
-        sent = await curio.clock()
+        gateway = self.gateways[self._request_count % len(self.gateways)]
+        request_id = f"q{self._request_count}"
+        self._request_count += 1
+        sent_at = await curio.clock()
         try:
-            status, headers, _ = await gateway.call(ident, path, **more)
+            status, headers, _ = await gateway.call(request_id, path, **options)
         except (BadHttp, HttpClosed):
             status, headers = 0, {}
-        took_s = await curio.clock() - sent
-        outcome = Outcome(sent, took_s, status, float(headers.get("retry-after", 0)))
+        response_s = await curio.clock() - sent_at
+        outcome = Outcome(sent_at, response_s, status, float(headers.get("retry-after", 0)))
         self.outcomes.append(outcome)
         return outcome
 
-    async def ask_often(self, path: str, *, per_s: float, for_s: float, **more: Any) -> None:
+    async def send_at_rate(
+        self, path: str, *, per_s: float, duration_s: float, **options: Any
+    ) -> None:
         """Send requests evenly, without waiting for answers, then wait for all of them."""
-        began = await curio.clock()
+        started_at = await curio.clock()
         async with curio.TaskGroup(wait=all) as group:
-            for number in range(int(per_s * for_s)):
-                await curio.sleep(began + number / per_s - await curio.clock())
-                await group.spawn(partial(self.ask, path, **more))
+            for number in range(int(per_s * duration_s)):
+                await curio.sleep(started_at + number / per_s - await curio.clock())
+                await group.spawn(partial(self.send, path, **options))
 
-    def play(self, story: Callable[[], Awaitable[None]], *routes: dict[str, Any]) -> None:
+    def run(self, scenario: Callable[[], Awaitable[None]], *routes: dict[str, Any]) -> None:
         """Run *story* once the instances know each other."""
 
-        async def settled() -> None:
-            await curio.sleep(SETTLED_S)
-            await story()
+        async def run_when_ready() -> None:
+            await curio.sleep(FLEET_READY_S)
+            await scenario()
 
-        run_virtual(self.world.play, settled, *routes, settle_s=0.003)
+        run_virtual(self.world.play, run_when_ready, *routes, settle_s=0.003)
 
-    def statuses(self) -> dict[int, int]:
+    def count_statuses(self) -> dict[int, int]:
         """Return how often each status was answered."""
-        seen = [outcome.status for outcome in self.outcomes]
-        return {status: seen.count(status) for status in sorted(set(seen))}
+        statuses = [outcome.status for outcome in self.outcomes]
+        return {status: statuses.count(status) for status in sorted(set(statuses))}
 
 
-def most_arrivals(replica: FakeReplica, since: float = 0.0) -> int:
+def max_arrivals_in_window(replica: FakeReplica, since: float = 0.0) -> int:
     """Return the most requests that reached a server within one window."""
-    return most_in_window(arrival.at for arrival in replica.arrivals if arrival.at >= since)
+    return max_in_window(arrival.at for arrival in replica.arrivals if arrival.at >= since)
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -25,522 +25,538 @@
 from behaviours import break_off, fail
 from crankhinge.http import Exchange
 from limit_worlds import (
-    ONCE,
-    RESUMED,
-    SAFE,
-    SETTLED_S,
-    STREAM,
-    TARGET_S,
-    TOKENS,
+    FLEET_READY_S,
+    RESUMABLE_ROUTE,
+    SAFE_ROUTE,
+    STREAM_ROUTE,
+    TARGET_LATENCY_S,
+    TOKEN_HEADERS,
+    UNSAFE_ROUTE,
     LimitedFleet,
-    allowed,
-    most_arrivals,
-    most_in_window,
+    max_allowed_in_window,
+    max_arrivals_in_window,
+    max_in_window,
 )
 from platform_fakes import Behave, FakeReplica, stream
 
 # Requests a second that callers send, many times what the server takes, and for how long, seconds.
-ASKED_PER_S = 30.0
-ASKED_S = 10.0
+OFFERED_PER_S = 30.0
+OFFERED_S = 10.0
 
 
-def stream_often(fleet: LimitedFleet) -> None:
+def send_streams(fleet: LimitedFleet) -> None:
     """Have callers ask for streams, many times what the limited server takes."""
 
-    async def story() -> None:
-        await fleet.ask_often("/stream/a", per_s=ASKED_PER_S, for_s=ASKED_S, **TOKENS)
+    async def scenario() -> None:
+        await fleet.send_at_rate(
+            "/stream/a", per_s=OFFERED_PER_S, duration_s=OFFERED_S, **TOKEN_HEADERS
+        )
 
-    fleet.play(story, STREAM)
+    fleet.run(scenario, STREAM_ROUTE)
 
 
-class TestNamedLimit:
+class TestAdvertisedLimit:
     """A server names what it takes; callers ask for many times as much."""
 
     @pytest.mark.parametrize("instances", [1, 3])
-    def test_holds_for_the_sum_over_all_instances(self, instances: int) -> None:
+    def test_limits_total_of_all_instances(self, instances: int) -> None:
         """What is over goes to the other servers, and every caller is served."""
         fleet = LimitedFleet(instances)
         limited = fleet.add("i-limited", limit="2")
         others = [fleet.add(f"i-{number}") for number in range(2)]
 
-        async def story() -> None:
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=ASKED_S)
+        async def scenario() -> None:
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=OFFERED_S)
 
-        fleet.play(story, ONCE)
-        assert most_arrivals(limited) <= allowed(2.0)
-        assert fleet.statuses() == {200: int(ASKED_PER_S * ASKED_S)}
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
+        assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
         assert all(len(server.arrivals) > len(limited.arrivals) for server in others)
 
-    def test_holds_for_repeats(self) -> None:
+    def test_limits_retries(self) -> None:
         """A call that failed elsewhere is not repeated there beyond the limit."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-failing", behave=fail)
 
-        async def story() -> None:
-            await fleet.ask_often("/safe/a", per_s=ASKED_PER_S, for_s=ASKED_S)
+        async def scenario() -> None:
+            await fleet.send_at_rate("/safe/a", per_s=OFFERED_PER_S, duration_s=OFFERED_S)
 
-        fleet.play(story, SAFE)
-        assert most_arrivals(limited) <= allowed(2.0)
+        fleet.run(scenario, SAFE_ROUTE)
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
 
-    def test_holds_for_streams(self) -> None:
+    def test_limits_streams(self) -> None:
         """At the engine that writes."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
 
-        stream_often(fleet)
-        assert most_arrivals(limited) <= allowed(2.0)
-        assert fleet.statuses() == {200: int(ASKED_PER_S * ASKED_S)}
+        send_streams(fleet)
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
+        assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
 
-    def test_holds_for_prompts_read_apart(self) -> None:
+    def test_limits_prompts_at_prefill_engine(self) -> None:
         """At the engine that reads; what is over is read by the one that writes."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", "llm", "prefill", limit="2")
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
 
-        stream_often(fleet)
-        assert most_arrivals(limited) <= allowed(2.0)
-        assert fleet.statuses() == {200: int(ASKED_PER_S * ASKED_S)}
+        send_streams(fleet)
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
+        assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
 
-    def test_holds_from_when_a_server_begins_to_name_it(self) -> None:
+    def test_applies_once_server_advertises_it(self) -> None:
         """Whoever has passed such an answer on half a second ago keeps to it."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited")
         fleet.add("i-other")
-        named_at = 0.0
+        advertised_at = 0.0
 
-        async def story() -> None:
-            nonlocal named_at
-            asking = partial(fleet.ask_often, "/once/a", per_s=ASKED_PER_S, for_s=ASKED_S)
+        async def scenario() -> None:
+            nonlocal advertised_at
+            send_requests = partial(
+                fleet.send_at_rate, "/once/a", per_s=OFFERED_PER_S, duration_s=OFFERED_S
+            )
             async with curio.TaskGroup(wait=all) as group:
-                await group.spawn(asking)
+                await group.spawn(send_requests)
                 await curio.sleep(3.0)
-                limited.limit, named_at = "2", await curio.clock()
+                limited.limit, advertised_at = "2", await curio.clock()
 
-        fleet.play(story, ONCE)
-        assert most_arrivals(limited, since=named_at + 0.5) <= allowed(2.0)
-        assert fleet.statuses() == {200: int(ASKED_PER_S * ASKED_S)}
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert max_arrivals_in_window(limited, since=advertised_at + 0.5) <= max_allowed_in_window(
+            2.0
+        )
+        assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
 
 
-class TestEveryWay:
+class TestAllSendPaths:
     """Each way in which a request, or a call for one, reaches a server that names a limit."""
 
-    def test_a_stream_that_is_taken_up_elsewhere(self) -> None:
+    def test_resumed_streams_are_limited(self) -> None:
         """It broke off at one engine; the other one takes four requests a second."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
         fleet.add("i-breaking", "llm", "decode", behave=break_off, room=10_000)
 
-        async def story() -> None:
-            await fleet.ask_often("/resumed/a", per_s=12.0, for_s=15.0, **TOKENS)
+        async def scenario() -> None:
+            await fleet.send_at_rate("/resumed/a", per_s=12.0, duration_s=15.0, **TOKEN_HEADERS)
 
-        fleet.play(story, RESUMED)
-        taken_up = [each for each in limited.arrivals if "last-event-id" in each.headers]
-        assert taken_up
-        assert most_arrivals(limited) <= allowed(4.0)
+        fleet.run(scenario, RESUMABLE_ROUTE)
+        resumed = [each for each in limited.arrivals if "last-event-id" in each.headers]
+        assert resumed
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(4.0)
 
-    def test_a_second_reading(self) -> None:
+    def test_second_prompt_attempts_are_limited(self) -> None:
         """The first reader refuses; the second names a limit."""
         fleet = LimitedFleet()
         fleet.add("i-refusing", "llm", "prefill", refuses_to_read=True)
         limited = fleet.add("i-limited", "llm", "prefill", limit="2")
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
 
-        stream_often(fleet)
+        send_streams(fleet)
         assert limited.arrivals
-        assert most_arrivals(limited) <= allowed(2.0)
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
 
-    def test_a_memory_that_is_fetched(self) -> None:
+    def test_kv_cache_fetches_are_limited(self) -> None:
         """The engine that writes is asked to fetch the memory of a prompt by such a request."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
 
-        stream_often(fleet)
+        send_streams(fleet)
         assert any("kv-from" in each.headers for each in limited.arrivals)
-        assert most_arrivals(limited) <= allowed(4.0)
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(4.0)
 
-    def test_reservations(self) -> None:
+    def test_reservation_calls_are_limited(self) -> None:
         """An engine without room is asked for some as rarely as it takes requests."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=4)
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
 
-        stream_often(fleet)
-        reserved = limited.side_calls.count("POST /v1/hold-take")
+        send_streams(fleet)
+        reservation_calls = limited.side_calls.count("POST /v1/hold-take")
         # Four were granted, and told the limit; each call after that had a permit.
-        assert 4 < reserved <= 2.0 * ASKED_S + allowed(2.0)
+        assert 4 < reservation_calls <= 2.0 * OFFERED_S + max_allowed_in_window(2.0)
 
-    def test_a_place_that_was_taken_before_the_limit_was_known(self) -> None:
+    def test_earlier_reservations_are_used_within_limit_or_released(self) -> None:
         """Its prompt is read elsewhere meanwhile, and it is written by another engine."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill", read_s=0.8)
         limited = fleet.add("i-limited", "llm", "decode", behave=stream, room=10_000)
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
-        named_at = 0.0
+        advertised_at = 0.0
 
-        async def story() -> None:
-            nonlocal named_at
-            asking = partial(fleet.ask_often, "/stream/a", per_s=20.0, for_s=6.0, **TOKENS)
+        async def scenario() -> None:
+            nonlocal advertised_at
+            send_requests = partial(
+                fleet.send_at_rate, "/stream/a", per_s=20.0, duration_s=6.0, **TOKEN_HEADERS
+            )
             async with curio.TaskGroup(wait=all) as group:
-                await group.spawn(asking)
+                await group.spawn(send_requests)
                 await curio.sleep(2.0)
-                limited.limit, named_at = "0.5", await curio.clock()
+                limited.limit, advertised_at = "0.5", await curio.clock()
 
-        fleet.play(story, STREAM)
+        fleet.run(scenario, STREAM_ROUTE)
         # The second word after it began comes with the first answer that names it.
-        assert most_arrivals(limited, since=named_at + 0.5) <= allowed(0.5)
-        assert fleet.statuses() == {200: 120}
+        assert max_arrivals_in_window(limited, since=advertised_at + 0.5) <= max_allowed_in_window(
+            0.5
+        )
+        assert fleet.count_statuses() == {200: 120}
         # Each place there was used or given back.
-        given_back = sum(each.startswith("DELETE /v1/hold-drop") for each in limited.side_calls)
-        assert given_back > 0
-        taken = limited.side_calls.count("POST /v1/hold-take")
-        assert taken == len(limited.arrivals) + given_back
+        released = sum(each.startswith("DELETE /v1/hold-drop") for each in limited.side_calls)
+        assert released > 0
+        reserved = limited.side_calls.count("POST /v1/hold-take")
+        assert reserved == len(limited.arrivals) + released
 
-    def test_calls_that_free_its_memory_are_made_all_the_same(self) -> None:
+    def test_release_calls_need_no_permit(self) -> None:
         """They relieve it."""
         fleet = LimitedFleet()
-        reader = fleet.add("i-reader", "llm", "prefill")
+        prefill_engine = fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
 
-        async def story() -> None:
-            await fleet.ask("/stream/a", **TOKENS)
-            await curio.sleep(SETTLED_S)
-            reader.read_s = 0.8
+        async def scenario() -> None:
+            await fleet.send("/stream/a", **TOKEN_HEADERS)
+            await curio.sleep(FLEET_READY_S)
+            prefill_engine.read_s = 0.8
             async with curio.TaskGroup(wait=all) as group:
-                await group.spawn(partial(fleet.ask, "/stream/a", **TOKENS))
+                await group.spawn(partial(fleet.send, "/stream/a", **TOKEN_HEADERS))
                 await curio.sleep(0.4)
                 # It leaves while the prompt is read: the place there is given back.
                 await limited.enter("draining")
 
-        fleet.play(story, STREAM)
+        fleet.run(scenario, STREAM_ROUTE)
         assert limited.side_calls.count("POST /v1/hold-take") == 2
         assert [each for each in limited.side_calls if each.startswith("DELETE /v1/hold-drop")]
 
 
-async def slow_or_named(replica: FakeReplica, exchange: Exchange) -> None:
+async def answer_slow_body_late(replica: FakeReplica, exchange: Exchange) -> None:
     """Answer a certain request late, with what the server had to say when it began."""
     head = replica.head(exchange)
     await curio.sleep(1.0 if exchange.req.body == b"slow" else 0.0)
     await exchange.respond_with_fields(200, head, b"whole")
 
 
-class TestChanges:
+class TestLimitChanges:
     """A limit that ends, rises, falls, or says nothing."""
 
-    def test_ends_with_the_first_answer_without_it(self) -> None:
+    def test_ends_with_first_response_without_it(self) -> None:
         """A server that names none any more gets its part of everything again."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="1")
-        ended_at = 0.0
+        withdrawn_at = 0.0
 
-        async def story() -> None:
-            nonlocal ended_at
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
+        async def scenario() -> None:
+            nonlocal withdrawn_at
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
             limited.limit = None
             await curio.sleep(4.0)
-            ended_at = await curio.clock()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
+            withdrawn_at = await curio.clock()
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
 
-        fleet.play(story, ONCE)
-        since = [each for each in fleet.outcomes if each.sent >= ended_at]
-        assert len(since) == 4 * ASKED_PER_S
-        assert all(each.status == 200 for each in since)
+        fleet.run(scenario, UNSAFE_ROUTE)
+        later = [each for each in fleet.outcomes if each.sent_at >= withdrawn_at]
+        assert len(later) == 4 * OFFERED_PER_S
+        assert all(each.status == 200 for each in later)
         for gateway in fleet.gateways:
             assert gateway.lines.having("server_limit ", "per_s=", "was=1.0")
 
-    def test_its_end_is_told_to_all(self) -> None:
+    def test_withdrawal_is_sent_to_all_instances(self) -> None:
         """An instance that sends nothing there at the time hears no answer of its own."""
         fleet = LimitedFleet(2)
         limited = fleet.add("i-limited", limit="8")
-        told = fleet.gateways[1]
+        other_gateway = fleet.gateways[1]
 
-        async def story() -> None:
-            await fleet.ask("/once/a")
-            await fleet.ask("/once/a")
+        async def scenario() -> None:
+            await fleet.send("/once/a")
+            await fleet.send("/once/a")
             limited.limit = None
             await curio.sleep(1.0)
-            await fleet.ask("/once/a")
+            await fleet.send("/once/a")
             await curio.sleep(0.1)
 
-        fleet.play(story, ONCE)
-        assert told.lines.having("server_limit ", "per_s= ", "was=8.0", "told_by=127.0.0.1")
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert other_gateway.lines.having(
+            "server_limit ", "per_s= ", "was=8.0", "told_by=127.0.0.1"
+        )
 
     @pytest.mark.parametrize(("first", "second"), [("1", "8"), ("8", "1")])
-    def test_rises_and_falls_at_once(self, first: str, second: str) -> None:
+    def test_new_limit_applies_at_once(self, first: str, second: str) -> None:
         """Whatever was saved up by the old figure is not sent by the new one."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit=first)
         fleet.add("i-other")
         changed_at = 0.0
 
-        async def story() -> None:
+        async def scenario() -> None:
             nonlocal changed_at
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=8.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=8.0)
             limited.limit, changed_at = second, await curio.clock()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=16.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=16.0)
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         before = [each.at for each in limited.arrivals if each.at < changed_at]
-        since = [each.at for each in limited.arrivals if each.at >= changed_at + 0.5]
-        assert most_in_window(before) <= allowed(float(first))
-        assert most_in_window(since) <= allowed(float(second))
-        assert len(since) >= 0.8 * 15.5 * float(second)
+        later = [each.at for each in limited.arrivals if each.at >= changed_at + 0.5]
+        assert max_in_window(before) <= max_allowed_in_window(float(first))
+        assert max_in_window(later) <= max_allowed_in_window(float(second))
+        assert len(later) >= 0.8 * 15.5 * float(second)
 
     @pytest.mark.parametrize("limit", ["0", "0.25"])
-    def test_below_one_a_second(self, limit: str) -> None:
+    def test_limit_below_one_per_second_is_probed(self, limit: str) -> None:
         """It is tried now and then, so that the end of its need is seen."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit=limit)
         fleet.add("i-other")
 
-        async def story() -> None:
-            await fleet.ask_often("/once/a", per_s=10.0, for_s=20.0)
+        async def scenario() -> None:
+            await fleet.send_at_rate("/once/a", per_s=10.0, duration_s=20.0)
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         assert 3 <= len(limited.arrivals) <= 10
-        assert most_arrivals(limited) <= allowed(float(limit))
-        assert fleet.statuses() == {200: 200}
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(float(limit))
+        assert fleet.count_statuses() == {200: 200}
 
-    def test_what_is_no_number_neither_begins_nor_ends_it(self) -> None:
+    def test_unreadable_value_changes_nothing(self) -> None:
         """The last figure stands, and without one nothing is known."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="lots")
         fleet.add("i-other")
-        named_at = 0.0
+        advertised_at = 0.0
 
-        async def story() -> None:
-            nonlocal named_at
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=2.0)
-            limited.limit, named_at = "2", await curio.clock()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=3.0)
+        async def scenario() -> None:
+            nonlocal advertised_at
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=2.0)
+            limited.limit, advertised_at = "2", await curio.clock()
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=3.0)
             limited.limit = "nan"
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=8.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=8.0)
 
-        fleet.play(story, ONCE)
-        assert sum(each.at < named_at for each in limited.arrivals) >= 15
-        assert most_arrivals(limited, since=named_at + 0.5) <= allowed(2.0)
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert sum(each.at < advertised_at for each in limited.arrivals) >= 15
+        assert max_arrivals_in_window(limited, since=advertised_at + 0.5) <= max_allowed_in_window(
+            2.0
+        )
 
-    def test_is_not_ended_by_an_answer_to_an_earlier_request(self) -> None:
+    def test_response_to_earlier_request_does_not_end_it(self) -> None:
         """The server ran it from before it was in need, and its answer came late."""
         fleet = LimitedFleet(1)
-        limited = fleet.add("i-limited", behave=slow_or_named)
+        limited = fleet.add("i-limited", behave=answer_slow_body_late)
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with curio.TaskGroup(wait=all) as group:
-                await group.spawn(partial(fleet.ask, "/once/a", body=b"slow"))
+                await group.spawn(partial(fleet.send, "/once/a", body=b"slow"))
                 await curio.sleep(0.2)
                 limited.limit = "2"
-                await fleet.ask("/once/a")
+                await fleet.send("/once/a")
 
-        fleet.play(story, ONCE)
-        assert fleet.statuses() == {200: 2}
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.count_statuses() == {200: 2}
         assert len(fleet.world.lines.having("event=server_limit ")) == 1
 
-    def test_is_not_ended_by_a_refusal(self) -> None:
+    def test_refusal_does_not_end_it(self) -> None:
         """It may come from before the server itself, which names what it takes."""
         fleet = LimitedFleet(1)
         limited = fleet.add("i-limited", limit="2")
 
-        async def story() -> None:
-            await fleet.ask("/once/a")
-            limited.behave = shed
+        async def scenario() -> None:
+            await fleet.send("/once/a")
+            limited.behave = refuse
             await curio.sleep(2.0)
-            await fleet.ask("/once/a")
+            await fleet.send("/once/a")
 
-        fleet.play(story, ONCE)
-        assert fleet.statuses() == {200: 1, 503: 1}
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.count_statuses() == {200: 1, 503: 1}
         assert len(fleet.world.lines.having("event=server_limit ")) == 1
 
-    def test_is_not_that_of_the_next_life(self) -> None:
+    def test_does_not_apply_to_next_incarnation(self) -> None:
         """A server that starts again under its name has said nothing yet."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="0.25", born=1000)
-        again_at = 0.0
+        restarted_at = 0.0
 
-        async def story() -> None:
-            nonlocal again_at
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=2.0)
+        async def scenario() -> None:
+            nonlocal restarted_at
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=2.0)
             limited.limit, limited.born = None, 2000
             await limited.enter()
             await curio.sleep(1.0)
-            again_at = await curio.clock()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=2.0)
+            restarted_at = await curio.clock()
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=2.0)
 
-        fleet.play(story, ONCE)
-        since = [each for each in fleet.outcomes if each.sent >= again_at]
-        assert [each.status for each in since] == [200] * len(since)
+        fleet.run(scenario, UNSAFE_ROUTE)
+        later = [each for each in fleet.outcomes if each.sent_at >= restarted_at]
+        assert [each.status for each in later] == [200] * len(later)
 
-    def test_stands_while_its_entry_is_away(self) -> None:
+    def test_limit_survives_missing_entry(self) -> None:
         """Entries lapse with the store; the need of the server does not end with them."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-other")
-        back_at = 0.0
+        entered_again_at = 0.0
 
-        async def story() -> None:
-            nonlocal back_at
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=3.0)
+        async def scenario() -> None:
+            nonlocal entered_again_at
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=3.0)
             await fleet.world.store.remove("servers/i-limited")
             await curio.sleep(4.0)
             await limited.enter()
             await curio.sleep(0.5)
-            back_at = await curio.clock()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
+            entered_again_at = await curio.clock()
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
 
-        fleet.play(story, ONCE)
-        assert most_arrivals(limited, since=back_at) <= allowed(2.0)
-        assert any(each.at >= back_at for each in limited.arrivals)
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert max_arrivals_in_window(limited, since=entered_again_at) <= max_allowed_in_window(2.0)
+        assert any(each.at >= entered_again_at for each in limited.arrivals)
 
 
-class TestAllLimited:
+class TestAllServersLimited:
     """Every server of a service names a limit."""
 
-    def test_what_is_over_is_refused_at_once(self) -> None:
+    def test_excess_requests_are_refused_at_once(self) -> None:
         """Or is served within its target; nobody waits in vain."""
         fleet = LimitedFleet()
         servers = [fleet.add(f"i-{number}", limit="2") for number in range(3)]
 
-        async def story() -> None:
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=ASKED_S)
+        async def scenario() -> None:
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=OFFERED_S)
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         served = [each for each in fleet.outcomes if each.status == 200]
         refused = [each for each in fleet.outcomes if each.status == 503]
-        assert len(served) + len(refused) == ASKED_PER_S * ASKED_S
-        assert len(served) >= 0.8 * 3 * 2.0 * ASKED_S
-        assert max(each.took_s for each in served) <= TARGET_S + 0.1
-        assert max(each.took_s for each in refused) <= 0.2
-        assert min(each.back_s for each in refused) > 0.0
+        assert len(served) + len(refused) == OFFERED_PER_S * OFFERED_S
+        assert len(served) >= 0.8 * 3 * 2.0 * OFFERED_S
+        assert max(each.response_s for each in served) <= TARGET_LATENCY_S + 0.1
+        assert max(each.response_s for each in refused) <= 0.2
+        assert min(each.retry_after_s for each in refused) > 0.0
         for server in servers:
-            assert most_arrivals(server) <= allowed(2.0)
+            assert max_arrivals_in_window(server) <= max_allowed_in_window(2.0)
 
-    def test_a_stream_is_refused_at_once_where_no_engine_takes_it(self) -> None:
+    def test_stream_is_refused_at_once_if_no_engine_may_take_it(self) -> None:
         """It does not wait for its patience to end."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         for number in range(2):
             fleet.add(f"i-{number}", "llm", "decode", limit="0", behave=stream)
 
-        async def story() -> None:
-            await fleet.ask_often("/stream/a", per_s=4.0, for_s=6.0, **TOKENS)
+        async def scenario() -> None:
+            await fleet.send_at_rate("/stream/a", per_s=4.0, duration_s=6.0, **TOKEN_HEADERS)
 
-        fleet.play(story, STREAM)
+        fleet.run(scenario, STREAM_ROUTE)
         refused = [each for each in fleet.outcomes if each.status == 503]
         assert len(refused) >= 15
-        assert max(each.took_s for each in refused) <= 0.2
-        assert min(each.back_s for each in refused) > 0.0
+        assert max(each.response_s for each in refused) <= 0.2
+        assert min(each.retry_after_s for each in refused) > 0.0
         assert fleet.world.lines.having("request_failed", "code=server-at-limit")
 
-    def test_the_turn_of_a_caller_that_left_is_the_next_ones(self) -> None:
+    def test_permit_of_disconnected_caller_goes_to_next_caller(self) -> None:
         """It was granted for half a second later, and not used."""
         fleet = LimitedFleet(1)
         fleet.add("i-limited", limit="2")
 
-        async def story() -> None:
-            await fleet.ask("/once/a")
-            await curio.sleep(SETTLED_S)
-            await fleet.ask("/once/a")
-            await fleet.ask("/once/a")
-            await curio.ignore_after(0.1, fleet.ask, "/once/a")
+        async def scenario() -> None:
+            await fleet.send("/once/a")
+            await curio.sleep(FLEET_READY_S)
+            await fleet.send("/once/a")
+            await fleet.send("/once/a")
+            await curio.ignore_after(0.1, fleet.send, "/once/a")
             await curio.sleep(0.05)
-            await fleet.ask("/once/a")
+            await fleet.send("/once/a")
 
-        fleet.play(story, ONCE)
-        assert fleet.statuses() == {200: 4}
-        assert fleet.outcomes[-1].took_s <= 0.45
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.count_statuses() == {200: 4}
+        assert fleet.outcomes[-1].response_s <= 0.45
 
-    def test_whoever_comes_back_when_told_is_served(self) -> None:
+    def test_caller_that_obeys_retry_after_is_served(self) -> None:
         """Twelve callers at once before a server that takes two a second."""
         fleet = LimitedFleet()
         fleet.add("i-limited", limit="2")
         statuses: list[int] = []
 
-        async def come() -> None:
-            outcome = await fleet.ask("/once/a")
+        async def send_and_retry() -> None:
+            outcome = await fleet.send("/once/a")
             if outcome.status == 503:
-                await curio.sleep(outcome.back_s)
-                statuses.append((await fleet.ask("/once/a")).status)
+                await curio.sleep(outcome.retry_after_s)
+                statuses.append((await fleet.send("/once/a")).status)
 
-        async def story() -> None:
-            await fleet.ask("/once/a")
-            await curio.sleep(SETTLED_S)
+        async def scenario() -> None:
+            await fleet.send("/once/a")
+            await curio.sleep(FLEET_READY_S)
             async with curio.TaskGroup(wait=all) as group:
                 for _ in range(12):
-                    await group.spawn(come)
+                    await group.spawn(send_and_retry)
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         assert len(statuses) >= 6
         assert statuses.count(200) >= 0.8 * len(statuses)
 
 
-class TestInstances:
+class TestLimitPropagation:
     """Instances that have just started, or were never told by an answer."""
 
-    def test_one_that_starts_again_knows_the_limit(self) -> None:
+    def test_restarted_instance_knows_limit(self) -> None:
         """Those that hand out for the server keep it in their notes."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-other")
 
-        async def story() -> None:
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
+        async def scenario() -> None:
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
             await curio.sleep(3.0)
             for gateway in fleet.gateways:
                 await gateway.kill()
             await curio.sleep(1.5)
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=6.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=6.0)
 
-        fleet.play(story, ONCE)
-        assert most_arrivals(limited) <= allowed(2.0)
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
         for gateway in fleet.gateways:
             assert gateway.lines.having("server_limit ", "per_s=2.0", "told_by=note:")
 
-    def test_one_whose_callers_all_left_is_told_by_the_others(self) -> None:
+    def test_instance_without_responses_is_notified_by_others(self) -> None:
         """Callers that leave before the answer leave nothing to read it."""
         fleet = LimitedFleet(2)
         fleet.add("i-limited", limit="2")
-        told = fleet.gateways[1]
+        other_gateway = fleet.gateways[1]
 
-        async def story() -> None:
+        async def scenario() -> None:
             await fleet.world.call("q", "/once/a")
             await curio.sleep(0.1)
 
-        fleet.play(story, ONCE)
-        assert told.lines.having("server_limit ", "server=i-limited", "per_s=2.0")
-        assert not told.lines.having("event=answered")
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert other_gateway.lines.having("server_limit ", "server=i-limited", "per_s=2.0")
+        assert not other_gateway.lines.having("event=answered")
 
 
-async def shed(replica: FakeReplica, exchange: Exchange, *told: tuple[str, str]) -> None:
+async def refuse(replica: FakeReplica, exchange: Exchange, *extra_headers: tuple[str, str]) -> None:
     """Refuse a request at once."""
-    ident = exchange.req.headers["x-request-id"]
-    fields = [("x-request-id", ident), ("x-not-executed", "1"), *told]
-    await exchange.respond_with_fields(503, fields, b"")
+    request_id = exchange.req.headers["x-request-id"]
+    response_headers = [("x-request-id", request_id), ("x-not-executed", "1"), *extra_headers]
+    await exchange.respond_with_fields(503, response_headers, b"")
 
 
-async def shed_for_now(replica: FakeReplica, exchange: Exchange) -> None:
+async def refuse_with_retry_after(replica: FakeReplica, exchange: Exchange) -> None:
     """Refuse a request and tell when to come back."""
-    await shed(replica, exchange, ("retry-after", "2"))
+    await refuse(replica, exchange, ("retry-after", "2"))
 
 
-class TestRefusing:
+class TestRefusingServer:
     """A server that refuses requests at once, and so looks least busy."""
 
-    @pytest.mark.parametrize(("behave", "most"), [(shed_for_now, 3), (shed, 5)])
-    def test_is_left_alone_for_a_while(self, behave: Behave, most: int) -> None:
+    @pytest.mark.parametrize(
+        ("behave", "max_requests"), [(refuse_with_retry_after, 3), (refuse, 5)]
+    )
+    def test_gets_pause_after_refusal(self, behave: Behave, max_requests: int) -> None:
         """Until the time that it tells, or ever longer; the others serve meanwhile."""
         fleet = LimitedFleet(1)
-        shedding = fleet.add("i-shedding", behave=behave)
+        refusing = fleet.add("i-shedding", behave=behave)
         fleet.add("i-other")
 
-        async def story() -> None:
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=6.0)
+        async def scenario() -> None:
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=6.0)
 
-        fleet.play(story, ONCE)
-        refused = len(shedding.arrivals)
-        assert 0 < refused <= most
-        assert fleet.statuses() == {200: 180 - refused, 503: refused}
+        fleet.run(scenario, UNSAFE_ROUTE)
+        refused = len(refusing.arrivals)
+        assert 0 < refused <= max_requests
+        assert fleet.count_statuses() == {200: 180 - refused, 503: refused}
--- a/tests/test_limits_relayed.py
+++ b/tests/test_limits_relayed.py
@@ -10,115 +10,118 @@
 from platform_fakes import World, config, route, stream
 from virtual_time import run_virtual
 
-ONCE = route("r-once", "/once/", "unsafe", "plain")
-STREAM = route("r-stream", "/stream/", "streaming", "llm")
-BOUNDS = {"quota_window_s": 8.0, "quota_overrun": 0.1, "quota_slack": 4000.0}
-KEYED = {"authorization": "Bearer key-red"}
-SMALL = {"x_token_count": "150,50", **KEYED}
-LARGE = {"x_token_count": "900,100", "length_hint": "40", **KEYED}
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
+STREAM_ROUTE = route("r-stream", "/stream/", "streaming", "llm")
+QUOTA_SETTINGS = {"quota_window_s": 8.0, "quota_overrun": 0.1, "quota_slack": 4000.0}
+KEY_HEADER = {"authorization": "Bearer key-red"}
+SMALL_REQUEST = {"x_token_count": "150,50", **KEY_HEADER}
+LARGE_REQUEST = {"x_token_count": "900,100", "length_hint": "40", **KEY_HEADER}
 
 
-def limited(per_s: float, burst: float) -> dict[str, Any]:
+def account_with_limit(per_s: float, burst: float) -> dict[str, Any]:
     """Return an account with a limit."""
     return account("red", "key-red", rate_per_s=per_s, burst=burst)
 
 
-class Instances:
+class GatewayFleet:
     """Several gateways before the same store and replicas."""
 
     def __init__(self, count: int, account: dict[str, Any]) -> None:
         self.worlds = [
-            World(tenants=(account,), name=f"g{number}", **BOUNDS) for number in range(count)
+            World(tenants=(account,), name=f"g{number}", **QUOTA_SETTINGS)
+            for number in range(count)
         ]
         self.first = self.worlds[0]
         for world in self.worlds[1:]:
             world.store = self.first.store
 
-    def play(self, story: Any) -> None:
+    def run(self, scenario: Any) -> None:
         """Run *story* once all instances know each other."""
 
-        async def told() -> None:
+        async def run_when_ready() -> None:
             tasks = [await curio.spawn(world.gateway, daemon=True) for world in self.worlds[1:]]
             await curio.sleep(8.0)
-            await story()
+            await scenario()
             for task in tasks:
                 await task.cancel()
 
-        run_virtual(self.first.play, told, ONCE, STREAM, settle_s=0.003)
+        run_virtual(self.first.play, run_when_ready, UNSAFE_ROUTE, STREAM_ROUTE, settle_s=0.003)
 
 
-class TestLimit:
+class TestAccountLimit:
     """An account's use is counted over all instances."""
 
-    def test_one_instance_spends_what_all_may(self) -> None:
+    def test_one_instance_may_use_whole_limit(self) -> None:
         """Its callers all came to it; an equal share would have refused half of them."""
-        fleet = Instances(3, limited(1000, 2000))
+        fleet = GatewayFleet(3, account_with_limit(1000, 2000))
         fleet.first.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(10):
-                assert (await fleet.first.call(f"q{number}", "/once/a", **SMALL))[0] == 200
+                assert (await fleet.first.call(f"q{number}", "/once/a", **SMALL_REQUEST))[0] == 200
 
-        fleet.play(story)
+        fleet.run(scenario)
 
-    def test_the_sum_over_all_is_bounded_and_callers_are_told_when_to_come_back(self) -> None:
+    def test_total_of_all_instances_is_bounded_and_retry_after_holds(self) -> None:
         """429 is "not run"; a caller that comes back when it was told to is served."""
-        fleet = Instances(3, limited(1000, 2000))
+        fleet = GatewayFleet(3, account_with_limit(1000, 2000))
         replica = fleet.first.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             statuses = []
             for number in range(30):
                 world = fleet.worlds[number % 3]
-                status, headers, _ = await world.call(f"q{number}", "/once/a", **SMALL)
+                status, headers, _ = await world.call(f"q{number}", "/once/a", **SMALL_REQUEST)
                 statuses.append(status)
             assert set(statuses) == {200, 429}
             assert len(replica.ran) <= 11
             await curio.sleep(float(headers["retry-after"]))
-            assert (await fleet.worlds[1].call("r", "/once/a", **SMALL))[0] == 200
+            assert (await fleet.worlds[1].call("r", "/once/a", **SMALL_REQUEST))[0] == 200
             lines = [line for world in fleet.worlds for line in world.lines.having("over_limit")]
             assert all("account=red" in line and "left=" in line for line in lines)
 
-        fleet.play(story)
+        fleet.run(scenario)
 
-    def test_a_request_that_found_no_room_gives_its_tokens_back(self) -> None:
+    def test_request_without_reservation_returns_its_tokens(self) -> None:
         """It did not run, so it counts nothing."""
-        fleet = Instances(2, limited(300, 2000))
-        writer = fleet.first.add("i-w", "llm", "decode", behave=stream, room=0)
+        fleet = GatewayFleet(2, account_with_limit(300, 2000))
+        decode_engine = fleet.first.add("i-w", "llm", "decode", behave=stream, room=0)
 
-        async def story() -> None:
+        async def scenario() -> None:
             for world in (*fleet.worlds, *fleet.worlds):
-                status, _, _ = await world.call("q", "/stream/a", **LARGE, x_deadline_ms="900")
+                status, _, _ = await world.call(
+                    "q", "/stream/a", **LARGE_REQUEST, x_deadline_ms="900"
+                )
                 assert status == 503
-            writer.room = 10
+            decode_engine.room = 10
             for world in fleet.worlds:
-                assert (await world.call("r", "/stream/a", **LARGE))[0] == 200
+                assert (await world.call("r", "/stream/a", **LARGE_REQUEST))[0] == 200
 
-        fleet.play(story)
+        fleet.run(scenario)
 
-    def test_a_lowered_limit_binds_as_soon_as_it_is_known(self) -> None:
+    def test_lowered_limit_applies_at_once(self) -> None:
         """What had been saved up under the old one is gone."""
-        fleet = Instances(2, limited(1000, 4000))
+        fleet = GatewayFleet(2, account_with_limit(1000, 4000))
         replica = fleet.first.add("i-p", "plain")
 
-        async def story() -> None:
-            later = config(2, ONCE, STREAM, tenants=(limited(100, 200),))
-            await fleet.first.store.put("op/config", later)
+        async def scenario() -> None:
+            lowered = config(2, UNSAFE_ROUTE, STREAM_ROUTE, tenants=(account_with_limit(100, 200),))
+            await fleet.first.store.put("op/config", lowered)
             await curio.sleep(1.0)
             for number in range(10):
-                await fleet.worlds[number % 2].call(f"q{number}", "/once/a", **SMALL)
+                await fleet.worlds[number % 2].call(f"q{number}", "/once/a", **SMALL_REQUEST)
             assert len(replica.ran) == 1
 
-        fleet.play(story)
+        fleet.run(scenario)
 
-    def test_an_account_without_limit_asks_nobody(self) -> None:
+    def test_account_without_limit_sends_no_quota_request(self) -> None:
         """And no request without a key does."""
-        fleet = Instances(2, account("red", "key-red"))
+        fleet = GatewayFleet(2, account("red", "key-red"))
         fleet.first.add("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(5):
-                assert (await fleet.first.call(f"q{number}", "/once/a", **SMALL))[0] == 200
+                assert (await fleet.first.call(f"q{number}", "/once/a", **SMALL_REQUEST))[0] == 200
             assert not fleet.first.lines.having("granted_by")
 
-        fleet.play(story)
+        fleet.run(scenario)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -29,7 +29,7 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ConnectFailed, HttpRequest
 from crankhinge.runtime import get_log
-from limit_worlds import SETTLED_S
+from limit_worlds import FLEET_READY_S
 from platform_fakes import (
     HOST,
     PASSES,
@@ -44,47 +44,47 @@
 from virtual_time import run_virtual
 
 # Seconds in which two permits gather that are given by one instance at two a second.
-FILLED_S = 1.0
-ONCE = route("r-once", "/once/", "unsafe", "plain")
+TWO_PERMITS_S = 1.0
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
 
 
-class TestLines:
+class TestLimitLogLines:
     """What the log tells of limits."""
 
-    def test_a_limit_is_told_when_it_begins_changes_and_ends(self) -> None:
+    def test_limit_is_logged_when_it_starts_changes_and_ends(self) -> None:
         """Once each, however many answers name it."""
         world = World()
         replica = world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number, limit in enumerate((None, "8", "8", "6.5", "lots", None, None)):
                 replica.limit = limit
                 await curio.sleep(1.0)
                 await world.call(f"q{number}", "/once/a")
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
-        told = [
+        run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
+        logged = [
             line.split("event=server_limit ")[1] for line in world.lines.having("server_limit ")
         ]
-        assert [" ".join(line.split()) for line in told] == [
+        assert [" ".join(line.split()) for line in logged] == [
             "server=i-1 per_s=8.0 was= told_by=own",
             "server=i-1 per_s=6.5 was=8.0 told_by=own",
             "server=i-1 per_s= was=6.5 told_by=own",
         ]
         assert len(world.lines.having("server_limit_unreadable", "was=6.5")) == 1
 
-    def test_what_is_sent_to_such_a_server_is_told(self) -> None:
+    def test_requests_to_limited_server_are_logged(self) -> None:
         """Also how many servers each request was sent to."""
         world = World()
         world.add("i-1", "plain", limit="8")
 
-        async def story() -> None:
-            await curio.sleep(SETTLED_S)
+        async def scenario() -> None:
+            await curio.sleep(FLEET_READY_S)
             for number in range(5):
                 await world.call(f"q{number}", "/once/a")
             await curio.sleep(5.0)
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
         assert world.lines.having("server_limit_use", "server=i-1", "per_s=8.0", "sent=4")
         assert len(world.lines.having("event=answered", "sent=1")) == 5
 
@@ -92,7 +92,7 @@
 SERVER = Server("i-1", "plain", HOST, 9, "z1", EngineRole.PLAIN, 4, False, 1)
 
 
-class Alone:
+class LoneInstance:
     """The only instance, before a server that takes two requests a second."""
 
     def __init__(self) -> None:
@@ -100,32 +100,32 @@
         self.backends = lone_backends(log, SERVER)
         self.members = Membership("here", 0.0)
         limits = lone_limits("here", self.backends, log, self.members)
-        self.news, self.permits = limits.news, limits.permits
+        self.limit_updates, self.permits = limits.news, limits.permits
         self.relay = cast(
             Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="q"), facts={})
         )
 
-    def play(self, story: Callable[[], Awaitable[None]]) -> None:
+    def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
         """Run *story* once its share is its own."""
 
-        async def ready() -> None:
+        async def run_when_ready() -> None:
             self.members.set_lease_end(math.inf)
             self.members.join({"here": ""}, await curio.clock(), resumed=True)
-            await curio.sleep(SETTLED_S)
-            word = ResponseSignals(False, False, None, advertises_limit=True, limit_per_s=2.0)
-            await self.news.heard(SERVER, word, sent_at=0.0, ran=True)
-            await story()
+            await curio.sleep(FLEET_READY_S)
+            signals = ResponseSignals(False, False, None, advertises_limit=True, limit_per_s=2.0)
+            await self.limit_updates.heard(SERVER, signals, sent_at=0.0, ran=True)
+            await scenario()
 
-        run_virtual(ready)
+        run_virtual(run_when_ready)
 
-    async def left(self) -> int:
+    async def take_all_permits(self) -> int:
         """Return how many requests may be sent at once, and take them."""
-        number = 0
-        while await self.permits.permit(self._other(), SERVER):
-            number += 1
-        return number
+        count = 0
+        while await self.permits.permit(self._new_relay(), SERVER):
+            count += 1
+        return count
 
-    def _other(self) -> Relay:
+    def _new_relay(self) -> Relay:
         return cast(
             Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="o"), facts={})
         )
@@ -134,105 +134,105 @@
 class TestPermits:
     """Leave that a request has got."""
 
-    def test_is_given_back_where_it_was_not_used(self) -> None:
+    def test_unused_permit_is_returned(self) -> None:
         """By a caller that left, or a prompt that could not be read."""
-        alone = Alone()
+        instance = LoneInstance()
 
-        async def story() -> None:
-            assert not await alone.permits.permit(alone.relay, SERVER)
-            await curio.sleep(FILLED_S)
-            assert await alone.permits.permit(alone.relay, SERVER)
-            assert await alone.left() == 1
-            alone.backends.standing("i-1").limited_until = 0.0
-            await alone.permits.settle(alone.relay)
-            assert not alone.relay.permits
-            assert await alone.left() == 1
+        async def scenario() -> None:
+            assert not await instance.permits.permit(instance.relay, SERVER)
+            await curio.sleep(TWO_PERMITS_S)
+            assert await instance.permits.permit(instance.relay, SERVER)
+            assert await instance.take_all_permits() == 1
+            instance.backends.standing("i-1").limited_until = 0.0
+            await instance.permits.settle(instance.relay)
+            assert not instance.relay.permits
+            assert await instance.take_all_permits() == 1
 
-        alone.play(story)
+        instance.run(scenario)
 
-    def test_is_used_once(self) -> None:
+    def test_permit_is_used_once(self) -> None:
         """A second attempt needs one of its own."""
-        alone = Alone()
-
-        async def story() -> None:
-            await alone.permits.permit(alone.relay, SERVER)
-            await curio.sleep(FILLED_S)
-            assert await alone.permits.permit(alone.relay, SERVER)
-            assert await alone.permits.permit(alone.relay, SERVER)
-            assert await alone.permits.spend(alone.relay, SERVER) is not None
-            assert await alone.left() == 1
+        instance = LoneInstance()
+
+        async def scenario() -> None:
+            await instance.permits.permit(instance.relay, SERVER)
+            await curio.sleep(TWO_PERMITS_S)
+            assert await instance.permits.permit(instance.relay, SERVER)
+            assert await instance.permits.permit(instance.relay, SERVER)
+            assert await instance.permits.spend(instance.relay, SERVER) is not None
+            assert await instance.take_all_permits() == 1
             with pytest.raises(ServerAtLimit):
-                await alone.permits.spend(alone.relay, SERVER)
+                await instance.permits.spend(instance.relay, SERVER)
 
-        alone.play(story)
+        instance.run(scenario)
 
-    def test_is_over_after_a_while(self) -> None:
+    def test_permit_expires(self) -> None:
         """What is handed out in a window would come in the next."""
-        alone = Alone()
+        instance = LoneInstance()
 
-        async def story() -> None:
-            await alone.permits.permit(alone.relay, SERVER)
-            await curio.sleep(FILLED_S)
-            assert await alone.permits.permit(alone.relay, SERVER)
-            assert await alone.left() == 1
+        async def scenario() -> None:
+            await instance.permits.permit(instance.relay, SERVER)
+            await curio.sleep(TWO_PERMITS_S)
+            assert await instance.permits.permit(instance.relay, SERVER)
+            assert await instance.take_all_permits() == 1
             await curio.sleep(PERMIT_TRANSIT_S + 0.1)
-            alone.backends.standing("i-1").limited_until = 0.0
-            before = alone.relay.permits["i-1"]
-            assert await alone.permits.permit(alone.relay, SERVER)
-            assert alone.relay.permits["i-1"] != before
-            assert await alone.left() == 1
+            instance.backends.standing("i-1").limited_until = 0.0
+            before = instance.relay.permits["i-1"]
+            assert await instance.permits.permit(instance.relay, SERVER)
+            assert instance.relay.permits["i-1"] != before
+            assert await instance.take_all_permits() == 1
 
-        alone.play(story)
+        instance.run(scenario)
 
-    def test_is_asked_for_at_once_after_another_word(self) -> None:
+    def test_changed_limit_ends_pause(self) -> None:
         """What was refused by the old rate says nothing of the new one."""
-        alone = Alone()
+        instance = LoneInstance()
 
-        async def story() -> None:
-            standing = alone.backends.standing("i-1")
+        async def scenario() -> None:
+            standing = instance.backends.standing("i-1")
             standing.limited_until = math.inf
-            alone.news.told("i-1", 2.0, await curio.clock(), "there")
+            instance.limit_updates.told("i-1", 2.0, await curio.clock(), "there")
             assert standing.limited_until == math.inf
-            alone.news.told("i-1", 8.0, await curio.clock(), "there")
+            instance.limit_updates.told("i-1", 8.0, await curio.clock(), "there")
             assert standing.limited_until == 0.0
 
-        alone.play(story)
+        instance.run(scenario)
 
-    def test_is_kept_by_a_request_that_reached_nobody(self) -> None:
+    def test_permit_is_kept_if_server_is_unreachable(self) -> None:
         """Nothing was sent, so nothing was taken."""
-        alone = Alone()
+        instance = LoneInstance()
         server = dataclasses.replace(SERVER, port=free_port())
         log = get_log(program="t", stream=Lines())
         quarantine = lone_desk("here", log)
-        crashes = CrashDetector(backends=alone.backends, on_crash=quarantine.crashed, log=log)
-        legs = Legs(alone.backends, PASSES, quarantine, crashes, alone.permits)
+        crashes = CrashDetector(backends=instance.backends, on_crash=quarantine.crashed, log=log)
+        legs = Legs(instance.backends, PASSES, quarantine, crashes, instance.permits)
         req = HttpRequest("GET", "/", {"x-request-id": "q"}, b"", (("x-request-id", "q"),))
-        alone.relay.exchange = cast(Any, SimpleNamespace(req=req))
-        alone.relay.__dict__.update(
+        instance.relay.exchange = cast(Any, SimpleNamespace(req=req))
+        instance.relay.__dict__.update(
             account_name=None, facts={}, trial="", work=lambda *, read_only: "f"
         )
 
-        async def story() -> None:
-            await alone.permits.permit(alone.relay, server)
-            await curio.sleep(FILLED_S)
-            assert await alone.permits.permit(alone.relay, server)
+        async def scenario() -> None:
+            await instance.permits.permit(instance.relay, server)
+            await curio.sleep(TWO_PERMITS_S)
+            assert await instance.permits.permit(instance.relay, server)
             with pytest.raises(ConnectFailed):
-                async with legs.open(alone.relay, server, AttemptParams("i-1", 1.0)):
+                async with legs.open(instance.relay, server, AttemptParams("i-1", 1.0)):
                     raise AssertionError("nobody is there")
-            assert list(alone.relay.permits) == ["i-1"]
+            assert list(instance.relay.permits) == ["i-1"]
 
-        alone.play(story)
+        instance.run(scenario)
 
 
-class TestSize:
+class TestMessageSize:
     """What instances say to each other about one server that names a limit."""
 
-    def test_lending_at_three_hundred_instances_is_within_control(self) -> None:
+    def test_share_leases_of_300_instances_fit_control_traffic_budget(self) -> None:
         """Ten kilobytes a second for all of control, at the instance that hands out."""
         members = Membership("n0", 0.0)
         members.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
         shared = SharedLimits(name="n0", membership=members, incarnation=2**62, now=0.0)
-        loan = ShareLease(shared.stamp(1234567.123), shared.lease_s, 300)
+        lease = ShareLease(shared.stamp(1234567.123), shared.lease_s, 300)
         ask = PermitAsk(
             number=123456,
             lender="frontend-pamplemousses-12",
@@ -241,11 +241,14 @@
             ago_s=0.123,
             within_s=None,
             caller=False,
-            loan=ShareLoan.of(loan),
+            loan=ShareLoan.of(lease),
         )
         answer = PermitAnswer(number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1)
         sizes = [len(msgspec.msgpack.encode(message)) for message in (ask, answer)]
-        a_second = 300 / shared.renewal_interval_s
-        print(f"{sizes} B, {a_second:.1f} a second, {a_second * sizes[0] / 1000:.1f} kB in")
-        assert a_second * sum(sizes) <= 10_000
+        messages_per_s = 300 / shared.renewal_interval_s
+        print(
+            f"{sizes} B, {messages_per_s:.1f} a second, "
+            f"{messages_per_s * sizes[0] / 1000:.1f} kB in"
+        )
+        assert messages_per_s * sum(sizes) <= 10_000
         assert max(sizes) <= MOST_BYTES / 4
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -30,31 +30,33 @@
 from platform_fakes import FakeReplica, World, crash, events, route, sealed, stream
 from virtual_time import run_virtual
 
-ONCE = route("r-once", "/once/", "unsafe", "plain")
-SAFE = route("r-safe", "/safe/", "safe", "plain", max_attempts=2)
-STREAM = route("r-stream", "/stream/", "streaming", "llm")
-RESUMED = route("r-resumed", "/resumed/", "streaming", "llm", max_attempts=2, resumable=True)
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
-CRASHING = b"crashing"
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
+SAFE_ROUTE = route("r-safe", "/safe/", "safe", "plain", max_attempts=2)
+STREAM_ROUTE = route("r-stream", "/stream/", "streaming", "llm")
+RESUMABLE_ROUTE = route(
+    "r-resumed", "/resumed/", "streaming", "llm", max_attempts=2, resumable=True
+)
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
+CRASHING_BODY = b"crashing"
 # Servers that may end under one request.
-MOST_ENDED = 3
+MAX_CRASHES = 3
 # Seconds after which instances know each other, and after which a server is back.
-SETTLED_S = 8.0
-BACK_S = 2.0
+FLEET_READY_S = 8.0
+SERVER_RESTART_S = 2.0
 # Seconds between two attempts of a caller, and until all instances have heard of a crash.
-AGAIN_S = 1.0
-TOLD_S = 0.3
+CALLER_RETRY_S = 1.0
+PEER_MESSAGE_S = 0.3
 
 
-async def crash_by_body(replica: FakeReplica, exchange: Exchange) -> None:
+async def crash_if_crashing_body(replica: FakeReplica, exchange: Exchange) -> None:
     """End the process that runs a certain request; answer all others."""
-    behave = crash if exchange.req.body == CRASHING else sealed
+    behave = crash if exchange.req.body == CRASHING_BODY else sealed
     await behave(replica, exchange)
 
 
 async def crash_in_stream(replica: FakeReplica, exchange: Exchange) -> None:
     """End the process in the middle of a certain request's stream; answer all others."""
-    if exchange.req.body != CRASHING:
+    if exchange.req.body != CRASHING_BODY:
         await stream(replica, exchange)
         return
     first = int(exchange.req.headers.get("last-event-id", "0")) + 1
@@ -78,42 +80,42 @@
         self.replicas: list[FakeReplica] = []
         self.statuses: list[int] = []
 
-    def add(self, count: int, service: str, phase: str = "", **more: Any) -> None:
+    def add(self, count: int, service: str, role: str = "", **options: Any) -> None:
         """Add servers of one kind."""
         for number in range(count):
-            ident = f"i-{phase or 'plain'}-{number}"
-            more = {"behave": crash_by_body, "back_s": BACK_S, **more}
-            self.replicas.append(self.world.add(ident, service, phase, **more))
+            incarnation_id = f"i-{role or 'plain'}-{number}"
+            options = {"behave": crash_if_crashing_body, "back_s": SERVER_RESTART_S, **options}
+            self.replicas.append(self.world.add(incarnation_id, service, role, **options))
 
     @property
-    def ended(self) -> int:
+    def crash_count(self) -> int:
         """How many lives of servers ended."""
         return sum(replica.lives - 1 + replica.crashed.is_set() for replica in self.replicas)
 
-    async def ask(self, number: int, path: str, **more: Any) -> int:
+    async def send(self, number: int, path: str, **options: Any) -> int:
         """Send an attempt to the instances in turn; returns its status, 0 for none."""
         gateway = self.gateways[number % len(self.gateways)]
         try:
-            status, self.headers, self.body = await gateway.call(f"q{number}", path, **more)
+            status, self.headers, self.body = await gateway.call(f"q{number}", path, **options)
         except (BadHttp, HttpClosed):
             status = 0
         self.statuses.append(status)
         return status
 
-    async def come_again(self, times: int, path: str, **more: Any) -> None:
+    async def send_crashing_request(self, count: int, path: str, **options: Any) -> None:
         """Send attempts at the crashing request."""
-        for _ in range(times):
-            await self.ask(len(self.statuses), path, body=CRASHING, **more)
-            await curio.sleep(AGAIN_S)
+        for _ in range(count):
+            await self.send(len(self.statuses), path, body=CRASHING_BODY, **options)
+            await curio.sleep(CALLER_RETRY_S)
 
-    def play(self, story: Callable[[], Any], *routes: dict[str, Any]) -> None:
+    def run(self, scenario: Callable[[], Any], *routes: dict[str, Any]) -> None:
         """Run *story* once the instances know each other."""
 
-        async def settled() -> None:
-            await curio.sleep(SETTLED_S)
-            await story()
+        async def run_when_ready() -> None:
+            await curio.sleep(FLEET_READY_S)
+            await scenario()
 
-        run_virtual(self.world.play, settled, *routes, settle_s=0.003)
+        run_virtual(self.world.play, run_when_ready, *routes, settle_s=0.003)
 
 
 def plain_fleet(instances: int = 2) -> Fleet:
@@ -123,10 +125,10 @@
     return fleet
 
 
-def engine_fleet(**readers: Any) -> Fleet:
+def engine_fleet(**prefill_options: Any) -> Fleet:
     """Return a fleet before engines."""
     fleet = Fleet()
-    fleet.add(4, "llm", "prefill", **{"behave": crash_in_stream, **readers})
+    fleet.add(4, "llm", "prefill", **{"behave": crash_in_stream, **prefill_options})
     fleet.add(6, "llm", "decode", behave=crash_in_stream)
     return fleet
 
@@ -135,18 +137,18 @@
     """A request ends each server that begins to run it, and its caller comes again."""
 
     @pytest.mark.parametrize("fresh", [False, True])
-    def test_reaches_no_server_after_the_third(self, fresh: bool) -> None:
+    def test_reaches_no_server_after_third_crash(self, fresh: bool) -> None:
         """Whichever of two instances it comes to, and on new connections too."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(8, "/once/a", fresh=fresh)
+        async def scenario() -> None:
+            await fleet.send_crashing_request(8, "/once/a", fresh=fresh)
 
-        fleet.play(story, ONCE)
-        assert fleet.ended == MOST_ENDED
-        assert fleet.statuses == [502] * MOST_ENDED + [503] * 5
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.crash_count == MAX_CRASHES
+        assert fleet.statuses == [502] * MAX_CRASHES + [503] * 5
 
-    def test_is_repeated_no_further_where_it_may_be_repeated(self) -> None:
+    def test_retryable_request_is_not_retried_after_third_crash(self) -> None:
         """One attempt ends two servers; the second attempt ends one more and is not repeated.
 
         The instance that repeats it hears of the third crash before it has chosen the fourth
@@ -154,39 +156,41 @@
         """
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(6, "/safe/a")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(6, "/safe/a")
 
-        fleet.play(story, SAFE)
-        assert fleet.ended <= MOST_ENDED + 1
+        fleet.run(scenario, SAFE_ROUTE)
+        assert fleet.crash_count <= MAX_CRASHES + 1
         assert fleet.statuses[2:] == [503] * 4
 
-    @pytest.mark.parametrize(("path", "most"), [("/stream/a", 3), ("/resumed/a", 4)])
-    def test_is_written_by_no_further_engine(self, path: str, most: int) -> None:
+    @pytest.mark.parametrize(("path", "max_crashes"), [("/stream/a", 3), ("/resumed/a", 4)])
+    def test_stream_reaches_no_decode_engine_after_third_crash(
+        self, path: str, max_crashes: int
+    ) -> None:
         """Streams too, and those that are taken up elsewhere within an attempt."""
         fleet = engine_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(8, path, **TOKENS)
+        async def scenario() -> None:
+            await fleet.send_crashing_request(8, path, **TOKEN_HEADERS)
 
-        fleet.play(story, STREAM, RESUMED)
-        assert MOST_ENDED <= fleet.ended <= most
-        assert fleet.statuses[MOST_ENDED:] == [503] * 5
+        fleet.run(scenario, STREAM_ROUTE, RESUMABLE_ROUTE)
+        assert MAX_CRASHES <= fleet.crash_count <= max_crashes
+        assert fleet.statuses[MAX_CRASHES:] == [503] * 5
 
-    def test_is_read_by_no_further_engine(self) -> None:
+    def test_prompt_reaches_no_prefill_engine_after_third_crash(self) -> None:
         """A prompt that ends the engines that read it is read by the engine that writes."""
         fleet = Fleet()
-        fleet.add(6, "llm", "prefill", crashes_on_reading=CRASHING)
+        fleet.add(6, "llm", "prefill", crashes_on_reading=CRASHING_BODY)
         fleet.add(2, "llm", "decode", behave=stream)
 
-        async def story() -> None:
-            await fleet.come_again(8, "/stream/a", **TOKENS)
+        async def scenario() -> None:
+            await fleet.send_crashing_request(8, "/stream/a", **TOKEN_HEADERS)
 
-        fleet.play(story, STREAM)
-        assert MOST_ENDED <= fleet.ended <= MOST_ENDED + 1
+        fleet.run(scenario, STREAM_ROUTE)
+        assert MAX_CRASHES <= fleet.crash_count <= MAX_CRASHES + 1
         assert fleet.statuses == [200] * 8
 
-    def test_is_told_by_its_account(self) -> None:
+    def test_same_request_of_another_account_is_served(self) -> None:
         """The same words of another account are another request; a changed key changes nothing."""
         tenants = [
             {"name": "one", "api_keys": ["k1", "k2"]},
@@ -195,261 +199,263 @@
         fleet = Fleet(tenants)
         fleet.add(6, "plain")
 
-        async def story() -> None:
-            await fleet.come_again(2, "/once/a", authorization="Bearer k1")
-            await fleet.come_again(3, "/once/a", authorization="Bearer k2")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(2, "/once/a", authorization="Bearer k1")
+            await fleet.send_crashing_request(3, "/once/a", authorization="Bearer k2")
             assert fleet.statuses == [502] * 3 + [503] * 2
-            await fleet.come_again(1, "/once/a", authorization="Bearer k3")
+            await fleet.send_crashing_request(1, "/once/a", authorization="Bearer k3")
             assert fleet.statuses[-1] == 502
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
 
-    def test_is_refused_by_instances_that_neither_saw_nor_counted_a_crash(self) -> None:
+    def test_instances_that_saw_no_crash_refuse_the_request(self) -> None:
         """All are told within moments, before they read it in a note."""
         fleet = plain_fleet(instances=6)
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(3):
-                await fleet.ask(0, "/once/a", body=CRASHING)
-                await curio.sleep(TOLD_S if number == 2 else AGAIN_S)
+                await fleet.send(0, "/once/a", body=CRASHING_BODY)
+                await curio.sleep(PEER_MESSAGE_S if number == 2 else CALLER_RETRY_S)
             for number in range(6):
-                assert await fleet.ask(number, "/once/a", body=CRASHING) == 503
+                assert await fleet.send(number, "/once/a", body=CRASHING_BODY) == 503
 
-        fleet.play(story, ONCE)
-        assert fleet.ended == MOST_ENDED
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.crash_count == MAX_CRASHES
 
-    def test_is_refused_though_an_instance_was_told_nothing(self) -> None:
+    def test_instance_without_peer_messages_learns_from_store(self) -> None:
         """The notes in the store tell what a datagram did not."""
         fleet = plain_fleet()
-        deaf = fleet.world.beside("deaf")
-        deaf.peer_port = 1
+        without_messages = fleet.world.beside("deaf")
+        without_messages.peer_port = 1
 
-        async def story() -> None:
-            await fleet.come_again(4, "/once/a")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(4, "/once/a")
             await curio.sleep(4.0)
-            status, _, _ = await deaf.call("d", "/once/a", body=CRASHING)
+            status, _, _ = await without_messages.call("d", "/once/a", body=CRASHING_BODY)
             assert status == 503
 
-        fleet.play(story, ONCE)
-        assert fleet.ended == MOST_ENDED
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.crash_count == MAX_CRASHES
 
 
-class TestRefusal:
+class TestQuarantineRefusal:
     """What the caller of such a request is told."""
 
-    def test_comes_at_once_and_tells_what_to_do(self) -> None:
+    def test_refusal_is_immediate_and_states_reason_and_retry_time(self) -> None:
         """It has not run, why, and when an attempt may run again."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(3, "/once/a")
-            began = await curio.clock()
-            assert await fleet.ask(0, "/once/a", body=CRASHING) == 503
-            assert await curio.clock() - began < 0.1
+        async def scenario() -> None:
+            await fleet.send_crashing_request(3, "/once/a")
+            started_at = await curio.clock()
+            assert await fleet.send(0, "/once/a", body=CRASHING_BODY) == 503
+            assert await curio.clock() - started_at < 0.1
             assert 8.0 < float(fleet.headers["retry-after"]) < 10.0
-            told = json.loads(fleet.body)
-            assert (told["error"], told["outcome"]) == ("quarantined", "not-run")
-            assert "3 servers crashed" in told["detail"]
+            refusal = json.loads(fleet.body)
+            assert (refusal["error"], refusal["outcome"]) == ("quarantined", "not-run")
+            assert "3 servers crashed" in refusal["detail"]
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
 
-    def test_does_not_wait_for_a_place(self) -> None:
+    def test_refusal_does_not_wait_for_reservation(self) -> None:
         """Where none is free, others wait; this one is told what is known."""
         fleet = engine_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(3, "/stream/a", **TOKENS)
+        async def scenario() -> None:
+            await fleet.send_crashing_request(3, "/stream/a", **TOKEN_HEADERS)
             for replica in fleet.replicas:
                 replica.room = 0
-            began = await curio.clock()
-            assert await fleet.ask(0, "/stream/a", body=CRASHING, **TOKENS) == 503
-            assert await curio.clock() - began < 0.1
+            started_at = await curio.clock()
+            assert await fleet.send(0, "/stream/a", body=CRASHING_BODY, **TOKEN_HEADERS) == 503
+            assert await curio.clock() - started_at < 0.1
             assert json.loads(fleet.body)["error"] == "quarantined"
 
-        fleet.play(story, STREAM)
+        fleet.run(scenario, STREAM_ROUTE)
 
-    def test_others_are_served(self) -> None:
+    def test_other_requests_are_served(self) -> None:
         """Only that request is refused: other words at the same path are answered."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(4, "/once/a")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(4, "/once/a")
             for number in range(4):
-                assert await fleet.ask(number, "/once/a", body=b"other") == 200
+                assert await fleet.send(number, "/once/a", body=b"other") == 200
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
 
-    def test_reaches_one_that_is_under_way(self) -> None:
+    def test_request_in_progress_is_refused(self) -> None:
         """Its prompt was being read when the third server crashed; its answer is not begun."""
         fleet = engine_fleet(read_s=0.6)
-        ask = partial(fleet.ask, path="/stream/a", body=CRASHING, **TOKENS)
+        send = partial(fleet.send, path="/stream/a", body=CRASHING_BODY, **TOKEN_HEADERS)
 
-        async def story() -> None:
-            await fleet.come_again(2, "/stream/a", **TOKENS)
-            late = await curio.spawn(ask, 2)
+        async def scenario() -> None:
+            await fleet.send_crashing_request(2, "/stream/a", **TOKEN_HEADERS)
+            third = await curio.spawn(send, 2)
             await curio.sleep(0.4)
-            later = await curio.spawn(ask, 3)
-            await late.join()
-            await later.join()
+            fourth = await curio.spawn(send, 3)
+            await third.join()
+            await fourth.join()
 
-        fleet.play(story, STREAM)
-        assert fleet.ended == MOST_ENDED
+        fleet.run(scenario, STREAM_ROUTE)
+        assert fleet.crash_count == MAX_CRASHES
         assert fleet.statuses[-1] == 503
 
 
-class TestChance:
+class TestCoincidentalCrashes:
     """A request that met dying servers by chance."""
 
-    async def _meet_dying_servers(self, fleet: Fleet, path: str) -> None:
+    async def _crash_servers_by_chance(self, fleet: Fleet, path: str) -> None:
         """Send a request that three servers are running when they end for another reason."""
-        for _ in range(MOST_ENDED):
-            await fleet.ask(len(fleet.statuses), path, body=CRASHING)
-            await curio.sleep(AGAIN_S)
+        for _ in range(MAX_CRASHES):
+            await fleet.send(len(fleet.statuses), path, body=CRASHING_BODY)
+            await curio.sleep(CALLER_RETRY_S)
         for replica in fleet.replicas:
             replica.behave = sealed
 
-    def test_is_served_again_within_seconds_at_every_instance(self) -> None:
+    def test_successful_trial_ends_quarantine_on_all_instances(self) -> None:
         """One attempt is let through after ten seconds; its answer ends the quarantine for all."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await self._meet_dying_servers(fleet, "/once/a")
-            assert await fleet.ask(0, "/once/a", body=CRASHING) == 503
+        async def scenario() -> None:
+            await self._crash_servers_by_chance(fleet, "/once/a")
+            assert await fleet.send(0, "/once/a", body=CRASHING_BODY) == 503
             await curio.sleep(10.0)
-            assert await fleet.ask(0, "/once/a", body=CRASHING) == 200
-            await curio.sleep(TOLD_S)
+            assert await fleet.send(0, "/once/a", body=CRASHING_BODY) == 200
+            await curio.sleep(PEER_MESSAGE_S)
             for number in range(4):
-                assert await fleet.ask(number, "/once/a", body=CRASHING) == 200
+                assert await fleet.send(number, "/once/a", body=CRASHING_BODY) == 200
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
 
-    def test_one_attempt_alone_is_let_through(self) -> None:
+    def test_only_one_trial_runs_at_a_time(self) -> None:
         """While it runs, the others are refused at every instance."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(3, "/once/a")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(3, "/once/a")
             await curio.sleep(10.0)
-            await fleet.come_again(4, "/once/a")
+            await fleet.send_crashing_request(4, "/once/a")
             assert fleet.statuses == [502] * 3 + [502] + [503] * 3
 
-        fleet.play(story, ONCE)
-        assert fleet.ended == MOST_ENDED + 1
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.crash_count == MAX_CRASHES + 1
 
-    def test_reaches_one_server_in_a_trial_though_it_may_be_repeated(self) -> None:
+    def test_trial_is_not_retried_on_second_server(self) -> None:
         """What comes of the first is answer enough."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(3, "/safe/a")
-            before = fleet.ended
+        async def scenario() -> None:
+            await fleet.send_crashing_request(3, "/safe/a")
+            before = fleet.crash_count
             # Long enough where a crossing repeat ended a fourth server.
             await curio.sleep(45.0)
-            await fleet.come_again(1, "/safe/a")
-            assert fleet.ended == before + 1
+            await fleet.send_crashing_request(1, "/safe/a")
+            assert fleet.crash_count == before + 1
 
-        fleet.play(story, SAFE)
+        fleet.run(scenario, SAFE_ROUTE)
 
-    def test_meets_ever_longer_quarantines_while_servers_crash(self) -> None:
+    def test_quarantine_grows_with_each_failed_trial(self) -> None:
         """In the 100 s after the third crash it reaches two servers more."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(100, "/once/a")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(100, "/once/a")
 
-        fleet.play(story, ONCE)
-        assert fleet.ended == MOST_ENDED + 2
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.crash_count == MAX_CRASHES + 2
 
-    def test_an_answer_between_two_crashes_clears_it(self) -> None:
+    def test_completed_request_resets_crash_count(self) -> None:
         """Crashes count only without an answer since."""
         fleet = plain_fleet()
 
-        async def story() -> None:
+        async def scenario() -> None:
             for _ in range(3):
-                await fleet.come_again(2, "/once/a")
+                await fleet.send_crashing_request(2, "/once/a")
                 for replica in fleet.replicas:
                     replica.behave = sealed
-                assert await fleet.ask(0, "/once/a", body=CRASHING) == 200
-                await curio.sleep(TOLD_S)
+                assert await fleet.send(0, "/once/a", body=CRASHING_BODY) == 200
+                await curio.sleep(PEER_MESSAGE_S)
                 for replica in fleet.replicas:
-                    replica.behave = crash_by_body
+                    replica.behave = crash_if_crashing_body
 
-        fleet.play(story, ONCE)
-        assert fleet.ended == 6
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.crash_count == 6
 
-    def test_many_callers_that_ask_the_same_are_served_through_a_rack_that_fails(self) -> None:
+    def test_identical_requests_are_served_despite_simultaneous_crash_of_three_servers(
+        self,
+    ) -> None:
         """Three of four servers crash at once under equal requests; an answer of the fourth clears.
 
         Without it all that ask so would be refused for ten seconds.
         """
 
-        async def slowly(replica: FakeReplica, exchange: Exchange) -> None:
+        async def serve_slowly(replica: FakeReplica, exchange: Exchange) -> None:
             await curio.sleep(0.3)
             await sealed(replica, exchange)
 
         fleet = Fleet()
-        fleet.add(4, "plain", behave=slowly)
-        ask = partial(fleet.ask, path="/once/a", body=b"same")
+        fleet.add(4, "plain", behave=serve_slowly)
+        send = partial(fleet.send, path="/once/a", body=b"same")
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with curio.TaskGroup() as group:
                 for number in range(24):
-                    await group.spawn(ask, number)
+                    await group.spawn(send, number)
                 await curio.sleep(0.2)
                 for replica in fleet.replicas[:3]:
                     await replica.crashed.set()
             assert fleet.gateways[0].lines.having("event=request_quarantined")
-            await curio.sleep(TOLD_S)
+            await curio.sleep(PEER_MESSAGE_S)
             fleet.statuses.clear()
             for number in range(4):
-                await ask(number)
+                await send(number)
             assert fleet.statuses == [200] * 4
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
 
-    def test_a_cut_connection_is_no_crash(self) -> None:
+    def test_reset_connection_does_not_count_as_crash(self) -> None:
         """Servers that live on are sent the request as often as it comes."""
 
-        async def cut(_: FakeReplica, exchange: Exchange) -> None:
+        async def reset_connection(_: FakeReplica, exchange: Exchange) -> None:
             raise HttpClosed("reset")
 
         fleet = Fleet()
-        fleet.add(4, "plain", behave=cut)
+        fleet.add(4, "plain", behave=reset_connection)
 
-        async def story() -> None:
-            await fleet.come_again(8, "/once/a")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(8, "/once/a")
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         assert fleet.statuses == [502] * 8
 
 
-class TestRestart:
+class TestInstanceRestart:
     """Instances start again, and what they knew is gone with their memory."""
 
-    def test_of_one_instance(self) -> None:
+    def test_restarted_instance_reads_quarantine_from_peer_records(self) -> None:
         """It reads the others' notes."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(4, "/once/a")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(4, "/once/a")
             await fleet.gateways[0].kill()
-            await curio.sleep(AGAIN_S)
-            assert await fleet.ask(0, "/once/a", body=CRASHING) == 503
+            await curio.sleep(CALLER_RETRY_S)
+            assert await fleet.send(0, "/once/a", body=CRASHING_BODY) == 503
 
-        fleet.play(story, ONCE)
-        assert fleet.ended == MOST_ENDED
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.crash_count == MAX_CRASHES
 
-    def test_of_all_instances(self) -> None:
+    def test_quarantine_survives_restart_of_all_instances(self) -> None:
         """Each takes its own note over and reads the others'."""
         fleet = plain_fleet()
 
-        async def story() -> None:
-            await fleet.come_again(4, "/once/a")
+        async def scenario() -> None:
+            await fleet.send_crashing_request(4, "/once/a")
             for gateway in fleet.gateways:
                 await gateway.kill()
-            await curio.sleep(AGAIN_S)
+            await curio.sleep(CALLER_RETRY_S)
             for number in range(2):
-                assert await fleet.ask(number, "/once/a", body=CRASHING) == 503
+                assert await fleet.send(number, "/once/a", body=CRASHING_BODY) == 503
 
-        fleet.play(story, ONCE)
-        assert fleet.ended == MOST_ENDED
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.crash_count == MAX_CRASHES
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -24,27 +24,27 @@
 from platform_fakes import FakeReplica, World, crash, route, sealed, stream
 from virtual_time import run_virtual
 
-ONCE = route("r-once", "/once/", "unsafe", "plain")
-SAFE = route("r-safe", "/safe/", "safe", "plain", max_attempts=2)
-STREAM = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
+SAFE_ROUTE = route("r-safe", "/safe/", "safe", "plain", max_attempts=2)
+STREAM_ROUTE = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
 # Seconds after which callers give up: the four of their deadline, and time for an answer to it.
-CALLER_S = 6.0
-SETTLED_S = 8.0
-LASTS_S = 60.0
+CALLER_TIMEOUT_S = 6.0
+FLEET_READY_S = 8.0
+RUN_S = 60.0
 # Seconds after which an instance that nothing befalls knows what the others know.
-CONTACT_S = 3.0
+PROPAGATION_S = 3.0
 # Servers that may crash under one request, and how many more after CONTACT_S.
-CRASHES = 3
-MORE = 3
+QUARANTINE_CRASHES = 3
+MAX_LATE_CRASHES = 3
 # Share of datagrams that are lost.
-LOST = 0.1
+MESSAGE_LOSS_SHARE = 0.1
 # Share of innocent requests that have to be answered, while servers and instances go down.
-SERVED = 0.95
+MIN_SERVED_SHARE = 0.95
 
 
 @dataclass
-class Series:
+class FaultSeries:
     """One seed's play.
 
     Attributes:
@@ -59,161 +59,191 @@
     crashes: dict[bytes, list[tuple[float, bool]]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    befallen: float = float("-inf")
-    innocent: list[bool] = field(default_factory=list)
-    shut_out: int = 0
-    unanswered: int = 0
+    last_fault_at: float = float("-inf")
+    harmless_served: list[bool] = field(default_factory=list)
+    quarantine_refusals: int = 0
+    unanswered_requests: int = 0
 
     def __post_init__(self) -> None:
         self._rng = random.Random(self.seed)
-        self._kills: Counter[str] = Counter()
+        self._kill_counts: Counter[str] = Counter()
         self._world = World()
         self._gateways = [self._world, *(self._world.beside(f"g{n}") for n in range(2))]
         self._replicas = [
-            self._world.add(f"i-{n}", "plain", behave=self._plain, back_s=2.0) for n in range(6)
+            self._world.add(f"i-{n}", "plain", behave=self._serve_plain, back_s=2.0)
+            for n in range(6)
         ]
         self._replicas += [
-            self._world.add(f"i-w{n}", "llm", "decode", behave=self._write, back_s=2.0)
+            self._world.add(f"i-w{n}", "llm", "decode", behave=self._serve_stream, back_s=2.0)
             for n in range(5)
         ]
         self._world.add("i-r0", "llm", "prefill")
         self._world.add("i-r1", "llm", "prefill")
-        self._numbers = 0
+        self._request_count = 0
 
-    async def _plain(self, replica: FakeReplica, exchange: Exchange) -> None:
+    async def _serve_plain(self, replica: FakeReplica, exchange: Exchange) -> None:
         await curio.sleep(0.05)
-        await self._answer(replica, exchange, sealed)
+        await self._serve_or_crash(replica, exchange, sealed)
 
-    async def _write(self, replica: FakeReplica, exchange: Exchange) -> None:
-        await self._answer(replica, exchange, stream)
+    async def _serve_stream(self, replica: FakeReplica, exchange: Exchange) -> None:
+        await self._serve_or_crash(replica, exchange, stream)
 
-    async def _answer(self, replica: FakeReplica, exchange: Exchange, behave: Any) -> None:
+    async def _serve_or_crash(self, replica: FakeReplica, exchange: Exchange, behave: Any) -> None:
         body = exchange.req.body
         if not body.startswith(b"crash"):
             await behave(replica, exchange)
             return
         now = await curio.clock()
-        self.crashes[body].append((now, now - self.befallen > CONTACT_S))
+        self.crashes[body].append((now, now - self.last_fault_at > PROPAGATION_S))
         await crash(replica, exchange)
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Play the seed."""
-        real = Notices.send
-
-        async def lossy(notices: Notices, peer: str, message: Any) -> None:
-            if self._rng.random() >= LOST:
-                await real(notices, peer, message)
-
-        with mock.patch.object(Notices, "send", lossy):
-            run_virtual(self._world.play, self._story, ONCE, SAFE, STREAM, settle_s=0.003)
-
-    async def _story(self) -> None:
-        await curio.sleep(SETTLED_S)
-        until = await curio.clock() + LASTS_S
+        send = Notices.send
+
+        async def lossy_send(notices: Notices, peer: str, message: Any) -> None:
+            if self._rng.random() >= MESSAGE_LOSS_SHARE:
+                await send(notices, peer, message)
+
+        with mock.patch.object(Notices, "send", lossy_send):
+            run_virtual(
+                self._world.play,
+                self._scenario,
+                UNSAFE_ROUTE,
+                SAFE_ROUTE,
+                STREAM_ROUTE,
+                settle_s=0.003,
+            )
+
+    async def _scenario(self) -> None:
+        await curio.sleep(FLEET_READY_S)
+        until = await curio.clock() + RUN_S
         async with curio.TaskGroup() as group:
             for name, path in enumerate(("/once/a", "/safe/a", "/stream/a")):
-                await group.spawn(self._crashing, b"crash%d" % name, path, until)
+                await group.spawn(self._send_crashing, b"crash%d" % name, path, until)
             for path in ("/once/a", "/safe/a", "/stream/a"):
-                await group.spawn(self._innocents, path, until)
-            await group.spawn(self._troubles, until)
+                await group.spawn(self._send_harmless, path, until)
+            await group.spawn(self._inject_faults, until)
 
-    async def _ask(self, path: str, body: bytes) -> tuple[int, bytes]:
-        self._numbers += 1
+    async def _send(self, path: str, body: bytes) -> tuple[int, bytes]:
+        self._request_count += 1
         gateway = self._rng.choice(self._gateways)
-        more = TOKENS if path.startswith("/stream") else {}
-        call = partial(gateway.call, f"q{self._numbers}", path, body=body, fresh=True, **more)
-        kills = self._kills[gateway.name]
+        headers = TOKEN_HEADERS if path.startswith("/stream") else {}
+        call = partial(
+            gateway.call, f"q{self._request_count}", path, body=body, fresh=True, **headers
+        )
+        kills = self._kill_counts[gateway.name]
         try:
-            status, _, answer = await curio.timeout_after(CALLER_S, call)
+            status, _, answer = await curio.timeout_after(CALLER_TIMEOUT_S, call)
         except (BadHttp, HttpClosed):
             return 0, b""
         except curio.TaskTimeout:
             # Nobody may answer for an instance that was killed; one that lives has to.
-            self.unanswered += kills == self._kills[gateway.name]
+            self.unanswered_requests += kills == self._kill_counts[gateway.name]
             return 0, b""
         return status, answer
 
-    async def _crashing(self, body: bytes, path: str, until: float) -> None:
+    async def _send_crashing(self, body: bytes, path: str, until: float) -> None:
         await curio.sleep(self._rng.uniform(0.0, 10.0))
         while await curio.clock() < until:
-            await self._ask(path, body)
+            await self._send(path, body)
             await curio.sleep(self._rng.uniform(0.2, 4.0))
 
-    async def _innocents(self, path: str, until: float) -> None:
+    async def _send_harmless(self, path: str, until: float) -> None:
         number = 0
         while await curio.clock() < until:
             number += 1
             # Some ask the same again and again, the others each something new.
             body = b"same" if self._rng.random() < 0.3 else b"%d" % number
-            status, answer = await self._ask(path, body)
-            self.innocent.append(status == 200)
-            self.shut_out += b"quarantined" in answer
+            status, answer = await self._send(path, body)
+            self.harmless_served.append(status == 200)
+            self.quarantine_refusals += b"quarantined" in answer
             await curio.sleep(self._rng.uniform(0.05, 0.6))
 
-    async def _troubles(self, until: float) -> None:
+    async def _inject_faults(self, until: float) -> None:
         while await curio.clock() < until:
             await curio.sleep(self._rng.uniform(1.0, 12.0))
-            trouble = self._rng.choice((self._kill_gateway, self._store_away, self._kill_server))
-            await trouble()
+            inject_fault = self._rng.choice(
+                (self._kill_gateways, self._make_store_unreachable, self._kill_server)
+            )
+            await inject_fault()
 
-    async def _kill_gateway(self) -> None:
+    async def _kill_gateways(self) -> None:
         for gateway in self._rng.sample(self._gateways, self._rng.choice((1, 1, 3))):
-            self.befallen = await curio.clock()
-            self._kills[gateway.name] += 1
+            self.last_fault_at = await curio.clock()
+            self._kill_counts[gateway.name] += 1
             await gateway.kill()
-        self.befallen = await curio.clock()
+        self.last_fault_at = await curio.clock()
 
-    async def _store_away(self) -> None:
+    async def _make_store_unreachable(self) -> None:
         self._world.store.down = True
         for _ in range(20):
-            self.befallen = await curio.clock()
+            self.last_fault_at = await curio.clock()
             await curio.sleep(0.1)
         self._world.store.down = False
-        self.befallen = await curio.clock()
+        self.last_fault_at = await curio.clock()
 
     async def _kill_server(self) -> None:
         await self._rng.choice(self._replicas).crashed.set()
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Return what was not kept."""
-        cases = []
+        violations = []
         for body, crashes in self.crashes.items():
-            third = crashes[CRASHES - 1][0] if len(crashes) >= CRASHES else float("inf")
-            late = [at for at, calm in crashes if calm and at > third + CONTACT_S]
-            if len(late) > MORE:
-                cases.append(f"{body!r}: {len(late)} servers more, {len(crashes)} in all")
-        if self.unanswered:
-            cases.append(f"{self.unanswered} attempts at instances that live were not answered")
-        if sum(self.innocent) < SERVED * len(self.innocent):
-            cases.append(f"{sum(self.innocent)} of {len(self.innocent)} innocent attempts answered")
-        return cases
-
-
-class TestSeries:
+            third = (
+                crashes[QUARANTINE_CRASHES - 1][0]
+                if len(crashes) >= QUARANTINE_CRASHES
+                else float("inf")
+            )
+            late = [at for at, propagated in crashes if propagated and at > third + PROPAGATION_S]
+            if len(late) > MAX_LATE_CRASHES:
+                violations.append(f"{body!r}: {len(late)} servers more, {len(crashes)} in all")
+        if self.unanswered_requests:
+            violations.append(
+                f"{self.unanswered_requests} attempts at instances that live were not answered"
+            )
+        if sum(self.harmless_served) < MIN_SERVED_SHARE * len(self.harmless_served):
+            violations.append(
+                f"{sum(self.harmless_served)} of {len(self.harmless_served)} "
+                "innocent attempts answered"
+            )
+        return violations
+
+
+class TestFaultSeries:
     """What holds whatever the order of events."""
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_crashing_requests_reach_few_servers_and_innocent_ones_are_answered(
+    def test_crashing_requests_reach_few_servers_and_harmless_ones_are_served(
         self, seed: int
     ) -> None:
         """At most three servers more, 3 s after the third."""
-        series = Series(seed)
-        series.play()
-        assert any(len(crashes) >= CRASHES for crashes in series.crashes.values())
-        assert series.broken() == []
+        series = FaultSeries(seed)
+        series.run()
+        assert any(len(crashes) >= QUARANTINE_CRASHES for crashes in series.crashes.values())
+        assert series.violations() == []
 
 
 def main(first: int, last: int) -> int:
     """Play seeds and print what each showed; returns the exit status."""
     failed = 0
     for seed in range(first, last + 1):
-        series = Series(seed)
-        series.play()
+        series = FaultSeries(seed)
+        series.run()
         crashes = sorted(len(each) for each in series.crashes.values())
-        served = f"{sum(series.innocent)}/{len(series.innocent)}"
-        broken = series.broken()
-        failed += bool(broken)
-        print(seed, "crashes", crashes, "answered", served, "shut out", series.shut_out, broken)
+        served = f"{sum(series.harmless_served)}/{len(series.harmless_served)}"
+        violations = series.violations()
+        failed += bool(violations)
+        print(
+            seed,
+            "crashes",
+            crashes,
+            "answered",
+            served,
+            "shut out",
+            series.quarantine_refusals,
+            violations,
+        )
     print(f"{last - first + 1} seeds, {failed} with something broken")
     return 1 if failed else 0
 
--- a/tests/test_server_words.py
+++ b/tests/test_server_words.py
@@ -27,53 +27,55 @@
 from behaviours import REST_S, Resting, break_off, fail, slowly
 from crankhinge.http import Exchange
 from limit_worlds import (
-    ONCE,
-    RESUMED,
-    SAFE,
-    STREAM,
-    TARGET_S,
-    TOKENS,
+    RESUMABLE_ROUTE,
+    SAFE_ROUTE,
+    STREAM_ROUTE,
+    TARGET_LATENCY_S,
+    TOKEN_HEADERS,
+    UNSAFE_ROUTE,
     LimitedFleet,
 )
 from platform_fakes import FakeReplica, sealed, stream
 
-ASKED_PER_S = 15.0
+OFFERED_PER_S = 15.0
 # What the operators allow: requests that were sent this long after a server said that it leaves,
 # and requests that reach a server that rests.
-DRAIN_S = 2.0
-MOST_IN_REST = 2
+MAX_REACTION_S = 2.0
+MAX_REQUESTS_IN_BACKOFF = 2
 
 
-def call_often(fleet: LimitedFleet, path: str, *, for_s: float, **more: str) -> None:
+def send_calls(fleet: LimitedFleet, path: str, *, duration_s: float, **options: str) -> None:
     """Have callers send requests to a path."""
 
-    async def story() -> None:
-        await fleet.ask_often(path, per_s=ASKED_PER_S, for_s=for_s, **more)
+    async def scenario() -> None:
+        await fleet.send_at_rate(path, per_s=OFFERED_PER_S, duration_s=duration_s, **options)
 
-    fleet.play(story, ONCE, SAFE, STREAM, RESUMED)
+    fleet.run(scenario, UNSAFE_ROUTE, SAFE_ROUTE, STREAM_ROUTE, RESUMABLE_ROUTE)
 
 
-def stream_often(fleet: LimitedFleet, path: str = "/stream/a") -> None:
+def send_streams(fleet: LimitedFleet, path: str = "/stream/a") -> None:
     """Have callers ask for streams."""
-    call_often(fleet, path, for_s=8.0, **TOKENS)
+    send_calls(fleet, path, duration_s=8.0, **TOKEN_HEADERS)
 
 
-def sent_after(replica: FakeReplica, at: float) -> list[float]:
+def arrivals_after(replica: FakeReplica, at: float) -> list[float]:
     """Return when requests reached a server after a time, in seconds from then."""
     return [round(each.at - at, 2) for each in replica.arrivals if each.at > at]
 
 
-async def often_while_leaving(
-    fleet: LimitedFleet, leaving: FakeReplica, path: str, **more: str
+async def send_while_server_leaves(
+    fleet: LimitedFleet, leaving: FakeReplica, path: str, **options: str
 ) -> float:
     """Have callers ask for 8 s; a server says after 2 s that it leaves. Returns when it does."""
-    asking = partial(fleet.ask_often, path, per_s=ASKED_PER_S, for_s=8.0, **more)
+    send_requests = partial(
+        fleet.send_at_rate, path, per_s=OFFERED_PER_S, duration_s=8.0, **options
+    )
     async with curio.TaskGroup(wait=all) as group:
-        await group.spawn(asking)
+        await group.spawn(send_requests)
         await curio.sleep(2.0)
         leaving.leaving = True
-        begun: float = await curio.clock()
-    return begun
+        leaving_at: float = await curio.clock()
+    return leaving_at
 
 
 class TestLeaving:
@@ -86,377 +88,403 @@
         fleet = LimitedFleet(instances)
         leaving = fleet.add("i-leaving")
         fleet.add("i-other")
-        begun = 0.0
+        leaving_at = 0.0
 
-        async def story() -> None:
-            nonlocal begun
-            begun = await often_while_leaving(fleet, leaving, path)
+        async def scenario() -> None:
+            nonlocal leaving_at
+            leaving_at = await send_while_server_leaves(fleet, leaving, path)
 
-        fleet.play(story, ONCE, SAFE)
-        assert sent_after(leaving, begun + DRAIN_S) == []
-        assert fleet.statuses() == {200: int(ASKED_PER_S * 8)}
+        fleet.run(scenario, UNSAFE_ROUTE, SAFE_ROUTE)
+        assert arrivals_after(leaving, leaving_at + MAX_REACTION_S) == []
+        assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 8)}
 
-    @pytest.mark.parametrize("phase", ["prefill", "decode"])
-    def test_gets_no_further_streams(self, phase: str) -> None:
+    @pytest.mark.parametrize("role", ["prefill", "decode"])
+    def test_gets_no_further_streams(self, role: str) -> None:
         """Neither to read nor to write; nor is a place reserved there."""
         fleet = LimitedFleet()
-        reader = fleet.add("i-reader", "llm", "prefill")
-        writer = fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        prefill_engine = fleet.add("i-reader", "llm", "prefill")
+        decode_engine = fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
         fleet.add("i-reader2", "llm", "prefill")
         fleet.add("i-writer2", "llm", "decode", behave=stream, room=10_000)
-        leaving = reader if phase == "prefill" else writer
-        begun = reserved = 0.0
+        leaving = prefill_engine if role == "prefill" else decode_engine
+        leaving_at = reserved = 0.0
 
-        async def story() -> None:
-            nonlocal begun, reserved
-            begun = await often_while_leaving(fleet, leaving, "/stream/a", **TOKENS)
+        async def scenario() -> None:
+            nonlocal leaving_at, reserved
+            leaving_at = await send_while_server_leaves(
+                fleet, leaving, "/stream/a", **TOKEN_HEADERS
+            )
             before = leaving.side_calls.count("POST /v1/hold-take")
-            await fleet.ask_often("/stream/a", per_s=ASKED_PER_S, for_s=1.0, **TOKENS)
+            await fleet.send_at_rate(
+                "/stream/a", per_s=OFFERED_PER_S, duration_s=1.0, **TOKEN_HEADERS
+            )
             reserved = leaving.side_calls.count("POST /v1/hold-take") - before
 
-        fleet.play(story, STREAM)
-        assert sent_after(leaving, begun + DRAIN_S) == []
+        fleet.run(scenario, STREAM_ROUTE)
+        assert arrivals_after(leaving, leaving_at + MAX_REACTION_S) == []
         assert reserved == 0
-        assert fleet.statuses() == {200: int(ASKED_PER_S * 9)}
+        assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 9)}
 
-    def test_is_told_by_one_instance_to_the_others(self) -> None:
+    def test_instance_notifies_the_others(self) -> None:
         """Those that have had no answer of it since send it nothing either."""
         fleet = LimitedFleet(2)
         leaving = fleet.add("i-leaving")
         fleet.add("i-other")
-        told = fleet.gateways[1]
+        other_gateway = fleet.gateways[1]
 
-        async def story() -> None:
+        async def scenario() -> None:
             leaving.leaving = True
             while not leaving.arrivals:
                 await fleet.world.call("q", "/once/a")
             await curio.sleep(0.1)
             for number in range(40):
-                await told.call(f"q{number}", "/once/a")
+                await other_gateway.call(f"q{number}", "/once/a")
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         assert len(leaving.arrivals) == 1
 
-    def test_stands_when_its_entry_is_written_again(self) -> None:
+    def test_rewritten_entry_does_not_end_it(self) -> None:
         """Entries are written late, and lapse and come back with the store."""
         fleet = LimitedFleet(1)
         leaving = fleet.add("i-leaving")
         fleet.add("i-other")
-        begun = 0.0
+        leaving_at = 0.0
 
-        async def story() -> None:
-            nonlocal begun
-            begun = await often_while_leaving(fleet, leaving, "/once/a")
+        async def scenario() -> None:
+            nonlocal leaving_at
+            leaving_at = await send_while_server_leaves(fleet, leaving, "/once/a")
             await leaving.enter()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
             await leaving.store.remove("servers/i-leaving")
             await curio.sleep(3.0)
             await leaving.enter()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
 
-        fleet.play(story, ONCE)
-        assert sent_after(leaving, begun + DRAIN_S) == []
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert arrivals_after(leaving, leaving_at + MAX_REACTION_S) == []
 
-    def test_is_not_that_of_the_next_life(self) -> None:
+    def test_next_incarnation_gets_requests(self) -> None:
         """Another life of the same name serves at once."""
         fleet = LimitedFleet(1)
         leaving = fleet.add("i-leaving", born=1)
         other = fleet.add("i-other")
 
-        async def story() -> None:
+        async def scenario() -> None:
             leaving.leaving = True
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
             leaving.leaving, leaving.born = False, 2
             leaving.arrivals.clear()
             await leaving.enter()
             await curio.sleep(0.2)
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         assert leaving.arrivals
         assert other.arrivals
 
-    def test_all_of_them_leave(self) -> None:
+    def test_callers_are_refused_at_once_if_all_servers_leave(self) -> None:
         """Callers are refused at once, as where there is no server."""
         fleet = LimitedFleet(1)
         servers = [fleet.add(f"i-{number}") for number in range(2)]
-        begun = 0.0
+        leaving_at = 0.0
 
-        async def story() -> None:
-            nonlocal begun
+        async def scenario() -> None:
+            nonlocal leaving_at
             for server in servers:
                 server.leaving = True
-            begun = await curio.clock()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
+            leaving_at = await curio.clock()
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
 
-        fleet.play(story, ONCE)
-        assert [sent_after(server, begun + DRAIN_S) for server in servers] == [[], []]
-        late = [each for each in fleet.outcomes if each.sent > begun + DRAIN_S]
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert [arrivals_after(server, leaving_at + MAX_REACTION_S) for server in servers] == [
+            [],
+            [],
+        ]
+        late = [each for each in fleet.outcomes if each.sent_at > leaving_at + MAX_REACTION_S]
         assert {each.status for each in late} == {503}
-        assert max(each.took_s for each in late) < 0.1
+        assert max(each.response_s for each in late) < 0.1
 
 
-class TestResting:
+class TestBackoff:
     """A server refuses requests and wants none from this instance for a while."""
 
-    @pytest.mark.parametrize("rest_s", [0.9, REST_S, 12.0])
-    def test_gets_no_further_calls(self, rest_s: float) -> None:
+    @pytest.mark.parametrize("backoff_s", [0.9, REST_S, 12.0])
+    def test_gets_no_further_calls(self, backoff_s: float) -> None:
         """For as long as it said, also where that is longer than an instance would guess."""
         fleet = LimitedFleet(1)
-        resting = Resting(rest_s)
-        server = fleet.add("i-resting", behave=resting)
+        backoff = Resting(backoff_s)
+        server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
 
-        async def story() -> None:
+        async def scenario() -> None:
             # Enough that a window for the whole service would be felt.
-            await fleet.ask_often("/once/a", per_s=30.0, for_s=1.5 * rest_s + 2.0)
+            await fleet.send_at_rate("/once/a", per_s=30.0, duration_s=1.5 * backoff_s + 2.0)
 
-        fleet.play(story, ONCE)
-        assert resting.most_in_rest(server) == 0
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert backoff.most_in_rest(server) == 0
         assert len(server.arrivals) >= 2
-        assert fleet.statuses()[503] == len(server.arrivals)
+        assert fleet.count_statuses()[503] == len(server.arrivals)
 
-    def test_gets_no_further_calls_where_no_server_takes_any(self) -> None:
+    def test_gets_few_further_calls_if_all_servers_back_off(self) -> None:
         """Callers are told at once when the first one does."""
         fleet = LimitedFleet(1)
-        rests = [Resting(REST_S), Resting(2 * REST_S)]
-        servers = [fleet.add(f"i-{number}", behave=rest) for number, rest in enumerate(rests)]
+        backoffs = [Resting(REST_S), Resting(2 * REST_S)]
+        servers = [
+            fleet.add(f"i-{number}", behave=backoff) for number, backoff in enumerate(backoffs)
+        ]
 
-        call_often(fleet, "/safe/a", for_s=8.0)
-        for rest, server in zip(rests, servers, strict=True):
-            assert rest.most_in_rest(server) <= MOST_IN_REST
-        first = min(until for rest in rests for _, until in rest.told[:1])
+        send_calls(fleet, "/safe/a", duration_s=8.0)
+        for backoff, server in zip(backoffs, servers, strict=True):
+            assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
+        first_end = min(until for backoff in backoffs for _, until in backoff.told[:1])
         # Whoever can be in time after the rest is not sent away.
-        known = [each for each in fleet.outcomes if first - 2.5 < each.sent < first - TARGET_S]
-        assert {each.status for each in known} == {503}
-        assert max(each.took_s for each in known) < 0.1
-        assert all(0.0 <= each.sent + each.back_s - first < 1.5 for each in known)
+        both_known = [
+            each
+            for each in fleet.outcomes
+            if first_end - 2.5 < each.sent_at < first_end - TARGET_LATENCY_S
+        ]
+        assert {each.status for each in both_known} == {503}
+        assert max(each.response_s for each in both_known) < 0.1
+        assert all(
+            0.0 <= each.sent_at + each.retry_after_s - first_end < 1.5 for each in both_known
+        )
 
-    def test_whoever_waits_in_turn_is_told_at_once(self) -> None:
+    def test_waiting_caller_is_refused_at_once(self) -> None:
         """Both servers rest while a call that was sent before holds the service's only turn."""
         fleet = LimitedFleet(1)
         for number in range(2):
-            fleet.add(f"i-{number}", behave=as_asked)
+            fleet.add(f"i-{number}", behave=behave_as_body_says)
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with curio.TaskGroup(wait=all) as group:
                 full = [b"full %.2f" % after_s for after_s in (0.1, 0.27, 0.44, 0.61, 0.78)]
                 for body in (b"run 1.6", *full, *[b"rest 0.8"] * 4):
-                    await group.spawn(partial(fleet.ask, "/once/a", body=body))
+                    await group.spawn(partial(fleet.send, "/once/a", body=body))
                 await curio.sleep(0.85)
-                await fleet.ask("/once/a")
+                await fleet.send("/once/a")
 
-        fleet.play(story, ONCE)
-        assert fleet.statuses() == {200: 1, 503: 10}
-        last = max(fleet.outcomes, key=lambda each: each.sent)
-        assert (last.status, last.took_s < 0.1) == (503, True)
+        fleet.run(scenario, UNSAFE_ROUTE)
+        assert fleet.count_statuses() == {200: 1, 503: 10}
+        last = max(fleet.outcomes, key=lambda each: each.sent_at)
+        assert (last.status, last.response_s < 0.1) == (503, True)
 
-    def test_one_that_ends_soon_is_waited_for(self) -> None:
+    def test_caller_waits_for_short_backoff(self) -> None:
         """A caller that can still be in time is served rather than sent away."""
         fleet = LimitedFleet(1)
-        resting = Resting(0.4)
-        fleet.add("i-resting", behave=resting)
+        backoff = Resting(0.4)
+        fleet.add("i-resting", behave=backoff)
 
-        async def story() -> None:
-            resting.over_at = await curio.clock() + 0.2
-            await fleet.ask("/once/a")
-            await fleet.ask("/once/a")
+        async def scenario() -> None:
+            backoff.over_at = await curio.clock() + 0.2
+            await fleet.send("/once/a")
+            await fleet.send("/once/a")
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         assert [each.status for each in fleet.outcomes] == [503, 200]
 
-    def test_whoever_was_refused_by_one_comes_back_soon(self) -> None:
+    def test_refused_caller_may_retry_before_backoff_ends(self) -> None:
         """Another server takes requests: its caller need not wait until the rest is over."""
         fleet = LimitedFleet(1)
-        resting = Resting(12.0)
-        fleet.add("i-resting", behave=resting)
+        backoff = Resting(12.0)
+        fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
 
-        call_often(fleet, "/once/a", for_s=2.0)
+        send_calls(fleet, "/once/a", duration_s=2.0)
         refused = [each for each in fleet.outcomes if each.status == 503]
         assert refused
-        assert max(each.back_s for each in refused) < 1.0
+        assert max(each.retry_after_s for each in refused) < 1.0
 
     @pytest.mark.parametrize(
-        "resting",
+        "backoff",
         [Resting(status=429), Resting(status=503), Resting(fields=(("x-server-seal", "s"),))],
         ids=["429", "503", "503-not-told-not-run"],
     )
-    def test_holds_for_each_kind_of_refusal(self, resting: Resting) -> None:
+    def test_each_kind_of_refusal_starts_it(self, backoff: Resting) -> None:
         """Also for one that does not say that it ran nothing: that answer is the caller's."""
         fleet = LimitedFleet(1)
-        server = fleet.add("i-resting", behave=resting)
+        server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
 
-        call_often(fleet, "/safe/a", for_s=6.0)
-        assert resting.most_in_rest(server) == 0
+        send_calls(fleet, "/safe/a", duration_s=6.0)
+        assert backoff.most_in_rest(server) == 0
 
-    def test_holds_for_repeats(self) -> None:
+    def test_gets_few_retries(self) -> None:
         """A call that failed elsewhere is not repeated there."""
         fleet = LimitedFleet(1)
-        resting = Resting()
-        server = fleet.add("i-resting", behave=resting)
+        backoff = Resting()
+        server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-failing", behave=fail)
 
-        call_often(fleet, "/safe/a", for_s=8.0)
-        assert resting.most_in_rest(server) <= MOST_IN_REST
+        send_calls(fleet, "/safe/a", duration_s=8.0)
+        assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
 
     @pytest.mark.parametrize("others", [0, 5])
-    def test_holds_for_streams(self, others: int) -> None:
+    def test_gets_few_streams(self, others: int) -> None:
         """At the engine that writes; the others serve every caller but the few it refused."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=resting, room=10_000)
-        writers = [
+        backoff = Resting()
+        server = fleet.add("i-resting", "llm", "decode", behave=backoff, room=10_000)
+        decode_engines = [
             fleet.add(f"i-writer{number}", "llm", "decode", behave=stream, room=10_000)
             for number in range(others)
         ]
 
-        stream_often(fleet)
-        assert resting.most_in_rest(server) <= MOST_IN_REST
+        send_streams(fleet)
+        assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
         # The route allows one server.
-        sent = [each.ident for writer in [server, *writers] for each in writer.arrivals]
-        assert len(sent) == len(set(sent))
+        sent_ids = [
+            each.ident
+            for decode_engine in [server, *decode_engines]
+            for each in decode_engine.arrivals
+        ]
+        assert len(sent_ids) == len(set(sent_ids))
         if others:
             # Once a rest.
             assert (
-                ASKED_PER_S * 8 - fleet.statuses()[200] <= len(server.arrivals) <= 8.0 / REST_S + 1
+                OFFERED_PER_S * 8 - fleet.count_statuses()[200]
+                <= len(server.arrivals)
+                <= 8.0 / REST_S + 1
             )
 
-    def test_an_engine_that_rests_is_asked_for_no_place(self) -> None:
+    def test_gets_few_reservation_calls(self) -> None:
         """Nor is one that has no room asked sooner than it said."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=resting, room=3)
+        backoff = Resting()
+        server = fleet.add("i-resting", "llm", "decode", behave=backoff, room=3)
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
 
-        stream_often(fleet)
-        assert resting.most_in_rest(server) == 0
-        assert server.side_calls.count("POST /v1/hold-take") <= 3 + 8.0 / REST_S * MOST_IN_REST
+        send_streams(fleet)
+        assert backoff.most_in_rest(server) == 0
+        assert (
+            server.side_calls.count("POST /v1/hold-take")
+            <= 3 + 8.0 / REST_S * MAX_REQUESTS_IN_BACKOFF
+        )
 
-    def test_holds_for_prompts_read_apart(self) -> None:
+    def test_prefill_engine_gets_no_prompts(self) -> None:
         """The engine that writes reads them meanwhile."""
         fleet = LimitedFleet(1)
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "prefill", read=resting)
+        backoff = Resting()
+        server = fleet.add("i-resting", "llm", "prefill", read=backoff)
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
 
-        stream_often(fleet)
-        assert resting.most_in_rest(server) == 0
-        assert fleet.statuses() == {200: int(ASKED_PER_S * 8)}
+        send_streams(fleet)
+        assert backoff.most_in_rest(server) == 0
+        assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 8)}
 
-    def test_holds_for_streams_that_are_taken_up_elsewhere(self) -> None:
+    def test_gets_few_resumed_streams(self) -> None:
         """They broke off at the other engine."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=resting, room=10_000)
+        backoff = Resting()
+        server = fleet.add("i-resting", "llm", "decode", behave=backoff, room=10_000)
         fleet.add("i-breaking", "llm", "decode", behave=break_off, room=10_000)
 
-        stream_often(fleet, "/resumed/a")
-        assert resting.told
-        assert resting.most_in_rest(server) <= MOST_IN_REST
+        send_streams(fleet, "/resumed/a")
+        assert backoff.told
+        assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
 
-    def test_holds_for_places_that_were_taken_before(self) -> None:
+    def test_earlier_reservations_are_not_used(self) -> None:
         """Their prompts are read elsewhere meanwhile, and they are written by another engine."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill", read_s=0.8)
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=resting, room=10_000)
+        backoff = Resting()
+        server = fleet.add("i-resting", "llm", "decode", behave=backoff, room=10_000)
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
 
-        stream_often(fleet)
-        assert resting.most_in_rest(server) <= MOST_IN_REST
+        send_streams(fleet)
+        assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
 
-    def test_a_shorter_word_does_not_shorten_it(self) -> None:
+    def test_shorter_value_does_not_shorten_it(self) -> None:
         """Of requests that were under way together the last is refused for a shorter time."""
         fleet = LimitedFleet(1)
-        resting = Resting(REST_S, after_s=0.2)
-        server = fleet.add("i-resting", behave=resting)
+        backoff = Resting(REST_S, after_s=0.2)
+        server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
 
         async def shorter() -> None:
             while not server.arrivals:
                 await curio.sleep(0.01)
-            resting.rest_s = 0.5
+            backoff.rest_s = 0.5
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(shorter)
-                await group.spawn(partial(fleet.ask_often, "/once/a", per_s=60.0, for_s=3.4))
+                await group.spawn(
+                    partial(fleet.send_at_rate, "/once/a", per_s=60.0, duration_s=3.4)
+                )
 
-        fleet.play(story, ONCE)
-        told = [round(until - at, 1) for at, until in resting.told]
-        assert told[:2] == [REST_S, 0.5]
-        assert resting.most_in_rest(server) == 0
+        fleet.run(scenario, UNSAFE_ROUTE)
+        announced = [round(until - at, 1) for at, until in backoff.told]
+        assert announced[:2] == [REST_S, 0.5]
+        assert backoff.most_in_rest(server) == 0
 
-    def test_stands_while_its_entry_is_away(self) -> None:
+    def test_backoff_survives_missing_entry(self) -> None:
         """An entry may lapse though its server lives."""
         fleet = LimitedFleet(1)
-        resting = Resting(8.0)
-        server = fleet.add("i-resting", behave=resting)
+        backoff = Resting(8.0)
+        server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
 
-        async def story() -> None:
-            while not resting.told:
-                await fleet.ask("/once/a")
+        async def scenario() -> None:
+            while not backoff.told:
+                await fleet.send("/once/a")
             await server.store.remove("servers/i-resting")
             await curio.sleep(1.0)
             await server.enter()
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=6.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=6.0)
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         assert len(server.arrivals) == 1
 
-    def test_is_not_that_of_the_next_life(self) -> None:
+    def test_next_incarnation_gets_requests(self) -> None:
         """Another life of the same name serves at once, whatever the last one asked for."""
         fleet = LimitedFleet(1)
-        resting = Resting(60.0)
-        server = fleet.add("i-resting", behave=resting, born=1)
+        backoff = Resting(60.0)
+        server = fleet.add("i-resting", behave=backoff, born=1)
         fleet.add("i-other", behave=slowly)
 
-        async def story() -> None:
-            while not resting.told:
-                await fleet.ask("/once/a")
+        async def scenario() -> None:
+            while not backoff.told:
+                await fleet.send("/once/a")
             server.behave, server.born = sealed, 2
             server.arrivals.clear()
             await server.enter()
             await curio.sleep(0.2)
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
 
-        fleet.play(story, ONCE)
+        fleet.run(scenario, UNSAFE_ROUTE)
         assert server.arrivals
-        assert set(fleet.statuses()) == {200, 503}
-        assert fleet.statuses()[503] == len(resting.told)
+        assert set(fleet.count_statuses()) == {200, 503}
+        assert fleet.count_statuses()[503] == len(backoff.told)
 
-    def test_ends_when_it_said(self) -> None:
+    def test_server_gets_its_share_afterwards(self) -> None:
         """It serves again, and gets its part."""
         fleet = LimitedFleet(1)
-        resting = Resting(REST_S, serve=slowly)
-        server = fleet.add("i-resting", behave=resting)
+        backoff = Resting(REST_S, serve=slowly)
+        server = fleet.add("i-resting", behave=backoff)
         other = fleet.add("i-other", behave=slowly)
 
-        async def story() -> None:
-            resting.over_at = await curio.clock() + 1.0
-            await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=10.0)
+        async def scenario() -> None:
+            backoff.over_at = await curio.clock() + 1.0
+            await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=10.0)
 
-        fleet.play(story, ONCE)
-        back = sent_after(server, resting.told[0][1])
-        assert back
-        assert back[0] < 1.0
-        assert len(back) > 0.2 * len(other.arrivals) * (10.0 - REST_S) / 10.0
+        fleet.run(scenario, UNSAFE_ROUTE)
+        after_backoff = arrivals_after(server, backoff.told[0][1])
+        assert after_backoff
+        assert after_backoff[0] < 1.0
+        assert len(after_backoff) > 0.2 * len(other.arrivals) * (10.0 - REST_S) / 10.0
 
 
-async def as_asked(replica: FakeReplica, exchange: Exchange) -> None:
+async def behave_as_body_says(replica: FakeReplica, exchange: Exchange) -> None:
     """Run a request, refuse it, or refuse it and ask for rest, after a time, as its body says."""
-    what, _, after_s = exchange.req.body.decode().partition(" ")
+    action, _, after_s = exchange.req.body.decode().partition(" ")
     await curio.sleep(float(after_s or 0))
-    if what == "run":
+    if action == "run":
         await sealed(replica, exchange)
         return
-    ident = exchange.req.headers["x-request-id"]
-    rest = [("retry-after", "3")] if what == "rest" else []
-    fields = [("x-request-id", ident), ("x-not-executed", "1"), *rest]
-    await exchange.respond_with_fields(503, fields, b"")
+    request_id = exchange.req.headers["x-request-id"]
+    retry_after = [("retry-after", "3")] if action == "rest" else []
+    response_headers = [("x-request-id", request_id), ("x-not-executed", "1"), *retry_after]
+    await exchange.respond_with_fields(503, response_headers, b"")
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -26,7 +26,7 @@
     burst_limit,
 )
 from limit_fleet import SERVER, LimitFleet
-from limit_worlds import allowed, most_in_window
+from limit_worlds import max_allowed_in_window, max_in_window
 from member_fleet import SIMULATION_SETTINGS, schedule_fault
 
 RUN_S = 40.0
@@ -94,14 +94,14 @@
         duration_s = max(20.0, 8 / per_s)
         fleet, begin = run_fleet(instances, per_s, requests_per_s=5 * per_s, duration_s=duration_s)
         assert fleet.arrived(begin, begin + duration_s) >= 0.9 * per_s * duration_s - 1
-        assert fleet.max_requests_in_window() <= allowed(per_s)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(per_s)
 
     @pytest.mark.parametrize("per_s", [0.0, 0.1])
     def test_server_with_tiny_limit_gets_an_occasional_request(self, per_s: float) -> None:
         """Only a response of the server can show that its limit has ended."""
         fleet, begin = run_fleet(5, per_s, requests_per_s=5.0, duration_s=40.0)
         assert 8 <= fleet.arrived(begin, begin + 40.0) <= 11
-        assert fleet.max_requests_in_window() <= allowed(per_s)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(per_s)
 
     def test_permits_are_granted_for_a_later_time_within_the_allowed_wait(self) -> None:
         """A request that may wait gets a permit with its send time; another is refused at once."""
@@ -109,7 +109,7 @@
         assert max(fleet.tally.waits) <= 0.5
         assert fleet.tally.refused >= 100
         assert fleet.arrived(begin, begin + 20.0) >= 0.9 * 10.0 * 20.0
-        assert fleet.max_requests_in_window() <= allowed(10.0)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(10.0)
 
 
 class TestBelowTheLimit:
@@ -136,7 +136,7 @@
                 fleet.cut(one, other)
         send_evenly(fleet, per_s=20.0, begin=READY_S, until=READY_S + 30.0)
         fleet.run(READY_S + 30.0)
-        assert fleet.max_requests_in_window() <= allowed(PER_S)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
         assert fleet.arrived(READY_S + 5.0, READY_S + 30.0) >= 0.75 * PER_S * 25.0
 
     def test_isolated_instance_uses_its_local_share(self) -> None:
@@ -163,7 +163,7 @@
         for name in fleet.names:
             fleet.at(begin, lambda name=name: fleet.request(name))  # type: ignore[misc]
         fleet.run(begin + 1.0)
-        assert fleet.arrived(begin, begin + 1.0) <= allowed(PER_S)
+        assert fleet.arrived(begin, begin + 1.0) <= max_allowed_in_window(PER_S)
 
     def test_permits_are_granted_while_the_store_is_unreachable(self) -> None:
         """Permits and share leases need no call to the store."""
@@ -175,7 +175,7 @@
         send_evenly(fleet, per_s=20.0, begin=READY_S, until=READY_S + 60.0)
         fleet.run(READY_S + 60.0)
         assert fleet.arrived(READY_S, READY_S + 60.0) >= 0.9 * PER_S * 60.0
-        assert fleet.max_requests_in_window() <= allowed(PER_S)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
 
     def test_standby_allocates_after_the_allocator_died(self) -> None:
         """The second allocator grants permits as soon as the first is unresponsive."""
@@ -315,7 +315,7 @@
         schedule_fault(fleet, "freeze", READY_S, 8.0, first, first)
         send_evenly(fleet, per_s=400.0, begin=READY_S, until=READY_S + 20.0)
         fleet.run(READY_S + 21.0)
-        assert fleet.max_requests_in_window() <= allowed(40.0)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(40.0)
 
     def test_separate_bucket_per_instance_exceeds_the_limit(self) -> None:
         """The check detects a fleet in which each instance enforces the limit for itself only."""
@@ -327,7 +327,7 @@
             node.shared.is_allocator = lambda server: True  # type: ignore[method-assign]
         send_evenly(fleet, per_s=50.0, begin=READY_S, until=READY_S + 20.0)
         fleet.run(READY_S + 20.0)
-        assert fleet.max_requests_in_window() > allowed(PER_S)
+        assert fleet.max_requests_in_window() > max_allowed_in_window(PER_S)
 
 
 fault = st.tuples(
@@ -369,7 +369,7 @@
         requests_per_s = max(20.0, 5 * per_s)
         send_evenly(fleet, per_s=requests_per_s, begin=0.5, until=RUN_S, within_s=within_s)
         fleet.run(RUN_S + 2)
-        assert fleet.max_requests_in_window() <= allowed(per_s)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(per_s)
 
     @pytest.mark.parametrize("instances", [68, 300])
     def test_limit_holds_in_large_fleets(self, instances: int) -> None:
@@ -388,7 +388,7 @@
             schedule_fault(fleet, "kill", begin + 2.0, 1.0, name, name)
         send_evenly(fleet, per_s=60.0, begin=begin, until=begin + 20.0)
         fleet.run(begin + 21.0)
-        assert fleet.max_requests_in_window() <= allowed(PER_S)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
         assert fleet.tally.arrived
 
 
@@ -420,13 +420,13 @@
             f"{fleet.max_requests_in_window()} in the worst window"
         )
         print(
-            f"by equal shares {len(sent_alone)} sent, {most_in_window(sent_alone)}; "
-            f"{allowed(PER_S)} allowed"
+            f"by equal shares {len(sent_alone)} sent, {max_in_window(sent_alone)}; "
+            f"{max_allowed_in_window(PER_S)} allowed"
         )
-        assert fleet.max_requests_in_window() <= allowed(PER_S)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
         assert sent_by_leases >= 0.8 * PER_S * duration_s
-        if instances > allowed(PER_S):
-            assert most_in_window(sent_alone) > allowed(PER_S)
+        if instances > max_allowed_in_window(PER_S):
+            assert max_in_window(sent_alone) > max_allowed_in_window(PER_S)
 
 
 def times_sent_by_equal_shares(instances: int, moments: list[tuple[float, int]]) -> list[float]:
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -21,14 +21,14 @@
 from behaviours import REST_S, Resting, break_off, fail, slowly
 from crankhinge.decisions import ExclusionReason
 from limit_worlds import (
-    ONCE,
-    RESUMED,
-    SAFE,
-    STREAM,
-    TOKENS,
+    RESUMABLE_ROUTE,
+    SAFE_ROUTE,
+    STREAM_ROUTE,
+    TOKEN_HEADERS,
+    UNSAFE_ROUTE,
     LimitedFleet,
-    allowed,
-    most_arrivals,
+    max_allowed_in_window,
+    max_arrivals_in_window,
 )
 from platform_fakes import Arrival, Behave, FakeReplica, stream
 
@@ -102,7 +102,7 @@
     server = engines(fleet, "prefill", read_s=0.1)("i-barred")
     engines(fleet, "prefill", read_s=0.1, refuses_to_read=second)("i-other")
     engines(fleet, "decode", behave=stream)("i-writer")
-    return Way(fleet, server, "/stream/a", lambda each: "x-stage" in each.headers, TOKENS)
+    return Way(fleet, server, "/stream/a", lambda each: "x-stage" in each.headers, TOKEN_HEADERS)
 
 
 def writings(*, readers: int = 1, read_s: float = 0.0, others: int = 1) -> Way:
@@ -116,7 +116,11 @@
         writer(f"i-writer{number}")
     fetches = readers > 0
     return Way(
-        fleet, server, "/stream/a", lambda each: ("kv-from" in each.headers) == fetches, TOKENS
+        fleet,
+        server,
+        "/stream/a",
+        lambda each: ("kv-from" in each.headers) == fetches,
+        TOKEN_HEADERS,
     )
 
 
@@ -126,7 +130,9 @@
     engines(fleet, "prefill")("i-reader")
     server = engines(fleet, "decode", behave=stream)("i-barred")
     engines(fleet, "decode", behave=break_off)("i-breaking")
-    return Way(fleet, server, "/resumed/a", lambda each: "last-event-id" in each.headers, TOKENS)
+    return Way(
+        fleet, server, "/resumed/a", lambda each: "last-event-id" in each.headers, TOKEN_HEADERS
+    )
 
 
 async def leaves(server: FakeReplica) -> None:
@@ -180,7 +186,7 @@
 
 def none_over_limit(server: FakeReplica, said_at: float) -> None:
     """Check that a server got no more than it said."""
-    assert most_arrivals(server, since=said_at + 0.5) <= allowed(LIMIT_PER_S)
+    assert max_arrivals_in_window(server, since=said_at + 0.5) <= max_allowed_in_window(LIMIT_PER_S)
 
 
 def none_misdirected(server: FakeReplica, said_at: float) -> None:
@@ -235,14 +241,14 @@
 
         async def story() -> None:
             nonlocal said_at
-            ask = partial(way.fleet.ask_often, way.path, per_s=ASKED_PER_S, for_s=ASKED_S)
+            ask = partial(way.fleet.send_at_rate, way.path, per_s=ASKED_PER_S, duration_s=ASKED_S)
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(ask, **way.tokens))
                 await curio.sleep(SAID_AT_S)
                 said_at = await curio.clock()
                 await say(way.server)
 
-        way.fleet.play(story, ONCE, SAFE, STREAM, RESUMED)
+        way.fleet.run(story, UNSAFE_ROUTE, SAFE_ROUTE, STREAM_ROUTE, RESUMABLE_ROUTE)
         before = [each for each in way.server.arrivals if each.at <= said_at]
         assert any(way.goes(each) for each in before)
         check(way.server, said_at)
@@ -258,8 +264,10 @@
         async def story() -> None:
             nonlocal lifted_at
             usual = way.server.behave
-            for_s = SAID_AT_S + REST_S + ASKED_AGAIN_S
-            ask = partial(way.fleet.ask_often, way.path, per_s=ASKED_PER_S, for_s=for_s)
+            duration_s = SAID_AT_S + REST_S + ASKED_AGAIN_S
+            ask = partial(
+                way.fleet.send_at_rate, way.path, per_s=ASKED_PER_S, duration_s=duration_s
+            )
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(ask, **way.tokens))
                 await curio.sleep(SAID_AT_S)
@@ -268,7 +276,7 @@
                 lifted_at = await curio.clock()
                 await lift(way.server, usual)
 
-        way.fleet.play(story, ONCE, SAFE, STREAM, RESUMED)
+        way.fleet.run(story, UNSAFE_ROUTE, SAFE_ROUTE, STREAM_ROUTE, RESUMABLE_ROUTE)
         again = [each.at for each in way.server.arrivals if each.at > lifted_at + BACK_S]
         assert len(again) >= least
 
