--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -1,4 +1,4 @@
-"""The agent beside a plain service: passes calls on, each once."""
+"""The role of a plain service's agent: forwards each call once."""
 
 from __future__ import annotations
 
@@ -7,90 +7,95 @@
 import curio
 
 from crankhinge.adapters import EngineFailed, PlainService, ServiceResponse
-from crankhinge.agent._queued import QueuedRole
-from crankhinge.wire import Call, CallDone, Failed, Link, Message
+from crankhinge.agent._queued_role import QueuedRole
+from crankhinge.wire import Failed, Link, Message, ServiceCall, ServiceCallDone
 
+# Work of one call in the units of the queue, and the priority class of all calls.
 CALL_UNITS = 1
 CALL_RANK = 0
-RESTING = "backend-rests"
+BACKEND_IN_BACKOFF = "backend-rests"
 
 
 class PlainRole(QueuedRole):
-    """Passes calls on in the order of its queue.
+    """Forwards calls in the order of its queue.
 
     Args:
-        service: the plain service.
+        service: client of the plain service.
         more: arguments of :class:`QueuedRole`.
     """
 
     def __init__(self, *, service: PlainService, **more: Any) -> None:
         super().__init__(**more)
         self._service = service
-        # When the service wants calls again, on the runtime's clock.
-        self._rests_until = 0.0
+        # Time until which the service accepts no calls, in seconds of the runtime's clock.
+        self._backoff_until = 0.0
 
     async def handle(self, link: Link, msg: Message) -> None:
-        """Act on Call and Cancel."""
-        if not isinstance(msg, Call):
+        """Handle ``ServiceCall`` and ``Cancel``."""
+        if not isinstance(msg, ServiceCall):
             await self.handle_cancel(msg)
-        elif not await self._refused_in_rest(link, msg.req):
-            await self.enqueue(link, msg.req, msg.member, CALL_RANK, msg.within, CALL_UNITS, msg)
+        elif not await self._refuse_in_backoff(link, msg.req):
+            await self.enqueue(link, msg.req, msg.member, CALL_RANK, msg.timeout_s, CALL_UNITS, msg)
 
-    async def _refused_in_rest(self, link: Link, req: int) -> bool:
-        """Refuse a call while the service wants none; returns whether it does not.
+    async def _refuse_in_backoff(self, link: Link, req: int) -> bool:
+        """Refuse a call if the service is in backoff, and return whether it was refused.
 
-        Every call to the service comes through here: sent on, it would be refused there as well,
-        and its entry would not know that it may go elsewhere.
+        All calls to the service pass through this agent. If it forwarded the call, the service
+        would refuse it, and the entry would not know that it may try another backend server.
         """
-        left_s = self._rests_until - await curio.clock()
+        left_s = self._backoff_until - await curio.clock()
         if left_s <= 0:
             return False
-        await self.refuse(link, req, RESTING, left_s)
+        await self.refuse(link, req, BACKEND_IN_BACKOFF, left_s)
         return True
 
     async def cancel(self, req: int) -> None:
-        """End a request that nobody waits for, unless it is a call that has begun.
+        """Cancel a call that has not started.
 
-        A call that is cut off in the middle may have half an effect; it is let run to its end,
-        which its own time-out bounds.
+        A call that is interrupted may have a partial effect. A started call therefore continues
+        until it ends or its timeout passes.
         """
         if req not in self._tasks:
             await super().cancel(req)
 
     async def probe(self) -> bool:
-        """Whether the service takes connections."""
+        """Return whether the service accepts connections."""
         return await self._service.is_reachable()
 
-    async def work(self, msg: Any) -> int:
-        """Pass one call on."""
+    async def process(self, msg: Any) -> int:
+        """Forward one call and send the response to its entry."""
         req = msg.req
-        link = self.owner(req)
-        if link is not None and await self._refused_in_rest(link, req):
+        link = self.find_owner(req)
+        if link is not None and await self._refuse_in_backoff(link, req):
             return 0
         try:
-            answer: ServiceResponse = await curio.timeout_after(
-                msg.within, self._service.call, msg.method, msg.target, msg.headers, msg.body
+            response: ServiceResponse = await curio.timeout_after(
+                msg.timeout_s, self._service.call, msg.method, msg.target, msg.headers, msg.body
             )
         except EngineFailed as exc:
             if not exc.ran:
-                await self.note_health(await self.probe())
-            await self._failed(req, exc.code, ran=exc.ran)
+                await self.record_health(await self.probe())
+            await self._send_failure(req, exc.code, ran=exc.ran)
             return 0
         except curio.TaskTimeout:
-            await self._failed(req, "deadline-passed", ran=True)
+            await self._send_failure(req, "deadline-passed", ran=True)
             return 0
-        if answer.backoff_s is not None:
-            await self._note_rest(answer.backoff_s)
+        if response.backoff_s is not None:
+            await self._record_backoff(response.backoff_s)
         self.metrics.count("calls")
-        await self.tell(req, CallDone(req, answer.status, dict(answer.headers), answer.body))
+        await self.send_to_owner(
+            req, ServiceCallDone(req, response.status, dict(response.headers), response.body)
+        )
         return CALL_UNITS
 
-    async def _note_rest(self, rest_s: float) -> None:
-        until = await curio.clock() + rest_s
-        self._rests_until = max(self._rests_until, until)
-        self.log.info("backend_rests", for_s=round(rest_s, 2), taken=until == self._rests_until)
+    async def _record_backoff(self, backoff_s: float) -> None:
+        backoff_until = await curio.clock() + backoff_s
+        self._backoff_until = max(self._backoff_until, backoff_until)
+        self.log.info(
+            "backend_rests", for_s=round(backoff_s, 2), taken=backoff_until == self._backoff_until
+        )
 
-    async def _failed(self, req: int, code: str, *, ran: bool) -> None:
+    async def _send_failure(self, req: int, code: str, *, ran: bool) -> None:
         self.log.warning("call_failed", req=f"{req:016x}", code=code, ran=ran)
         self.metrics.count(f"call_failed.{code}")
-        await self.tell(req, Failed(req, code, ran))
+        await self.send_to_owner(req, Failed(req, code, ran))
--- a/src/crankhinge/entry/_progress.py
+++ b/src/crankhinge/entry/_progress.py
@@ -1,4 +1,4 @@
-"""How far one request has come at its entry."""
+"""The state of one request at its entry, and the ids of requests."""
 
 from __future__ import annotations
 
@@ -8,71 +8,76 @@
 from crankhinge.decisions import Backend
 from crankhinge.errors import Outcome
 
+# An id consists of a random number, a counter of requests, and a counter of the steps of a request.
 ID_BITS = 63
 COUNTER_BITS = 24
-STEP_BITS = 8
-STEP_MASK = (1 << STEP_BITS) - 1
+STEP_ID_BITS = 8
+STEP_ID_MASK = (1 << STEP_ID_BITS) - 1
 
 
 class RequestIds:
-    """Identities that no other entry and no earlier start of this one uses.
+    """Creates request ids that other entries and earlier incarnations of this entry do not use.
 
-    The low eight bits are left for the steps of a request, so that its lines in the logs of all
-    processes share all but the last two hex digits.
+    The lowest eight bits number the steps of a request. The log lines of a request in all processes
+    therefore have ids that differ only in the last two hex digits.
 
     Args:
-        nonce: random, new at each start.
+        nonce: a random number, new at each start of the process.
     """
 
     def __init__(self, nonce: int) -> None:
-        high_bits = ID_BITS - COUNTER_BITS - STEP_BITS
-        self._high = (nonce & ((1 << high_bits) - 1)) << (COUNTER_BITS + STEP_BITS)
+        high_bits = ID_BITS - COUNTER_BITS - STEP_ID_BITS
+        self._high = (nonce & ((1 << high_bits) - 1)) << (COUNTER_BITS + STEP_ID_BITS)
         self._counter = itertools.count(1)
 
-    def next(self) -> int:
-        """Return the identity of a new request."""
+    def new_id(self) -> int:
+        """Return the id of a new request."""
         number = next(self._counter) & ((1 << COUNTER_BITS) - 1)
-        return self._high | (number << STEP_BITS)
+        return self._high | (number << STEP_ID_BITS)
 
 
 @dataclass
-class Progress:
-    """How far a request has come.
+class RequestProgress:
+    """The state of one request.
+
+    All times are in seconds of the runtime's clock, and 0 until the event occurs.
 
     Attributes:
-        ident: its identity.
-        touched: whether a backend server may have worked for it.
-        attempts: how often it was tried.
-        computed: prompt tokens that engines computed for it.
-        unused: of these, not yet put to use.
-        wasted: of these, for nothing, as far as this entry knows.
-        reader: the backend server that read the prompt; None before.
-        slot: time of the lease.
-        read: time at which the prompt was read.
-        first: time of the first token.
-        last: time of the last token so far.
-        keyed: whether an earlier attempt with the same key may have run.
+        request_id: id of the request.
+        may_have_run: whether a backend server may have executed a part of the request.
+        attempts: number of attempts so far.
+        computed_tokens: number of prompt tokens that engines computed for the request.
+        unused_tokens: computed tokens of the current attempt that have not led to a first token.
+        wasted_tokens: computed tokens of attempts that failed, as far as this entry knows.
+        prefill_backend: the backend server that processed the prompt; None before that.
+        slot_granted_at: time at which the first slot was leased.
+        prompt_read_at: time at which the prompt was first processed.
+        first_token_at: time of the first token.
+        last_token_at: time at which the last token arrived.
+        earlier_may_have_run: whether an earlier request with the same idempotency key may have run.
     """
 
-    ident: int = 0
-    touched: bool = False
-    keyed: bool = False
+    request_id: int = 0
+    may_have_run: bool = False
+    earlier_may_have_run: bool = False
     attempts: int = 0
-    computed: int = 0
-    unused: int = 0
-    wasted: int = 0
-    reader: Backend | None = None
-    slot: float = 0.0
-    read: float = 0.0
-    first: float = 0.0
-    last: float = 0.0
+    computed_tokens: int = 0
+    unused_tokens: int = 0
+    wasted_tokens: int = 0
+    prefill_backend: Backend | None = None
+    slot_granted_at: float = 0.0
+    prompt_read_at: float = 0.0
+    first_token_at: float = 0.0
+    last_token_at: float = 0.0
     _steps: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
-    def new_step(self) -> int:
-        """Return the identity of a next step: a message to one agent and its answers."""
-        return self.ident | (next(self._steps) & STEP_MASK)
+    def new_step_id(self) -> int:
+        """Return the id of a new step, which is a message to one agent and the responses to it."""
+        return self.request_id | (next(self._steps) & STEP_ID_MASK)
 
     @property
     def outcome(self) -> Outcome:
-        """What may be told to the caller when the request fails now."""
-        return Outcome.UNKNOWN if self.touched or self.keyed else Outcome.NOT_RUN
+        """The outcome to report to the caller if the request fails now."""
+        return (
+            Outcome.UNKNOWN if self.may_have_run or self.earlier_may_have_run else Outcome.NOT_RUN
+        )
--- a/src/crankhinge/wire/_messages.py
+++ b/src/crankhinge/wire/_messages.py
@@ -1,12 +1,12 @@
 """The messages between entries and agents.
 
-Each is written as a msgpack array: its tag, then its fields in order. A field may be added at the
-end with a default: an older reader passes over it and a newer one fills it in, so that old and
-new processes run side by side during a roll. A change that this does not cover raises
-``WIRE_VERSION``.
+A message is encoded as a msgpack array of its tag and its fields in order. A new field may be added
+at the end with a default: an older process ignores it, and a newer process uses the default if it
+is missing. Processes of both versions can therefore run together during a rolling upgrade. Any
+other change requires a new ``WIRE_VERSION``.
 
-Durations are seconds. No message carries a wall-clock time, since clocks of two instances differ,
-but the fence's ``since_ms``, which allows for a skew.
+All durations are in seconds. Messages contain no wall-clock times because the clocks of instances
+differ. The one exception is ``FenceSync.since_ms``, whose use allows for clock skew.
 """
 
 from __future__ import annotations
@@ -25,83 +25,84 @@
 )
 from crankhinge.wire._base import Load, MessageBase
 from crankhinge.wire._control import (
-    Beat,
-    BundleIs,
+    BundleUpdate,
     GetBundle,
     GetInstances,
+    Heartbeat,
     Hello,
-    InstancesAre,
-    Serves,
+    InstanceListReply,
+    LoadedAdapters,
 )
 
 
-class Reserve(MessageBase, tag=5, frozen=True):
-    """Asks a decode agent for a memory slot.
+class ReserveSlot(MessageBase, tag=5, frozen=True):
+    """Requests a memory slot from the agent of a decode engine.
 
     Attributes:
-        req: identity of the request, unique per attempt.
-        member: who asks; shares are kept per member.
+        req: id of the request, unique per attempt.
+        member: client account of the caller. Capacity is shared fairly between members.
         model: name of the model or adapter.
         rank: priority class; 0 is the most urgent.
-        within: seconds from now until the slot is of no more use.
-        lead: seconds from the grant until the slot would be used (reading and transfer).
-        max_tokens: most tokens the answer may have.
-        partner: partner of the member.
+        timeout_s: seconds after which the request can no longer use the slot.
+        lead_s: seconds from the grant until the slot is used, for the prefill and the transfer of
+            the KV cache.
+        max_tokens: largest number of tokens in the answer.
+        partner: partner that the member belongs to.
     """
 
     req: int
     member: str
     model: str
     rank: int
-    within: float
-    lead: float
+    timeout_s: float
+    lead_s: float
     max_tokens: int
     partner: str = ""
 
 
-class Granted(MessageBase, tag=6, frozen=True):
-    """A slot is leased.
+class SlotGranted(MessageBase, tag=6, frozen=True):
+    """Grants a lease of a memory slot.
 
     Attributes:
-        req: the request.
-        ready: seconds until the slot is expected to be free.
-        lease: seconds for which the slot is held unused.
-        load: the agent's load just after.
+        req: id of the request.
+        ready_in_s: seconds until the slot is expected to be free.
+        lease_s: seconds after which the lease ends if the slot has not been used.
+        load: load of the agent's server after the grant.
     """
 
     req: int
-    ready: float
-    lease: float
+    ready_in_s: float
+    lease_s: float
     load: Load | None = None
 
 
 class Refused(MessageBase, tag=7, frozen=True):
-    """The request was not started here.
+    """Refuses a request. The backend server has not started it.
 
     Attributes:
-        req: the request.
-        code: class of failure.
-        retry_after: seconds after which it might be taken.
-        load: the agent's load just after.
+        req: id of the request.
+        code: reason of the refusal.
+        retry_after_s: seconds after which the agent may accept the request; 0 if unknown.
+        load: load of the agent's server after the refusal.
     """
 
     req: int
     code: str
-    retry_after: float = 0.0
+    retry_after_s: float = 0.0
     load: Load | None = None
 
 
 class Prefill(MessageBase, tag=8, frozen=True):
-    """Asks a prefill agent to read a prompt.
+    """Requests the prefill of a prompt from the agent of a prefill engine.
 
     Attributes:
-        req: the request.
-        path: path of the engine's completion call.
+        req: id of the request.
+        path: path of the engine's completion endpoint.
         body: the caller's JSON body.
-        member: for the shares.
-        rank: priority class.
-        within: seconds after which the result is of no more use.
-        tokens: estimated length of the prompt.
+        member: client account of the caller. Capacity is shared fairly between members.
+        rank: priority class; 0 is the most urgent.
+        timeout_s: seconds after which the result can no longer be used.
+        uncached_tokens: estimated number of prompt tokens that the engine must compute.
     """
 
     req: int
@@ -109,110 +110,122 @@
     body: bytes
     member: str
     rank: int
-    within: float
-    tokens: int
+    timeout_s: float
+    uncached_tokens: int
 
 
 class PrefillDone(MessageBase, tag=9, frozen=True):
-    """The prompt is read; ``kv`` is the engine's opaque handle on the result.
+    """Reports a completed prefill.
 
     Attributes:
-        req: the request.
-        kv: JSON of the engine's transfer parameters.
-        cached: prompt tokens found in the prefix cache.
-        prompt: prompt tokens.
-        took: seconds the engine spent.
-        load: the agent's load just after.
+        req: id of the request.
+        kv_handle: opaque handle of the KV cache of the prompt: the engine's transfer parameters,
+            in JSON.
+        cached_tokens: number of prompt tokens that were in the engine's prefix cache.
+        prompt_tokens: number of all prompt tokens.
+        duration_s: seconds that the engine took.
+        load: load of the agent's server after the prefill.
     """
 
     req: int
-    kv: bytes
-    cached: int
-    prompt: int
-    took: float
+    kv_handle: bytes
+    cached_tokens: int
+    prompt_tokens: int
+    duration_s: float
     load: Load | None = None
 
 
 class Decode(MessageBase, tag=10, frozen=True):
-    """Asks a decode agent to write the answer in the slot leased to ``req``.
+    """Requests the answer from a decode engine, in the slot that is leased to ``req``.
 
     Attributes:
-        req: the request.
-        path: path of the engine's completion call.
+        req: id of the request.
+        path: path of the engine's completion endpoint.
         body: the caller's JSON body.
-        kv: from PrefillDone.
-        patience: seconds without a first piece after which the transfer counts as stalled.
+        kv_handle: the handle from ``PrefillDone``.
+        transfer_timeout_s: seconds without a first token after which the transfer of the KV cache
+            counts as stalled.
     """
 
     req: int
     path: str
     body: bytes
-    kv: bytes
-    patience: float = 2.0
+    kv_handle: bytes
+    transfer_timeout_s: float = 2.0
 
 
 class Tokens(MessageBase, tag=11, frozen=True):
-    """Pieces of an answer, one per token.
+    """Carries consecutive tokens of an answer.
 
     Attributes:
-        req: the request.
-        seq: number of the first piece, from 0.
-        texts: the pieces.
+        req: id of the request.
+        first_index: position of the first token in the answer, counted from 0.
+        texts: the text of each token.
     """
 
     req: int
-    seq: int
+    first_index: int
     texts: tuple[str, ...]
 
 
 class DecodeDone(MessageBase, tag=12, frozen=True):
-    """The answer is complete.
+    """Reports that the answer is complete.
 
     Attributes:
-        req: the request.
-        count: number of pieces in the whole answer.
-        finish: the engine's finish reason.
+        req: id of the request.
+        token_count: number of tokens in the whole answer.
+        finish_reason: the engine's finish reason.
     """
 
     req: int
-    count: int
-    finish: str
+    token_count: int
+    finish_reason: str
 
 
 class Failed(MessageBase, tag=13, frozen=True):
-    """The backend server failed the request.
+    """Reports that a request failed at the backend server.
 
     Attributes:
-        req: the request.
-        code: class of failure.
-        ran: False only when it is certain that nothing ran.
+        req: id of the request.
+        code: reason of the failure.
+        may_have_run: False only if the server has certainly not executed any part of the request.
     """
 
     req: int
     code: str
-    ran: bool
+    may_have_run: bool
 
 
 class Cancel(MessageBase, tag=14, frozen=True):
-    """Nobody waits for this request any more; whatever it holds is to be freed."""
+    """Cancels a request; the agent frees all that is reserved for it."""
 
     req: int
 
 
-class Call(MessageBase, tag=15, frozen=True):
-    """A call to a plain service."""
+class ServiceCall(MessageBase, tag=15, frozen=True):
+    """Requests a call to a plain service.
+
+    Attributes:
+        req: id of the request.
+        method: HTTP method.
+        target: HTTP request target.
+        headers: HTTP headers to forward.
+        body: HTTP body.
+        timeout_s: seconds after which the response can no longer be used.
+        member: client account of the caller.
+    """
 
     req: int
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
-    within: float
+    timeout_s: float
     member: str = ""
 
 
-class CallDone(MessageBase, tag=16, frozen=True):
-    """A plain service's answer."""
+class ServiceCallDone(MessageBase, tag=16, frozen=True):
+    """Carries the HTTP response of a plain service."""
 
     req: int
     status: int
@@ -222,11 +235,11 @@
 
 Message = (
     Hello
-    | Beat
+    | Heartbeat
     | GetBundle
-    | BundleIs
-    | Reserve
-    | Granted
+    | BundleUpdate
+    | ReserveSlot
+    | SlotGranted
     | Refused
     | Prefill
     | PrefillDone
@@ -235,8 +248,8 @@
     | DecodeDone
     | Failed
     | Cancel
-    | Call
-    | CallDone
+    | ServiceCall
+    | ServiceCallDone
     | FencePermitRequest
     | FencePermitted
     | FenceAlreadyTaken
@@ -248,6 +261,6 @@
     | FenceSync
     | FenceJoined
     | GetInstances
-    | InstancesAre
-    | Serves
+    | InstanceListReply
+    | LoadedAdapters
 )
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -22,10 +22,10 @@
     ShareLease,
 )
 from crankhinge.errors import ServerAtLimit
+from crankhinge.gateway._attempts import Attempts
 from crankhinge.gateway._crashes import CrashDetector
-from crankhinge.gateway._legs import Legs
-from crankhinge.gateway._notices import MOST_BYTES
-from crankhinge.gateway._peer_messages import PermitAnswer, PermitAsk, ShareLoan
+from crankhinge.gateway._peer_messages import PermitRequest, PermitResponse, ShareLeaseMessage
+from crankhinge.gateway._peer_messenger import MAX_DATAGRAM_BYTES
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ConnectFailed, HttpRequest
 from crankhinge.runtime import get_log
@@ -102,7 +102,8 @@
         limits = lone_limits("here", self.backends, log, self.members)
         self.limit_updates, self.permits = limits.news, limits.permits
         self.relay = cast(
-            Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="q"), facts={})
+            Relay,
+            SimpleNamespace(permits={}, request=SimpleNamespace(request_id="q"), log_fields={}),
         )
 
     def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
@@ -113,7 +114,7 @@
             self.members.join({"here": ""}, await curio.clock(), resumed=True)
             await curio.sleep(FLEET_READY_S)
             signals = ResponseSignals(False, False, None, advertises_limit=True, limit_per_s=2.0)
-            await self.limit_updates.heard(SERVER, signals, sent_at=0.0, ran=True)
+            await self.limit_updates.on_signals(SERVER, signals, sent_at=0.0, succeeded=True)
             await scenario()
 
         run_virtual(run_when_ready)
@@ -121,13 +122,14 @@
     async def take_all_permits(self) -> int:
         """Return how many requests may be sent at once, and take them."""
         count = 0
-        while await self.permits.permit(self._new_relay(), SERVER):
+        while await self.permits.try_get_permit(self._new_relay(), SERVER):
             count += 1
         return count
 
     def _new_relay(self) -> Relay:
         return cast(
-            Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="o"), facts={})
+            Relay,
+            SimpleNamespace(permits={}, request=SimpleNamespace(request_id="o"), log_fields={}),
         )
 
 
@@ -139,12 +141,12 @@
         instance = LoneInstance()
 
         async def scenario() -> None:
-            assert not await instance.permits.permit(instance.relay, SERVER)
+            assert not await instance.permits.try_get_permit(instance.relay, SERVER)
             await curio.sleep(TWO_PERMITS_S)
-            assert await instance.permits.permit(instance.relay, SERVER)
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
             assert await instance.take_all_permits() == 1
-            instance.backends.standing("i-1").limited_until = 0.0
-            await instance.permits.settle(instance.relay)
+            instance.backends.stats("i-1").limited_until = 0.0
+            await instance.permits.return_unused(instance.relay)
             assert not instance.relay.permits
             assert await instance.take_all_permits() == 1
 
@@ -155,14 +157,14 @@
         instance = LoneInstance()
 
         async def scenario() -> None:
-            await instance.permits.permit(instance.relay, SERVER)
+            await instance.permits.try_get_permit(instance.relay, SERVER)
             await curio.sleep(TWO_PERMITS_S)
-            assert await instance.permits.permit(instance.relay, SERVER)
-            assert await instance.permits.permit(instance.relay, SERVER)
-            assert await instance.permits.spend(instance.relay, SERVER) is not None
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
+            assert await instance.permits.use_permit(instance.relay, SERVER) is not None
             assert await instance.take_all_permits() == 1
             with pytest.raises(ServerAtLimit):
-                await instance.permits.spend(instance.relay, SERVER)
+                await instance.permits.use_permit(instance.relay, SERVER)
 
         instance.run(scenario)
 
@@ -171,14 +173,14 @@
         instance = LoneInstance()
 
         async def scenario() -> None:
-            await instance.permits.permit(instance.relay, SERVER)
+            await instance.permits.try_get_permit(instance.relay, SERVER)
             await curio.sleep(TWO_PERMITS_S)
-            assert await instance.permits.permit(instance.relay, SERVER)
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
             assert await instance.take_all_permits() == 1
             await curio.sleep(PERMIT_TRANSIT_S + 0.1)
-            instance.backends.standing("i-1").limited_until = 0.0
+            instance.backends.stats("i-1").limited_until = 0.0
             before = instance.relay.permits["i-1"]
-            assert await instance.permits.permit(instance.relay, SERVER)
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
             assert instance.relay.permits["i-1"] != before
             assert await instance.take_all_permits() == 1
 
@@ -189,11 +191,11 @@
         instance = LoneInstance()
 
         async def scenario() -> None:
-            standing = instance.backends.standing("i-1")
+            standing = instance.backends.stats("i-1")
             standing.limited_until = math.inf
-            instance.limit_updates.told("i-1", 2.0, await curio.clock(), "there")
+            instance.limit_updates.record_peer_update("i-1", 2.0, await curio.clock(), "there")
             assert standing.limited_until == math.inf
-            instance.limit_updates.told("i-1", 8.0, await curio.clock(), "there")
+            instance.limit_updates.record_peer_update("i-1", 8.0, await curio.clock(), "there")
             assert standing.limited_until == 0.0
 
         instance.run(scenario)
@@ -204,18 +206,20 @@
         server = dataclasses.replace(SERVER, port=free_port())
         log = get_log(program="t", stream=Lines())
         quarantine = lone_desk("here", log)
-        crashes = CrashDetector(backends=instance.backends, on_crash=quarantine.crashed, log=log)
-        legs = Legs(instance.backends, PASSES, quarantine, crashes, instance.permits)
+        crashes = CrashDetector(
+            backends=instance.backends, on_crash=quarantine.record_crash, log=log
+        )
+        legs = Attempts(instance.backends, PASSES, quarantine, crashes, instance.permits)
         req = HttpRequest("GET", "/", {"x-request-id": "q"}, b"", (("x-request-id", "q"),))
         instance.relay.exchange = cast(Any, SimpleNamespace(req=req))
         instance.relay.__dict__.update(
-            account_name=None, facts={}, trial="", work=lambda *, read_only: "f"
+            account_name=None, log_fields={}, trial_work="", work_key=lambda *, prompt_only: "f"
         )
 
         async def scenario() -> None:
-            await instance.permits.permit(instance.relay, server)
+            await instance.permits.try_get_permit(instance.relay, server)
             await curio.sleep(TWO_PERMITS_S)
-            assert await instance.permits.permit(instance.relay, server)
+            assert await instance.permits.try_get_permit(instance.relay, server)
             with pytest.raises(ConnectFailed):
                 async with legs.open(instance.relay, server, AttemptParams("i-1", 1.0)):
                     raise AssertionError("nobody is there")
@@ -233,7 +237,7 @@
         members.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
         shared = SharedLimits(name="n0", membership=members, incarnation=2**62, now=0.0)
         lease = ShareLease(shared.stamp(1234567.123), shared.lease_s, 300)
-        ask = PermitAsk(
+        ask = PermitRequest(
             number=123456,
             lender="frontend-pamplemousses-12",
             server="i-8b1d6bd897@1733200000000",
@@ -241,9 +245,9 @@
             ago_s=0.123,
             within_s=None,
             caller=False,
-            loan=ShareLoan.of(lease),
+            loan=ShareLeaseMessage.from_lease(lease),
         )
-        answer = PermitAnswer(number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1)
+        answer = PermitResponse(number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1)
         sizes = [len(msgspec.msgpack.encode(message)) for message in (ask, answer)]
         messages_per_s = 300 / shared.renewal_interval_s
         print(
@@ -251,4 +255,4 @@
             f"{messages_per_s * sizes[0] / 1000:.1f} kB in"
         )
         assert messages_per_s * sum(sizes) <= 10_000
-        assert max(sizes) <= MOST_BYTES / 4
+        assert max(sizes) <= MAX_DATAGRAM_BYTES / 4
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -19,7 +19,7 @@
 import pytest
 
 from crankhinge.errors import BadHttp, HttpClosed
-from crankhinge.gateway._notices import Notices
+from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.http import Exchange
 from platform_fakes import FakeReplica, World, crash, route, sealed, stream
 from virtual_time import run_virtual
@@ -99,13 +99,13 @@
 
     def run(self) -> None:
         """Play the seed."""
-        send = Notices.send
+        send = PeerMessenger.send
 
-        async def lossy_send(notices: Notices, peer: str, message: Any) -> None:
+        async def lossy_send(notices: PeerMessenger, peer: str, message: Any) -> None:
             if self._rng.random() >= MESSAGE_LOSS_SHARE:
                 await send(notices, peer, message)
 
-        with mock.patch.object(Notices, "send", lossy_send):
+        with mock.patch.object(PeerMessenger, "send", lossy_send):
             run_virtual(
                 self._world.play,
                 self._scenario,
