--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -98,8 +98,8 @@
     def __init__(self) -> None:
         log = get_log(program="t", stream=Lines())
         self.backends = lone_backends(log, SERVER)
-        self.members = Membership("here", 0.0)
-        limits = lone_limits("here", self.backends, log, self.members)
+        self.membership = Membership("here", 0.0)
+        limits = lone_limits("here", self.backends, log, self.membership)
         self.limit_updates, self.permits = limits.news, limits.permits
         self.relay = cast(
             Relay,
@@ -110,8 +110,8 @@
         """Run *story* once its share is its own."""
 
         async def run_when_ready() -> None:
-            self.members.set_lease_end(math.inf)
-            self.members.join({"here": ""}, await curio.clock(), resumed=True)
+            self.membership.set_lease_end(math.inf)
+            self.membership.join({"here": ""}, await curio.clock(), resumed=True)
             await curio.sleep(FLEET_READY_S)
             signals = ResponseSignals(False, False, None, advertises_limit=True, limit_per_s=2.0)
             await self.limit_updates.on_signals(SERVER, signals, sent_at=0.0, succeeded=True)
@@ -191,12 +191,12 @@
         instance = LoneInstance()
 
         async def scenario() -> None:
-            standing = instance.backends.stats("i-1")
-            standing.limited_until = math.inf
+            stats = instance.backends.stats("i-1")
+            stats.limited_until = math.inf
             instance.limit_updates.record_peer_update("i-1", 2.0, await curio.clock(), "there")
-            assert standing.limited_until == math.inf
+            assert stats.limited_until == math.inf
             instance.limit_updates.record_peer_update("i-1", 8.0, await curio.clock(), "there")
-            assert standing.limited_until == 0.0
+            assert stats.limited_until == 0.0
 
         instance.run(scenario)
 
@@ -209,7 +209,7 @@
         crashes = CrashDetector(
             backends=instance.backends, on_crash=quarantine.record_crash, log=log
         )
-        legs = Attempts(instance.backends, PASSES, quarantine, crashes, instance.permits)
+        attempts = Attempts(instance.backends, PASSES, quarantine, crashes, instance.permits)
         req = HttpRequest("GET", "/", {"x-request-id": "q"}, b"", (("x-request-id", "q"),))
         instance.relay.exchange = cast(Any, SimpleNamespace(req=req))
         instance.relay.__dict__.update(
@@ -221,7 +221,7 @@
             await curio.sleep(TWO_PERMITS_S)
             assert await instance.permits.try_get_permit(instance.relay, server)
             with pytest.raises(ConnectFailed):
-                async with legs.open(instance.relay, server, AttemptParams("i-1", 1.0)):
+                async with attempts.open(instance.relay, server, AttemptParams("i-1", 1.0)):
                     raise AssertionError("nobody is there")
             assert list(instance.relay.permits) == ["i-1"]
 
@@ -233,11 +233,11 @@
 
     def test_share_leases_of_300_instances_fit_control_traffic_budget(self) -> None:
         """Ten kilobytes a second for all of control, at the instance that hands out."""
-        members = Membership("n0", 0.0)
-        members.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
-        shared = SharedLimits(name="n0", membership=members, incarnation=2**62, now=0.0)
+        membership = Membership("n0", 0.0)
+        membership.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
+        shared = SharedLimits(name="n0", membership=membership, incarnation=2**62, now=0.0)
         lease = ShareLease(shared.stamp(1234567.123), shared.lease_s, 300)
-        ask = PermitRequest(
+        request = PermitRequest(
             number=123456,
             lender="frontend-pamplemousses-12",
             server="i-8b1d6bd897@1733200000000",
@@ -247,8 +247,10 @@
             caller=False,
             loan=ShareLeaseMessage.from_lease(lease),
         )
-        answer = PermitResponse(number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1)
-        sizes = [len(msgspec.msgpack.encode(message)) for message in (ask, answer)]
+        response = PermitResponse(
+            number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1
+        )
+        sizes = [len(msgspec.msgpack.encode(message)) for message in (request, response)]
         messages_per_s = 300 / shared.renewal_interval_s
         print(
             f"{sizes} B, {messages_per_s:.1f} a second, "
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -101,9 +101,9 @@
         """Play the seed."""
         send = PeerMessenger.send
 
-        async def lossy_send(notices: PeerMessenger, peer: str, message: Any) -> None:
+        async def lossy_send(messenger: PeerMessenger, address: str, message: Any) -> None:
             if self._rng.random() >= MESSAGE_LOSS_SHARE:
-                await send(notices, peer, message)
+                await send(messenger, address, message)
 
         with mock.patch.object(PeerMessenger, "send", lossy_send):
             run_virtual(
