--- a/tests/limit_worlds.py
+++ b/tests/limit_worlds.py
@@ -1,4 +1,4 @@
-"""Instances before servers that name limits, and what reached those servers."""
+"""Instances in front of servers that advertise limits, and counts of the requests that they get."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from platform_fakes import FakeReplica, World
 from virtual_time import run_virtual
 
-# What the operators allow beyond a server's own word: in some four seconds one and a half times
-# that, and five requests.
+# The operators allow a server, in any window of four seconds, one and a half times its advertised
+# limit and five requests more.
 WINDOW_S = 4.0
 ALLOWED_OVERRUN = 0.5
 EXTRA_REQUESTS = 5
-# Seconds after which instances know each other.
+# Seconds after which the instances know each other.
 FLEET_READY_S = 8.0
 
-# Target of the routes below, in seconds.
+# Target latency of the routes below.
 TARGET_LATENCY_S = 0.9
 
 route = operator.route
@@ -36,12 +36,12 @@
 
 
 def max_allowed_in_window(per_s: float) -> int:
-    """Return how many requests may reach a server in a window that takes *per_s*."""
+    """Return how many requests a server with a limit of *per_s* may get in one window."""
     return int(per_s * WINDOW_S * (1 + ALLOWED_OVERRUN) + EXTRA_REQUESTS)
 
 
 def max_in_window(times: Iterable[float]) -> int:
-    """Return how many of these moments lie within one window."""
+    """Return the highest number of these times that lie within one window."""
     ordered = sorted(times)
     highest = first = 0
     for last, at in enumerate(ordered):
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What became of an attempt.
+    """The outcome of one request of a caller.
 
     Attributes:
-        sent: when its caller sent it.
-        took_s: seconds to its answer.
-        status: of the answer; 0 for none.
-        back_s: seconds after which its caller is told to come back; 0 for no such word.
+        sent_at: when the caller sent it.
+        response_s: seconds until the response.
+        status: status of the response; 0 if there was none.
+        retry_after_s: the ``Retry-After`` of the response; 0 if there was none.
     """
 
     sent_at: float
@@ -69,10 +69,10 @@
 
 
 class LimitedFleet:
-    """Some instances at one store, before servers of which some name limits.
+    """Several instances with one store, in front of servers of which some advertise limits.
 
     Args:
-        instances: how many.
+        instances: the number of instances.
     """
 
     def __init__(self, instances: int = 3, **settings: Any) -> None:
@@ -89,7 +89,7 @@
         return self.world.add(incarnation_id, service, phase, **options)
 
     async def send(self, path: str, **options: Any) -> Outcome:
-        """Send a request to the next instance."""
+        """Send a request to the next instance in turn."""
         gateway = self.gateways[self._request_count % len(self.gateways)]
         request_id = f"q{self._request_count}"
         self._request_count += 1
@@ -106,7 +106,7 @@
     async def send_at_rate(
         self, path: str, *, per_s: float, duration_s: float, **options: Any
     ) -> None:
-        """Send requests evenly, without waiting for answers, then wait for all of them."""
+        """Send requests at a steady rate, without waiting for responses; then wait for all."""
         started_at = await curio.clock()
         async with curio.TaskGroup(wait=all) as group:
             for number in range(int(per_s * duration_s)):
@@ -114,7 +114,7 @@
                 await group.spawn(partial(self.send, path, **options))
 
     def run(self, scenario: Callable[[], Awaitable[None]], *routes: dict[str, Any]) -> None:
-        """Run *story* once the instances know each other."""
+        """Run *scenario* once the instances know each other."""
 
         async def run_when_ready() -> None:
             await curio.sleep(FLEET_READY_S)
@@ -123,11 +123,11 @@
         run_virtual(self.world.play, run_when_ready, *routes, settle_s=0.003)
 
     def count_statuses(self) -> dict[int, int]:
-        """Return how often each status was answered."""
+        """Return how many responses had each status."""
         statuses = [outcome.status for outcome in self.outcomes]
         return {status: statuses.count(status) for status in sorted(set(statuses))}
 
 
 def max_arrivals_in_window(replica: FakeReplica, since: float = 0.0) -> int:
-    """Return the most requests that reached a server within one window."""
+    """Return the highest number of requests that reached a server within one window."""
     return max_in_window(arrival.at for arrival in replica.arrivals if arrival.at >= since)
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -1,18 +1,17 @@
-"""Regression tests of servers that say how many requests they take from all instances together.
+"""Regression tests of servers that advertise a limit on the requests of all instances together.
 
-What users saw: a server of a plain service named 4.2 requests a second in its answers. From three
+Failure: a server of a plain service advertised 4.2 requests a second in its responses. From three
 seconds later on 45 requests reached it within four seconds, where 30 are allowed; on the same day
-another, that named 2 a second, got 42, where 17 are allowed.
+another server, which advertised 2 a second, got 42, where 17 are allowed.
 
-Order of events: every answer of the server carries the figure; the instances pass the answers on
-to their callers. The server refuses nothing and answers as fast as before. The instances go on
-choosing it as before, each by the times and failures that it sees.
+How it comes about: each response of the server carries the limit, and the instances pass it on to
+their callers. The server refuses nothing and answers as fast as before, so the instances choose it
+as often as before, each by the response times and failures that it measures itself.
 
-Cause: the head of an answer was passed on and nothing of it was kept; no instance knew the figure,
-and none counted what it sends to a server by time, let alone what all of them send.
-
-Evidence: one play of the users' day, in which the requests to the server do not change by anything
-when it begins to name its limit, and no line of any instance holds the figure; the tests below.
+Cause: the header was passed on and not read. No instance knew the limit, none counted its requests
+to a server per time, and none knew the requests of the others. In one run of the reported scenario
+the requests to the server did not change when it began to advertise its limit, and no log line of
+any instance held the limit.
 """
 
 from __future__ import annotations
@@ -39,13 +38,13 @@
 )
 from platform_fakes import Behave, FakeReplica, stream
 
-# Requests a second that callers send, many times what the server takes, and for how long, seconds.
+# Requests a second that callers send, many times what the server takes, and for how many seconds.
 OFFERED_PER_S = 30.0
 OFFERED_S = 10.0
 
 
 def send_streams(fleet: LimitedFleet) -> None:
-    """Have callers ask for streams, many times what the limited server takes."""
+    """Have callers request streams, many times as many as the limited server takes."""
 
     async def scenario() -> None:
         await fleet.send_at_rate(
@@ -56,11 +55,11 @@
 
 
 class TestAdvertisedLimit:
-    """A server names what it takes; callers ask for many times as much."""
+    """A server advertises a limit; callers send many times as many requests."""
 
     @pytest.mark.parametrize("instances", [1, 3])
     def test_limits_total_of_all_instances(self, instances: int) -> None:
-        """What is over goes to the other servers, and every caller is served."""
+        """Excess requests go to the other servers, and every caller is served."""
         fleet = LimitedFleet(instances)
         limited = fleet.add("i-limited", limit="2")
         others = [fleet.add(f"i-{number}") for number in range(2)]
@@ -74,7 +73,7 @@
         assert all(len(server.arrivals) > len(limited.arrivals) for server in others)
 
     def test_limits_retries(self) -> None:
-        """A call that failed elsewhere is not repeated there beyond the limit."""
+        """A call that failed on another server is not retried on this one beyond its limit."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-failing", behave=fail)
@@ -86,7 +85,7 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
 
     def test_limits_streams(self) -> None:
-        """At the engine that writes."""
+        """The limit holds at a decode engine."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
@@ -97,7 +96,7 @@
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
 
     def test_limits_prompts_at_prefill_engine(self) -> None:
-        """At the engine that reads; what is over is read by the one that writes."""
+        """The decode engine processes the prompts that exceed the prefill engine's limit."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", "llm", "prefill", limit="2")
         fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
@@ -107,7 +106,7 @@
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
 
     def test_applies_once_server_advertises_it(self) -> None:
-        """Whoever has passed such an answer on half a second ago keeps to it."""
+        """An instance observes the limit from half a second after it passed on such a response."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited")
         fleet.add("i-other")
@@ -131,10 +130,10 @@
 
 
 class TestAllSendPaths:
-    """Each way in which a request, or a call for one, reaches a server that names a limit."""
+    """Every way in which a request or a call for it reaches a server with a limit."""
 
     def test_resumed_streams_are_limited(self) -> None:
-        """It broke off at one engine; the other one takes four requests a second."""
+        """Streams break off at one engine and resume on another, which takes four a second."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
@@ -149,7 +148,7 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(4.0)
 
     def test_second_prompt_attempts_are_limited(self) -> None:
-        """The first reader refuses; the second names a limit."""
+        """The first prefill engine refuses a prompt; the second one advertises a limit."""
         fleet = LimitedFleet()
         fleet.add("i-refusing", "llm", "prefill", refuses_to_read=True)
         limited = fleet.add("i-limited", "llm", "prefill", limit="2")
@@ -160,7 +159,7 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
 
     def test_kv_cache_fetches_are_limited(self) -> None:
-        """The engine that writes is asked to fetch the memory of a prompt by such a request."""
+        """The request to a decode engine that makes it fetch the KV cache of a prompt counts."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
@@ -170,7 +169,7 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(4.0)
 
     def test_reservation_calls_are_limited(self) -> None:
-        """An engine without room is asked for some as rarely as it takes requests."""
+        """An engine without capacity gets no more reservation calls than its limit allows."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=4)
@@ -178,11 +177,14 @@
 
         send_streams(fleet)
         reservation_calls = limited.side_calls.count("POST /v1/hold-take")
-        # Four were granted, and told the limit; each call after that had a permit.
+        # Four calls were granted and returned the limit; each call after them had a permit.
         assert 4 < reservation_calls <= 2.0 * OFFERED_S + max_allowed_in_window(2.0)
 
     def test_earlier_reservations_are_used_within_limit_or_released(self) -> None:
-        """Its prompt is read elsewhere meanwhile, and it is written by another engine."""
+        """An engine advertises a limit while prompts of its reservations are processed elsewhere.
+
+        Other engines then decode the requests that exceed its limit.
+        """
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill", read_s=0.8)
         limited = fleet.add("i-limited", "llm", "decode", behave=stream, room=10_000)
@@ -200,19 +202,19 @@
                 limited.limit, advertised_at = "0.5", await curio.clock()
 
         fleet.run(scenario, STREAM_ROUTE)
-        # The second word after it began comes with the first answer that names it.
+        # Instances learn the limit only from the first response that carries it.
         assert max_arrivals_in_window(limited, since=advertised_at + 0.5) <= max_allowed_in_window(
             0.5
         )
         assert fleet.count_statuses() == {200: 120}
-        # Each place there was used or given back.
+        # Each reservation on this engine was used or released.
         released = sum(each.startswith("DELETE /v1/hold-drop") for each in limited.side_calls)
         assert released > 0
         reserved = limited.side_calls.count("POST /v1/hold-take")
         assert reserved == len(limited.arrivals) + released
 
     def test_release_calls_need_no_permit(self) -> None:
-        """They relieve it."""
+        """Calls that release KV memory reduce the engine's load."""
         fleet = LimitedFleet()
         prefill_engine = fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
@@ -224,7 +226,7 @@
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(fleet.send, "/stream/a", **TOKEN_HEADERS))
                 await curio.sleep(0.4)
-                # It leaves while the prompt is read: the place there is given back.
+                # It leaves while the prompt is processed, so the reservation is released.
                 await limited.enter("draining")
 
         fleet.run(scenario, STREAM_ROUTE)
@@ -233,17 +235,17 @@
 
 
 async def answer_slow_body_late(replica: FakeReplica, exchange: Exchange) -> None:
-    """Answer a certain request late, with what the server had to say when it began."""
+    """Respond, after 1 s to a request with a certain body, with the header as of its arrival."""
     head = replica.head(exchange)
     await curio.sleep(1.0 if exchange.req.body == b"slow" else 0.0)
     await exchange.respond_with_fields(200, head, b"whole")
 
 
 class TestLimitChanges:
-    """A limit that ends, rises, falls, or says nothing."""
+    """A limit that ends, rises, falls or cannot be read."""
 
     def test_ends_with_first_response_without_it(self) -> None:
-        """A server that names none any more gets its part of everything again."""
+        """A server that no longer advertises a limit gets its share of all requests again."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="1")
         withdrawn_at = 0.0
@@ -264,7 +266,7 @@
             assert gateway.lines.having("server_limit ", "per_s=", "was=1.0")
 
     def test_withdrawal_is_sent_to_all_instances(self) -> None:
-        """An instance that sends nothing there at the time hears no answer of its own."""
+        """An instance that sends the server nothing at the time gets no response of its own."""
         fleet = LimitedFleet(2)
         limited = fleet.add("i-limited", limit="8")
         other_gateway = fleet.gateways[1]
@@ -284,7 +286,7 @@
 
     @pytest.mark.parametrize(("first", "second"), [("1", "8"), ("8", "1")])
     def test_new_limit_applies_at_once(self, first: str, second: str) -> None:
-        """Whatever was saved up by the old figure is not sent by the new one."""
+        """Permits that were saved under the old limit are not used under the new one."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit=first)
         fleet.add("i-other")
@@ -305,7 +307,7 @@
 
     @pytest.mark.parametrize("limit", ["0", "0.25"])
     def test_limit_below_one_per_second_is_probed(self, limit: str) -> None:
-        """It is tried now and then, so that the end of its need is seen."""
+        """The server gets a request now and then, so that the end of its limit is noticed."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit=limit)
         fleet.add("i-other")
@@ -319,7 +321,7 @@
         assert fleet.count_statuses() == {200: 200}
 
     def test_unreadable_value_changes_nothing(self) -> None:
-        """The last figure stands, and without one nothing is known."""
+        """The last readable limit stays; without one the server has no limit."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="lots")
         fleet.add("i-other")
@@ -340,7 +342,7 @@
         )
 
     def test_response_to_earlier_request_does_not_end_it(self) -> None:
-        """The server ran it from before it was in need, and its answer came late."""
+        """A late response may have been begun before the server had the limit."""
         fleet = LimitedFleet(1)
         limited = fleet.add("i-limited", behave=answer_slow_body_late)
 
@@ -356,7 +358,7 @@
         assert len(fleet.world.lines.having("event=server_limit ")) == 1
 
     def test_refusal_does_not_end_it(self) -> None:
-        """It may come from before the server itself, which names what it takes."""
+        """A refusal may come from a proxy in front of the server that advertises the limit."""
         fleet = LimitedFleet(1)
         limited = fleet.add("i-limited", limit="2")
 
@@ -371,7 +373,7 @@
         assert len(fleet.world.lines.having("event=server_limit ")) == 1
 
     def test_does_not_apply_to_next_incarnation(self) -> None:
-        """A server that starts again under its name has said nothing yet."""
+        """A server that restarts under its name has advertised nothing yet."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="0.25", born=1000)
         restarted_at = 0.0
@@ -390,7 +392,7 @@
         assert [each.status for each in later] == [200] * len(later)
 
     def test_limit_survives_missing_entry(self) -> None:
-        """Entries lapse with the store; the need of the server does not end with them."""
+        """Entries lapse while the store is unreachable; a server's limit does not end with them."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-other")
@@ -412,10 +414,10 @@
 
 
 class TestAllServersLimited:
-    """Every server of a service names a limit."""
+    """All servers of a service advertise a limit."""
 
     def test_excess_requests_are_refused_at_once(self) -> None:
-        """Or is served within its target; nobody waits in vain."""
+        """A request is served within its target or refused at once; none waits in vain."""
         fleet = LimitedFleet()
         servers = [fleet.add(f"i-{number}", limit="2") for number in range(3)]
 
@@ -434,7 +436,7 @@
             assert max_arrivals_in_window(server) <= max_allowed_in_window(2.0)
 
     def test_stream_is_refused_at_once_if_no_engine_may_take_it(self) -> None:
-        """It does not wait for its patience to end."""
+        """The stream does not use up its maximum wait first."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         for number in range(2):
@@ -451,7 +453,7 @@
         assert fleet.world.lines.having("request_failed", "code=server-at-limit")
 
     def test_permit_of_disconnected_caller_goes_to_next_caller(self) -> None:
-        """It was granted for half a second later, and not used."""
+        """The permit was granted for half a second later, and its caller disconnects before."""
         fleet = LimitedFleet(1)
         fleet.add("i-limited", limit="2")
 
@@ -469,7 +471,7 @@
         assert fleet.outcomes[-1].response_s <= 0.45
 
     def test_caller_that_obeys_retry_after_is_served(self) -> None:
-        """Twelve callers at once before a server that takes two a second."""
+        """Twelve callers send at once to a server that takes two requests a second."""
         fleet = LimitedFleet()
         fleet.add("i-limited", limit="2")
         statuses: list[int] = []
@@ -493,10 +495,10 @@
 
 
 class TestLimitPropagation:
-    """Instances that have just started, or were never told by an answer."""
+    """Instances that restarted, or that got no response with the limit."""
 
     def test_restarted_instance_knows_limit(self) -> None:
-        """Those that hand out for the server keep it in their notes."""
+        """The allocators of a server keep its limit in their instance records."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-other")
@@ -515,7 +517,7 @@
             assert gateway.lines.having("server_limit ", "per_s=2.0", "told_by=note:")
 
     def test_instance_without_responses_is_notified_by_others(self) -> None:
-        """Callers that leave before the answer leave nothing to read it."""
+        """No response is read for callers that disconnect before it comes."""
         fleet = LimitedFleet(2)
         fleet.add("i-limited", limit="2")
         other_gateway = fleet.gateways[1]
@@ -537,7 +539,7 @@
 
 
 async def refuse_with_retry_after(replica: FakeReplica, exchange: Exchange) -> None:
-    """Refuse a request and tell when to come back."""
+    """Refuse a request and name the time for a retry."""
     await refuse(replica, exchange, ("retry-after", "2"))
 
 
@@ -548,7 +550,7 @@
         ("behave", "max_requests"), [(refuse_with_retry_after, 3), (refuse, 5)]
     )
     def test_gets_pause_after_refusal(self, behave: Behave, max_requests: int) -> None:
-        """Until the time that it tells, or ever longer; the others serve meanwhile."""
+        """It gets none until its Retry-After, or for ever longer pauses; others serve meanwhile."""
         fleet = LimitedFleet(1)
         refusing = fleet.add("i-shedding", behave=behave)
         fleet.add("i-other")
--- a/tests/test_limits_relayed.py
+++ b/tests/test_limits_relayed.py
@@ -1,4 +1,4 @@
-"""Tests of accounts' limits between callers, several instances, a store and replicas."""
+"""Tests of account limits across callers, several instances, a store and servers."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def account_with_limit(per_s: float, burst: float) -> dict[str, Any]:
-    """Return an account with a limit."""
+    """Return an account with a token limit."""
     return account("red", "key-red", rate_per_s=per_s, burst=burst)
 
 
 class GatewayFleet:
-    """Several gateways before the same store and replicas."""
+    """Several gateways with the same store and the same servers."""
 
     def __init__(self, count: int, account: dict[str, Any]) -> None:
         self.worlds = [
@@ -36,7 +36,7 @@
             world.store = self.first.store
 
     def run(self, scenario: Any) -> None:
-        """Run *story* once all instances know each other."""
+        """Run *scenario* once all instances know each other."""
 
         async def run_when_ready() -> None:
             tasks = [await curio.spawn(world.gateway, daemon=True) for world in self.worlds[1:]]
@@ -49,10 +49,10 @@
 
 
 class TestAccountLimit:
-    """An account's use is counted over all instances."""
+    """The use of an account is counted over all instances."""
 
     def test_one_instance_may_use_whole_limit(self) -> None:
-        """Its callers all came to it; an equal share would have refused half of them."""
+        """If all callers use one instance, an equal share would refuse half of their requests."""
         fleet = GatewayFleet(3, account_with_limit(1000, 2000))
         fleet.first.add("i-p", "plain")
 
@@ -63,7 +63,7 @@
         fleet.run(scenario)
 
     def test_total_of_all_instances_is_bounded_and_retry_after_holds(self) -> None:
-        """429 is "not run"; a caller that comes back when it was told to is served."""
+        """Requests over the limit get 429 and do not run; a retry after Retry-After is served."""
         fleet = GatewayFleet(3, account_with_limit(1000, 2000))
         replica = fleet.first.add("i-p", "plain")
 
@@ -83,7 +83,7 @@
         fleet.run(scenario)
 
     def test_request_without_reservation_returns_its_tokens(self) -> None:
-        """It did not run, so it counts nothing."""
+        """A request that got no KV memory did not run, so its tokens are not charged."""
         fleet = GatewayFleet(2, account_with_limit(300, 2000))
         decode_engine = fleet.first.add("i-w", "llm", "decode", behave=stream, room=0)
 
@@ -100,7 +100,7 @@
         fleet.run(scenario)
 
     def test_lowered_limit_applies_at_once(self) -> None:
-        """What had been saved up under the old one is gone."""
+        """Tokens that were saved under the old limit are dropped once the new limit is known."""
         fleet = GatewayFleet(2, account_with_limit(1000, 4000))
         replica = fleet.first.add("i-p", "plain")
 
@@ -115,7 +115,7 @@
         fleet.run(scenario)
 
     def test_account_without_limit_sends_no_quota_request(self) -> None:
-        """And no request without a key does."""
+        """Instances ask no allocator for tokens of an account without a limit."""
         fleet = GatewayFleet(2, account("red", "key-red"))
         fleet.first.add("i-p", "plain")
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Tests of servers that name how many requests they take."""
+"""Tests of the permits for requests to servers that advertise a limit."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
 )
 from virtual_time import run_virtual
 
-# Seconds in which two permits gather that are given by one instance at two a second.
+# Seconds in which an instance that grants two permits a second accumulates two.
 TWO_PERMITS_S = 1.0
 UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
 
 
 class TestLimitLogLines:
-    """What the log tells of limits."""
+    """Log lines about servers' limits."""
 
     def test_limit_is_logged_when_it_starts_changes_and_ends(self) -> None:
-        """Once each, however many answers name it."""
+        """Each change is logged once, however many responses carry the limit."""
         world = World()
         replica = world.add("i-1", "plain")
 
@@ -74,7 +74,7 @@
         assert len(world.lines.having("server_limit_unreadable", "was=6.5")) == 1
 
     def test_requests_to_limited_server_are_logged(self) -> None:
-        """Also how many servers each request was sent to."""
+        """The requests to a limited server are logged, and the servers tried per request."""
         world = World()
         world.add("i-1", "plain", limit="8")
 
@@ -93,7 +93,7 @@
 
 
 class LoneInstance:
-    """The only instance, before a server that takes two requests a second."""
+    """The only instance of a fleet, in front of a server that takes two requests a second."""
 
     def __init__(self) -> None:
         log = get_log(program="t", stream=Lines())
@@ -107,7 +107,7 @@
         )
 
     def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
-        """Run *story* once its share is its own."""
+        """Run *scenario* once the instance may use its own share of the limit."""
 
         async def run_when_ready() -> None:
             self.membership.set_lease_end(math.inf)
@@ -120,7 +120,7 @@
         run_virtual(run_when_ready)
 
     async def take_all_permits(self) -> int:
-        """Return how many requests may be sent at once, and take them."""
+        """Take all permits that are available now and return their number."""
         count = 0
         while await self.permits.try_get_permit(self._new_relay(), SERVER):
             count += 1
@@ -134,10 +134,10 @@
 
 
 class TestPermits:
-    """Leave that a request has got."""
+    """Permits that a request holds."""
 
     def test_unused_permit_is_returned(self) -> None:
-        """By a caller that left, or a prompt that could not be read."""
+        """A permit is returned if its caller disconnects or its prompt cannot be processed."""
         instance = LoneInstance()
 
         async def scenario() -> None:
@@ -153,7 +153,7 @@
         instance.run(scenario)
 
     def test_permit_is_used_once(self) -> None:
-        """A second attempt needs one of its own."""
+        """A second attempt needs a permit of its own."""
         instance = LoneInstance()
 
         async def scenario() -> None:
@@ -169,7 +169,7 @@
         instance.run(scenario)
 
     def test_permit_expires(self) -> None:
-        """What is handed out in a window would come in the next."""
+        """A permit that was granted in one window must not be used in the next."""
         instance = LoneInstance()
 
         async def scenario() -> None:
@@ -187,7 +187,7 @@
         instance.run(scenario)
 
     def test_changed_limit_ends_pause(self) -> None:
-        """What was refused by the old rate says nothing of the new one."""
+        """A refusal under the old limit does not hold under the new one."""
         instance = LoneInstance()
 
         async def scenario() -> None:
@@ -201,7 +201,7 @@
         instance.run(scenario)
 
     def test_permit_is_kept_if_server_is_unreachable(self) -> None:
-        """Nothing was sent, so nothing was taken."""
+        """No request was sent, so the permit was not used."""
         instance = LoneInstance()
         server = dataclasses.replace(SERVER, port=free_port())
         log = get_log(program="t", stream=Lines())
@@ -222,17 +222,17 @@
             assert await instance.permits.try_get_permit(instance.relay, server)
             with pytest.raises(ConnectFailed):
                 async with attempts.open(instance.relay, server, AttemptParams("i-1", 1.0)):
-                    raise AssertionError("nobody is there")
+                    raise AssertionError("the connection must be refused")
             assert list(instance.relay.permits) == ["i-1"]
 
         instance.run(scenario)
 
 
 class TestMessageSize:
-    """What instances say to each other about one server that names a limit."""
+    """Sizes of the messages between instances about one server with a limit."""
 
     def test_share_leases_of_300_instances_fit_control_traffic_budget(self) -> None:
-        """Ten kilobytes a second for all of control, at the instance that hands out."""
+        """The allocator's traffic fits the 10 kB a second that all control messages may use."""
         membership = Membership("n0", 0.0)
         membership.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
         shared = SharedLimits(name="n0", membership=membership, incarnation=2**62, now=0.0)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,18 +1,17 @@
-"""Regression tests of requests that end the servers that run them.
+"""Regression tests of requests that crash the servers that run them.
 
-What users saw: a request under which three backend servers had ended was sent to servers four times
-more, and seven ended in all; sixteen streams of other callers were cut with it.
+Failure: a request that had crashed three backend servers was sent to servers four more times, and
+seven crashed in all; sixteen streams of other callers were cut with them.
 
-Order of events: a caller sends a request; the server that runs it ends 0.1 s after it began, its
-connection closes and nobody listens at its address any more. The caller comes again, with the same
-path and body and a new identity, at whichever instance the balancer chooses, seven times in 15 s.
-Each time it is sent to the next server.
+How it comes about: the server that runs the request ends 0.1 s after it began; its connection
+closes, and connections to its address are refused. The caller retries with the same path and body
+and a new request id at whichever instance the load balancer chooses, seven times in 15 s, and each
+retry goes to the next server.
 
-Cause: what became of a request was known to its attempt alone. Nothing outlived the attempt, so
-the next one began from nothing, on the same instance too.
-
-Evidence: one play of the users' day, in which one instance sent it to five of the seven servers,
-each attempt once (``sent=1``); reservations at these servers met "connection refused".
+Cause: an attempt kept no record of its crash, so the next attempt knew nothing of it, on the same
+instance too. In one run of the reported scenario one instance sent the request to five of the
+seven servers, each attempt once (``sent=1``), and reservations at these servers met "connection
+refused".
 """
 
 from __future__ import annotations
@@ -38,24 +37,24 @@
 )
 TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
 CRASHING_BODY = b"crashing"
-# Servers that may end under one request.
+# Servers that one request may crash.
 MAX_CRASHES = 3
-# Seconds after which instances know each other, and after which a server is back.
+# Seconds after which the instances know each other, and after which a crashed server restarts.
 FLEET_READY_S = 8.0
 SERVER_RESTART_S = 2.0
-# Seconds between two attempts of a caller, and until all instances have heard of a crash.
+# Seconds between two attempts of a caller, and until all instances have the message of a crash.
 CALLER_RETRY_S = 1.0
 PEER_MESSAGE_S = 0.3
 
 
 async def crash_if_crashing_body(replica: FakeReplica, exchange: Exchange) -> None:
-    """End the process that runs a certain request; answer all others."""
+    """End the server process if the request has the crashing body; else serve it."""
     behave = crash if exchange.req.body == CRASHING_BODY else sealed
     await behave(replica, exchange)
 
 
 async def crash_in_stream(replica: FakeReplica, exchange: Exchange) -> None:
-    """End the process in the middle of a certain request's stream; answer all others."""
+    """End the server process in mid-stream if the request has the crashing body; else serve it."""
     if exchange.req.body != CRASHING_BODY:
         await stream(replica, exchange)
         return
@@ -66,11 +65,11 @@
 
 
 class Fleet:
-    """Two instances before servers that are back soon after they crashed.
+    """Several instances in front of servers that restart soon after a crash.
 
     Args:
-        tenants: client accounts, where callers need keys.
-        instances: how many.
+        tenants: client accounts, if callers need API keys.
+        instances: the number of instances.
     """
 
     def __init__(self, tenants: Any = None, instances: int = 2) -> None:
@@ -81,7 +80,7 @@
         self.statuses: list[int] = []
 
     def add(self, count: int, service: str, role: str = "", **options: Any) -> None:
-        """Add servers of one kind."""
+        """Add *count* servers of one kind."""
         for number in range(count):
             incarnation_id = f"i-{role or 'plain'}-{number}"
             options = {"behave": crash_if_crashing_body, "back_s": SERVER_RESTART_S, **options}
@@ -89,11 +88,11 @@
 
     @property
     def crash_count(self) -> int:
-        """How many lives of servers ended."""
+        """The number of server crashes so far."""
         return sum(replica.lives - 1 + replica.crashed.is_set() for replica in self.replicas)
 
     async def send(self, number: int, path: str, **options: Any) -> int:
-        """Send an attempt to the instances in turn; returns its status, 0 for none."""
+        """Send a request to the instance of this number; return its status, 0 for no response."""
         gateway = self.gateways[number % len(self.gateways)]
         try:
             status, self.headers, self.body = await gateway.call(f"q{number}", path, **options)
@@ -103,13 +102,13 @@
         return status
 
     async def send_crashing_request(self, count: int, path: str, **options: Any) -> None:
-        """Send attempts at the crashing request."""
+        """Send the crashing request *count* times, with pauses as of a caller that retries."""
         for _ in range(count):
             await self.send(len(self.statuses), path, body=CRASHING_BODY, **options)
             await curio.sleep(CALLER_RETRY_S)
 
     def run(self, scenario: Callable[[], Any], *routes: dict[str, Any]) -> None:
-        """Run *story* once the instances know each other."""
+        """Run *scenario* once the instances know each other."""
 
         async def run_when_ready() -> None:
             await curio.sleep(FLEET_READY_S)
@@ -119,14 +118,14 @@
 
 
 def plain_fleet(instances: int = 2) -> Fleet:
-    """Return a fleet before plain servers."""
+    """Return a fleet in front of plain servers."""
     fleet = Fleet(instances=instances)
     fleet.add(6, "plain")
     return fleet
 
 
 def engine_fleet(**prefill_options: Any) -> Fleet:
-    """Return a fleet before engines."""
+    """Return a fleet in front of prefill and decode engines."""
     fleet = Fleet()
     fleet.add(4, "llm", "prefill", **{"behave": crash_in_stream, **prefill_options})
     fleet.add(6, "llm", "decode", behave=crash_in_stream)
@@ -134,11 +133,11 @@
 
 
 class TestCrashingRequest:
-    """A request ends each server that begins to run it, and its caller comes again."""
+    """A request crashes each server that begins to run it, and its caller retries."""
 
     @pytest.mark.parametrize("fresh", [False, True])
     def test_reaches_no_server_after_third_crash(self, fresh: bool) -> None:
-        """Whichever of two instances it comes to, and on new connections too."""
+        """It is refused at both of two instances, and on new connections too."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -149,10 +148,10 @@
         assert fleet.statuses == [502] * MAX_CRASHES + [503] * 5
 
     def test_retryable_request_is_not_retried_after_third_crash(self) -> None:
-        """One attempt ends two servers; the second attempt ends one more and is not repeated.
+        """The caller's first attempt crashes two servers, its second one more without a retry.
 
-        The instance that repeats it hears of the third crash before it has chosen the fourth
-        server, or the two repeats cross: one more server ends, and no attempt after that.
+        The instance that retries learns of the third crash before it has chosen the fourth server.
+        If both retries run at the same time, one more server crashes, and none after that.
         """
         fleet = plain_fleet()
 
@@ -167,7 +166,7 @@
     def test_stream_reaches_no_decode_engine_after_third_crash(
         self, path: str, max_crashes: int
     ) -> None:
-        """Streams too, and those that are taken up elsewhere within an attempt."""
+        """This holds for streams, and for streams that resume on another engine."""
         fleet = engine_fleet()
 
         async def scenario() -> None:
@@ -178,7 +177,7 @@
         assert fleet.statuses[MAX_CRASHES:] == [503] * 5
 
     def test_prompt_reaches_no_prefill_engine_after_third_crash(self) -> None:
-        """A prompt that ends the engines that read it is read by the engine that writes."""
+        """The decode engine processes a prompt that crashes prefill engines."""
         fleet = Fleet()
         fleet.add(6, "llm", "prefill", crashes_on_reading=CRASHING_BODY)
         fleet.add(2, "llm", "decode", behave=stream)
@@ -191,7 +190,7 @@
         assert fleet.statuses == [200] * 8
 
     def test_same_request_of_another_account_is_served(self) -> None:
-        """The same words of another account are another request; a changed key changes nothing."""
+        """Equal requests of two accounts are different; two keys of one account are not."""
         tenants = [
             {"name": "one", "api_keys": ["k1", "k2"]},
             {"name": "two", "api_keys": ["k3"]},
@@ -209,7 +208,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_instances_that_saw_no_crash_refuse_the_request(self) -> None:
-        """All are told within moments, before they read it in a note."""
+        """All instances get a peer message at once, before they read the instance records."""
         fleet = plain_fleet(instances=6)
 
         async def scenario() -> None:
@@ -223,7 +222,7 @@
         assert fleet.crash_count == MAX_CRASHES
 
     def test_instance_without_peer_messages_learns_from_store(self) -> None:
-        """The notes in the store tell what a datagram did not."""
+        """The instance records in the store make up for lost peer messages."""
         fleet = plain_fleet()
         without_messages = fleet.world.beside("deaf")
         without_messages.peer_port = 1
@@ -239,10 +238,10 @@
 
 
 class TestQuarantineRefusal:
-    """What the caller of such a request is told."""
+    """The response to a quarantined request."""
 
     def test_refusal_is_immediate_and_states_reason_and_retry_time(self) -> None:
-        """It has not run, why, and when an attempt may run again."""
+        """It says that the request did not run, why, and when a retry may run."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -258,7 +257,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_refusal_does_not_wait_for_reservation(self) -> None:
-        """Where none is free, others wait; this one is told what is known."""
+        """Other requests wait for a reservation; a quarantined request is refused at once."""
         fleet = engine_fleet()
 
         async def scenario() -> None:
@@ -273,7 +272,7 @@
         fleet.run(scenario, STREAM_ROUTE)
 
     def test_other_requests_are_served(self) -> None:
-        """Only that request is refused: other words at the same path are answered."""
+        """Requests with another body are served at the same path."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -284,7 +283,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_request_in_progress_is_refused(self) -> None:
-        """Its prompt was being read when the third server crashed; its answer is not begun."""
+        """If the third crash happens while its prompt is processed, its answer is not begun."""
         fleet = engine_fleet(read_s=0.6)
         send = partial(fleet.send, path="/stream/a", body=CRASHING_BODY, **TOKEN_HEADERS)
 
@@ -302,10 +301,10 @@
 
 
 class TestCoincidentalCrashes:
-    """A request that met dying servers by chance."""
+    """A request ran on servers that crashed for another reason."""
 
     async def _crash_servers_by_chance(self, fleet: Fleet, path: str) -> None:
-        """Send a request that three servers are running when they end for another reason."""
+        """Have three servers crash while they run the request, then have all serve it."""
         for _ in range(MAX_CRASHES):
             await fleet.send(len(fleet.statuses), path, body=CRASHING_BODY)
             await curio.sleep(CALLER_RETRY_S)
@@ -313,7 +312,7 @@
             replica.behave = sealed
 
     def test_successful_trial_ends_quarantine_on_all_instances(self) -> None:
-        """One attempt is let through after ten seconds; its answer ends the quarantine for all."""
+        """One attempt is let through after ten seconds; its response ends the quarantine."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -328,7 +327,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_only_one_trial_runs_at_a_time(self) -> None:
-        """While it runs, the others are refused at every instance."""
+        """While a trial runs, all instances refuse other attempts."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -341,13 +340,13 @@
         assert fleet.crash_count == MAX_CRASHES + 1
 
     def test_trial_is_not_retried_on_second_server(self) -> None:
-        """What comes of the first is answer enough."""
+        """The outcome of the first attempt decides the trial, also for a retryable request."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
             await fleet.send_crashing_request(3, "/safe/a")
             before = fleet.crash_count
-            # Long enough where a crossing repeat ended a fourth server.
+            # Long enough even if two simultaneous retries crashed a fourth server.
             await curio.sleep(45.0)
             await fleet.send_crashing_request(1, "/safe/a")
             assert fleet.crash_count == before + 1
@@ -355,7 +354,7 @@
         fleet.run(scenario, SAFE_ROUTE)
 
     def test_quarantine_grows_with_each_failed_trial(self) -> None:
-        """In the 100 s after the third crash it reaches two servers more."""
+        """In the 100 s after the third crash, the request reaches only two more servers."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -365,7 +364,7 @@
         assert fleet.crash_count == MAX_CRASHES + 2
 
     def test_completed_request_resets_crash_count(self) -> None:
-        """Crashes count only without an answer since."""
+        """Only crashes since the last completed request count."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -384,9 +383,10 @@
     def test_identical_requests_are_served_despite_simultaneous_crash_of_three_servers(
         self,
     ) -> None:
-        """Three of four servers crash at once under equal requests; an answer of the fourth clears.
+        """Three of four servers crash at once under equal requests, which the fourth completes.
 
-        Without it all that ask so would be refused for ten seconds.
+        Its response ends the quarantine. Otherwise all callers that send this request would be
+        refused for ten seconds.
         """
 
         async def serve_slowly(replica: FakeReplica, exchange: Exchange) -> None:
@@ -414,7 +414,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_reset_connection_does_not_count_as_crash(self) -> None:
-        """Servers that live on are sent the request as often as it comes."""
+        """The request may reach servers again that reset its connection but go on running."""
 
         async def reset_connection(_: FakeReplica, exchange: Exchange) -> None:
             raise HttpClosed("reset")
@@ -430,10 +430,10 @@
 
 
 class TestInstanceRestart:
-    """Instances start again, and what they knew is gone with their memory."""
+    """Instances restart and lose what they had in memory."""
 
     def test_restarted_instance_reads_quarantine_from_peer_records(self) -> None:
-        """It reads the others' notes."""
+        """The other instances publish the quarantine in their instance records."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -446,7 +446,7 @@
         assert fleet.crash_count == MAX_CRASHES
 
     def test_quarantine_survives_restart_of_all_instances(self) -> None:
-        """Each takes its own note over and reads the others'."""
+        """Each instance takes over its own record and reads those of the others."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -1,8 +1,9 @@
-"""Random series of troubles around requests that crash servers, under a clock that jumps.
+"""Random series of faults around requests that crash servers, under a virtual clock.
 
-A seed draws when callers come, to which instance, and what befalls meanwhile: instances are killed
-and start again, datagrams between them are lost, the store is away, servers are killed by somebody
-else. ``python tests/test_quarantine_series.py FIRST LAST`` plays the seeds of a range by hand.
+A seed draws when callers send requests, to which instance, and which faults happen meanwhile:
+instances are killed and restart, datagrams between them are lost, the store is unreachable, servers
+are killed from outside. ``python tests/test_quarantine_series.py FIRST LAST`` runs a range of
+seeds.
 """
 
 from __future__ import annotations
@@ -28,31 +29,32 @@
 SAFE_ROUTE = route("r-safe", "/safe/", "safe", "plain", max_attempts=2)
 STREAM_ROUTE = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
 TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
-# Seconds after which callers give up: the four of their deadline, and time for an answer to it.
+# Seconds after which callers give up: their deadline of four seconds, and time for the response.
 CALLER_TIMEOUT_S = 6.0
 FLEET_READY_S = 8.0
 RUN_S = 60.0
-# Seconds after which an instance that nothing befalls knows what the others know.
+# Seconds without faults after which an instance knows what the others know.
 PROPAGATION_S = 3.0
-# Servers that may crash under one request, and how many more after CONTACT_S.
+# Crashes that begin a quarantine, and how many more may happen after PROPAGATION_S.
 QUARANTINE_CRASHES = 3
 MAX_LATE_CRASHES = 3
-# Share of datagrams that are lost.
+# Share of the datagrams that is lost.
 MESSAGE_LOSS_SHARE = 0.1
-# Share of innocent requests that have to be answered, while servers and instances go down.
+# Share of the harmless requests that must be served while servers and instances crash.
 MIN_SERVED_SHARE = 0.95
 
 
 @dataclass
 class FaultSeries:
-    """One seed's play.
+    """The run of one seed.
 
     Attributes:
-        crashes: when a server crashed under each request that does so, runtime's clock.
-        befallen: when something befell an instance or the store last.
-        innocent: whether each innocent attempt was answered.
-        shut_out: innocent attempts that were told of a quarantine.
-        unanswered: attempts that an instance which was not killed meanwhile left without an answer.
+        crashes: for each crashing request the times of its crashes on the virtual clock, and
+            whether the last fault of an instance or the store was over PROPAGATION_S before.
+        last_fault_at: when the last fault of an instance or the store happened.
+        harmless_served: for each harmless request, whether it was served.
+        quarantine_refusals: the number of harmless requests that were refused by a quarantine.
+        unanswered_requests: requests without a response from an instance that was not killed.
     """
 
     seed: int
@@ -98,7 +100,7 @@
         await crash(replica, exchange)
 
     def run(self) -> None:
-        """Play the seed."""
+        """Run the seed."""
         send = PeerMessenger.send
 
         async def lossy_send(messenger: PeerMessenger, address: str, message: Any) -> None:
@@ -134,14 +136,14 @@
         )
         kills = self._kill_counts[gateway.name]
         try:
-            status, _, answer = await curio.timeout_after(CALLER_TIMEOUT_S, call)
+            status, _, response_body = await curio.timeout_after(CALLER_TIMEOUT_S, call)
         except (BadHttp, HttpClosed):
             return 0, b""
         except curio.TaskTimeout:
-            # Nobody may answer for an instance that was killed; one that lives has to.
+            # Only an instance that was killed meanwhile may leave a request without a response.
             self.unanswered_requests += kills == self._kill_counts[gateway.name]
             return 0, b""
-        return status, answer
+        return status, response_body
 
     async def _send_crashing(self, body: bytes, path: str, until: float) -> None:
         await curio.sleep(self._rng.uniform(0.0, 10.0))
@@ -153,11 +155,11 @@
         number = 0
         while await curio.clock() < until:
             number += 1
-            # Some ask the same again and again, the others each something new.
+            # Some requests have the same body each time, the others a new one each time.
             body = b"same" if self._rng.random() < 0.3 else b"%d" % number
-            status, answer = await self._send(path, body)
+            status, response_body = await self._send(path, body)
             self.harmless_served.append(status == 200)
-            self.quarantine_refusals += b"quarantined" in answer
+            self.quarantine_refusals += b"quarantined" in response_body
             await curio.sleep(self._rng.uniform(0.05, 0.6))
 
     async def _inject_faults(self, until: float) -> None:
@@ -187,7 +189,7 @@
         await self._rng.choice(self._replicas).crashed.set()
 
     def violations(self) -> list[str]:
-        """Return what was not kept."""
+        """Return a text for each invariant that did not hold."""
         violations = []
         for body, crashes in self.crashes.items():
             third = (
@@ -197,27 +199,27 @@
             )
             late = [at for at, propagated in crashes if propagated and at > third + PROPAGATION_S]
             if len(late) > MAX_LATE_CRASHES:
-                violations.append(f"{body!r}: {len(late)} servers more, {len(crashes)} in all")
+                violations.append(f"{body!r}: {len(late)} more crashes, {len(crashes)} in all")
         if self.unanswered_requests:
             violations.append(
-                f"{self.unanswered_requests} attempts at instances that live were not answered"
+                f"{self.unanswered_requests} requests to running instances got no response"
             )
         if sum(self.harmless_served) < MIN_SERVED_SHARE * len(self.harmless_served):
             violations.append(
                 f"{sum(self.harmless_served)} of {len(self.harmless_served)} "
-                "innocent attempts answered"
+                "harmless requests served"
             )
         return violations
 
 
 class TestFaultSeries:
-    """What holds whatever the order of events."""
+    """Invariants that hold in any order of events."""
 
     @pytest.mark.parametrize("seed", range(3))
     def test_crashing_requests_reach_few_servers_and_harmless_ones_are_served(
         self, seed: int
     ) -> None:
-        """At most three servers more, 3 s after the third."""
+        """From 3 s after the third crash on, a request crashes at most three more servers."""
         series = FaultSeries(seed)
         series.run()
         assert any(len(crashes) >= QUARANTINE_CRASHES for crashes in series.crashes.values())
@@ -225,7 +227,7 @@
 
 
 def main(first: int, last: int) -> int:
-    """Play seeds and print what each showed; returns the exit status."""
+    """Run the seeds and print the result of each; return the exit status."""
     failed = 0
     for seed in range(first, last + 1):
         series = FaultSeries(seed)
@@ -238,13 +240,13 @@
             seed,
             "crashes",
             crashes,
-            "answered",
+            "served",
             served,
-            "shut out",
+            "refused by quarantine",
             series.quarantine_refusals,
             violations,
         )
-    print(f"{last - first + 1} seeds, {failed} with something broken")
+    print(f"{last - first + 1} seeds, {failed} with violations")
     return 1 if failed else 0
 
 
--- a/tests/test_server_signals.py
+++ b/tests/test_server_signals.py
@@ -1,20 +1,19 @@
-"""Regression tests of servers that say they leave, or ask for rest.
-
-What users saw: requests reached a backend server 2.4 and 3.2 s after an answer had told the
-instance that sent them that the server leaves; another server refused a request, asked the instance
-to send none for three seconds, and got thirteen in that time.
-
-Order of events: the store is away when the first server begins to leave, so its entry stays as it
-was, and only its answers say so. They are passed on, and the instance goes on choosing the server.
-The second one names the time in its refusals; the instance leaves it alone for 0.7 s, then for 1.4
-and 2.8 s, and not at all where the others refuse as well.
-
-Cause of the first: only the entry in the store told that a server leaves. The head of its answers
-was passed on and not read, though it comes first-hand, at once, and while the store is away.
-
-Evidence: in one play of the users' day three instances pass on an answer that says so, and 29
-requests go there from the same three from two seconds after that on, while no line of theirs names
-the server; the tests below, in which the entry does not change at all.
+"""Regression tests of servers that announce their shutdown or ask for backoff in responses.
+
+Failure: requests reached a backend server 2.4 and 3.2 s after a response had told the instance that
+sent them that the server was leaving. Another server refused a request, asked the instance to send
+none for three seconds, and got thirteen in that time.
+
+How it comes about: the store is unreachable when the first server begins to leave, so its entry
+does not change and only its responses say so. They are passed on, and the instance goes on choosing
+the server. The second server names the time in its refusals; the instance pauses for 0.7 s, then
+for 1.4 and 2.8 s, and not at all if the other servers refuse as well.
+
+Cause of the first: only the entry in the store marked a server as leaving. The headers of its
+responses were passed on and not read, though they come from the server itself, at once, and while
+the store is unreachable. In one run of the reported scenario three instances passed on such a
+response; from two seconds after it on, 29 requests went to the server from the same three, while no
+log line of theirs named the server. In the tests below the entry does not change at all.
 """
 
 from __future__ import annotations
@@ -38,8 +37,8 @@
 from platform_fakes import FakeReplica, sealed, stream
 
 OFFERED_PER_S = 15.0
-# What the operators allow: requests that were sent this long after a server said that it leaves,
-# and requests that reach a server that rests.
+# What the operators allow: how long after its announcement requests may still reach a server that
+# leaves, and how many requests may reach a server during its backoff.
 MAX_REACTION_S = 2.0
 MAX_REQUESTS_IN_BACKOFF = 2
 
@@ -54,19 +53,19 @@
 
 
 def send_streams(fleet: LimitedFleet, path: str = "/stream/a") -> None:
-    """Have callers ask for streams."""
+    """Have callers request streams."""
     send_calls(fleet, path, duration_s=8.0, **TOKEN_HEADERS)
 
 
 def arrivals_after(replica: FakeReplica, at: float) -> list[float]:
-    """Return when requests reached a server after a time, in seconds from then."""
+    """Return when requests reached a server after a time, in seconds from that time."""
     return [round(each.at - at, 2) for each in replica.arrivals if each.at > at]
 
 
 async def send_while_server_leaves(
     fleet: LimitedFleet, leaving: FakeReplica, path: str, **options: str
 ) -> float:
-    """Have callers ask for 8 s; a server says after 2 s that it leaves. Returns when it does."""
+    """Send requests for 8 s, have the server announce after 2 s that it leaves; return when."""
     send_requests = partial(
         fleet.send_at_rate, path, per_s=OFFERED_PER_S, duration_s=8.0, **options
     )
@@ -79,12 +78,12 @@
 
 
 class TestLeaving:
-    """A server says in its answers that it leaves; its entry stays as it was."""
+    """A server says in its responses that it is leaving; its entry does not change."""
 
     @pytest.mark.parametrize("instances", [1, 3])
     @pytest.mark.parametrize("path", ["/once/a", "/safe/a"])
     def test_gets_no_further_calls(self, path: str, instances: int) -> None:
-        """The others serve every caller."""
+        """The other server serves every caller."""
         fleet = LimitedFleet(instances)
         leaving = fleet.add("i-leaving")
         fleet.add("i-other")
@@ -100,7 +99,7 @@
 
     @pytest.mark.parametrize("role", ["prefill", "decode"])
     def test_gets_no_further_streams(self, role: str) -> None:
-        """Neither to read nor to write; nor is a place reserved there."""
+        """A prefill engine gets no prompts, a decode engine no streams and no reservation calls."""
         fleet = LimitedFleet()
         prefill_engine = fleet.add("i-reader", "llm", "prefill")
         decode_engine = fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
@@ -126,7 +125,7 @@
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 9)}
 
     def test_instance_notifies_the_others(self) -> None:
-        """Those that have had no answer of it since send it nothing either."""
+        """Instances that got no such response send the server nothing either."""
         fleet = LimitedFleet(2)
         leaving = fleet.add("i-leaving")
         fleet.add("i-other")
@@ -164,7 +163,7 @@
         assert arrivals_after(leaving, leaving_at + MAX_REACTION_S) == []
 
     def test_next_incarnation_gets_requests(self) -> None:
-        """Another life of the same name serves at once."""
+        """A restarted server under the same name gets requests at once."""
         fleet = LimitedFleet(1)
         leaving = fleet.add("i-leaving", born=1)
         other = fleet.add("i-other")
@@ -183,7 +182,7 @@
         assert other.arrivals
 
     def test_callers_are_refused_at_once_if_all_servers_leave(self) -> None:
-        """Callers are refused at once, as where there is no server."""
+        """The refusal is the same as if there were no server."""
         fleet = LimitedFleet(1)
         servers = [fleet.add(f"i-{number}") for number in range(2)]
         leaving_at = 0.0
@@ -206,18 +205,18 @@
 
 
 class TestBackoff:
-    """A server refuses requests and wants none from this instance for a while."""
+    """A server refuses a request and asks the instance for backoff."""
 
     @pytest.mark.parametrize("backoff_s", [0.9, REST_S, 12.0])
     def test_gets_no_further_calls(self, backoff_s: float) -> None:
-        """For as long as it said, also where that is longer than an instance would guess."""
+        """The whole backoff is kept, also if it exceeds the pause that an instance would choose."""
         fleet = LimitedFleet(1)
         backoff = Resting(backoff_s)
         server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
 
         async def scenario() -> None:
-            # Enough that a window for the whole service would be felt.
+            # Enough requests that a smaller window for the whole service would show.
             await fleet.send_at_rate("/once/a", per_s=30.0, duration_s=1.5 * backoff_s + 2.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
@@ -226,7 +225,7 @@
         assert fleet.count_statuses()[503] == len(server.arrivals)
 
     def test_gets_few_further_calls_if_all_servers_back_off(self) -> None:
-        """Callers are told at once when the first one does."""
+        """Callers are told at once in how many seconds the first backoff ends."""
         fleet = LimitedFleet(1)
         backoffs = [Resting(REST_S), Resting(2 * REST_S)]
         servers = [
@@ -237,7 +236,7 @@
         for backoff, server in zip(backoffs, servers, strict=True):
             assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
         first_end = min(until for backoff in backoffs for _, until in backoff.told[:1])
-        # Whoever can be in time after the rest is not sent away.
+        # Requests that can be served in time after the backoff are not refused.
         both_known = [
             each
             for each in fleet.outcomes
@@ -250,7 +249,7 @@
         )
 
     def test_waiting_caller_is_refused_at_once(self) -> None:
-        """Both servers rest while a call that was sent before holds the service's only turn."""
+        """Both servers back off while an earlier call occupies the service's window of one call."""
         fleet = LimitedFleet(1)
         for number in range(2):
             fleet.add(f"i-{number}", behave=behave_as_body_says)
@@ -269,7 +268,7 @@
         assert (last.status, last.response_s < 0.1) == (503, True)
 
     def test_caller_waits_for_short_backoff(self) -> None:
-        """A caller that can still be in time is served rather than sent away."""
+        """A request that can still be served in time waits instead of being refused."""
         fleet = LimitedFleet(1)
         backoff = Resting(0.4)
         fleet.add("i-resting", behave=backoff)
@@ -283,7 +282,7 @@
         assert [each.status for each in fleet.outcomes] == [503, 200]
 
     def test_refused_caller_may_retry_before_backoff_ends(self) -> None:
-        """Another server takes requests: its caller need not wait until the rest is over."""
+        """Another server takes requests, so the caller need not wait for the end of the backoff."""
         fleet = LimitedFleet(1)
         backoff = Resting(12.0)
         fleet.add("i-resting", behave=backoff)
@@ -297,10 +296,10 @@
     @pytest.mark.parametrize(
         "backoff",
         [Resting(status=429), Resting(status=503), Resting(fields=(("x-server-seal", "s"),))],
-        ids=["429", "503", "503-not-told-not-run"],
+        ids=["429", "503", "503-without-not-executed"],
     )
     def test_each_kind_of_refusal_starts_it(self, backoff: Resting) -> None:
-        """Also for one that does not say that it ran nothing: that answer is the caller's."""
+        """A refusal that does not say that nothing ran counts too; it goes to the caller."""
         fleet = LimitedFleet(1)
         server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
@@ -309,7 +308,7 @@
         assert backoff.most_in_rest(server) == 0
 
     def test_gets_few_retries(self) -> None:
-        """A call that failed elsewhere is not repeated there."""
+        """A call that failed on the other server is not retried on this one."""
         fleet = LimitedFleet(1)
         backoff = Resting()
         server = fleet.add("i-resting", behave=backoff)
@@ -320,7 +319,7 @@
 
     @pytest.mark.parametrize("others", [0, 5])
     def test_gets_few_streams(self, others: int) -> None:
-        """At the engine that writes; the others serve every caller but the few it refused."""
+        """A decode engine backs off; the others serve all callers but the few that it refused."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         backoff = Resting()
@@ -332,7 +331,7 @@
 
         send_streams(fleet)
         assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
-        # The route allows one server.
+        # The route allows one server per request.
         sent_ids = [
             each.ident
             for decode_engine in [server, *decode_engines]
@@ -340,7 +339,7 @@
         ]
         assert len(sent_ids) == len(set(sent_ids))
         if others:
-            # Once a rest.
+            # The server refuses one request per backoff.
             assert (
                 OFFERED_PER_S * 8 - fleet.count_statuses()[200]
                 <= len(server.arrivals)
@@ -348,7 +347,7 @@
             )
 
     def test_gets_few_reservation_calls(self) -> None:
-        """Nor is one that has no room asked sooner than it said."""
+        """An engine without capacity is asked no earlier than it said either."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         backoff = Resting()
@@ -363,7 +362,7 @@
         )
 
     def test_prefill_engine_gets_no_prompts(self) -> None:
-        """The engine that writes reads them meanwhile."""
+        """The decode engine processes the prompts meanwhile."""
         fleet = LimitedFleet(1)
         backoff = Resting()
         server = fleet.add("i-resting", "llm", "prefill", read=backoff)
@@ -374,7 +373,7 @@
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 8)}
 
     def test_gets_few_resumed_streams(self) -> None:
-        """They broke off at the other engine."""
+        """The streams broke off at the other engine."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         backoff = Resting()
@@ -386,7 +385,7 @@
         assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
 
     def test_earlier_reservations_are_not_used(self) -> None:
-        """Their prompts are read elsewhere meanwhile, and they are written by another engine."""
+        """The prompts are processed elsewhere meanwhile, and another engine decodes the answers."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill", read_s=0.8)
         backoff = Resting()
@@ -397,7 +396,7 @@
         assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
 
     def test_shorter_value_does_not_shorten_it(self) -> None:
-        """Of requests that were under way together the last is refused for a shorter time."""
+        """The last of several concurrent requests is refused with a shorter time."""
         fleet = LimitedFleet(1)
         backoff = Resting(REST_S, after_s=0.2)
         server = fleet.add("i-resting", behave=backoff)
@@ -421,7 +420,7 @@
         assert backoff.most_in_rest(server) == 0
 
     def test_backoff_survives_missing_entry(self) -> None:
-        """An entry may lapse though its server lives."""
+        """An entry may lapse though its server runs."""
         fleet = LimitedFleet(1)
         backoff = Resting(8.0)
         server = fleet.add("i-resting", behave=backoff)
@@ -439,7 +438,7 @@
         assert len(server.arrivals) == 1
 
     def test_next_incarnation_gets_requests(self) -> None:
-        """Another life of the same name serves at once, whatever the last one asked for."""
+        """A restarted server under the same name gets requests before the old backoff ends."""
         fleet = LimitedFleet(1)
         backoff = Resting(60.0)
         server = fleet.add("i-resting", behave=backoff, born=1)
@@ -460,7 +459,7 @@
         assert fleet.count_statuses()[503] == len(backoff.told)
 
     def test_server_gets_its_share_afterwards(self) -> None:
-        """It serves again, and gets its part."""
+        """The server gets its share of the requests once its backoff is over."""
         fleet = LimitedFleet(1)
         backoff = Resting(REST_S, serve=slowly)
         server = fleet.add("i-resting", behave=backoff)
@@ -478,7 +477,7 @@
 
 
 async def behave_as_body_says(replica: FakeReplica, exchange: Exchange) -> None:
-    """Run a request, refuse it, or refuse it and ask for rest, after a time, as its body says."""
+    """Run a request, refuse it, or refuse it with backoff, after the delay in its body."""
     action, _, after_s = exchange.req.body.decode().partition(" ")
     await curio.sleep(float(after_s or 0))
     if action == "run":
