--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Tests of servers that name how many requests they take."""
+"""Tests of the permits for requests to servers that advertise a limit."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ConnectFailed, HttpRequest
 from crankhinge.runtime import get_log
-from limit_worlds import SETTLED_S
+from limit_worlds import FLEET_READY_S
 from platform_fakes import (
     HOST,
     PASSES,
@@ -43,48 +43,48 @@
 )
 from virtual_time import run_virtual
 
-# Seconds in which two permits gather that are given by one instance at two a second.
-FILLED_S = 1.0
-ONCE = route("r-once", "/once/", "unsafe", "plain")
+# Seconds in which an instance that grants two permits a second accumulates two.
+TWO_PERMITS_S = 1.0
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
 
 
-class TestLines:
-    """What the log tells of limits."""
+class TestLimitLogLines:
+    """Log lines about servers' limits."""
 
-    def test_a_limit_is_told_when_it_begins_changes_and_ends(self) -> None:
-        """Once each, however many answers name it."""
+    def test_limit_is_logged_when_it_starts_changes_and_ends(self) -> None:
+        """Each change is logged once, however many responses carry the limit."""
         world = World()
         replica = world.add("i-1", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number, limit in enumerate((None, "8", "8", "6.5", "lots", None, None)):
                 replica.limit = limit
                 await curio.sleep(1.0)
                 await world.call(f"q{number}", "/once/a")
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
-        told = [
+        run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
+        logged = [
             line.split("event=server_limit ")[1] for line in world.lines.having("server_limit ")
         ]
-        assert [" ".join(line.split()) for line in told] == [
+        assert [" ".join(line.split()) for line in logged] == [
             "server=i-1 per_s=8.0 was= told_by=own",
             "server=i-1 per_s=6.5 was=8.0 told_by=own",
             "server=i-1 per_s= was=6.5 told_by=own",
         ]
         assert len(world.lines.having("server_limit_unreadable", "was=6.5")) == 1
 
-    def test_what_is_sent_to_such_a_server_is_told(self) -> None:
-        """Also how many servers each request was sent to."""
+    def test_requests_to_limited_server_are_logged(self) -> None:
+        """The requests to a limited server are logged, and the servers tried per request."""
         world = World()
         world.add("i-1", "plain", limit="8")
 
-        async def story() -> None:
-            await curio.sleep(SETTLED_S)
+        async def scenario() -> None:
+            await curio.sleep(FLEET_READY_S)
             for number in range(5):
                 await world.call(f"q{number}", "/once/a")
             await curio.sleep(5.0)
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
         assert world.lines.having("server_limit_use", "server=i-1", "per_s=8.0", "sent=4")
         assert len(world.lines.having("event=answered", "sent=1")) == 5
 
@@ -92,41 +92,41 @@
 SERVER = Server("i-1", "plain", HOST, 9, "z1", EngineRole.PLAIN, 4, False, 1)
 
 
-class Alone:
-    """The only instance, before a server that takes two requests a second."""
+class LoneInstance:
+    """The only instance of a fleet, in front of a server that takes two requests a second."""
 
     def __init__(self) -> None:
         log = get_log(program="t", stream=Lines())
         self.backends = lone_backends(log, SERVER)
-        self.members = Membership("here", 0.0)
-        limits = lone_limits("here", self.backends, log, self.members)
-        self.news, self.permits = limits.news, limits.permits
+        self.membership = Membership("here", 0.0)
+        limits = lone_limits("here", self.backends, log, self.membership)
+        self.limit_updates, self.permits = limits.news, limits.permits
         self.relay = cast(
             Relay,
             SimpleNamespace(permits={}, request=SimpleNamespace(request_id="q"), log_fields={}),
         )
 
-    def play(self, story: Callable[[], Awaitable[None]]) -> None:
-        """Run *story* once its share is its own."""
+    def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
+        """Run *scenario* once the instance may use its own share of the limit."""
 
-        async def ready() -> None:
-            self.members.set_lease_end(math.inf)
-            self.members.join({"here": ""}, await curio.clock(), resumed=True)
-            await curio.sleep(SETTLED_S)
-            word = ResponseSignals(False, False, None, advertises_limit=True, limit_per_s=2.0)
-            await self.news.on_signals(SERVER, word, sent_at=0.0, succeeded=True)
-            await story()
+        async def run_when_ready() -> None:
+            self.membership.set_lease_end(math.inf)
+            self.membership.join({"here": ""}, await curio.clock(), resumed=True)
+            await curio.sleep(FLEET_READY_S)
+            signals = ResponseSignals(False, False, None, advertises_limit=True, limit_per_s=2.0)
+            await self.limit_updates.on_signals(SERVER, signals, sent_at=0.0, succeeded=True)
+            await scenario()
 
-        run_virtual(ready)
+        run_virtual(run_when_ready)
 
-    async def left(self) -> int:
-        """Return how many requests may be sent at once, and take them."""
-        number = 0
-        while await self.permits.try_get_permit(self._other(), SERVER):
-            number += 1
-        return number
+    async def take_all_permits(self) -> int:
+        """Take all permits that are available now and return their number."""
+        count = 0
+        while await self.permits.try_get_permit(self._new_relay(), SERVER):
+            count += 1
+        return count
 
-    def _other(self) -> Relay:
+    def _new_relay(self) -> Relay:
         return cast(
             Relay,
             SimpleNamespace(permits={}, request=SimpleNamespace(request_id="o"), log_fields={}),
@@ -134,108 +134,110 @@
 
 
 class TestPermits:
-    """Leave that a request has got."""
-
-    def test_is_given_back_where_it_was_not_used(self) -> None:
-        """By a caller that left, or a prompt that could not be read."""
-        alone = Alone()
-
-        async def story() -> None:
-            assert not await alone.permits.try_get_permit(alone.relay, SERVER)
-            await curio.sleep(FILLED_S)
-            assert await alone.permits.try_get_permit(alone.relay, SERVER)
-            assert await alone.left() == 1
-            alone.backends.stats("i-1").limited_until = 0.0
-            await alone.permits.return_unused(alone.relay)
-            assert not alone.relay.permits
-            assert await alone.left() == 1
-
-        alone.play(story)
-
-    def test_is_used_once(self) -> None:
-        """A second attempt needs one of its own."""
-        alone = Alone()
-
-        async def story() -> None:
-            await alone.permits.try_get_permit(alone.relay, SERVER)
-            await curio.sleep(FILLED_S)
-            assert await alone.permits.try_get_permit(alone.relay, SERVER)
-            assert await alone.permits.try_get_permit(alone.relay, SERVER)
-            assert await alone.permits.use_permit(alone.relay, SERVER) is not None
-            assert await alone.left() == 1
+    """Permits that a request holds."""
+
+    def test_unused_permit_is_returned(self) -> None:
+        """A permit is returned if its caller disconnects or its prompt cannot be processed."""
+        instance = LoneInstance()
+
+        async def scenario() -> None:
+            assert not await instance.permits.try_get_permit(instance.relay, SERVER)
+            await curio.sleep(TWO_PERMITS_S)
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
+            assert await instance.take_all_permits() == 1
+            instance.backends.stats("i-1").limited_until = 0.0
+            await instance.permits.return_unused(instance.relay)
+            assert not instance.relay.permits
+            assert await instance.take_all_permits() == 1
+
+        instance.run(scenario)
+
+    def test_permit_is_used_once(self) -> None:
+        """A second attempt needs a permit of its own."""
+        instance = LoneInstance()
+
+        async def scenario() -> None:
+            await instance.permits.try_get_permit(instance.relay, SERVER)
+            await curio.sleep(TWO_PERMITS_S)
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
+            assert await instance.permits.use_permit(instance.relay, SERVER) is not None
+            assert await instance.take_all_permits() == 1
             with pytest.raises(ServerAtLimit):
-                await alone.permits.use_permit(alone.relay, SERVER)
+                await instance.permits.use_permit(instance.relay, SERVER)
 
-        alone.play(story)
+        instance.run(scenario)
 
-    def test_is_over_after_a_while(self) -> None:
-        """What is handed out in a window would come in the next."""
-        alone = Alone()
+    def test_permit_expires(self) -> None:
+        """A permit that was granted in one window must not be used in the next."""
+        instance = LoneInstance()
 
-        async def story() -> None:
-            await alone.permits.try_get_permit(alone.relay, SERVER)
-            await curio.sleep(FILLED_S)
-            assert await alone.permits.try_get_permit(alone.relay, SERVER)
-            assert await alone.left() == 1
+        async def scenario() -> None:
+            await instance.permits.try_get_permit(instance.relay, SERVER)
+            await curio.sleep(TWO_PERMITS_S)
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
+            assert await instance.take_all_permits() == 1
             await curio.sleep(PERMIT_TRANSIT_S + 0.1)
-            alone.backends.stats("i-1").limited_until = 0.0
-            before = alone.relay.permits["i-1"]
-            assert await alone.permits.try_get_permit(alone.relay, SERVER)
-            assert alone.relay.permits["i-1"] != before
-            assert await alone.left() == 1
-
-        alone.play(story)
-
-    def test_is_asked_for_at_once_after_another_word(self) -> None:
-        """What was refused by the old rate says nothing of the new one."""
-        alone = Alone()
-
-        async def story() -> None:
-            standing = alone.backends.stats("i-1")
-            standing.limited_until = math.inf
-            alone.news.record_peer_update("i-1", 2.0, await curio.clock(), "there")
-            assert standing.limited_until == math.inf
-            alone.news.record_peer_update("i-1", 8.0, await curio.clock(), "there")
-            assert standing.limited_until == 0.0
-
-        alone.play(story)
-
-    def test_is_kept_by_a_request_that_reached_nobody(self) -> None:
-        """Nothing was sent, so nothing was taken."""
-        alone = Alone()
+            instance.backends.stats("i-1").limited_until = 0.0
+            before = instance.relay.permits["i-1"]
+            assert await instance.permits.try_get_permit(instance.relay, SERVER)
+            assert instance.relay.permits["i-1"] != before
+            assert await instance.take_all_permits() == 1
+
+        instance.run(scenario)
+
+    def test_changed_limit_ends_pause(self) -> None:
+        """A refusal under the old limit does not hold under the new one."""
+        instance = LoneInstance()
+
+        async def scenario() -> None:
+            stats = instance.backends.stats("i-1")
+            stats.limited_until = math.inf
+            instance.limit_updates.record_peer_update("i-1", 2.0, await curio.clock(), "there")
+            assert stats.limited_until == math.inf
+            instance.limit_updates.record_peer_update("i-1", 8.0, await curio.clock(), "there")
+            assert stats.limited_until == 0.0
+
+        instance.run(scenario)
+
+    def test_permit_is_kept_if_server_is_unreachable(self) -> None:
+        """No request was sent, so the permit was not used."""
+        instance = LoneInstance()
         server = dataclasses.replace(SERVER, port=free_port())
         log = get_log(program="t", stream=Lines())
         quarantine = lone_desk("here", log)
-        crashes = CrashDetector(backends=alone.backends, on_crash=quarantine.record_crash, log=log)
-        legs = Attempts(alone.backends, PASSES, quarantine, crashes, alone.permits)
+        crashes = CrashDetector(
+            backends=instance.backends, on_crash=quarantine.record_crash, log=log
+        )
+        attempts = Attempts(instance.backends, PASSES, quarantine, crashes, instance.permits)
         req = HttpRequest("GET", "/", {"x-request-id": "q"}, b"", (("x-request-id", "q"),))
-        alone.relay.exchange = cast(Any, SimpleNamespace(req=req))
-        alone.relay.__dict__.update(
+        instance.relay.exchange = cast(Any, SimpleNamespace(req=req))
+        instance.relay.__dict__.update(
             account_name=None, log_fields={}, trial_work="", work_key=lambda *, prompt_only: "f"
         )
 
-        async def story() -> None:
-            await alone.permits.try_get_permit(alone.relay, server)
-            await curio.sleep(FILLED_S)
-            assert await alone.permits.try_get_permit(alone.relay, server)
+        async def scenario() -> None:
+            await instance.permits.try_get_permit(instance.relay, server)
+            await curio.sleep(TWO_PERMITS_S)
+            assert await instance.permits.try_get_permit(instance.relay, server)
             with pytest.raises(ConnectFailed):
-                async with legs.open(alone.relay, server, AttemptParams("i-1", 1.0)):
-                    raise AssertionError("nobody is there")
-            assert list(alone.relay.permits) == ["i-1"]
+                async with attempts.open(instance.relay, server, AttemptParams("i-1", 1.0)):
+                    raise AssertionError("the connection must be refused")
+            assert list(instance.relay.permits) == ["i-1"]
 
-        alone.play(story)
+        instance.run(scenario)
 
 
-class TestSize:
-    """What instances say to each other about one server that names a limit."""
+class TestMessageSize:
+    """Sizes of the messages between instances about one server with a limit."""
 
-    def test_lending_at_three_hundred_instances_is_within_control(self) -> None:
-        """Ten kilobytes a second for all of control, at the instance that hands out."""
-        members = Membership("n0", 0.0)
-        members.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
-        shared = SharedLimits(name="n0", membership=members, incarnation=2**62, now=0.0)
-        loan = ShareLease(shared.stamp(1234567.123), shared.lease_s, 300)
-        ask = PermitRequest(
+    def test_share_leases_of_300_instances_fit_control_traffic_budget(self) -> None:
+        """The allocator's traffic fits the 10 kB a second that all control messages may use."""
+        membership = Membership("n0", 0.0)
+        membership.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
+        shared = SharedLimits(name="n0", membership=membership, incarnation=2**62, now=0.0)
+        lease = ShareLease(shared.stamp(1234567.123), shared.lease_s, 300)
+        request = PermitRequest(
             number=123456,
             lender="frontend-pamplemousses-12",
             server="i-8b1d6bd897@1733200000000",
@@ -243,11 +245,16 @@
             ago_s=0.123,
             within_s=None,
             caller=False,
-            loan=ShareLeaseMessage.from_lease(loan),
+            loan=ShareLeaseMessage.from_lease(lease),
+        )
+        response = PermitResponse(
+            number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1
+        )
+        sizes = [len(msgspec.msgpack.encode(message)) for message in (request, response)]
+        messages_per_s = 300 / shared.renewal_interval_s
+        print(
+            f"{sizes} B, {messages_per_s:.1f} a second, "
+            f"{messages_per_s * sizes[0] / 1000:.1f} kB in"
         )
-        answer = PermitResponse(number=123456, granted=None, after_s=0.0, life=2**62, at=1234567.1)
-        sizes = [len(msgspec.msgpack.encode(message)) for message in (ask, answer)]
-        a_second = 300 / shared.renewal_interval_s
-        print(f"{sizes} B, {a_second:.1f} a second, {a_second * sizes[0] / 1000:.1f} kB in")
-        assert a_second * sum(sizes) <= 10_000
+        assert messages_per_s * sum(sizes) <= 10_000
         assert max(sizes) <= MAX_DATAGRAM_BYTES / 4
