--- a/tests/limit_worlds.py
+++ b/tests/limit_worlds.py
@@ -11,7 +11,7 @@
 
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge_standins import operator
-from platform_fakes import FakeReplica, World
+from platform_fakes import FakeReplica, GatewayHarness
 from virtual_time import run_virtual
 
 # What the operators allow beyond a server's own word: in some four seconds one and a half times
@@ -74,15 +74,15 @@
     """
 
     def __init__(self, instances: int = 3, **settings: Any) -> None:
-        self.world = World(**settings)
-        others = [self.world.beside(f"g{number}") for number in range(1, instances)]
-        self.gateways = [self.world, *others]
+        self.harness = GatewayHarness(**settings)
+        others = [self.harness.add_gateway(f"g{number}") for number in range(1, instances)]
+        self.gateways = [self.harness, *others]
         self.outcomes: list[Outcome] = []
         self._asked = 0
 
-    def add(self, ident: str, service: str = "plain", phase: str = "", **more: Any) -> FakeReplica:
+    def add(self, ident: str, service: str = "plain", role: str = "", **more: Any) -> FakeReplica:
         """Add a server."""
-        return self.world.add(ident, service, phase, **more)
+        return self.harness.add_replica(ident, service, role, **more)
 
     async def ask(self, path: str, **more: Any) -> Outcome:
         """Send a request to the next instance."""
@@ -114,7 +114,7 @@
             await curio.sleep(SETTLED_S)
             await story()
 
-        run_virtual(self.world.play, settled, *routes, settle_s=0.003)
+        run_virtual(self.harness.run, settled, *routes, settle_s=0.003)
 
     def statuses(self) -> dict[int, int]:
         """Return how often each status was answered."""
@@ -124,4 +124,6 @@
 
 def most_arrivals(replica: FakeReplica, since: float = 0.0) -> int:
     """Return the most requests that reached a server within one window."""
-    return most_in_window(arrival.at for arrival in replica.arrivals if arrival.at >= since)
+    return most_in_window(
+        arrival.arrived_at for arrival in replica.arrivals if arrival.arrived_at >= since
+    )
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -1,6 +1,7 @@
-"""A store and replicas of the users' platform, each with faults that a test switches on.
+"""Fakes of the platform's metadata store and replicas, with faults that a test can switch on.
 
-They speak the platform's messages over loopback and run in the test's own kernel, under its clock.
+They speak the platform's protocol over loopback and run in the test's own curio kernel, under its
+virtual clock.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 from crankhinge_standins.store import StandinStore
 
 HOST = "127.0.0.1"
-SEAL = "x-server-seal"
+SERVER_SEAL = "x-server-seal"
 SERVICES = (
     operator.service("plain"),
     operator.service("fragile"),
@@ -46,62 +47,66 @@
 route = operator.route
 
 
-# Seconds after which the balancer takes silence for a miss.
-BALANCER_S = 1.0
+# Seconds after which the load balancer counts a readiness check without a response as failed.
+READINESS_TIMEOUT_S = 1.0
 
 
 def free_port() -> int:
-    """Return a TCP port that nobody listens on."""
+    """Return a TCP port on which no process listens."""
     return free_ports(1)[0]
 
 
-class Lines:
-    """Collects log lines."""
+class LogCapture:
+    """A text stream that keeps the log lines written to it."""
 
     def __init__(self) -> None:
-        self.text: list[str] = []
+        self.lines: list[str] = []
 
     def write(self, text: str) -> int:
-        """Take a line."""
-        self.text.append(text)
+        """Keep a line and return its length."""
+        self.lines.append(text)
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing."""
+        """Do nothing: lines are kept as they are written."""
 
-    def having(self, *words: str) -> list[str]:
-        """Return the lines that hold every one of *words*."""
-        return [line for line in self.text if all(word in line for word in words)]
+    def matching(self, *words: str) -> list[str]:
+        """Return the lines that contain all of *words*."""
+        return [line for line in self.lines if all(word in line for word in words)]
 
 
-async def refuse_bad(exchange: Exchange, exc: BadHttp) -> None:
-    """Answer a malformed request."""
+async def respond_bad_request(exchange: Exchange, exc: BadHttp) -> None:
+    """Respond to a malformed request with 400 and the reason."""
     await exchange.respond(400, exc.detail.encode())
 
 
-def config(
+def make_config(
     version: int, *routes: dict[str, Any], tenants: Iterable[dict[str, Any]] | None = None
 ) -> dict[str, Any]:
-    """Return a configuration with the services that the tests use."""
+    """Return a configuration with these routes and the services that the tests use."""
     return operator.config(version, routes, SERVICES, tenants)
 
 
 class FakeStore(StandinStore):
-    """The metadata store, on a port of its own; entries of servers never lapse by themselves."""
+    """The metadata store on its own port; server entries never lapse by themselves.
+
+    Attributes:
+        refused_path: path whose calls get status 503; empty for none.
+    """
 
     def __init__(self, history_s: float = 0.0) -> None:
         super().__init__(HOST, free_port(), history_s=history_s)
-        self.refused = ""
+        self.refused_path = ""
 
     async def _dispatch(self, method: str, path: str, query: Any, body: bytes) -> tuple[int, Any]:
-        """Answer a call, unless calls to its path are refused."""
-        if path == self.refused:
+        """Respond to a call; 503 if calls to its path are refused."""
+        if path == self.refused_path:
             return 503, {}
         return await super()._dispatch(method, path, query, body)
 
     @property
     def down(self) -> bool:
-        """Whether connections are reset without an answer."""
+        """Whether connections are reset without a response."""
         return bool(self.faults.down)
 
     @down.setter
@@ -111,18 +116,18 @@
 
 @dataclass
 class Arrival:
-    """A request as a replica got it."""
+    """A request as a replica received it."""
 
-    ident: str
-    at: float
+    request_id: str
+    arrived_at: float
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
 
 
-def lone_desk(name: str, log: Any) -> QuarantineDesk:
-    """Return what keeps requests from servers, at an instance that has nobody to tell."""
+def make_standalone_quarantine(name: str, log: Any) -> QuarantineDesk:
+    """Return the quarantine service of an instance without peers."""
     return QuarantineDesk(
         name=name,
         members=Membership(name, 0.0),
@@ -132,12 +137,12 @@
     )
 
 
-def lone_backends(log: Any, *servers: Server) -> Backends:
-    """Return the connections of an instance that knows these servers."""
-    known = ServerList()
-    known.apply_list(servers, 0.0, was_unreachable=False)
+def make_standalone_backends(log: Any, *servers: Server) -> Backends:
+    """Return the backends of an instance whose list has these servers."""
+    server_list = ServerList()
+    server_list.apply_list(servers, 0.0, was_unreachable=False)
     return Backends(
-        servers=known,
+        servers=server_list,
         dialect=PlatformDialect(),
         zone="z1",
         log=log,
@@ -146,128 +151,138 @@
     )
 
 
-class Passes(Authenticator):
-    """Lets every request pass."""
+class AllowAllAuthenticator(Authenticator):
+    """Accepts every request."""
 
     def __init__(self) -> None:
         pass
 
     def check(self, relay: Relay, now: float) -> None:
-        """Let it pass."""
+        """Accept the request."""
 
 
-PASSES = Passes()
+ALLOW_ALL = AllowAllAuthenticator()
 
 
 @dataclass(frozen=True)
-class LoneLimits:
-    """What keeps to servers' limits, at an instance that has nobody to ask."""
+class StandaloneLimits:
+    """The services that enforce servers' advertised limits, at an instance without peers."""
 
     news: LimitNews
     permits: Permits
 
 
-def lone_limits(
-    name: str, backends: Backends, log: Any, members: Membership | None = None
-) -> LoneLimits:
-    """Return what keeps to servers' limits, at an instance that has nobody to ask."""
-    members = members or Membership(name, 0.0)
-    shared = SharedLimits(name=name, membership=members, incarnation=1, now=0.0)
+def make_standalone_limits(
+    name: str, backends: Backends, log: Any, membership: Membership | None = None
+) -> StandaloneLimits:
+    """Return the services that enforce servers' limits, at an instance without peers."""
+    membership = membership or Membership(name, 0.0)
+    shared = SharedLimits(name=name, membership=membership, incarnation=1, now=0.0)
     notices = Notices(address="", peers=list, log=log)
     news = LimitNews(shared=shared, backends=backends, notices=notices, log=log)
     permits = Permits(
         name=name,
         shared=shared,
         news=news,
-        members=members,
+        members=membership,
         backends=backends,
         notices=notices,
         log=log,
         metrics=Metrics(prefix="t"),
     )
-    return LoneLimits(news, permits)
+    return StandaloneLimits(news, permits)
 
 
-Behave = Callable[["FakeReplica", Exchange], Awaitable[None]]
+RequestHandler = Callable[["FakeReplica", Exchange], Awaitable[None]]
 
 
-async def sealed(replica: FakeReplica, exchange: Exchange) -> None:
-    """Run the request and answer it whole."""
+async def respond_ok(replica: FakeReplica, exchange: Exchange) -> None:
+    """Run the request and respond with 200 and a complete body."""
     await exchange.respond_with_fields(
-        200, replica.head(exchange), b"whole:" + replica.ident.encode()
+        200, replica.response_fields(exchange), b"whole:" + replica.incarnation_id.encode()
     )
 
 
-def events(first: int, last: int) -> bytes:
-    """Return events *first* to *last* of a stream."""
+def make_events(first: int, last: int) -> bytes:
+    """Return the bytes of the events *first* to *last* of a stream."""
     return b"".join(b"id: %d\ndata: x\n\n" % number for number in range(first, last + 1))
 
 
-async def stream(replica: FakeReplica, exchange: Exchange) -> None:
-    """Answer with five events, from the one after Last-Event-Id."""
-    begin = int(exchange.req.headers.get("last-event-id", "0")) + 1
-    await exchange.start_with_fields(200, replica.head(exchange))
-    await exchange.write(events(begin, 5))
+async def respond_stream(replica: FakeReplica, exchange: Exchange) -> None:
+    """Respond with the events after Last-Event-Id, up to the fifth."""
+    first = int(exchange.req.headers.get("last-event-id", "0")) + 1
+    await exchange.start_with_fields(200, replica.response_fields(exchange))
+    await exchange.write(make_events(first, 5))
     await exchange.finish()
 
 
 async def crash(replica: FakeReplica, exchange: Exchange) -> None:
-    """End the server's process: its connections close and nobody listens at its address."""
+    """End the server's process: its connections close and its address refuses new ones."""
     await replica.crash()
 
 
 @dataclass
 class FakeReplica:
-    """One replica.
+    """A fake backend server.
 
     Attributes:
-        store: where its entry lies.
-        ident: its id.
-        service: what it serves.
-        phase: prefill, decode or empty.
-        behave: what it does with a request that it runs.
-        room: reservations that it grants.
-        busy: whether it follows an order.
-        dark: whether it answers no side call.
-        report_s: seconds that it takes to report its state.
-        crashes_on_reading: body of the request whose prompt ends the process.
-        limit: what it names as the requests a second that it takes; None for nothing.
-        leaving: whether it says in its answers that it leaves.
-        read: what it does with a prompt to read, where that is not the usual.
-        back_s: seconds after a crash until it is back, as a new server at the same address;
+        store: the store that holds its entry.
+        incarnation_id: id of its current incarnation, which is the key of its entry.
+        service: name of the service that it runs.
+        role: engine role, "prefill" or "decode"; empty for a plain server.
+        handler: responds to a request that is executed.
+        free_reservations: number of KV reservations that it still grants.
+        arrivals: the requests that it received, except side calls.
+        side_calls: method and path of each side call that it received.
+        orders: the role orders that it received.
+        prefill_s: seconds that processing a prompt takes.
+        order_status: status of its responses to orders; 0 to close without a response.
+        refuses_prefill: whether it refuses to process prompts, as not executed.
+        busy: whether it reports that it is carrying out an order.
+        ignores_side_calls: whether side calls get no response.
+        report_delay_s: seconds until it responds to a request for its state.
+        sequence: sequence number of its last entry.
+        start_time_ms: start time in its entry; None to leave it out.
+        advertised_limit: value of its limit header in requests per second; None for no header.
+        leaving: whether its responses announce that it is leaving.
+        prefill_handler: responds to a prefill request in place of the default response.
+        crash_on_prompt: request body whose prefill ends the process.
+        restart_s: seconds from a crash until it restarts as a new incarnation at the same address;
             infinite for never.
+        incarnations: number of incarnations so far.
+        crashed: set when the current incarnation has crashed.
     """
 
     store: FakeStore
-    ident: str
+    incarnation_id: str
     service: str
-    phase: str = ""
-    behave: Behave = sealed
-    room: int = 100
+    role: str = ""
+    handler: RequestHandler = respond_ok
+    free_reservations: int = 100
     port: int = field(default_factory=free_port)
     arrivals: list[Arrival] = field(default_factory=list)
     side_calls: list[str] = field(default_factory=list)
     orders: list[dict[str, Any]] = field(default_factory=list)
-    read_s: float = 0.0
+    prefill_s: float = 0.0
     order_status: int = 202
-    refuses_to_read: bool = False
+    refuses_prefill: bool = False
     busy: bool = False
-    dark: bool = False
-    report_s: float = 0.0
-    beat: int = 1
+    ignores_side_calls: bool = False
+    report_delay_s: float = 0.0
+    sequence: int = 1
     models: tuple[str, ...] = ()
-    born: int | None = None
-    limit: str | None = None
+    start_time_ms: int | None = None
+    advertised_limit: str | None = None
     leaving: bool = False
-    read: Behave | None = None
-    crashes_on_reading: bytes | None = None
-    back_s: float = math.inf
-    lives: int = 1
+    prefill_handler: RequestHandler | None = None
+    crash_on_prompt: bytes | None = None
+    restart_s: float = math.inf
+    incarnations: int = 1
     crashed: curio.Event = field(default_factory=curio.Event)
 
-    async def enter(self, state: str = "ready", **other: Any) -> None:
-        """Write its entry; *other* stands for fields that another writer gives other values."""
-        self.beat += 1
+    async def publish_entry(self, state: str = "ready", **overrides: Any) -> None:
+        """Write its entry; *overrides* replaces or adds fields."""
+        self.sequence += 1
         entry: dict[str, Any] = {
             "service": self.service,
             "address": f"{HOST}:{self.port}",
@@ -276,63 +291,71 @@
             "slots": 64,
             "state": state,
             "cold_remaining_ms": 0,
-            "sequence": self.beat,
+            "sequence": self.sequence,
         }
-        if self.born is not None:
-            entry["born"] = self.born
-        if self.phase:
-            entry["phase"] = self.phase
+        if self.start_time_ms is not None:
+            entry["born"] = self.start_time_ms
+        if self.role:
+            entry["phase"] = self.role
             entry["models"] = [{"name": name, "version": 1, "adapters": []} for name in self.models]
-        entry.update(other)
-        await self.store.put(f"servers/{self.ident}", entry)
+        entry.update(overrides)
+        await self.store.put(f"servers/{self.incarnation_id}", entry)
 
     async def run(self) -> None:
-        """Serve until cancelled, one life after the other."""
+        """Serve until cancelled, one incarnation after the other."""
         while True:
             await run_until_first_ends(self._serve, self.crashed.wait)
-            if math.isinf(self.back_s):
+            if math.isinf(self.restart_s):
                 await curio.Event().wait()
-            await curio.sleep(self.back_s)
-            await self._begin_life()
+            await curio.sleep(self.restart_s)
+            await self._start_incarnation()
 
     async def _serve(self) -> None:
         await serve_http(
-            HOST, self.port, self._handle, on_malformed=refuse_bad, log=get_log(program="r")
+            HOST,
+            self.port,
+            self._handle,
+            on_malformed=respond_bad_request,
+            log=get_log(program="r"),
         )
 
-    async def _begin_life(self) -> None:
-        """Take a new identity; the entry of the last life has gone with it."""
-        await self.store.remove(f"servers/{self.ident}")
-        self.lives += 1
-        self.ident = f"{self.ident.partition('+')[0]}+{self.lives}"
+    async def _start_incarnation(self) -> None:
+        """Remove the entry of the last incarnation and publish one under a new id."""
+        await self.store.remove(f"servers/{self.incarnation_id}")
+        self.incarnations += 1
+        self.incarnation_id = f"{self.incarnation_id.partition('+')[0]}+{self.incarnations}"
         self.crashed = curio.Event()
-        await self.enter()
+        await self.publish_entry()
 
     async def crash(self) -> None:
-        """End the process."""
+        """End the process; never return."""
         await self.crashed.set()
         await curio.Event().wait()
 
-    def head(self, exchange: Exchange) -> list[tuple[str, str]]:
-        """Return the header fields of an answer to a request that was run."""
-        ident = exchange.req.headers["x-request-id"]
-        return [("x-request-id", ident), (SEAL, f"seal-{self.ident}"), *self.named]
+    def response_fields(self, exchange: Exchange) -> list[tuple[str, str]]:
+        """Return the header fields of the response to an executed request."""
+        request_id = exchange.req.headers["x-request-id"]
+        return [
+            ("x-request-id", request_id),
+            (SERVER_SEAL, f"seal-{self.incarnation_id}"),
+            *self.signal_fields,
+        ]
 
     @property
-    def named(self) -> list[tuple[str, str]]:
-        """The header fields in which it names its limit and that it leaves, if it does."""
-        limit = [] if self.limit is None else [("server-limit", self.limit)]
+    def signal_fields(self) -> list[tuple[str, str]]:
+        """Header fields that advertise its limit and announce that it is leaving, if set."""
+        limit = [] if self.advertised_limit is None else [("server-limit", self.advertised_limit)]
         return [*limit, ("server-leaving", "1")] if self.leaving else limit
 
     @property
-    def ran(self) -> list[str]:
-        """Identities of the requests that it was sent to run."""
-        return [arrival.ident for arrival in self.arrivals if "x-stage" not in arrival.headers]
+    def executed_ids(self) -> list[str]:
+        """Ids of the received requests that are not prefill requests."""
+        return [arrival.request_id for arrival in self.arrivals if "x-stage" not in arrival.headers]
 
     async def _handle(self, exchange: Exchange) -> None:
         req = exchange.req
         if req.path.startswith("/v1/"):
-            await self._side(exchange)
+            await self._handle_side_call(exchange)
             return
         self.arrivals.append(
             Arrival(
@@ -344,55 +367,57 @@
                 req.body,
             )
         )
-        if req.headers.get("x-expect-instance") != self.ident:
-            await exchange.respond_with_fields(421, [("x-instance-id", self.ident)], b"")
-        elif "x-stage" in req.headers and self.read is not None:
-            await self.read(self, exchange)
-        elif "x-stage" in req.headers and self.refuses_to_read:
-            ident = ("x-request-id", req.headers["x-request-id"])
-            await exchange.respond_with_fields(503, [ident, ("x-not-executed", "1")], b"")
-        elif "x-stage" in req.headers and self.crashes_on_reading == req.body:
+        if req.headers.get("x-expect-instance") != self.incarnation_id:
+            await exchange.respond_with_fields(421, [("x-instance-id", self.incarnation_id)], b"")
+        elif "x-stage" in req.headers and self.prefill_handler is not None:
+            await self.prefill_handler(self, exchange)
+        elif "x-stage" in req.headers and self.refuses_prefill:
+            id_field = ("x-request-id", req.headers["x-request-id"])
+            await exchange.respond_with_fields(503, [id_field, ("x-not-executed", "1")], b"")
+        elif "x-stage" in req.headers and self.crash_on_prompt == req.body:
             await self.crash()
         elif "x-stage" in req.headers:
-            await curio.sleep(self.read_s)
+            await curio.sleep(self.prefill_s)
             handle = f"h{len(self.arrivals)}"
             body = json.dumps({"kv_handle": handle, "tokens": 1, "version": 1}).encode()
-            ident = ("x-request-id", req.headers["x-request-id"])
-            await exchange.respond_with_fields(200, [ident, *self.named], body)
+            id_field = ("x-request-id", req.headers["x-request-id"])
+            await exchange.respond_with_fields(200, [id_field, *self.signal_fields], body)
         else:
-            await self.behave(self, exchange)
+            await self.handler(self, exchange)
 
-    async def _side(self, exchange: Exchange) -> None:
-        if self.dark:
+    async def _handle_side_call(self, exchange: Exchange) -> None:
+        if self.ignores_side_calls:
             await exchange.wait_for_disconnect()
         self.side_calls.append(f"{exchange.req.method} {exchange.req.path}")
         if exchange.req.path == "/v1/hold-take":
-            if self.room <= 0:
+            if self.free_reservations <= 0:
                 await exchange.respond(503, b"{}")
                 return
-            self.room -= 1
-            await exchange.respond(200, json.dumps({"hold": f"hold{self.room}"}).encode())
+            self.free_reservations -= 1
+            await exchange.respond(
+                200, json.dumps({"hold": f"hold{self.free_reservations}"}).encode()
+            )
         elif exchange.req.path == "/v1/report":
-            await curio.sleep(self.report_s)
-            report = {"phase": self.phase, "sequence": len(self.orders), "busy": self.busy}
+            await curio.sleep(self.report_delay_s)
+            report = {"phase": self.role, "sequence": len(self.orders), "busy": self.busy}
             await exchange.respond(200, json.dumps(report).encode())
         elif exchange.req.path == "/v1/order":
             self.orders.append(json.loads(exchange.req.body))
             if not self.order_status:
-                raise HttpClosed("the answer is lost")
+                raise HttpClosed("the response is lost")
             await exchange.respond(self.order_status, b"{}")
         else:
             await exchange.respond(200, b"{}")
 
 
-class World:
-    """A store, replicas and a gateway, or several, in the test's kernel.
+class GatewayHarness:
+    """A store, replicas and one or more gateways in the test's kernel.
 
     Args:
-        history_s: seconds for which the store remembers changes; 0 for ever.
+        history_s: seconds for which the store keeps its history of changes; 0 for no limit.
         tenants: client accounts of the first configuration.
-        name: of the gateway.
-        settings: of the gateway, where they are not the usual ones.
+        name: name of the gateway.
+        settings: gateway settings that differ from the defaults of the tests.
     """
 
     def __init__(
@@ -407,62 +432,67 @@
         self._settings = settings
         self.store = FakeStore(history_s)
         self.replicas: list[FakeReplica] = []
-        self.lines = Lines()
+        self.logs = LogCapture()
         self.port = free_port()
         self.ready_port = free_port()
         self.peer_port = free_port()
         self.stopping = curio.Event()
-        self.ended = False
-        self.others: list[World] = []
+        self.gateway_ended = False
+        self.other_gateways: list[GatewayHarness] = []
         self._killed = curio.Event()
         self._client = HttpClient(HOST, self.port)
 
-    def add(self, ident: str, service: str, phase: str = "", **more: Any) -> FakeReplica:
-        """Add a replica; call before :meth:`play`."""
-        replica = FakeReplica(self.store, ident, service, phase, **more)
+    def add_replica(
+        self, incarnation_id: str, service: str, role: str = "", **options: Any
+    ) -> FakeReplica:
+        """Add a replica; call before :meth:`run`."""
+        replica = FakeReplica(self.store, incarnation_id, service, role, **options)
         self.replicas.append(replica)
         return replica
 
-    def beside(self, name: str) -> World:
-        """Add a gateway at the same store; call before :meth:`play`."""
-        other = World(name=name, **self._settings)
+    def add_gateway(self, name: str) -> GatewayHarness:
+        """Add a gateway that uses the same store; call before :meth:`run`."""
+        other = GatewayHarness(name=name, **self._settings)
         other.store = self.store
-        self.others.append(other)
+        self.other_gateways.append(other)
         return other
 
-    async def play(self, story: Callable[[], Awaitable[None]], *routes: dict[str, Any]) -> None:
-        """Start everything, wait until the gateway is ready, run *story*."""
+    async def run(self, scenario: Callable[[], Awaitable[None]], *routes: dict[str, Any]) -> None:
+        """Start all parts, wait until the gateways are ready, then run *scenario*."""
         if routes:
-            await self.store.put("op/config", config(1, *routes, tenants=self._tenants))
+            await self.store.put("op/config", make_config(1, *routes, tenants=self._tenants))
         for replica in self.replicas:
-            await replica.enter()
+            await replica.publish_entry()
 
-        async def told() -> None:
-            for world in gateways if routes else ():
-                while await world.readiness() != 200:
+        async def run_when_ready() -> None:
+            for gateway in gateways if routes else ():
+                while await gateway.get_readiness() != 200:
                     await curio.sleep(0.05)
-            await story()
+            await scenario()
 
-        gateways = [self, *self.others]
+        gateways = [self, *self.other_gateways]
         replicas = (replica.run for replica in self.replicas)
         await run_until_first_ends(
-            self.store.run, *replicas, *(each.lives for each in gateways), told
+            self.store.run,
+            *replicas,
+            *(gateway.run_with_restarts for gateway in gateways),
+            run_when_ready,
         )
 
-    async def lives(self) -> None:
-        """Run the gateway, and again whenever it was killed."""
+    async def run_with_restarts(self) -> None:
+        """Run the gateway; restart it each time it is killed."""
         while True:
-            await run_until_first_ends(self.gateway, self._killed.wait)
+            await run_until_first_ends(self.run_gateway, self._killed.wait)
             self._killed = curio.Event()
 
-    async def kill(self) -> None:
-        """End the gateway's process without notice; it starts again at once."""
+    async def kill_gateway(self) -> None:
+        """End the gateway abruptly; return when it has restarted and is ready."""
         await self._killed.set()
-        while await self.readiness() != 200:
+        while await self.get_readiness() != 200:
             await curio.sleep(0.05)
 
-    async def gateway(self) -> None:
-        """Run the gateway; it goes on until the story ends, also after it has stopped."""
+    async def run_gateway(self) -> None:
+        """Run the gateway; after it has stopped, wait until the scenario ends."""
         settings = GatewaySettings(
             name=self.name,
             zone="z1",
@@ -473,56 +503,65 @@
             peer=f"{HOST}:{self.peer_port}",
             **self._settings,
         )
-        log = get_log(program="gateway", stream=self.lines)
+        log = get_log(program="gateway", stream=self.logs)
 
-        def make(settings: GatewaySettings, log: Any) -> Platform:
+        def make_platform(settings: GatewaySettings, log: Any) -> Platform:
             store = StoreClient(*split_host_port(settings.source))
-            office = PlatformOrderLeaseStore(store, settings.order_lease_s)
-            board = PlatformInstanceRegistry(store, 45.0, log)
-            return Platform(PlatformDialect(), PlatformDiscoverySource(store, log), office, board)
+            order_leases = PlatformOrderLeaseStore(store, settings.order_lease_s)
+            registry = PlatformInstanceRegistry(store, 45.0, log)
+            return Platform(
+                PlatformDialect(), PlatformDiscoverySource(store, log), order_leases, registry
+            )
 
-        await serve(settings, log, self.stopping, make_platform=make)
-        self.ended = True
+        await serve(settings, log, self.stopping, make_platform=make_platform)
+        self.gateway_ended = True
         await curio.Event().wait()
 
-    async def readiness(self) -> int:
-        """Return what the balancer is told; 0 for nothing in its time."""
+    async def get_readiness(self) -> int:
+        """Return the status of the readiness check; 0 if it fails or times out."""
         client = HttpClient(HOST, self.ready_port)
         try:
-            answer = await curio.timeout_after(BALANCER_S, client.call, "GET", "/readyz")
+            response = await curio.timeout_after(READINESS_TIMEOUT_S, client.call, "GET", "/readyz")
         except (HttpClosed, curio.TaskTimeout):
             return 0
-        return int(answer.status)
+        return int(response.status)
 
     async def open(
         self,
-        ident: str,
+        request_id: str,
         path: str,
         *,
         method: str = "POST",
         body: bytes = b"b",
-        fresh: bool = False,
-        **more: str,
+        new_connection: bool = False,
+        **fields: str,
     ) -> ClientStream:
-        """Send a request as a client does; names of more headers are written with underscores.
+        """Send a request as a caller does.
 
         Args:
-            ident: identity of the attempt.
+            request_id: id of the attempt.
             path: path and query.
             method: HTTP method.
             body: the whole body.
-            fresh: use a new connection.
-            more: header fields.
+            new_connection: use a new connection.
+            fields: header fields.
         """
-        extra = {name.replace("_", "-"): value for name, value in more.items()}
-        headers = {"host": "h.example", "x-request-id": ident, "x-deadline-ms": "4000", **extra}
+        extra_fields = {name.replace("_", "-"): value for name, value in fields.items()}
+        headers = {
+            "host": "h.example",
+            "x-request-id": request_id,
+            "x-deadline-ms": "4000",
+            **extra_fields,
+        }
         return await self._client.open(
-            method, path, headers=headers, body=body, new_connection=fresh
+            method, path, headers=headers, body=body, new_connection=new_connection
         )
 
-    async def call(self, ident: str, path: str, **more: Any) -> tuple[int, dict[str, str], bytes]:
-        """Send a request and return status, headers and body of its answer."""
-        answer = await self.open(ident, path, **more)
-        body = await answer.read_all()
-        await answer.close()
-        return answer.status, dict(answer.headers), body
+    async def call(
+        self, request_id: str, path: str, **options: Any
+    ) -> tuple[int, dict[str, str], bytes]:
+        """Send a request and return status, headers and body of its response."""
+        response = await self.open(request_id, path, **options)
+        body = await response.read_all()
+        await response.close()
+        return response.status, dict(response.headers), body
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -19,7 +19,7 @@
 )
 from crankhinge.gateway._backends import Backends
 from crankhinge.runtime import Metrics, get_log
-from platform_fakes import Lines
+from platform_fakes import LogCapture
 
 
 def engine(ident: str, phase: EngineRole) -> Server:
@@ -36,7 +36,7 @@
         servers=known,
         dialect=dialect,
         zone="z",
-        log=get_log(program="t", stream=Lines()),
+        log=get_log(program="t", stream=LogCapture()),
         metrics=Metrics(prefix="t"),
         rng=random.Random(1),
         **more,
--- a/tests/test_born_again.py
+++ b/tests/test_born_again.py
@@ -7,7 +7,7 @@
 import curio
 import pytest
 
-from platform_fakes import World, free_port, route, stream
+from platform_fakes import GatewayHarness, free_port, respond_stream, route
 from virtual_time import run_virtual
 
 ONCE = route("r-once", "/once/", "unsafe", "plain")
@@ -16,9 +16,9 @@
 BORN = 1_780_000_000_000
 
 
-def play(world: World, story: Any) -> None:
+def play(harness: GatewayHarness, story: Any) -> None:
     """Run *story* under a clock that jumps."""
-    run_virtual(world.play, story, ONCE, STREAM, settle_s=0.003)
+    run_virtual(harness.run, story, ONCE, STREAM, settle_s=0.003)
 
 
 class TestBornAgain:
@@ -30,70 +30,72 @@
 
     def test_is_used_at_its_new_address(self) -> None:
         """Its lower count does not matter."""
-        world = World()
-        old = world.add("i-p", "plain", beat=50, born=BORN)
-        new = world.add("i-p", "plain", beat=0, born=BORN + 5000)
+        harness = GatewayHarness()
+        old = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=BORN)
+        new = harness.add_replica("i-p", "plain", sequence=0, start_time_ms=BORN + 5000)
 
         async def story() -> None:
-            await old.enter()
+            await old.publish_entry()
             await curio.sleep(2.0)
-            await new.enter()
+            await new.publish_entry()
             await curio.sleep(2.0)
-            assert (await world.call("a", "/once/a"))[0] == 200
-            assert (old.ran, new.ran) == ([], ["a"])
+            assert (await harness.call("a", "/once/a"))[0] == 200
+            assert (old.executed_ids, new.executed_ids) == ([], ["a"])
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
 
     def test_is_used_after_its_entry_had_gone(self) -> None:
         """As a new server is."""
-        world = World()
-        server = world.add("i-p", "plain", beat=50, born=BORN)
+        harness = GatewayHarness()
+        server = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=BORN)
 
         async def story() -> None:
-            await world.store.remove("servers/i-p")
+            await harness.store.remove("servers/i-p")
             await curio.sleep(0.2)
-            server.beat, server.born = 0, BORN + 5000
-            await server.enter()
+            server.sequence, server.start_time_ms = 0, BORN + 5000
+            await server.publish_entry()
             await curio.sleep(0.2)
-            assert (await world.call("a", "/once/a"))[0] == 200
+            assert (await harness.call("a", "/once/a"))[0] == 200
 
-        play(world, story)
+        play(harness, story)
 
     def test_an_entry_of_an_earlier_life_that_was_written_late_changes_nothing(self) -> None:
         """Whatever its count, also after the later life has gone."""
-        world = World()
-        old = world.add("i-p", "plain", beat=50, born=BORN)
-        new = world.add("i-p", "plain", beat=0, born=BORN + 5000)
+        harness = GatewayHarness()
+        old = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=BORN)
+        new = harness.add_replica("i-p", "plain", sequence=0, start_time_ms=BORN + 5000)
 
         async def story() -> None:
-            await new.enter()
+            await new.publish_entry()
             await curio.sleep(2.0)
-            await old.enter()
+            await old.publish_entry()
             await curio.sleep(2.0)
-            assert (await world.call("a", "/once/a"))[0] == 200
-            assert new.ran == ["a"]
-            await world.store.remove("servers/i-p")
+            assert (await harness.call("a", "/once/a"))[0] == 200
+            assert new.executed_ids == ["a"]
+            await harness.store.remove("servers/i-p")
             await curio.sleep(0.2)
-            await old.enter()
+            await old.publish_entry()
             await curio.sleep(0.2)
-            assert (await world.call("b", "/once/a"))[0] == 503
+            assert (await harness.call("b", "/once/a"))[0] == 503
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
 
     def test_what_was_seen_of_an_earlier_life_is_forgotten(self) -> None:
         """An engine that followed an order, or that was full, is neither after its start."""
-        world = World()
-        writer = world.add("i-w", "llm", "decode", behave=stream, room=0, born=BORN)
+        harness = GatewayHarness()
+        writer = harness.add_replica(
+            "i-w", "llm", "decode", handler=respond_stream, free_reservations=0, start_time_ms=BORN
+        )
 
         async def story() -> None:
-            assert (await world.call("a", "/stream/a", **TOKENS, x_deadline_ms="600"))[0] == 503
-            writer.room, writer.beat, writer.born = 5, 0, BORN + 5000
-            await writer.enter()
+            assert (await harness.call("a", "/stream/a", **TOKENS, x_deadline_ms="600"))[0] == 503
+            writer.free_reservations, writer.sequence, writer.start_time_ms = 5, 0, BORN + 5000
+            await writer.publish_entry()
             await curio.sleep(0.1)
-            assert (await world.call("b", "/stream/a", **TOKENS))[0] == 200
-            assert world.lines.having("event=server_gone", "why=born_again")
+            assert (await harness.call("b", "/stream/a", **TOKENS))[0] == 200
+            assert harness.logs.matching("event=server_gone", "why=born_again")
 
-        play(world, story)
+        play(harness, story)
 
 
 STRANGE: list[dict[str, Any]] = [
@@ -137,46 +139,46 @@
         self._play({field: ...})
 
     def _play(self, other: dict[str, Any]) -> None:
-        world = World()
-        strange = world.add("i-s", "plain", born=BORN)
-        sound = world.add("i-p", "plain", born=BORN, port=free_port())
+        harness = GatewayHarness()
+        strange = harness.add_replica("i-s", "plain", start_time_ms=BORN)
+        sound = harness.add_replica("i-p", "plain", start_time_ms=BORN, port=free_port())
 
         async def story() -> None:
             if ... in other.values():
-                await world.store.put("servers/i-s", _without(next(iter(other)), strange.port))
+                await harness.store.put("servers/i-s", _without(next(iter(other)), strange.port))
             else:
-                await strange.enter(**other)
-            await sound.enter("draining")
+                await strange.publish_entry(**other)
+            await sound.publish_entry("draining")
             await curio.sleep(2.0)
-            assert (await world.call("a", "/once/a"))[0] == 503
-            await sound.enter()
+            assert (await harness.call("a", "/once/a"))[0] == 503
+            await sound.publish_entry()
             await curio.sleep(2.0)
-            assert (await world.call("b", "/once/a"))[0] == 200
-            assert (strange.ran, sound.ran) == ([], ["b"])
-            await strange.enter()
-            await sound.enter("draining")
+            assert (await harness.call("b", "/once/a"))[0] == 200
+            assert (strange.executed_ids, sound.executed_ids) == ([], ["b"])
+            await strange.publish_entry()
+            await sound.publish_entry("draining")
             await curio.sleep(2.0)
-            assert (await world.call("c", "/once/a"))[0] == 200
-            assert strange.ran == ["c"]
+            assert (await harness.call("c", "/once/a"))[0] == 200
+            assert strange.executed_ids == ["c"]
 
-        play(world, story)
+        play(harness, story)
 
     def test_bytes_that_are_no_entry_name_no_server_to_use(self) -> None:
         """Neither by themselves nor in the place of a known entry."""
-        world = World()
-        strange = world.add("i-s", "plain")
-        sound = world.add("i-p", "plain")
+        harness = GatewayHarness()
+        strange = harness.add_replica("i-s", "plain")
+        sound = harness.add_replica("i-p", "plain")
 
         async def story() -> None:
             for key in ("servers/i-s", "servers/", "servers/i-t"):
-                await world.store.put(key, "bytes")
-            await sound.enter("draining")
+                await harness.store.put(key, "bytes")
+            await sound.publish_entry("draining")
             await curio.sleep(2.0)
-            assert (await world.call("a", "/once/a"))[0] == 503
-            assert (strange.ran, sound.ran) == ([], [])
-            assert world.lines.having("event=entry_unreadable")
+            assert (await harness.call("a", "/once/a"))[0] == 503
+            assert (strange.executed_ids, sound.executed_ids) == ([], [])
+            assert harness.logs.matching("event=entry_unreadable")
 
-        play(world, story)
+        play(harness, story)
 
 
 def _without(field: str, port: int) -> dict[str, Any]:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -14,7 +14,7 @@
     read_caller_attempts,
 )
 from crankhinge.ctl.main import main
-from platform_fakes import World, route
+from platform_fakes import GatewayHarness, route
 from virtual_time import run_virtual
 
 STREAM = route("r-stream", "/stream/", "streaming", "llm")
@@ -149,18 +149,18 @@
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         """One stream is answered in time, and one is refused for lack of KV memory."""
-        world = World()
-        world.add("i-reader", "llm", "prefill")
-        writer = world.add("i-writer", "llm", "decode")
+        harness = GatewayHarness()
+        harness.add_replica("i-reader", "llm", "prefill")
+        writer = harness.add_replica("i-writer", "llm", "decode")
 
         async def scenario() -> None:
-            assert (await world.call("served", "/stream/a", **TOKENS))[0] == 200
-            writer.room = 0
-            assert (await world.call("refused", "/stream/a", **TOKENS))[0] == 503
+            assert (await harness.call("served", "/stream/a", **TOKENS))[0] == 200
+            writer.free_reservations = 0
+            assert (await harness.call("refused", "/stream/a", **TOKENS))[0] == 503
 
-        run_virtual(world.play, scenario, STREAM, settle_s=0.003)
+        run_virtual(harness.run, scenario, STREAM, settle_s=0.003)
         path = tmp_path / "log"
-        path.write_text("".join(world.lines.text))
+        path.write_text("".join(harness.logs.lines))
         assert main(["callers", str(path)]) == 0
         rows = [row.split("|")[1:-1] for row in capsys.readouterr().out.splitlines()]
         whole = {name.strip(): cell.strip() for name, cell in zip(rows[0], rows[2], strict=True)}
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -7,7 +7,7 @@
 
 from crankhinge.errors import HttpClosed
 from crankhinge.http import ConnectFailed, Exchange, HttpClient
-from platform_fakes import FakeReplica, World, crash, route
+from platform_fakes import FakeReplica, GatewayHarness, crash, route
 from virtual_time import run_virtual
 
 ONCE = route("r-once", "/once/", "unsafe", "plain")
@@ -22,15 +22,15 @@
 
 def lines_after(behave: object, event: str) -> list[str]:
     """Return the lines of an event after a server cut a request."""
-    world = World()
-    world.add("i-1", "plain", behave=behave)
+    harness = GatewayHarness()
+    harness.add_replica("i-1", "plain", handler=behave)
 
     async def story() -> None:
-        assert (await world.call("a", "/once/a"))[0] == 502
+        assert (await harness.call("a", "/once/a"))[0] == 502
         await curio.sleep(LOOKED_S)
 
-    run_virtual(world.play, story, ONCE, settle_s=0.003)
-    return world.lines.having(f"event={event}", "server=i-1", "cut=1")
+    run_virtual(harness.run, story, ONCE, settle_s=0.003)
+    return harness.logs.matching(f"event={event}", "server=i-1", "cut=1")
 
 
 class TestCrashDetector:
@@ -56,24 +56,24 @@
         self, monkeypatch: pytest.MonkeyPatch, *, after_s: float, leaving: bool = False
     ) -> list[str]:
         """Return the lines of crashes when the entry went *after_s* after a request was cut."""
-        world = World()
-        server = world.add("i-1", "plain", behave=reset)
+        harness = GatewayHarness()
+        server = harness.add_replica("i-1", "plain", handler=reset)
 
         async def silent(client: HttpClient) -> bool:
             raise ConnectFailed("no connection in 0.35 s")
 
         async def story() -> None:
-            assert (await world.call("a", "/once/a"))[0] == 502
+            assert (await harness.call("a", "/once/a"))[0] == 502
             await curio.sleep(after_s)
             if leaving:
-                await server.enter("draining")
+                await server.publish_entry("draining")
                 await curio.sleep(LOOKED_S)
-            await world.store.remove("servers/i-1")
+            await harness.store.remove("servers/i-1")
             await curio.sleep(1.0)
 
         monkeypatch.setattr(HttpClient, "is_listening", silent)
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
-        return world.lines.having("event=server_crashed", "server=i-1", "why=entry_gone")
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
+        return harness.logs.matching("event=server_crashed", "server=i-1", "why=entry_gone")
 
     def test_soon_after_its_requests_were_cut_tells_a_crash(
         self, monkeypatch: pytest.MonkeyPatch
@@ -83,21 +83,21 @@
 
     def test_before_its_requests_are_known_to_be_cut_tells_a_crash(self) -> None:
         """An instance that stood still hears of both together; another life listens there."""
-        world = World()
+        harness = GatewayHarness()
 
         async def end_after_its_entry(replica: FakeReplica, exchange: Exchange) -> None:
-            await world.store.remove("servers/i-1")
+            await harness.store.remove("servers/i-1")
             await curio.sleep(1.0)
             raise HttpClosed("crash")
 
-        world.add("i-1", "plain", behave=end_after_its_entry)
+        harness.add_replica("i-1", "plain", handler=end_after_its_entry)
 
         async def story() -> None:
-            assert (await world.call("a", "/once/a"))[0] == 502
+            assert (await harness.call("a", "/once/a"))[0] == 502
             await curio.sleep(LOOKED_S)
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
-        assert world.lines.having("event=server_crashed", "why=entry_gone")
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
+        assert harness.logs.matching("event=server_crashed", "why=entry_gone")
 
     def test_long_after_tells_none(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """The cut had another cause."""
@@ -113,21 +113,21 @@
 
     def test_is_no_crash(self) -> None:
         """Nobody looks at it."""
-        world = World()
+        harness = GatewayHarness()
 
         async def leave_and_end(replica: FakeReplica, exchange: Exchange) -> None:
-            await replica.enter("draining")
+            await replica.publish_entry("draining")
             await curio.sleep(1.0)
             await replica.crash()
 
-        world.add("i-1", "plain", behave=leave_and_end)
+        harness.add_replica("i-1", "plain", handler=leave_and_end)
 
         async def story() -> None:
-            assert (await world.call("a", "/once/a"))[0] == 502
+            assert (await harness.call("a", "/once/a"))[0] == 502
             await curio.sleep(LOOKED_S)
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
-        assert not world.lines.having("event=server_crashed")
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
+        assert not harness.logs.matching("event=server_crashed")
 
 
 class TestFingerprint:
@@ -141,17 +141,17 @@
         self, path: str, body: bytes, same: bool
     ) -> None:
         """Path, query and body count; the identity of the attempt does not."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
         seen: list[str] = []
 
         async def story() -> None:
-            await world.call("first", "/once/a", body=b"b")
-            await world.call("second", path, body=body)
+            await harness.call("first", "/once/a", body=b"b")
+            await harness.call("second", path, body=body)
             await curio.sleep(LOOKED_S)
-            for line in world.lines.having("event=answered"):
+            for line in harness.logs.matching("event=answered"):
                 seen.append(line.split("fingerprint=")[1].split()[0])
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
         assert len(seen) == 2
         assert (seen[0] == seen[1]) is same
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -12,7 +12,7 @@
 from crankhinge.ctl.main import main
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.http import Exchange
-from platform_fakes import FakeReplica, World, crash, events, route
+from platform_fakes import FakeReplica, GatewayHarness, crash, make_events, route
 from virtual_time import run_virtual
 
 PAGE = Path(__file__).parent.parent / "docs" / "OPERATIONS.md"
@@ -30,38 +30,38 @@
 
 async def break_stream(replica: FakeReplica, exchange: Exchange) -> None:
     """Start a streamed response and close the connection in the middle."""
-    await exchange.start_with_fields(200, replica.head(exchange))
-    await exchange.write(events(1, 2))
+    await exchange.start_with_fields(200, replica.response_fields(exchange))
+    await exchange.write(make_events(1, 2))
     raise HttpClosed("crash")
 
 
 def make_log(path: Path) -> None:
     """Run requests that fail in five ways and write the gateway's log to *path*."""
-    world = World()
-    world.add("i-plain", "plain", behave=reset_connection)
-    world.add("i-reader", "llm", "prefill")
+    harness = GatewayHarness()
+    harness.add_replica("i-plain", "plain", handler=reset_connection)
+    harness.add_replica("i-reader", "llm", "prefill")
     for number in range(3):
-        world.add(f"i-c{number}", "fragile", behave=crash)
-    world.add("i-needy", "needy", limit="0")
-    writer = world.add("i-writer", "llm", "decode", behave=break_stream)
+        harness.add_replica(f"i-c{number}", "fragile", handler=crash)
+    harness.add_replica("i-needy", "needy", advertised_limit="0")
+    writer = harness.add_replica("i-writer", "llm", "decode", handler=break_stream)
 
     async def scenario() -> None:
-        assert (await world.call("unknown", "/once/a"))[0] == 502
-        answer = await world.open("cut", "/stream/a", **TOKENS)
+        assert (await harness.call("unknown", "/once/a"))[0] == 502
+        answer = await harness.open("cut", "/stream/a", **TOKENS)
         with pytest.raises((BadHttp, HttpClosed)):
             await answer.read_all()
         await curio.sleep(5.0)
-        writer.room = 0
-        assert (await world.call("refused", "/stream/a", **TOKENS))[0] == 503
+        writer.free_reservations = 0
+        assert (await harness.call("refused", "/stream/a", **TOKENS))[0] == 503
         for number in range(3):
-            assert (await world.call(f"crashed{number}", "/crash/a"))[0] == 502
+            assert (await harness.call(f"crashed{number}", "/crash/a"))[0] == 502
             await curio.sleep(1.0)
-        assert (await world.call("kept", "/crash/a"))[0] == 503
-        assert (await world.call("first", "/needy/a"))[0] == 200
-        assert (await world.call("over", "/needy/a"))[0] == 503
+        assert (await harness.call("kept", "/crash/a"))[0] == 503
+        assert (await harness.call("first", "/needy/a"))[0] == 200
+        assert (await harness.call("over", "/needy/a"))[0] == 503
 
-    run_virtual(world.play, scenario, ONCE, STREAM, CRASH, LIMITED, settle_s=0.003)
-    path.write_text("".join(world.lines.text))
+    run_virtual(harness.run, scenario, ONCE, STREAM, CRASH, LIMITED, settle_s=0.003)
+    path.write_text("".join(harness.logs.lines))
 
 
 class TestExplain:
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -26,7 +26,7 @@
 from crankhinge_platform.dialect import PlatformDialect
 from crankhinge_platform.source import decode_config, decode_server
 from crankhinge_platform.store import Item
-from platform_fakes import World, route
+from platform_fakes import GatewayHarness, route
 from virtual_time import run_virtual
 
 FIGURES = ("x-deadline-ms", "x-token-count", "length-hint")
@@ -73,16 +73,16 @@
     @pytest.mark.parametrize(("field", "text"), NO_FIGURES)
     def test_no_figure_is_a_bad_request(self, field: str, text: str) -> None:
         """Answered as such, sent to no server; the next request is served."""
-        world = World()
-        replica = world.add("i-1", "plain")
+        harness = GatewayHarness()
+        replica = harness.add_replica("i-1", "plain")
 
         async def story() -> None:
-            status, _, _ = await world.call("q1", "/once/a", **{field: text})
+            status, _, _ = await harness.call("q1", "/once/a", **{field: text})
             assert (status, len(replica.arrivals)) == (400, 0)
-            status, _, _ = await world.call("q2", "/once/a")
+            status, _, _ = await harness.call("q2", "/once/a")
             assert (status, len(replica.arrivals)) == (200, 1)
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
 
     @at_any_pace
     @given(st.dictionaries(st.sampled_from(FIGURES), texts))
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -24,7 +24,7 @@
 )
 from crankhinge.runtime import get_log, run_until_first_ends, serve_tcp
 from crankhinge_bench._procs import free_ports
-from platform_fakes import HOST, refuse_bad
+from platform_fakes import HOST, respond_bad_request
 from virtual_time import run_virtual
 
 ConnectionHandler = Callable[[Any], Awaitable[None]]
@@ -209,7 +209,13 @@
             log = get_log(program="t")
             limits = HttpLimits(send_timeout_s=SEND_TIMEOUT_S)
             serve = partial(
-                serve_http, HOST, port, respond, on_malformed=refuse_bad, log=log, limits=limits
+                serve_http,
+                HOST,
+                port,
+                respond,
+                on_malformed=respond_bad_request,
+                log=log,
+                limits=limits,
             )
             await run_until_first_ends(serve, run_client)
 
@@ -434,7 +440,7 @@
                     HOST,
                     port,
                     handle,
-                    on_malformed=refuse_bad,
+                    on_malformed=respond_bad_request,
                     log=get_log(program="t"),
                     limits=limits,
                 ),
--- a/tests/test_legs.py
+++ b/tests/test_legs.py
@@ -23,13 +23,13 @@
 from crankhinge_platform.source import decode_server
 from crankhinge_platform.store import Item
 from platform_fakes import (
+    ALLOW_ALL,
     HOST,
-    PASSES,
     FakeReplica,
-    World,
-    lone_backends,
-    lone_desk,
-    lone_limits,
+    GatewayHarness,
+    make_standalone_backends,
+    make_standalone_limits,
+    make_standalone_quarantine,
     route,
 )
 from virtual_time import run_virtual
@@ -53,7 +53,7 @@
     )
     value = base64.b64encode(entry.encode()).decode()
     server = decode_server(Item("servers/i-1", value=value))
-    backends = lone_backends(log, server)
+    backends = make_standalone_backends(log, server)
     req = HttpRequest(
         "GET", "/", {"x-request-id": "q"}, b"", (("host", "h"), ("x-request-id", "q"))
     )
@@ -65,27 +65,27 @@
         trial="",
         work=lambda *, read_only: "f",
     )
-    quarantine = lone_desk("g", log)
+    quarantine = make_standalone_quarantine("g", log)
     crashes = CrashDetector(backends=backends, on_crash=quarantine.crashed, log=log)
-    limits = lone_limits("g", backends, log)
-    legs = Legs(backends, PASSES, quarantine, crashes, limits.permits)
+    limits = make_standalone_limits("g", backends, log)
+    legs = Legs(backends, ALLOW_ALL, quarantine, crashes, limits.permits)
     return Way(legs, backends, cast(Relay, relay), server)
 
 
 def failing_after(failure: Exception) -> float:
     """Return the share of failures believed of a server after *failure* while its answer passed."""
     seen: list[float] = []
-    world = World()
-    replica: FakeReplica = world.add("i-1", "plain")
+    harness = GatewayHarness()
+    replica: FakeReplica = harness.add_replica("i-1", "plain")
 
     async def story() -> None:
-        way = way_to(replica, get_log(program="t", stream=world.lines))
+        way = way_to(replica, get_log(program="t", stream=harness.logs))
         with pytest.raises(type(failure)):
             async with way.legs.open(way.relay, way.server, AttemptParams("i-1", 1.0)):
                 raise failure
         seen.append(way.backends.standing("i-1").failure_share)
 
-    run_virtual(world.play, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
+    run_virtual(harness.run, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
     return seen[0]
 
 
@@ -104,17 +104,17 @@
     )
     def test_nothing_is_sent(self, bar: Callable[[Any], object]) -> None:
         """Whoever sends it chooses another."""
-        world = World()
-        replica = world.add("i-1", "plain")
+        harness = GatewayHarness()
+        replica = harness.add_replica("i-1", "plain")
 
         async def story() -> None:
-            way = way_to(replica, get_log(program="t", stream=world.lines))
+            way = way_to(replica, get_log(program="t", stream=harness.logs))
             bar(way)
             with pytest.raises(ServerBarred):
                 async with way.legs.open(way.relay, way.server, AttemptParams("i-1", 1.0)):
                     raise AssertionError("sent")
 
-        run_virtual(world.play, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
+        run_virtual(harness.run, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
         assert not replica.arrivals
 
 
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -22,7 +22,7 @@
 import curio
 import pytest
 
-from behaviours import break_off, fail
+from behaviours import break_stream, respond_error
 from crankhinge.http import Exchange
 from limit_worlds import (
     ONCE,
@@ -37,7 +37,7 @@
     most_arrivals,
     most_in_window,
 )
-from platform_fakes import Behave, FakeReplica, stream
+from platform_fakes import FakeReplica, RequestHandler, respond_stream
 
 # Requests a second that callers send, many times what the server takes, and for how long, seconds.
 ASKED_PER_S = 30.0
@@ -60,7 +60,7 @@
     def test_holds_for_the_sum_over_all_instances(self, instances: int) -> None:
         """What is over goes to the other servers, and every caller is served."""
         fleet = LimitedFleet(instances)
-        limited = fleet.add("i-limited", limit="2")
+        limited = fleet.add("i-limited", advertised_limit="2")
         others = [fleet.add(f"i-{number}") for number in range(2)]
 
         async def story() -> None:
@@ -74,8 +74,8 @@
     def test_holds_for_repeats(self) -> None:
         """A call that failed elsewhere is not repeated there beyond the limit."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="2")
-        fleet.add("i-failing", behave=fail)
+        limited = fleet.add("i-limited", advertised_limit="2")
+        fleet.add("i-failing", handler=respond_error)
 
         async def story() -> None:
             await fleet.ask_often("/safe/a", per_s=ASKED_PER_S, for_s=ASKED_S)
@@ -87,8 +87,15 @@
         """At the engine that writes."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="2",
+            handler=respond_stream,
+            free_reservations=10_000,
+        )
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         stream_often(fleet)
         assert most_arrivals(limited) <= allowed(2.0)
@@ -97,8 +104,8 @@
     def test_holds_for_prompts_read_apart(self) -> None:
         """At the engine that reads; what is over is read by the one that writes."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", "llm", "prefill", limit="2")
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        limited = fleet.add("i-limited", "llm", "prefill", advertised_limit="2")
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         stream_often(fleet)
         assert most_arrivals(limited) <= allowed(2.0)
@@ -117,7 +124,7 @@
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(asking)
                 await curio.sleep(3.0)
-                limited.limit, named_at = "2", await curio.clock()
+                limited.advertised_limit, named_at = "2", await curio.clock()
 
         fleet.play(story, ONCE)
         assert most_arrivals(limited, since=named_at + 0.5) <= allowed(2.0)
@@ -131,8 +138,15 @@
         """It broke off at one engine; the other one takes four requests a second."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
-        fleet.add("i-breaking", "llm", "decode", behave=break_off, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="4",
+            handler=respond_stream,
+            free_reservations=10_000,
+        )
+        fleet.add("i-breaking", "llm", "decode", handler=break_stream, free_reservations=10_000)
 
         async def story() -> None:
             await fleet.ask_often("/resumed/a", per_s=12.0, for_s=15.0, **TOKENS)
@@ -145,9 +159,9 @@
     def test_a_second_reading(self) -> None:
         """The first reader refuses; the second names a limit."""
         fleet = LimitedFleet()
-        fleet.add("i-refusing", "llm", "prefill", refuses_to_read=True)
-        limited = fleet.add("i-limited", "llm", "prefill", limit="2")
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        fleet.add("i-refusing", "llm", "prefill", refuses_prefill=True)
+        limited = fleet.add("i-limited", "llm", "prefill", advertised_limit="2")
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         stream_often(fleet)
         assert limited.arrivals
@@ -157,7 +171,14 @@
         """The engine that writes is asked to fetch the memory of a prompt by such a request."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="4",
+            handler=respond_stream,
+            free_reservations=10_000,
+        )
 
         stream_often(fleet)
         assert any("kv-from" in each.headers for each in limited.arrivals)
@@ -167,8 +188,15 @@
         """An engine without room is asked for some as rarely as it takes requests."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=4)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="2",
+            handler=respond_stream,
+            free_reservations=4,
+        )
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         stream_often(fleet)
         reserved = limited.side_calls.count("POST /v1/hold-take")
@@ -178,9 +206,11 @@
     def test_a_place_that_was_taken_before_the_limit_was_known(self) -> None:
         """Its prompt is read elsewhere meanwhile, and it is written by another engine."""
         fleet = LimitedFleet()
-        fleet.add("i-reader", "llm", "prefill", read_s=0.8)
-        limited = fleet.add("i-limited", "llm", "decode", behave=stream, room=10_000)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        fleet.add("i-reader", "llm", "prefill", prefill_s=0.8)
+        limited = fleet.add(
+            "i-limited", "llm", "decode", handler=respond_stream, free_reservations=10_000
+        )
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
         named_at = 0.0
 
         async def story() -> None:
@@ -189,7 +219,7 @@
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(asking)
                 await curio.sleep(2.0)
-                limited.limit, named_at = "0.5", await curio.clock()
+                limited.advertised_limit, named_at = "0.5", await curio.clock()
 
         fleet.play(story, STREAM)
         # The second word after it began comes with the first answer that names it.
@@ -205,17 +235,24 @@
         """They relieve it."""
         fleet = LimitedFleet()
         reader = fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="2",
+            handler=respond_stream,
+            free_reservations=10_000,
+        )
 
         async def story() -> None:
             await fleet.ask("/stream/a", **TOKENS)
             await curio.sleep(SETTLED_S)
-            reader.read_s = 0.8
+            reader.prefill_s = 0.8
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(fleet.ask, "/stream/a", **TOKENS))
                 await curio.sleep(0.4)
                 # It leaves while the prompt is read: the place there is given back.
-                await limited.enter("draining")
+                await limited.publish_entry("draining")
 
         fleet.play(story, STREAM)
         assert limited.side_calls.count("POST /v1/hold-take") == 2
@@ -224,7 +261,7 @@
 
 async def slow_or_named(replica: FakeReplica, exchange: Exchange) -> None:
     """Answer a certain request late, with what the server had to say when it began."""
-    head = replica.head(exchange)
+    head = replica.response_fields(exchange)
     await curio.sleep(1.0 if exchange.req.body == b"slow" else 0.0)
     await exchange.respond_with_fields(200, head, b"whole")
 
@@ -235,13 +272,13 @@
     def test_ends_with_the_first_answer_without_it(self) -> None:
         """A server that names none any more gets its part of everything again."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="1")
+        limited = fleet.add("i-limited", advertised_limit="1")
         ended_at = 0.0
 
         async def story() -> None:
             nonlocal ended_at
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
-            limited.limit = None
+            limited.advertised_limit = None
             await curio.sleep(4.0)
             ended_at = await curio.clock()
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
@@ -251,42 +288,44 @@
         assert len(since) == 4 * ASKED_PER_S
         assert all(each.status == 200 for each in since)
         for gateway in fleet.gateways:
-            assert gateway.lines.having("server_limit ", "per_s=", "was=1.0")
+            assert gateway.logs.matching("server_limit ", "per_s=", "was=1.0")
 
     def test_its_end_is_told_to_all(self) -> None:
         """An instance that sends nothing there at the time hears no answer of its own."""
         fleet = LimitedFleet(2)
-        limited = fleet.add("i-limited", limit="8")
+        limited = fleet.add("i-limited", advertised_limit="8")
         told = fleet.gateways[1]
 
         async def story() -> None:
             await fleet.ask("/once/a")
             await fleet.ask("/once/a")
-            limited.limit = None
+            limited.advertised_limit = None
             await curio.sleep(1.0)
             await fleet.ask("/once/a")
             await curio.sleep(0.1)
 
         fleet.play(story, ONCE)
-        assert told.lines.having("server_limit ", "per_s= ", "was=8.0", "told_by=127.0.0.1")
+        assert told.logs.matching("server_limit ", "per_s= ", "was=8.0", "told_by=127.0.0.1")
 
     @pytest.mark.parametrize(("first", "second"), [("1", "8"), ("8", "1")])
     def test_rises_and_falls_at_once(self, first: str, second: str) -> None:
         """Whatever was saved up by the old figure is not sent by the new one."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit=first)
+        limited = fleet.add("i-limited", advertised_limit=first)
         fleet.add("i-other")
         changed_at = 0.0
 
         async def story() -> None:
             nonlocal changed_at
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=8.0)
-            limited.limit, changed_at = second, await curio.clock()
+            limited.advertised_limit, changed_at = second, await curio.clock()
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=16.0)
 
         fleet.play(story, ONCE)
-        before = [each.at for each in limited.arrivals if each.at < changed_at]
-        since = [each.at for each in limited.arrivals if each.at >= changed_at + 0.5]
+        before = [each.arrived_at for each in limited.arrivals if each.arrived_at < changed_at]
+        since = [
+            each.arrived_at for each in limited.arrivals if each.arrived_at >= changed_at + 0.5
+        ]
         assert most_in_window(before) <= allowed(float(first))
         assert most_in_window(since) <= allowed(float(second))
         assert len(since) >= 0.8 * 15.5 * float(second)
@@ -295,7 +334,7 @@
     def test_below_one_a_second(self, limit: str) -> None:
         """It is tried now and then, so that the end of its need is seen."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit=limit)
+        limited = fleet.add("i-limited", advertised_limit=limit)
         fleet.add("i-other")
 
         async def story() -> None:
@@ -309,64 +348,64 @@
     def test_what_is_no_number_neither_begins_nor_ends_it(self) -> None:
         """The last figure stands, and without one nothing is known."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="lots")
+        limited = fleet.add("i-limited", advertised_limit="lots")
         fleet.add("i-other")
         named_at = 0.0
 
         async def story() -> None:
             nonlocal named_at
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=2.0)
-            limited.limit, named_at = "2", await curio.clock()
+            limited.advertised_limit, named_at = "2", await curio.clock()
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=3.0)
-            limited.limit = "nan"
+            limited.advertised_limit = "nan"
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=8.0)
 
         fleet.play(story, ONCE)
-        assert sum(each.at < named_at for each in limited.arrivals) >= 15
+        assert sum(each.arrived_at < named_at for each in limited.arrivals) >= 15
         assert most_arrivals(limited, since=named_at + 0.5) <= allowed(2.0)
 
     def test_is_not_ended_by_an_answer_to_an_earlier_request(self) -> None:
         """The server ran it from before it was in need, and its answer came late."""
         fleet = LimitedFleet(1)
-        limited = fleet.add("i-limited", behave=slow_or_named)
+        limited = fleet.add("i-limited", handler=slow_or_named)
 
         async def story() -> None:
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(fleet.ask, "/once/a", body=b"slow"))
                 await curio.sleep(0.2)
-                limited.limit = "2"
+                limited.advertised_limit = "2"
                 await fleet.ask("/once/a")
 
         fleet.play(story, ONCE)
         assert fleet.statuses() == {200: 2}
-        assert len(fleet.world.lines.having("event=server_limit ")) == 1
+        assert len(fleet.harness.logs.matching("event=server_limit ")) == 1
 
     def test_is_not_ended_by_a_refusal(self) -> None:
         """It may come from before the server itself, which names what it takes."""
         fleet = LimitedFleet(1)
-        limited = fleet.add("i-limited", limit="2")
+        limited = fleet.add("i-limited", advertised_limit="2")
 
         async def story() -> None:
             await fleet.ask("/once/a")
-            limited.behave = shed
+            limited.handler = shed
             await curio.sleep(2.0)
             await fleet.ask("/once/a")
 
         fleet.play(story, ONCE)
         assert fleet.statuses() == {200: 1, 503: 1}
-        assert len(fleet.world.lines.having("event=server_limit ")) == 1
+        assert len(fleet.harness.logs.matching("event=server_limit ")) == 1
 
     def test_is_not_that_of_the_next_life(self) -> None:
         """A server that starts again under its name has said nothing yet."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="0.25", born=1000)
+        limited = fleet.add("i-limited", advertised_limit="0.25", start_time_ms=1000)
         again_at = 0.0
 
         async def story() -> None:
             nonlocal again_at
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=2.0)
-            limited.limit, limited.born = None, 2000
-            await limited.enter()
+            limited.advertised_limit, limited.start_time_ms = None, 2000
+            await limited.publish_entry()
             await curio.sleep(1.0)
             again_at = await curio.clock()
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=2.0)
@@ -378,23 +417,23 @@
     def test_stands_while_its_entry_is_away(self) -> None:
         """Entries lapse with the store; the need of the server does not end with them."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="2")
+        limited = fleet.add("i-limited", advertised_limit="2")
         fleet.add("i-other")
         back_at = 0.0
 
         async def story() -> None:
             nonlocal back_at
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=3.0)
-            await fleet.world.store.remove("servers/i-limited")
+            await fleet.harness.store.remove("servers/i-limited")
             await curio.sleep(4.0)
-            await limited.enter()
+            await limited.publish_entry()
             await curio.sleep(0.5)
             back_at = await curio.clock()
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
 
         fleet.play(story, ONCE)
         assert most_arrivals(limited, since=back_at) <= allowed(2.0)
-        assert any(each.at >= back_at for each in limited.arrivals)
+        assert any(each.arrived_at >= back_at for each in limited.arrivals)
 
 
 class TestAllLimited:
@@ -403,7 +442,7 @@
     def test_what_is_over_is_refused_at_once(self) -> None:
         """Or is served within its target; nobody waits in vain."""
         fleet = LimitedFleet()
-        servers = [fleet.add(f"i-{number}", limit="2") for number in range(3)]
+        servers = [fleet.add(f"i-{number}", advertised_limit="2") for number in range(3)]
 
         async def story() -> None:
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=ASKED_S)
@@ -424,7 +463,7 @@
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         for number in range(2):
-            fleet.add(f"i-{number}", "llm", "decode", limit="0", behave=stream)
+            fleet.add(f"i-{number}", "llm", "decode", advertised_limit="0", handler=respond_stream)
 
         async def story() -> None:
             await fleet.ask_often("/stream/a", per_s=4.0, for_s=6.0, **TOKENS)
@@ -434,12 +473,12 @@
         assert len(refused) >= 15
         assert max(each.took_s for each in refused) <= 0.2
         assert min(each.back_s for each in refused) > 0.0
-        assert fleet.world.lines.having("request_failed", "code=server-at-limit")
+        assert fleet.harness.logs.matching("request_failed", "code=server-at-limit")
 
     def test_the_turn_of_a_caller_that_left_is_the_next_ones(self) -> None:
         """It was granted for half a second later, and not used."""
         fleet = LimitedFleet(1)
-        fleet.add("i-limited", limit="2")
+        fleet.add("i-limited", advertised_limit="2")
 
         async def story() -> None:
             await fleet.ask("/once/a")
@@ -457,7 +496,7 @@
     def test_whoever_comes_back_when_told_is_served(self) -> None:
         """Twelve callers at once before a server that takes two a second."""
         fleet = LimitedFleet()
-        fleet.add("i-limited", limit="2")
+        fleet.add("i-limited", advertised_limit="2")
         statuses: list[int] = []
 
         async def come() -> None:
@@ -484,35 +523,35 @@
     def test_one_that_starts_again_knows_the_limit(self) -> None:
         """Those that hand out for the server keep it in their notes."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="2")
+        limited = fleet.add("i-limited", advertised_limit="2")
         fleet.add("i-other")
 
         async def story() -> None:
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=4.0)
             await curio.sleep(3.0)
             for gateway in fleet.gateways:
-                await gateway.kill()
+                await gateway.kill_gateway()
             await curio.sleep(1.5)
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=6.0)
 
         fleet.play(story, ONCE)
         assert most_arrivals(limited) <= allowed(2.0)
         for gateway in fleet.gateways:
-            assert gateway.lines.having("server_limit ", "per_s=2.0", "told_by=note:")
+            assert gateway.logs.matching("server_limit ", "per_s=2.0", "told_by=note:")
 
     def test_one_whose_callers_all_left_is_told_by_the_others(self) -> None:
         """Callers that leave before the answer leave nothing to read it."""
         fleet = LimitedFleet(2)
-        fleet.add("i-limited", limit="2")
+        fleet.add("i-limited", advertised_limit="2")
         told = fleet.gateways[1]
 
         async def story() -> None:
-            await fleet.world.call("q", "/once/a")
+            await fleet.harness.call("q", "/once/a")
             await curio.sleep(0.1)
 
         fleet.play(story, ONCE)
-        assert told.lines.having("server_limit ", "server=i-limited", "per_s=2.0")
-        assert not told.lines.having("event=answered")
+        assert told.logs.matching("server_limit ", "server=i-limited", "per_s=2.0")
+        assert not told.logs.matching("event=answered")
 
 
 async def shed(replica: FakeReplica, exchange: Exchange, *told: tuple[str, str]) -> None:
@@ -531,10 +570,10 @@
     """A server that refuses requests at once, and so looks least busy."""
 
     @pytest.mark.parametrize(("behave", "most"), [(shed_for_now, 3), (shed, 5)])
-    def test_is_left_alone_for_a_while(self, behave: Behave, most: int) -> None:
+    def test_is_left_alone_for_a_while(self, behave: RequestHandler, most: int) -> None:
         """Until the time that it tells, or ever longer; the others serve meanwhile."""
         fleet = LimitedFleet(1)
-        shedding = fleet.add("i-shedding", behave=behave)
+        shedding = fleet.add("i-shedding", handler=behave)
         fleet.add("i-other")
 
         async def story() -> None:
--- a/tests/test_limits_relayed.py
+++ b/tests/test_limits_relayed.py
@@ -7,7 +7,7 @@
 import curio
 
 from crankhinge_standins.operator import account
-from platform_fakes import World, config, route, stream
+from platform_fakes import GatewayHarness, make_config, respond_stream, route
 from virtual_time import run_virtual
 
 ONCE = route("r-once", "/once/", "unsafe", "plain")
@@ -27,24 +27,28 @@
     """Several gateways before the same store and replicas."""
 
     def __init__(self, count: int, account: dict[str, Any]) -> None:
-        self.worlds = [
-            World(tenants=(account,), name=f"g{number}", **BOUNDS) for number in range(count)
+        self.harnesses = [
+            GatewayHarness(tenants=(account,), name=f"g{number}", **BOUNDS)
+            for number in range(count)
         ]
-        self.first = self.worlds[0]
-        for world in self.worlds[1:]:
-            world.store = self.first.store
+        self.first = self.harnesses[0]
+        for harness in self.harnesses[1:]:
+            harness.store = self.first.store
 
     def play(self, story: Any) -> None:
         """Run *story* once all instances know each other."""
 
         async def told() -> None:
-            tasks = [await curio.spawn(world.gateway, daemon=True) for world in self.worlds[1:]]
+            tasks = [
+                await curio.spawn(harness.run_gateway, daemon=True)
+                for harness in self.harnesses[1:]
+            ]
             await curio.sleep(8.0)
             await story()
             for task in tasks:
                 await task.cancel()
 
-        run_virtual(self.first.play, told, ONCE, STREAM, settle_s=0.003)
+        run_virtual(self.first.run, told, ONCE, STREAM, settle_s=0.003)
 
 
 class TestLimit:
@@ -53,7 +57,7 @@
     def test_one_instance_spends_what_all_may(self) -> None:
         """Its callers all came to it; an equal share would have refused half of them."""
         fleet = Instances(3, limited(1000, 2000))
-        fleet.first.add("i-p", "plain")
+        fleet.first.add_replica("i-p", "plain")
 
         async def story() -> None:
             for number in range(10):
@@ -64,19 +68,21 @@
     def test_the_sum_over_all_is_bounded_and_callers_are_told_when_to_come_back(self) -> None:
         """429 is "not run"; a caller that comes back when it was told to is served."""
         fleet = Instances(3, limited(1000, 2000))
-        replica = fleet.first.add("i-p", "plain")
+        replica = fleet.first.add_replica("i-p", "plain")
 
         async def story() -> None:
             statuses = []
             for number in range(30):
-                world = fleet.worlds[number % 3]
-                status, headers, _ = await world.call(f"q{number}", "/once/a", **SMALL)
+                harness = fleet.harnesses[number % 3]
+                status, headers, _ = await harness.call(f"q{number}", "/once/a", **SMALL)
                 statuses.append(status)
             assert set(statuses) == {200, 429}
-            assert len(replica.ran) <= 11
+            assert len(replica.executed_ids) <= 11
             await curio.sleep(float(headers["retry-after"]))
-            assert (await fleet.worlds[1].call("r", "/once/a", **SMALL))[0] == 200
-            lines = [line for world in fleet.worlds for line in world.lines.having("over_limit")]
+            assert (await fleet.harnesses[1].call("r", "/once/a", **SMALL))[0] == 200
+            lines = [
+                line for harness in fleet.harnesses for line in harness.logs.matching("over_limit")
+            ]
             assert all("account=red" in line and "left=" in line for line in lines)
 
         fleet.play(story)
@@ -84,41 +90,43 @@
     def test_a_request_that_found_no_room_gives_its_tokens_back(self) -> None:
         """It did not run, so it counts nothing."""
         fleet = Instances(2, limited(300, 2000))
-        writer = fleet.first.add("i-w", "llm", "decode", behave=stream, room=0)
+        writer = fleet.first.add_replica(
+            "i-w", "llm", "decode", handler=respond_stream, free_reservations=0
+        )
 
         async def story() -> None:
-            for world in (*fleet.worlds, *fleet.worlds):
-                status, _, _ = await world.call("q", "/stream/a", **LARGE, x_deadline_ms="900")
+            for harness in (*fleet.harnesses, *fleet.harnesses):
+                status, _, _ = await harness.call("q", "/stream/a", **LARGE, x_deadline_ms="900")
                 assert status == 503
-            writer.room = 10
-            for world in fleet.worlds:
-                assert (await world.call("r", "/stream/a", **LARGE))[0] == 200
+            writer.free_reservations = 10
+            for harness in fleet.harnesses:
+                assert (await harness.call("r", "/stream/a", **LARGE))[0] == 200
 
         fleet.play(story)
 
     def test_a_lowered_limit_binds_as_soon_as_it_is_known(self) -> None:
         """What had been saved up under the old one is gone."""
         fleet = Instances(2, limited(1000, 4000))
-        replica = fleet.first.add("i-p", "plain")
+        replica = fleet.first.add_replica("i-p", "plain")
 
         async def story() -> None:
-            later = config(2, ONCE, STREAM, tenants=(limited(100, 200),))
+            later = make_config(2, ONCE, STREAM, tenants=(limited(100, 200),))
             await fleet.first.store.put("op/config", later)
             await curio.sleep(1.0)
             for number in range(10):
-                await fleet.worlds[number % 2].call(f"q{number}", "/once/a", **SMALL)
-            assert len(replica.ran) == 1
+                await fleet.harnesses[number % 2].call(f"q{number}", "/once/a", **SMALL)
+            assert len(replica.executed_ids) == 1
 
         fleet.play(story)
 
     def test_an_account_without_limit_asks_nobody(self) -> None:
         """And no request without a key does."""
         fleet = Instances(2, account("red", "key-red"))
-        fleet.first.add("i-p", "plain")
+        fleet.first.add_replica("i-p", "plain")
 
         async def story() -> None:
             for number in range(5):
                 assert (await fleet.first.call(f"q{number}", "/once/a", **SMALL))[0] == 200
-            assert not fleet.first.lines.having("granted_by")
+            assert not fleet.first.logs.matching("granted_by")
 
         fleet.play(story)
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -12,7 +12,7 @@
 from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._peer_messages import EngineOrdered
 from crankhinge.runtime import get_log, run_until_first_ends
-from platform_fakes import HOST, Lines, World, free_port, route, stream
+from platform_fakes import HOST, GatewayHarness, LogCapture, free_port, respond_stream, route
 from virtual_time import run_virtual
 
 STREAM = route("r-stream", "/stream/", "streaming", "llm")
@@ -26,7 +26,7 @@
     def __init__(self, count: int) -> None:
         self.addresses = [f"{HOST}:{free_port()}" for _ in range(count)]
         self.heard: list[tuple[str, EngineOrdered]] = []
-        self.lines = Lines()
+        self.lines = LogCapture()
         self.notices = [self._instance(address) for address in self.addresses]
 
     def _instance(self, address: str) -> Notices:
@@ -87,7 +87,7 @@
             await fleet.notices[0].tell(NOTICE)
             await curio.sleep(0.1)
             await sock.close()
-            assert len(fleet.lines.having("event=notice_unreadable")) == 3
+            assert len(fleet.lines.matching("event=notice_unreadable")) == 3
             assert [notice for _, notice in fleet.heard] == [NOTICE]
 
         fleet.play(story)
@@ -103,80 +103,80 @@
 
     def test_gets_nothing_to_read(self) -> None:
         """It is left out until its entry tells its new part; then it writes."""
-        world = World()
-        ordered = world.add("i-r0", "llm", "prefill")
+        harness = GatewayHarness()
+        ordered = harness.add_replica("i-r0", "llm", "prefill")
         # Whoever may choose soon prefers the other one.
-        world.add("i-r1", "llm", "prefill", read_s=0.3)
-        writer = world.add("i-w", "llm", "decode", behave=stream)
+        harness.add_replica("i-r1", "llm", "prefill", prefill_s=0.3)
+        writer = harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
 
         async def story() -> None:
-            await tell(world, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
+            await tell(harness, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
             for number in range(20):
-                assert (await world.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
+                assert (await harness.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
             assert ordered.arrivals == []
-            ordered.phase, ordered.behave = "decode", stream
-            await ordered.enter()
-            writer.room = 0
+            ordered.role, ordered.handler = "decode", respond_stream
+            await ordered.publish_entry()
+            writer.free_reservations = 0
             await curio.sleep(0.1)
-            assert (await world.call("r", "/stream/a", **TOKENS))[0] == 200
-            assert ordered.ran == ["r"]
+            assert (await harness.call("r", "/stream/a", **TOKENS))[0] == 200
+            assert ordered.executed_ids == ["r"]
 
-        play(world, story)
+        play(harness, story)
 
     def test_is_used_again_when_the_order_is_over(self) -> None:
         """A false notice, or an order that came to nothing, costs seconds."""
-        world = World()
-        ordered = world.add("i-r0", "llm", "prefill")
-        world.add("i-w", "llm", "decode", behave=stream)
-        other = world.add("i-r1", "llm", "prefill")
+        harness = GatewayHarness()
+        ordered = harness.add_replica("i-r0", "llm", "prefill")
+        harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
+        other = harness.add_replica("i-r1", "llm", "prefill")
 
         async def story() -> None:
-            await tell(world, EngineOrdered("i-r0", EngineRole.DECODE, 900.0))
-            assert (await world.call("q", "/stream/a", **TOKENS))[0] == 200
+            await tell(harness, EngineOrdered("i-r0", EngineRole.DECODE, 900.0))
+            assert (await harness.call("q", "/stream/a", **TOKENS))[0] == 200
             assert not ordered.arrivals
             await curio.sleep(14.0)
-            other.refuses_to_read = True
+            other.refuses_prefill = True
             for number in range(3):
-                assert (await world.call(f"r{number}", "/stream/a", **TOKENS))[0] == 200
+                assert (await harness.call(f"r{number}", "/stream/a", **TOKENS))[0] == 200
             assert ordered.arrivals
 
-        play(world, story)
+        play(harness, story)
 
     def test_is_used_where_no_other_is(self) -> None:
         """Asking it in vain is better than asking nobody."""
-        world = World()
-        ordered = world.add("i-r0", "llm", "prefill")
-        world.add("i-w", "llm", "decode", behave=stream)
+        harness = GatewayHarness()
+        ordered = harness.add_replica("i-r0", "llm", "prefill")
+        harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
 
         async def story() -> None:
-            await tell(world, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
-            assert (await world.call("q", "/stream/a", **TOKENS))[0] == 200
+            await tell(harness, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
+            assert (await harness.call("q", "/stream/a", **TOKENS))[0] == 200
             assert ordered.arrivals
 
-        play(world, story)
+        play(harness, story)
 
     def test_of_a_server_that_nobody_knows_is_nothing(self) -> None:
         """A notice that is late by a life of the engine."""
-        world = World()
-        world.add("i-r0", "llm", "prefill")
-        world.add("i-w", "llm", "decode", behave=stream)
+        harness = GatewayHarness()
+        harness.add_replica("i-r0", "llm", "prefill")
+        harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
 
         async def story() -> None:
-            await tell(world, EngineOrdered("i-gone", EngineRole.DECODE, 13.0))
-            assert not world.lines.having("event=server_changing")
-            assert (await world.call("q", "/stream/a", **TOKENS))[0] == 200
+            await tell(harness, EngineOrdered("i-gone", EngineRole.DECODE, 13.0))
+            assert not harness.logs.matching("event=server_changing")
+            assert (await harness.call("q", "/stream/a", **TOKENS))[0] == 200
 
-        play(world, story)
+        play(harness, story)
 
 
-async def tell(world: World, notice: EngineOrdered) -> None:
+async def tell(harness: GatewayHarness, notice: EngineOrdered) -> None:
     """Send a notice to the gateway as another instance does."""
     sock = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_DGRAM)
     async with sock:
-        await sock.sendto(msgspec.msgpack.encode(notice), (HOST, world.peer_port))
+        await sock.sendto(msgspec.msgpack.encode(notice), (HOST, harness.peer_port))
     await curio.sleep(0.1)
 
 
-def play(world: World, story: Any) -> None:
+def play(harness: GatewayHarness, story: Any) -> None:
     """Run *story* under a clock that jumps."""
-    run_virtual(world.play, story, STREAM, settle_s=0.003)
+    run_virtual(harness.run, story, STREAM, settle_s=0.003)
--- a/tests/test_orderer.py
+++ b/tests/test_orderer.py
@@ -12,36 +12,36 @@
 from crankhinge.adapters import InstanceRecord
 from crankhinge.decisions import EngineRole, WorkloadMeter, WorkloadStats
 from crankhinge.gateway._peer_messages import EngineOrdered, PeerMessage
-from platform_fakes import HOST, World, free_port, route, stream
+from platform_fakes import HOST, GatewayHarness, free_port, respond_stream, route
 from virtual_time import run_virtual
 
 STREAM = route("r-stream", "/stream/", "streaming", "llm")
 TOKENS = {"x_token_count": "3000,800", "length_hint": "800"}
 
 
-def busy_world(readers: int, writers: int) -> World:
-    """Return a world whose answers take long and whose prompts are read at once."""
-    world = World()
+def busy_harness(readers: int, writers: int) -> GatewayHarness:
+    """Return a harness whose answers take long and whose prompts are read at once."""
+    harness = GatewayHarness()
     for number in range(readers):
-        world.add(f"i-r{number}", "llm", "prefill")
+        harness.add_replica(f"i-r{number}", "llm", "prefill")
 
     async def slow(replica: object, exchange: object) -> None:
         await curio.sleep(2.0)
-        await stream(replica, exchange)  # type: ignore[arg-type]
+        await respond_stream(replica, exchange)  # type: ignore[arg-type]
 
     for number in range(writers):
-        world.add(f"i-w{number}", "llm", "decode", behave=slow)
-    return world
+        harness.add_replica(f"i-w{number}", "llm", "decode", handler=slow)
+    return harness
 
 
-async def traffic(world: World) -> None:
+async def traffic(harness: GatewayHarness) -> None:
     """Send enough streams for the loads to be known."""
     for number in range(14):
-        assert (await world.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
+        assert (await harness.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
 
 
 async def put_note(
-    world: World, name: str, *, read_s: float, admitted: int, pace_s: float = 0.04
+    harness: GatewayHarness, name: str, *, read_s: float, admitted: int, pace_s: float = 0.04
 ) -> None:
     """Put the note of another instance; unless told its answers take as long as here."""
     sheet = WorkloadStats(
@@ -56,12 +56,12 @@
         pace_s=pace_s,
     )
     note = msgspec.to_builtins(InstanceRecord("", {"llm": sheet}))
-    await world.store.put(f"crankhinge/work/{name}", note)
+    await harness.store.put(f"crankhinge/work/{name}", note)
 
 
-def play(world: World, story: object) -> None:
+def play(harness: GatewayHarness, story: object) -> None:
     """Run *story* under a clock that jumps."""
-    run_virtual(world.play, story, STREAM, settle_s=0.003)
+    run_virtual(harness.run, story, STREAM, settle_s=0.003)
 
 
 class TestOrders:
@@ -69,128 +69,128 @@
 
     def test_readers_without_work_are_ordered_to_write(self) -> None:
         """One order for each engine that is wanted, under the store's revision as fence."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
 
         async def story() -> None:
-            await traffic(world)
+            await traffic(harness)
             await curio.sleep(4.0)
-            orders = [order for replica in world.replicas for order in replica.orders]
+            orders = [order for replica in harness.replicas for order in replica.orders]
             assert [order["phase"] for order in orders] == ["decode", "decode"]
-            fence = world.store.items["crankhinge/orders"]["revision"]
+            fence = harness.store.items["crankhinge/orders"]["revision"]
             assert {order["fencing_token"] for order in orders} == {fence}
             assert {order["expected_revision"] for order in orders} == {0}
 
-        play(world, story)
+        play(harness, story)
 
     def test_no_order_while_another_holds_the_right(self) -> None:
         """A held key means silence."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
 
         async def story() -> None:
-            await world.store.put("crankhinge/orders", "another", 9)
-            await traffic(world)
+            await harness.store.put("crankhinge/orders", "another", 9)
+            await traffic(harness)
             await curio.sleep(20.0)
-            assert not any(replica.orders for replica in world.replicas)
-            assert world.lines.having("event=tenure_held_elsewhere")
+            assert not any(replica.orders for replica in harness.replicas)
+            assert harness.logs.matching("event=tenure_held_elsewhere")
 
-        play(world, story)
+        play(harness, story)
 
     def test_a_fenced_orderer_stays_quiet(self) -> None:
         """After 412 the next engine is not ordered under the same fence."""
-        world = busy_world(4, 2)
-        for replica in world.replicas:
+        harness = busy_harness(4, 2)
+        for replica in harness.replicas:
             replica.order_status = 412
 
         async def story() -> None:
-            await traffic(world)
+            await traffic(harness)
             await curio.sleep(6.0)
-            assert sum(len(replica.orders) for replica in world.replicas) == 1
-            assert world.lines.having("event=order_given", "end=fenced")
+            assert sum(len(replica.orders) for replica in harness.replicas) == 1
+            assert harness.logs.matching("event=order_given", "end=fenced")
 
-        play(world, story)
+        play(harness, story)
 
     def test_no_order_without_an_answer_from_the_store(self) -> None:
         """The right is not assumed."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
 
         async def story() -> None:
-            world.store.down = True
-            await traffic(world)
+            harness.store.down = True
+            await traffic(harness)
             await curio.sleep(20.0)
-            assert not any(replica.orders for replica in world.replicas)
-            assert world.lines.having("event=notes_unknown")
-            assert world.lines.having("event=note_unknown")
+            assert not any(replica.orders for replica in harness.replicas)
+            assert harness.logs.matching("event=notes_unknown")
+            assert harness.logs.matching("event=note_unknown")
 
-        play(world, story)
+        play(harness, story)
 
     def test_no_order_without_an_answer_about_the_right(self) -> None:
         """The others' notes were read, but leases are not given."""
-        world = busy_world(4, 2)
-        world.store.refused = "/v1/kv-lease"
+        harness = busy_harness(4, 2)
+        harness.store.refused_path = "/v1/kv-lease"
 
         async def story() -> None:
-            await traffic(world)
+            await traffic(harness)
             await curio.sleep(20.0)
-            assert not any(replica.orders for replica in world.replicas)
-            assert world.lines.having("event=tenure_unknown")
+            assert not any(replica.orders for replica in harness.replicas)
+            assert harness.logs.matching("event=tenure_unknown")
 
-        play(world, story)
+        play(harness, story)
 
     def test_one_instance_does_not_decide_against_the_others(self) -> None:
         """It sees readers without work; thirty others, whose answers are short, do not."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
 
         async def story() -> None:
             for number in range(30):
-                await put_note(world, f"other-{number}", read_s=0.5, pace_s=0.0002, admitted=50)
-            await traffic(world)
+                await put_note(harness, f"other-{number}", read_s=0.5, pace_s=0.0002, admitted=50)
+            await traffic(harness)
             await curio.sleep(10.0)
-            assert not any(replica.orders for replica in world.replicas)
-            assert world.lines.having("event=work_together", "instances=31")
+            assert not any(replica.orders for replica in harness.replicas)
+            assert harness.logs.matching("event=work_together", "instances=31")
 
-        play(world, story)
+        play(harness, story)
 
     def test_a_few_requests_are_enough_where_others_saw_the_same(self) -> None:
         """Two own answers, and the notes of four more instances, make an order."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
 
         async def story() -> None:
             for number in range(4):
-                await put_note(world, f"other-{number}", read_s=0.01, admitted=5)
+                await put_note(harness, f"other-{number}", read_s=0.01, admitted=5)
             for number in range(2):
-                assert (await world.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
+                assert (await harness.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
             await curio.sleep(6.0)
-            assert any(replica.orders for replica in world.replicas)
+            assert any(replica.orders for replica in harness.replicas)
 
-        play(world, story)
+        play(harness, story)
 
     def test_a_note_that_cannot_be_read_is_left_out(self) -> None:
         """A line says so; the others count."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
 
         async def story() -> None:
-            await world.store.put("crankhinge/work/odd", {"peer": "", "sheets": "?"})
-            await traffic(world)
+            await harness.store.put("crankhinge/work/odd", {"peer": "", "sheets": "?"})
+            await traffic(harness)
             await curio.sleep(4.0)
-            assert any(replica.orders for replica in world.replicas)
-            assert world.lines.having("event=note_unreadable", "key=crankhinge/work/odd")
+            assert any(replica.orders for replica in harness.replicas)
+            assert harness.logs.matching("event=note_unreadable", "key=crankhinge/work/odd")
 
-        play(world, story)
+        play(harness, story)
 
     def test_an_unanswered_order_is_followed_by_no_other(self) -> None:
         """It may be carried out seconds later; the right is kept until that is known."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
 
         async def story() -> None:
-            for replica in world.replicas:
+            for replica in harness.replicas:
                 replica.order_status = 0
-            await traffic(world)
+            await traffic(harness)
             await curio.sleep(10.0)
-            assert sum(len(replica.orders) for replica in world.replicas) == 1
-            assert world.lines.having("event=order_given", "end=unanswered")
-            assert any(call.startswith("/v1/kv-keep/") for call in world.store.calls)
+            assert sum(len(replica.orders) for replica in harness.replicas) == 1
+            assert harness.logs.matching("event=order_given", "end=unanswered")
+            assert any(call.startswith("/v1/kv-keep/") for call in harness.store.calls)
 
-        play(world, story)
+        play(harness, story)
 
 
 class TestTold:
@@ -198,7 +198,7 @@
 
     def test_each_order_is_told_at_once(self) -> None:
         """To where the notes say that the others take notices."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
         heard: list[bytes] = []
         port = free_port()
 
@@ -212,10 +212,10 @@
         async def story() -> None:
             task = await curio.spawn(listen, daemon=True)
             note = msgspec.to_builtins(InstanceRecord(f"{HOST}:{port}", {}))
-            await world.store.put("crankhinge/work/other", note)
-            await traffic(world)
+            await harness.store.put("crankhinge/work/other", note)
+            await traffic(harness)
             await curio.sleep(4.0)
-            ordered = {replica.ident for replica in world.replicas if replica.orders}
+            ordered = {replica.incarnation_id for replica in harness.replicas if replica.orders}
             said = [msgspec.msgpack.decode(data, type=PeerMessage) for data in heard]
             told = [message for message in said if isinstance(message, EngineOrdered)]
             assert ordered
@@ -223,12 +223,12 @@
             assert {notice.phase for notice in told} == {EngineRole.DECODE}
             await task.cancel()
 
-        play(world, story)
+        play(harness, story)
 
     @pytest.mark.parametrize("told", [True, False])
     def test_engines_under_order_are_counted_by_their_new_parts(self, told: bool) -> None:
         """Another instance's orders are on their way: the split is as wanted, none is given."""
-        world = busy_world(4, 2)
+        harness = busy_harness(4, 2)
 
         async def story() -> None:
             sock = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_DGRAM)
@@ -237,14 +237,14 @@
                     notice = EngineOrdered(ident, EngineRole.DECODE, 13.0)
                     data = msgspec.msgpack.encode(notice)
                     if told:
-                        await sock.sendto(data, (HOST, world.peer_port))
+                        await sock.sendto(data, (HOST, harness.peer_port))
             async with curio.TaskGroup() as group:
                 for number in range(14):
-                    await group.spawn(partial(world.call, f"q{number}", "/stream/a", **TOKENS))
+                    await group.spawn(partial(harness.call, f"q{number}", "/stream/a", **TOKENS))
             await curio.sleep(4.0)
-            assert any(replica.orders for replica in world.replicas) is not told
+            assert any(replica.orders for replica in harness.replicas) is not told
 
-        play(world, story)
+        play(harness, story)
 
 
 class TestChange:
@@ -255,34 +255,34 @@
 
         A single one once ended the whole change, and the next came twelve seconds later.
         """
-        world = busy_world(5, 2)
-        for replica in world.replicas[:2]:
+        harness = busy_harness(5, 2)
+        for replica in harness.replicas[:2]:
             replica.busy = True
 
         async def story() -> None:
-            await traffic(world)
+            await traffic(harness)
             await curio.sleep(4.0)
-            ordered = [replica.ident for replica in world.replicas if replica.orders]
+            ordered = [replica.incarnation_id for replica in harness.replicas if replica.orders]
             assert ordered
             assert not {"i-r0", "i-r1"} & set(ordered)
-            assert world.lines.having("event=order_given", "end=taken")
+            assert harness.logs.matching("event=order_given", "end=taken")
 
-        play(world, story)
+        play(harness, story)
 
     def test_a_dark_engine_is_passed_over(self) -> None:
         """It does not answer; another one is ordered while the right lasts."""
-        world = busy_world(4, 2)
-        dark = world.replicas[0]
-        dark.dark = True
+        harness = busy_harness(4, 2)
+        dark = harness.replicas[0]
+        dark.ignores_side_calls = True
 
         async def story() -> None:
-            await traffic(world)
+            await traffic(harness)
             await curio.sleep(5.0)
-            ordered = [replica.ident for replica in world.replicas if replica.orders]
+            ordered = [replica.incarnation_id for replica in harness.replicas if replica.orders]
             assert ordered
-            assert dark.ident not in ordered
+            assert dark.incarnation_id not in ordered
 
-        play(world, story)
+        play(harness, story)
 
     def test_no_order_when_the_right_may_be_over(self) -> None:
         """Six engines in the way, each of which takes half a second to say so, use it up.
@@ -290,40 +290,40 @@
         So does an instance that stands still on its way: the end of the right is compared with the
         clock before each order, not counted in steps.
         """
-        world = busy_world(8, 2)
-        for replica in world.replicas[:6]:
+        harness = busy_harness(8, 2)
+        for replica in harness.replicas[:6]:
             replica.busy = True
-        for replica in world.replicas[:8]:
-            replica.report_s = 0.5
+        for replica in harness.replicas[:8]:
+            replica.report_delay_s = 0.5
 
         async def story() -> None:
-            await traffic(world)
+            await traffic(harness)
             await curio.sleep(5.0)
-            assert world.lines.having("event=tenure_over")
-            assert not any(replica.orders for replica in world.replicas)
+            assert harness.logs.matching("event=tenure_over")
+            assert not any(replica.orders for replica in harness.replicas)
 
-        play(world, story)
+        play(harness, story)
 
     def test_a_wish_lasts_though_servers_come_and_go(self) -> None:
         """A release changes the number of engines each half second."""
-        world = busy_world(4, 2)
-        coming = world.add("i-c", "llm", "prefill")
+        harness = busy_harness(4, 2)
+        coming = harness.add_replica("i-c", "llm", "prefill")
 
         async def story() -> None:
             async def release() -> None:
                 while True:
-                    await world.store.remove("servers/i-c")
+                    await harness.store.remove("servers/i-c")
                     await curio.sleep(0.45)
-                    await coming.enter()
+                    await coming.publish_entry()
                     await curio.sleep(0.45)
 
             task = await curio.spawn(release, daemon=True)
-            await traffic(world)
+            await traffic(harness)
             await curio.sleep(4.0)
-            assert any(replica.orders for replica in world.replicas)
+            assert any(replica.orders for replica in harness.replicas)
             await task.cancel()
 
-        play(world, story)
+        play(harness, story)
 
 
 def test_the_meter_needs_both_kinds_of_samples() -> None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -31,14 +31,14 @@
 from crankhinge.runtime import get_log
 from limit_worlds import SETTLED_S
 from platform_fakes import (
+    ALLOW_ALL,
     HOST,
-    PASSES,
-    Lines,
-    World,
+    GatewayHarness,
+    LogCapture,
     free_port,
-    lone_backends,
-    lone_desk,
-    lone_limits,
+    make_standalone_backends,
+    make_standalone_limits,
+    make_standalone_quarantine,
     route,
 )
 from virtual_time import run_virtual
@@ -53,40 +53,40 @@
 
     def test_a_limit_is_told_when_it_begins_changes_and_ends(self) -> None:
         """Once each, however many answers name it."""
-        world = World()
-        replica = world.add("i-1", "plain")
+        harness = GatewayHarness()
+        replica = harness.add_replica("i-1", "plain")
 
         async def story() -> None:
             for number, limit in enumerate((None, "8", "8", "6.5", "lots", None, None)):
-                replica.limit = limit
+                replica.advertised_limit = limit
                 await curio.sleep(1.0)
-                await world.call(f"q{number}", "/once/a")
+                await harness.call(f"q{number}", "/once/a")
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
         told = [
-            line.split("event=server_limit ")[1] for line in world.lines.having("server_limit ")
+            line.split("event=server_limit ")[1] for line in harness.logs.matching("server_limit ")
         ]
         assert [" ".join(line.split()) for line in told] == [
             "server=i-1 per_s=8.0 was= told_by=own",
             "server=i-1 per_s=6.5 was=8.0 told_by=own",
             "server=i-1 per_s= was=6.5 told_by=own",
         ]
-        assert len(world.lines.having("server_limit_unreadable", "was=6.5")) == 1
+        assert len(harness.logs.matching("server_limit_unreadable", "was=6.5")) == 1
 
     def test_what_is_sent_to_such_a_server_is_told(self) -> None:
         """Also how many servers each request was sent to."""
-        world = World()
-        world.add("i-1", "plain", limit="8")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain", advertised_limit="8")
 
         async def story() -> None:
             await curio.sleep(SETTLED_S)
             for number in range(5):
-                await world.call(f"q{number}", "/once/a")
+                await harness.call(f"q{number}", "/once/a")
             await curio.sleep(5.0)
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
-        assert world.lines.having("server_limit_use", "server=i-1", "per_s=8.0", "sent=4")
-        assert len(world.lines.having("event=answered", "sent=1")) == 5
+        run_virtual(harness.run, story, ONCE, settle_s=0.003)
+        assert harness.logs.matching("server_limit_use", "server=i-1", "per_s=8.0", "sent=4")
+        assert len(harness.logs.matching("event=answered", "sent=1")) == 5
 
 
 SERVER = Server("i-1", "plain", HOST, 9, "z1", EngineRole.PLAIN, 4, False, 1)
@@ -96,10 +96,10 @@
     """The only instance, before a server that takes two requests a second."""
 
     def __init__(self) -> None:
-        log = get_log(program="t", stream=Lines())
-        self.backends = lone_backends(log, SERVER)
+        log = get_log(program="t", stream=LogCapture())
+        self.backends = make_standalone_backends(log, SERVER)
         self.members = Membership("here", 0.0)
-        limits = lone_limits("here", self.backends, log, self.members)
+        limits = make_standalone_limits("here", self.backends, log, self.members)
         self.news, self.permits = limits.news, limits.permits
         self.relay = cast(
             Relay, SimpleNamespace(permits={}, ask=SimpleNamespace(request_id="q"), facts={})
@@ -202,10 +202,10 @@
         """Nothing was sent, so nothing was taken."""
         alone = Alone()
         server = dataclasses.replace(SERVER, port=free_port())
-        log = get_log(program="t", stream=Lines())
-        quarantine = lone_desk("here", log)
+        log = get_log(program="t", stream=LogCapture())
+        quarantine = make_standalone_quarantine("here", log)
         crashes = CrashDetector(backends=alone.backends, on_crash=quarantine.crashed, log=log)
-        legs = Legs(alone.backends, PASSES, quarantine, crashes, alone.permits)
+        legs = Legs(alone.backends, ALLOW_ALL, quarantine, crashes, alone.permits)
         req = HttpRequest("GET", "/", {"x-request-id": "q"}, b"", (("x-request-id", "q"),))
         alone.relay.exchange = cast(Any, SimpleNamespace(req=req))
         alone.relay.__dict__.update(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -27,7 +27,15 @@
 
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.http import Exchange
-from platform_fakes import FakeReplica, World, crash, events, route, sealed, stream
+from platform_fakes import (
+    FakeReplica,
+    GatewayHarness,
+    crash,
+    make_events,
+    respond_ok,
+    respond_stream,
+    route,
+)
 from virtual_time import run_virtual
 
 ONCE = route("r-once", "/once/", "unsafe", "plain")
@@ -48,18 +56,18 @@
 
 async def crash_by_body(replica: FakeReplica, exchange: Exchange) -> None:
     """End the process that runs a certain request; answer all others."""
-    behave = crash if exchange.req.body == CRASHING else sealed
+    behave = crash if exchange.req.body == CRASHING else respond_ok
     await behave(replica, exchange)
 
 
 async def crash_in_stream(replica: FakeReplica, exchange: Exchange) -> None:
     """End the process in the middle of a certain request's stream; answer all others."""
     if exchange.req.body != CRASHING:
-        await stream(replica, exchange)
+        await respond_stream(replica, exchange)
         return
     first = int(exchange.req.headers.get("last-event-id", "0")) + 1
-    await exchange.start_with_fields(200, replica.head(exchange))
-    await exchange.write(events(first, first))
+    await exchange.start_with_fields(200, replica.response_fields(exchange))
+    await exchange.write(make_events(first, first))
     await replica.crash()
 
 
@@ -72,9 +80,9 @@
     """
 
     def __init__(self, tenants: Any = None, instances: int = 2) -> None:
-        self.world = World(tenants=tenants)
-        others = [self.world.beside(f"g{number}") for number in range(1, instances)]
-        self.gateways = [self.world, *others]
+        self.harness = GatewayHarness(tenants=tenants)
+        others = [self.harness.add_gateway(f"g{number}") for number in range(1, instances)]
+        self.gateways = [self.harness, *others]
         self.replicas: list[FakeReplica] = []
         self.statuses: list[int] = []
 
@@ -82,13 +90,13 @@
         """Add servers of one kind."""
         for number in range(count):
             ident = f"i-{phase or 'plain'}-{number}"
-            more = {"behave": crash_by_body, "back_s": BACK_S, **more}
-            self.replicas.append(self.world.add(ident, service, phase, **more))
+            more = {"handler": crash_by_body, "restart_s": BACK_S, **more}
+            self.replicas.append(self.harness.add_replica(ident, service, phase, **more))
 
     @property
     def ended(self) -> int:
         """How many lives of servers ended."""
-        return sum(replica.lives - 1 + replica.crashed.is_set() for replica in self.replicas)
+        return sum(replica.incarnations - 1 + replica.crashed.is_set() for replica in self.replicas)
 
     async def ask(self, number: int, path: str, **more: Any) -> int:
         """Send an attempt to the instances in turn; returns its status, 0 for none."""
@@ -113,7 +121,7 @@
             await curio.sleep(SETTLED_S)
             await story()
 
-        run_virtual(self.world.play, settled, *routes, settle_s=0.003)
+        run_virtual(self.harness.run, settled, *routes, settle_s=0.003)
 
 
 def plain_fleet(instances: int = 2) -> Fleet:
@@ -126,8 +134,8 @@
 def engine_fleet(**readers: Any) -> Fleet:
     """Return a fleet before engines."""
     fleet = Fleet()
-    fleet.add(4, "llm", "prefill", **{"behave": crash_in_stream, **readers})
-    fleet.add(6, "llm", "decode", behave=crash_in_stream)
+    fleet.add(4, "llm", "prefill", **{"handler": crash_in_stream, **readers})
+    fleet.add(6, "llm", "decode", handler=crash_in_stream)
     return fleet
 
 
@@ -140,7 +148,7 @@
         fleet = plain_fleet()
 
         async def story() -> None:
-            await fleet.come_again(8, "/once/a", fresh=fresh)
+            await fleet.come_again(8, "/once/a", new_connection=fresh)
 
         fleet.play(story, ONCE)
         assert fleet.ended == MOST_ENDED
@@ -176,8 +184,8 @@
     def test_is_read_by_no_further_engine(self) -> None:
         """A prompt that ends the engines that read it is read by the engine that writes."""
         fleet = Fleet()
-        fleet.add(6, "llm", "prefill", crashes_on_reading=CRASHING)
-        fleet.add(2, "llm", "decode", behave=stream)
+        fleet.add(6, "llm", "prefill", crash_on_prompt=CRASHING)
+        fleet.add(2, "llm", "decode", handler=respond_stream)
 
         async def story() -> None:
             await fleet.come_again(8, "/stream/a", **TOKENS)
@@ -221,7 +229,7 @@
     def test_is_refused_though_an_instance_was_told_nothing(self) -> None:
         """The notes in the store tell what a datagram did not."""
         fleet = plain_fleet()
-        deaf = fleet.world.beside("deaf")
+        deaf = fleet.harness.add_gateway("deaf")
         deaf.peer_port = 1
 
         async def story() -> None:
@@ -260,7 +268,7 @@
         async def story() -> None:
             await fleet.come_again(3, "/stream/a", **TOKENS)
             for replica in fleet.replicas:
-                replica.room = 0
+                replica.free_reservations = 0
             began = await curio.clock()
             assert await fleet.ask(0, "/stream/a", body=CRASHING, **TOKENS) == 503
             assert await curio.clock() - began < 0.1
@@ -281,7 +289,7 @@
 
     def test_reaches_one_that_is_under_way(self) -> None:
         """Its prompt was being read when the third server crashed; its answer is not begun."""
-        fleet = engine_fleet(read_s=0.6)
+        fleet = engine_fleet(prefill_s=0.6)
         ask = partial(fleet.ask, path="/stream/a", body=CRASHING, **TOKENS)
 
         async def story() -> None:
@@ -306,7 +314,7 @@
             await fleet.ask(len(fleet.statuses), path, body=CRASHING)
             await curio.sleep(AGAIN_S)
         for replica in fleet.replicas:
-            replica.behave = sealed
+            replica.handler = respond_ok
 
     def test_is_served_again_within_seconds_at_every_instance(self) -> None:
         """One attempt is let through after ten seconds; its answer ends the quarantine for all."""
@@ -368,11 +376,11 @@
             for _ in range(3):
                 await fleet.come_again(2, "/once/a")
                 for replica in fleet.replicas:
-                    replica.behave = sealed
+                    replica.handler = respond_ok
                 assert await fleet.ask(0, "/once/a", body=CRASHING) == 200
                 await curio.sleep(TOLD_S)
                 for replica in fleet.replicas:
-                    replica.behave = crash_by_body
+                    replica.handler = crash_by_body
 
         fleet.play(story, ONCE)
         assert fleet.ended == 6
@@ -385,10 +393,10 @@
 
         async def slowly(replica: FakeReplica, exchange: Exchange) -> None:
             await curio.sleep(0.3)
-            await sealed(replica, exchange)
+            await respond_ok(replica, exchange)
 
         fleet = Fleet()
-        fleet.add(4, "plain", behave=slowly)
+        fleet.add(4, "plain", handler=slowly)
         ask = partial(fleet.ask, path="/once/a", body=b"same")
 
         async def story() -> None:
@@ -398,7 +406,7 @@
                 await curio.sleep(0.2)
                 for replica in fleet.replicas[:3]:
                     await replica.crashed.set()
-            assert fleet.gateways[0].lines.having("event=request_quarantined")
+            assert fleet.gateways[0].logs.matching("event=request_quarantined")
             await curio.sleep(TOLD_S)
             fleet.statuses.clear()
             for number in range(4):
@@ -414,7 +422,7 @@
             raise HttpClosed("reset")
 
         fleet = Fleet()
-        fleet.add(4, "plain", behave=cut)
+        fleet.add(4, "plain", handler=cut)
 
         async def story() -> None:
             await fleet.come_again(8, "/once/a")
@@ -432,7 +440,7 @@
 
         async def story() -> None:
             await fleet.come_again(4, "/once/a")
-            await fleet.gateways[0].kill()
+            await fleet.gateways[0].kill_gateway()
             await curio.sleep(AGAIN_S)
             assert await fleet.ask(0, "/once/a", body=CRASHING) == 503
 
@@ -446,7 +454,7 @@
         async def story() -> None:
             await fleet.come_again(4, "/once/a")
             for gateway in fleet.gateways:
-                await gateway.kill()
+                await gateway.kill_gateway()
             await curio.sleep(AGAIN_S)
             for number in range(2):
                 assert await fleet.ask(number, "/once/a", body=CRASHING) == 503
--- a/tests/test_quarantine_decisions.py
+++ b/tests/test_quarantine_decisions.py
@@ -23,7 +23,7 @@
 from crankhinge.gateway._notices import Notices
 from crankhinge.gateway._quarantine import KEEPERS, QuarantineDesk
 from crankhinge.runtime import Metrics, get_log
-from platform_fakes import Lines
+from platform_fakes import LogCapture
 from virtual_time import run_virtual
 
 REQUEST = "f00d"
@@ -229,7 +229,7 @@
         peers = {name: f"10.0.0.1:{number + 1}" for number, name in enumerate(names)}
         membership = Membership("g0", 0.0)
         membership.join(peers, 0.0, resumed=True)
-        log = get_log(program="t", stream=Lines())
+        log = get_log(program="t", stream=LogCapture())
         messenger = CountingMessenger(list(membership.peer_addresses), log)
         service = QuarantineDesk(
             name="g0", members=membership, notices=messenger, log=log, metrics=Metrics(prefix="t")
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -21,7 +21,7 @@
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.gateway._notices import Notices
 from crankhinge.http import Exchange
-from platform_fakes import FakeReplica, World, crash, route, sealed, stream
+from platform_fakes import FakeReplica, GatewayHarness, crash, respond_ok, respond_stream, route
 from virtual_time import run_virtual
 
 ONCE = route("r-once", "/once/", "unsafe", "plain")
@@ -67,25 +67,28 @@
     def __post_init__(self) -> None:
         self._rng = random.Random(self.seed)
         self._kills: Counter[str] = Counter()
-        self._world = World()
-        self._gateways = [self._world, *(self._world.beside(f"g{n}") for n in range(2))]
+        self._harness = GatewayHarness()
+        self._gateways = [self._harness, *(self._harness.add_gateway(f"g{n}") for n in range(2))]
         self._replicas = [
-            self._world.add(f"i-{n}", "plain", behave=self._plain, back_s=2.0) for n in range(6)
+            self._harness.add_replica(f"i-{n}", "plain", handler=self._plain, restart_s=2.0)
+            for n in range(6)
         ]
         self._replicas += [
-            self._world.add(f"i-w{n}", "llm", "decode", behave=self._write, back_s=2.0)
+            self._harness.add_replica(
+                f"i-w{n}", "llm", "decode", handler=self._write, restart_s=2.0
+            )
             for n in range(5)
         ]
-        self._world.add("i-r0", "llm", "prefill")
-        self._world.add("i-r1", "llm", "prefill")
+        self._harness.add_replica("i-r0", "llm", "prefill")
+        self._harness.add_replica("i-r1", "llm", "prefill")
         self._numbers = 0
 
     async def _plain(self, replica: FakeReplica, exchange: Exchange) -> None:
         await curio.sleep(0.05)
-        await self._answer(replica, exchange, sealed)
+        await self._answer(replica, exchange, respond_ok)
 
     async def _write(self, replica: FakeReplica, exchange: Exchange) -> None:
-        await self._answer(replica, exchange, stream)
+        await self._answer(replica, exchange, respond_stream)
 
     async def _answer(self, replica: FakeReplica, exchange: Exchange, behave: Any) -> None:
         body = exchange.req.body
@@ -105,7 +108,7 @@
                 await real(notices, peer, message)
 
         with mock.patch.object(Notices, "send", lossy):
-            run_virtual(self._world.play, self._story, ONCE, SAFE, STREAM, settle_s=0.003)
+            run_virtual(self._harness.run, self._story, ONCE, SAFE, STREAM, settle_s=0.003)
 
     async def _story(self) -> None:
         await curio.sleep(SETTLED_S)
@@ -121,7 +124,9 @@
         self._numbers += 1
         gateway = self._rng.choice(self._gateways)
         more = TOKENS if path.startswith("/stream") else {}
-        call = partial(gateway.call, f"q{self._numbers}", path, body=body, fresh=True, **more)
+        call = partial(
+            gateway.call, f"q{self._numbers}", path, body=body, new_connection=True, **more
+        )
         kills = self._kills[gateway.name]
         try:
             status, _, answer = await curio.timeout_after(CALLER_S, call)
@@ -160,15 +165,15 @@
         for gateway in self._rng.sample(self._gateways, self._rng.choice((1, 1, 3))):
             self.befallen = await curio.clock()
             self._kills[gateway.name] += 1
-            await gateway.kill()
+            await gateway.kill_gateway()
         self.befallen = await curio.clock()
 
     async def _store_away(self) -> None:
-        self._world.store.down = True
+        self._harness.store.down = True
         for _ in range(20):
             self.befallen = await curio.clock()
             await curio.sleep(0.1)
-        self._world.store.down = False
+        self._harness.store.down = False
         self.befallen = await curio.clock()
 
     async def _kill_server(self) -> None:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -68,10 +68,10 @@
 
         async def story(store: FakeStore, board: PlatformInstanceRegistry) -> None:
             await board.publish("here", NOTE)
-            store.refused = "/v1/kv-txn"
+            store.refused_path = "/v1/kv-txn"
             with pytest.raises(KeyValueUnavailable):
                 await board.publish("here", NOTE)
-            store.refused = ""
+            store.refused_path = ""
             await board.publish("here", NOTE)
             assert store.calls.count("/v1/kv-lease") == 2
             assert await board.read_all() == {"here": NOTE}
--- a/tests/test_server_words.py
+++ b/tests/test_server_words.py
@@ -24,7 +24,7 @@
 import curio
 import pytest
 
-from behaviours import REST_S, Resting, break_off, fail, slowly
+from behaviours import BACKOFF_S, BackoffHandler, break_stream, respond_error, respond_slowly
 from crankhinge.http import Exchange
 from limit_worlds import (
     ONCE,
@@ -35,7 +35,7 @@
     TOKENS,
     LimitedFleet,
 )
-from platform_fakes import FakeReplica, sealed, stream
+from platform_fakes import FakeReplica, respond_ok, respond_stream
 
 ASKED_PER_S = 15.0
 # What the operators allow: requests that were sent this long after a server said that it leaves,
@@ -60,7 +60,7 @@
 
 def sent_after(replica: FakeReplica, at: float) -> list[float]:
     """Return when requests reached a server after a time, in seconds from then."""
-    return [round(each.at - at, 2) for each in replica.arrivals if each.at > at]
+    return [round(each.arrived_at - at, 2) for each in replica.arrivals if each.arrived_at > at]
 
 
 async def often_while_leaving(
@@ -101,9 +101,11 @@
         """Neither to read nor to write; nor is a place reserved there."""
         fleet = LimitedFleet()
         reader = fleet.add("i-reader", "llm", "prefill")
-        writer = fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        writer = fleet.add(
+            "i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000
+        )
         fleet.add("i-reader2", "llm", "prefill")
-        fleet.add("i-writer2", "llm", "decode", behave=stream, room=10_000)
+        fleet.add("i-writer2", "llm", "decode", handler=respond_stream, free_reservations=10_000)
         leaving = reader if phase == "prefill" else writer
         begun = reserved = 0.0
 
@@ -129,7 +131,7 @@
         async def story() -> None:
             leaving.leaving = True
             while not leaving.arrivals:
-                await fleet.world.call("q", "/once/a")
+                await fleet.harness.call("q", "/once/a")
             await curio.sleep(0.1)
             for number in range(40):
                 await told.call(f"q{number}", "/once/a")
@@ -147,11 +149,11 @@
         async def story() -> None:
             nonlocal begun
             begun = await often_while_leaving(fleet, leaving, "/once/a")
-            await leaving.enter()
+            await leaving.publish_entry()
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
             await leaving.store.remove("servers/i-leaving")
             await curio.sleep(3.0)
-            await leaving.enter()
+            await leaving.publish_entry()
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
 
         fleet.play(story, ONCE)
@@ -160,15 +162,15 @@
     def test_is_not_that_of_the_next_life(self) -> None:
         """Another life of the same name serves at once."""
         fleet = LimitedFleet(1)
-        leaving = fleet.add("i-leaving", born=1)
+        leaving = fleet.add("i-leaving", start_time_ms=1)
         other = fleet.add("i-other")
 
         async def story() -> None:
             leaving.leaving = True
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
-            leaving.leaving, leaving.born = False, 2
+            leaving.leaving, leaving.start_time_ms = False, 2
             leaving.arrivals.clear()
-            await leaving.enter()
+            await leaving.publish_entry()
             await curio.sleep(0.2)
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
 
@@ -199,33 +201,33 @@
 class TestResting:
     """A server refuses requests and wants none from this instance for a while."""
 
-    @pytest.mark.parametrize("rest_s", [0.9, REST_S, 12.0])
+    @pytest.mark.parametrize("rest_s", [0.9, BACKOFF_S, 12.0])
     def test_gets_no_further_calls(self, rest_s: float) -> None:
         """For as long as it said, also where that is longer than an instance would guess."""
         fleet = LimitedFleet(1)
-        resting = Resting(rest_s)
-        server = fleet.add("i-resting", behave=resting)
-        fleet.add("i-other", behave=slowly)
+        resting = BackoffHandler(rest_s)
+        server = fleet.add("i-resting", handler=resting)
+        fleet.add("i-other", handler=respond_slowly)
 
         async def story() -> None:
             # Enough that a window for the whole service would be felt.
             await fleet.ask_often("/once/a", per_s=30.0, for_s=1.5 * rest_s + 2.0)
 
         fleet.play(story, ONCE)
-        assert resting.most_in_rest(server) == 0
+        assert resting.max_arrivals_in_backoff(server) == 0
         assert len(server.arrivals) >= 2
         assert fleet.statuses()[503] == len(server.arrivals)
 
     def test_gets_no_further_calls_where_no_server_takes_any(self) -> None:
         """Callers are told at once when the first one does."""
         fleet = LimitedFleet(1)
-        rests = [Resting(REST_S), Resting(2 * REST_S)]
-        servers = [fleet.add(f"i-{number}", behave=rest) for number, rest in enumerate(rests)]
+        rests = [BackoffHandler(BACKOFF_S), BackoffHandler(2 * BACKOFF_S)]
+        servers = [fleet.add(f"i-{number}", handler=rest) for number, rest in enumerate(rests)]
 
         call_often(fleet, "/safe/a", for_s=8.0)
         for rest, server in zip(rests, servers, strict=True):
-            assert rest.most_in_rest(server) <= MOST_IN_REST
-        first = min(until for rest in rests for _, until in rest.told[:1])
+            assert rest.max_arrivals_in_backoff(server) <= MOST_IN_REST
+        first = min(until for rest in rests for _, until in rest.refusals[:1])
         # Whoever can be in time after the rest is not sent away.
         known = [each for each in fleet.outcomes if first - 2.5 < each.sent < first - TARGET_S]
         assert {each.status for each in known} == {503}
@@ -236,7 +238,7 @@
         """Both servers rest while a call that was sent before holds the service's only turn."""
         fleet = LimitedFleet(1)
         for number in range(2):
-            fleet.add(f"i-{number}", behave=as_asked)
+            fleet.add(f"i-{number}", handler=as_asked)
 
         async def story() -> None:
             async with curio.TaskGroup(wait=all) as group:
@@ -254,11 +256,11 @@
     def test_one_that_ends_soon_is_waited_for(self) -> None:
         """A caller that can still be in time is served rather than sent away."""
         fleet = LimitedFleet(1)
-        resting = Resting(0.4)
-        fleet.add("i-resting", behave=resting)
+        resting = BackoffHandler(0.4)
+        fleet.add("i-resting", handler=resting)
 
         async def story() -> None:
-            resting.over_at = await curio.clock() + 0.2
+            resting.serve_from = await curio.clock() + 0.2
             await fleet.ask("/once/a")
             await fleet.ask("/once/a")
 
@@ -268,9 +270,9 @@
     def test_whoever_was_refused_by_one_comes_back_soon(self) -> None:
         """Another server takes requests: its caller need not wait until the rest is over."""
         fleet = LimitedFleet(1)
-        resting = Resting(12.0)
-        fleet.add("i-resting", behave=resting)
-        fleet.add("i-other", behave=slowly)
+        resting = BackoffHandler(12.0)
+        fleet.add("i-resting", handler=resting)
+        fleet.add("i-other", handler=respond_slowly)
 
         call_often(fleet, "/once/a", for_s=2.0)
         refused = [each for each in fleet.outcomes if each.status == 503]
@@ -279,108 +281,120 @@
 
     @pytest.mark.parametrize(
         "resting",
-        [Resting(status=429), Resting(status=503), Resting(fields=(("x-server-seal", "s"),))],
+        [
+            BackoffHandler(status=429),
+            BackoffHandler(status=503),
+            BackoffHandler(fields=(("x-server-seal", "s"),)),
+        ],
         ids=["429", "503", "503-not-told-not-run"],
     )
-    def test_holds_for_each_kind_of_refusal(self, resting: Resting) -> None:
+    def test_holds_for_each_kind_of_refusal(self, resting: BackoffHandler) -> None:
         """Also for one that does not say that it ran nothing: that answer is the caller's."""
         fleet = LimitedFleet(1)
-        server = fleet.add("i-resting", behave=resting)
-        fleet.add("i-other", behave=slowly)
+        server = fleet.add("i-resting", handler=resting)
+        fleet.add("i-other", handler=respond_slowly)
 
         call_often(fleet, "/safe/a", for_s=6.0)
-        assert resting.most_in_rest(server) == 0
+        assert resting.max_arrivals_in_backoff(server) == 0
 
     def test_holds_for_repeats(self) -> None:
         """A call that failed elsewhere is not repeated there."""
         fleet = LimitedFleet(1)
-        resting = Resting()
-        server = fleet.add("i-resting", behave=resting)
-        fleet.add("i-failing", behave=fail)
+        resting = BackoffHandler()
+        server = fleet.add("i-resting", handler=resting)
+        fleet.add("i-failing", handler=respond_error)
 
         call_often(fleet, "/safe/a", for_s=8.0)
-        assert resting.most_in_rest(server) <= MOST_IN_REST
+        assert resting.max_arrivals_in_backoff(server) <= MOST_IN_REST
 
     @pytest.mark.parametrize("others", [0, 5])
     def test_holds_for_streams(self, others: int) -> None:
         """At the engine that writes; the others serve every caller but the few it refused."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=resting, room=10_000)
+        resting = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "decode", handler=resting, free_reservations=10_000)
         writers = [
-            fleet.add(f"i-writer{number}", "llm", "decode", behave=stream, room=10_000)
+            fleet.add(
+                f"i-writer{number}",
+                "llm",
+                "decode",
+                handler=respond_stream,
+                free_reservations=10_000,
+            )
             for number in range(others)
         ]
 
         stream_often(fleet)
-        assert resting.most_in_rest(server) <= MOST_IN_REST
+        assert resting.max_arrivals_in_backoff(server) <= MOST_IN_REST
         # The route allows one server.
-        sent = [each.ident for writer in [server, *writers] for each in writer.arrivals]
+        sent = [each.request_id for writer in [server, *writers] for each in writer.arrivals]
         assert len(sent) == len(set(sent))
         if others:
             # Once a rest.
             assert (
-                ASKED_PER_S * 8 - fleet.statuses()[200] <= len(server.arrivals) <= 8.0 / REST_S + 1
+                ASKED_PER_S * 8 - fleet.statuses()[200]
+                <= len(server.arrivals)
+                <= 8.0 / BACKOFF_S + 1
             )
 
     def test_an_engine_that_rests_is_asked_for_no_place(self) -> None:
         """Nor is one that has no room asked sooner than it said."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=resting, room=3)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        resting = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "decode", handler=resting, free_reservations=3)
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         stream_often(fleet)
-        assert resting.most_in_rest(server) == 0
-        assert server.side_calls.count("POST /v1/hold-take") <= 3 + 8.0 / REST_S * MOST_IN_REST
+        assert resting.max_arrivals_in_backoff(server) == 0
+        assert server.side_calls.count("POST /v1/hold-take") <= 3 + 8.0 / BACKOFF_S * MOST_IN_REST
 
     def test_holds_for_prompts_read_apart(self) -> None:
         """The engine that writes reads them meanwhile."""
         fleet = LimitedFleet(1)
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "prefill", read=resting)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        resting = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "prefill", prefill_handler=resting)
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         stream_often(fleet)
-        assert resting.most_in_rest(server) == 0
+        assert resting.max_arrivals_in_backoff(server) == 0
         assert fleet.statuses() == {200: int(ASKED_PER_S * 8)}
 
     def test_holds_for_streams_that_are_taken_up_elsewhere(self) -> None:
         """They broke off at the other engine."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=resting, room=10_000)
-        fleet.add("i-breaking", "llm", "decode", behave=break_off, room=10_000)
+        resting = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "decode", handler=resting, free_reservations=10_000)
+        fleet.add("i-breaking", "llm", "decode", handler=break_stream, free_reservations=10_000)
 
         stream_often(fleet, "/resumed/a")
-        assert resting.told
-        assert resting.most_in_rest(server) <= MOST_IN_REST
+        assert resting.refusals
+        assert resting.max_arrivals_in_backoff(server) <= MOST_IN_REST
 
     def test_holds_for_places_that_were_taken_before(self) -> None:
         """Their prompts are read elsewhere meanwhile, and they are written by another engine."""
         fleet = LimitedFleet(1)
-        fleet.add("i-reader", "llm", "prefill", read_s=0.8)
-        resting = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=resting, room=10_000)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        fleet.add("i-reader", "llm", "prefill", prefill_s=0.8)
+        resting = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "decode", handler=resting, free_reservations=10_000)
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         stream_often(fleet)
-        assert resting.most_in_rest(server) <= MOST_IN_REST
+        assert resting.max_arrivals_in_backoff(server) <= MOST_IN_REST
 
     def test_a_shorter_word_does_not_shorten_it(self) -> None:
         """Of requests that were under way together the last is refused for a shorter time."""
         fleet = LimitedFleet(1)
-        resting = Resting(REST_S, after_s=0.2)
-        server = fleet.add("i-resting", behave=resting)
-        fleet.add("i-other", behave=slowly)
+        resting = BackoffHandler(BACKOFF_S, refusal_delay_s=0.2)
+        server = fleet.add("i-resting", handler=resting)
+        fleet.add("i-other", handler=respond_slowly)
 
         async def shorter() -> None:
             while not server.arrivals:
                 await curio.sleep(0.01)
-            resting.rest_s = 0.5
+            resting.backoff_s = 0.5
 
         async def story() -> None:
             async with curio.TaskGroup(wait=all) as group:
@@ -388,23 +402,23 @@
                 await group.spawn(partial(fleet.ask_often, "/once/a", per_s=60.0, for_s=3.4))
 
         fleet.play(story, ONCE)
-        told = [round(until - at, 1) for at, until in resting.told]
-        assert told[:2] == [REST_S, 0.5]
-        assert resting.most_in_rest(server) == 0
+        told = [round(until - at, 1) for at, until in resting.refusals]
+        assert told[:2] == [BACKOFF_S, 0.5]
+        assert resting.max_arrivals_in_backoff(server) == 0
 
     def test_stands_while_its_entry_is_away(self) -> None:
         """An entry may lapse though its server lives."""
         fleet = LimitedFleet(1)
-        resting = Resting(8.0)
-        server = fleet.add("i-resting", behave=resting)
-        fleet.add("i-other", behave=slowly)
+        resting = BackoffHandler(8.0)
+        server = fleet.add("i-resting", handler=resting)
+        fleet.add("i-other", handler=respond_slowly)
 
         async def story() -> None:
-            while not resting.told:
+            while not resting.refusals:
                 await fleet.ask("/once/a")
             await server.store.remove("servers/i-resting")
             await curio.sleep(1.0)
-            await server.enter()
+            await server.publish_entry()
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=6.0)
 
         fleet.play(story, ONCE)
@@ -413,40 +427,40 @@
     def test_is_not_that_of_the_next_life(self) -> None:
         """Another life of the same name serves at once, whatever the last one asked for."""
         fleet = LimitedFleet(1)
-        resting = Resting(60.0)
-        server = fleet.add("i-resting", behave=resting, born=1)
-        fleet.add("i-other", behave=slowly)
+        resting = BackoffHandler(60.0)
+        server = fleet.add("i-resting", handler=resting, start_time_ms=1)
+        fleet.add("i-other", handler=respond_slowly)
 
         async def story() -> None:
-            while not resting.told:
+            while not resting.refusals:
                 await fleet.ask("/once/a")
-            server.behave, server.born = sealed, 2
+            server.handler, server.start_time_ms = respond_ok, 2
             server.arrivals.clear()
-            await server.enter()
+            await server.publish_entry()
             await curio.sleep(0.2)
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=1.0)
 
         fleet.play(story, ONCE)
         assert server.arrivals
         assert set(fleet.statuses()) == {200, 503}
-        assert fleet.statuses()[503] == len(resting.told)
+        assert fleet.statuses()[503] == len(resting.refusals)
 
     def test_ends_when_it_said(self) -> None:
         """It serves again, and gets its part."""
         fleet = LimitedFleet(1)
-        resting = Resting(REST_S, serve=slowly)
-        server = fleet.add("i-resting", behave=resting)
-        other = fleet.add("i-other", behave=slowly)
+        resting = BackoffHandler(BACKOFF_S, serve=respond_slowly)
+        server = fleet.add("i-resting", handler=resting)
+        other = fleet.add("i-other", handler=respond_slowly)
 
         async def story() -> None:
-            resting.over_at = await curio.clock() + 1.0
+            resting.serve_from = await curio.clock() + 1.0
             await fleet.ask_often("/once/a", per_s=ASKED_PER_S, for_s=10.0)
 
         fleet.play(story, ONCE)
-        back = sent_after(server, resting.told[0][1])
+        back = sent_after(server, resting.refusals[0][1])
         assert back
         assert back[0] < 1.0
-        assert len(back) > 0.2 * len(other.arrivals) * (10.0 - REST_S) / 10.0
+        assert len(back) > 0.2 * len(other.arrivals) * (10.0 - BACKOFF_S) / 10.0
 
 
 async def as_asked(replica: FakeReplica, exchange: Exchange) -> None:
@@ -454,7 +468,7 @@
     what, _, after_s = exchange.req.body.decode().partition(" ")
     await curio.sleep(float(after_s or 0))
     if what == "run":
-        await sealed(replica, exchange)
+        await respond_ok(replica, exchange)
         return
     ident = exchange.req.headers["x-request-id"]
     rest = [("retry-after", "3")] if what == "rest" else []
--- a/tests/test_shared_work.py
+++ b/tests/test_shared_work.py
@@ -12,7 +12,12 @@
 from crankhinge.errors import KeyValueUnavailable
 from crankhinge.gateway._shared_work import AGAIN_S, LATEST_S, SharedWork
 from crankhinge.runtime import get_log, run_until_first_ends
-from platform_fakes import Lines, lone_backends, lone_desk, lone_limits
+from platform_fakes import (
+    LogCapture,
+    make_standalone_backends,
+    make_standalone_limits,
+    make_standalone_quarantine,
+)
 from virtual_time import run_virtual
 
 
@@ -74,17 +79,17 @@
         if resumed:
             self.board.notes.append(InstanceRecord("127.0.0.1:7", {}, settled=True))
         self.meter = WorkloadMeter()
-        self.lines = Lines()
+        self.lines = LogCapture()
         log = get_log(program="t", stream=self.lines)
         self.members = Membership("here", 0.0)
-        self.limits = lone_limits("here", lone_backends(log), log)
+        self.limits = make_standalone_limits("here", make_standalone_backends(log), log)
         self.work = SharedWork(
             name="here",
             peer="127.0.0.1:7",
             members=self.members,
             board=self.board,
             meters={"llm": self.meter},
-            quarantine=lone_desk("here", log),
+            quarantine=make_standalone_quarantine("here", log),
             limits=self.limits.news,
             log=log,
             rng=random.Random(3),
@@ -178,7 +183,7 @@
             here.board.away = True
             here.serve(10)
             await curio.sleep(2.0)
-            assert here.lines.having("event=note_unknown", "why=away")
+            assert here.lines.matching("event=note_unknown", "why=away")
             here.board.away = False
             await curio.sleep(AGAIN_S + 2.0)
             assert len(here.board.published) == 1
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -18,7 +18,7 @@
 import pytest
 
 import crankhinge.gateway
-from behaviours import REST_S, Resting, break_off, fail, slowly
+from behaviours import BACKOFF_S, BackoffHandler, break_stream, respond_error, respond_slowly
 from crankhinge.decisions import ExclusionReason
 from limit_worlds import (
     ONCE,
@@ -30,14 +30,14 @@
     allowed,
     most_arrivals,
 )
-from platform_fakes import Arrival, Behave, FakeReplica, stream
+from platform_fakes import Arrival, FakeReplica, RequestHandler, respond_stream
 
 ASKED_PER_S = 15.0
 ASKED_S = 6.0
 SAID_AT_S = 1.5
 # Seconds for which callers still ask when a server is barred no more: whichever instance it refused
 # last leaves it alone for one rest from then.
-ASKED_AGAIN_S = REST_S + 4.0
+ASKED_AGAIN_S = BACKOFF_S + 4.0
 # Seconds after which a server that leaves, or whose entry is gone, may get none, and those that a
 # request which was sent before may still take to arrive: its prompt is read elsewhere meanwhile.
 DRAIN_S = 2.0
@@ -70,20 +70,20 @@
 def first_tries(instances: int, *, others: int = 1) -> Way:
     """Return the way of plain calls that are sent for the first time."""
     fleet = LimitedFleet(instances)
-    server = fleet.add("i-barred", behave=slowly)
+    server = fleet.add("i-barred", handler=respond_slowly)
     for number in range(others):
-        fleet.add(f"i-{number}", behave=slowly)
+        fleet.add(f"i-{number}", handler=respond_slowly)
     return Way(fleet, server, "/once/a")
 
 
 def repeats() -> Way:
     """Return the way of calls that failed at another server."""
     fleet = LimitedFleet(1)
-    server = fleet.add("i-barred", behave=slowly)
-    failing = fleet.add("i-failing", behave=fail)
+    server = fleet.add("i-barred", handler=respond_slowly)
+    failing = fleet.add("i-failing", handler=respond_error)
 
     def failed_before(arrival: Arrival) -> bool:
-        return any(each.ident == arrival.ident for each in failing.arrivals)
+        return any(each.request_id == arrival.request_id for each in failing.arrivals)
 
     return Way(fleet, server, "/safe/a", failed_before)
 
@@ -93,24 +93,26 @@
 
     They are busy with an order of somebody else, so that none is ordered to change its part.
     """
-    return partial(fleet.add, service="llm", phase=phase, order_status=409, room=10_000, **more)
+    return partial(
+        fleet.add, service="llm", role=phase, order_status=409, free_reservations=10_000, **more
+    )
 
 
 def readings(*, second: bool) -> Way:
     """Return the way of prompts that are read apart, or once more after a refusal."""
     fleet = LimitedFleet(1)
-    server = engines(fleet, "prefill", read_s=0.1)("i-barred")
-    engines(fleet, "prefill", read_s=0.1, refuses_to_read=second)("i-other")
-    engines(fleet, "decode", behave=stream)("i-writer")
+    server = engines(fleet, "prefill", prefill_s=0.1)("i-barred")
+    engines(fleet, "prefill", prefill_s=0.1, refuses_prefill=second)("i-other")
+    engines(fleet, "decode", handler=respond_stream)("i-writer")
     return Way(fleet, server, "/stream/a", lambda each: "x-stage" in each.headers, TOKENS)
 
 
 def writings(*, readers: int = 1, read_s: float = 0.0, others: int = 1) -> Way:
     """Return the way of streams; their prompts are read elsewhere while their place is held."""
     fleet = LimitedFleet(1)
-    writer = engines(fleet, "decode", behave=stream)
+    writer = engines(fleet, "decode", handler=respond_stream)
     for number in range(readers):
-        engines(fleet, "prefill", read_s=read_s)(f"i-reader{number}")
+        engines(fleet, "prefill", prefill_s=read_s)(f"i-reader{number}")
     server = writer("i-barred")
     for number in range(others):
         writer(f"i-writer{number}")
@@ -124,8 +126,8 @@
     """Return the way of streams that broke off at another engine."""
     fleet = LimitedFleet(1)
     engines(fleet, "prefill")("i-reader")
-    server = engines(fleet, "decode", behave=stream)("i-barred")
-    engines(fleet, "decode", behave=break_off)("i-breaking")
+    server = engines(fleet, "decode", handler=respond_stream)("i-barred")
+    engines(fleet, "decode", handler=break_stream)("i-breaking")
     return Way(fleet, server, "/resumed/a", lambda each: "last-event-id" in each.headers, TOKENS)
 
 
@@ -136,46 +138,50 @@
 
 async def rests(server: FakeReplica) -> None:
     """Have a server refuse all and ask for rest."""
-    server.behave = server.read = Resting(REST_S)
+    server.handler = server.prefill_handler = BackoffHandler(BACKOFF_S)
 
 
 async def names_limit(server: FakeReplica) -> None:
     """Have a server name a limit."""
-    server.limit = f"{LIMIT_PER_S:g}"
+    server.advertised_limit = f"{LIMIT_PER_S:g}"
 
 
 async def loses_entry(server: FakeReplica) -> None:
     """Take a server's entry out of the list."""
-    await server.store.remove(f"servers/{server.ident}")
+    await server.store.remove(f"servers/{server.incarnation_id}")
 
 
 async def is_replaced(server: FakeReplica) -> None:
     """Let another server have the address, while the entry stands."""
-    server.ident = "i-next"
+    server.incarnation_id = "i-next"
 
 
-async def rests_no_more(server: FakeReplica, usual: Behave) -> None:
+async def rests_no_more(server: FakeReplica, usual: RequestHandler) -> None:
     """Have a server serve again."""
-    server.behave, server.read = usual, None
+    server.handler, server.prefill_handler = usual, None
 
 
-async def names_no_limit(server: FakeReplica, usual: Behave) -> None:
+async def names_no_limit(server: FakeReplica, usual: RequestHandler) -> None:
     """Have a server take what it did before."""
-    server.limit = None
+    server.advertised_limit = None
 
 
 def none_late(server: FakeReplica, said_at: float) -> None:
     """Check that nothing reached a server that leaves."""
-    late = [each.at for each in server.arrivals if each.at > said_at + DRAIN_S + UNDER_WAY_S]
+    late = [
+        each.arrived_at
+        for each in server.arrivals
+        if each.arrived_at > said_at + DRAIN_S + UNDER_WAY_S
+    ]
     assert late == []
 
 
 def none_in_rest(server: FakeReplica, said_at: float) -> None:
     """Check that a server had its rest."""
-    resting = server.behave
-    assert isinstance(resting, Resting)
-    assert resting.told
-    assert resting.most_in_rest(server) <= MOST_IN_REST
+    resting = server.handler
+    assert isinstance(resting, BackoffHandler)
+    assert resting.refusals
+    assert resting.max_arrivals_in_backoff(server) <= MOST_IN_REST
 
 
 def none_over_limit(server: FakeReplica, said_at: float) -> None:
@@ -185,13 +191,13 @@
 
 def none_misdirected(server: FakeReplica, said_at: float) -> None:
     """Check that a server's successor was asked no more than by what was under way."""
-    asked = [each.at for each in server.arrivals if each.at >= said_at]
+    asked = [each.arrived_at for each in server.arrivals if each.arrived_at >= said_at]
     assert asked
     assert [at for at in asked if at > asked[0] + UNDER_WAY_S] == []
 
 
 Say = Callable[[FakeReplica], Awaitable[None]]
-Lift = Callable[[FakeReplica, Behave], Awaitable[None]]
+Lift = Callable[[FakeReplica, RequestHandler], Awaitable[None]]
 Check = Callable[[FakeReplica, float], None]
 WAYS: dict[str, Callable[[], Way]] = {
     "first-try": partial(first_tries, 1),
@@ -243,7 +249,7 @@
                 await say(way.server)
 
         way.fleet.play(story, ONCE, SAFE, STREAM, RESUMED)
-        before = [each for each in way.server.arrivals if each.at <= said_at]
+        before = [each for each in way.server.arrivals if each.arrived_at <= said_at]
         assert any(way.goes(each) for each in before)
         check(way.server, said_at)
 
@@ -257,19 +263,21 @@
 
         async def story() -> None:
             nonlocal lifted_at
-            usual = way.server.behave
-            for_s = SAID_AT_S + REST_S + ASKED_AGAIN_S
+            usual = way.server.handler
+            for_s = SAID_AT_S + BACKOFF_S + ASKED_AGAIN_S
             ask = partial(way.fleet.ask_often, way.path, per_s=ASKED_PER_S, for_s=for_s)
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(ask, **way.tokens))
                 await curio.sleep(SAID_AT_S)
                 await say(way.server)
-                await curio.sleep(REST_S)
+                await curio.sleep(BACKOFF_S)
                 lifted_at = await curio.clock()
                 await lift(way.server, usual)
 
         way.fleet.play(story, ONCE, SAFE, STREAM, RESUMED)
-        again = [each.at for each in way.server.arrivals if each.at > lifted_at + BACK_S]
+        again = [
+            each.arrived_at for each in way.server.arrivals if each.arrived_at > lifted_at + BACK_S
+        ]
         assert len(again) >= least
 
 
