--- a/tests/test_born_again.py
+++ b/tests/test_born_again.py
@@ -1,4 +1,4 @@
-"""Tests of servers that start again under the identity that they had, and of strange entries."""
+"""Tests of servers that restart under their old id, and of invalid entries."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
 
 ONCE = route("r-once", "/once/", "unsafe", "plain")
 STREAM = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
-BORN = 1_780_000_000_000
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
+START_TIME_MS = 1_780_000_000_000
 
 
-def play(harness: GatewayHarness, story: Any) -> None:
-    """Run *story* under a clock that jumps."""
-    run_virtual(harness.run, story, ONCE, STREAM, settle_s=0.003)
+def run_scenario(harness: GatewayHarness, scenario: Any) -> None:
+    """Run *scenario* in virtual time."""
+    run_virtual(harness.run, scenario, ONCE, STREAM, settle_s=0.003)
 
 
-class TestBornAgain:
-    """A server starts again under its identity; its count of entries starts anew.
+class TestRestartedServer:
+    """A server restarts under its old id, and the sequence of its entries starts again.
 
-    It was not seen until its count had passed the old one, its new address not at all: a count of
-    50 was known, then came 1 at another address, and requests went to the old address.
+    The restarted server was ignored until its sequence number passed the old one, and its new
+    address altogether: sequence number 50 was known, then 1 came with another address, and requests
+    went to the old address.
     """
 
     def test_is_used_at_its_new_address(self) -> None:
-        """Its lower count does not matter."""
+        """The lower sequence number of its entry does not matter."""
         harness = GatewayHarness()
-        old = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=BORN)
-        new = harness.add_replica("i-p", "plain", sequence=0, start_time_ms=BORN + 5000)
+        old = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=START_TIME_MS)
+        new = harness.add_replica("i-p", "plain", sequence=0, start_time_ms=START_TIME_MS + 5000)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await old.publish_entry()
             await curio.sleep(2.0)
             await new.publish_entry()
@@ -42,30 +43,30 @@
             assert (await harness.call("a", "/once/a"))[0] == 200
             assert (old.executed_ids, new.executed_ids) == ([], ["a"])
 
-        run_virtual(harness.run, story, ONCE, settle_s=0.003)
+        run_virtual(harness.run, scenario, ONCE, settle_s=0.003)
 
-    def test_is_used_after_its_entry_had_gone(self) -> None:
-        """As a new server is."""
+    def test_is_used_after_its_entry_was_removed(self) -> None:
+        """It counts as a new server."""
         harness = GatewayHarness()
-        server = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=BORN)
+        server = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=START_TIME_MS)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await harness.store.remove("servers/i-p")
             await curio.sleep(0.2)
-            server.sequence, server.start_time_ms = 0, BORN + 5000
+            server.sequence, server.start_time_ms = 0, START_TIME_MS + 5000
             await server.publish_entry()
             await curio.sleep(0.2)
             assert (await harness.call("a", "/once/a"))[0] == 200
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_an_entry_of_an_earlier_life_that_was_written_late_changes_nothing(self) -> None:
-        """Whatever its count, also after the later life has gone."""
+    def test_late_entry_of_an_earlier_incarnation_is_ignored(self) -> None:
+        """Whatever its sequence number, and even after the later incarnation has ended."""
         harness = GatewayHarness()
-        old = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=BORN)
-        new = harness.add_replica("i-p", "plain", sequence=0, start_time_ms=BORN + 5000)
+        old = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=START_TIME_MS)
+        new = harness.add_replica("i-p", "plain", sequence=0, start_time_ms=START_TIME_MS + 5000)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await new.publish_entry()
             await curio.sleep(2.0)
             await old.publish_entry()
@@ -78,27 +79,34 @@
             await curio.sleep(0.2)
             assert (await harness.call("b", "/once/a"))[0] == 503
 
-        run_virtual(harness.run, story, ONCE, settle_s=0.003)
+        run_virtual(harness.run, scenario, ONCE, settle_s=0.003)
 
-    def test_what_was_seen_of_an_earlier_life_is_forgotten(self) -> None:
-        """An engine that followed an order, or that was full, is neither after its start."""
+    def test_state_of_an_earlier_incarnation_is_discarded(self) -> None:
+        """An engine that carried out an order, or had no free memory, starts without this state."""
         harness = GatewayHarness()
-        writer = harness.add_replica(
-            "i-w", "llm", "decode", handler=respond_stream, free_reservations=0, start_time_ms=BORN
+        decode_engine = harness.add_replica(
+            "i-w",
+            "llm",
+            "decode",
+            handler=respond_stream,
+            free_reservations=0,
+            start_time_ms=START_TIME_MS,
         )
 
-        async def story() -> None:
-            assert (await harness.call("a", "/stream/a", **TOKENS, x_deadline_ms="600"))[0] == 503
-            writer.free_reservations, writer.sequence, writer.start_time_ms = 5, 0, BORN + 5000
-            await writer.publish_entry()
+        async def scenario() -> None:
+            headers = {**TOKEN_HEADERS, "x_deadline_ms": "600"}
+            assert (await harness.call("a", "/stream/a", **headers))[0] == 503
+            decode_engine.free_reservations = 5
+            decode_engine.sequence, decode_engine.start_time_ms = 0, START_TIME_MS + 5000
+            await decode_engine.publish_entry()
             await curio.sleep(0.1)
-            assert (await harness.call("b", "/stream/a", **TOKENS))[0] == 200
+            assert (await harness.call("b", "/stream/a", **TOKEN_HEADERS))[0] == 200
             assert harness.logs.matching("event=server_gone", "why=born_again")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
 
-STRANGE: list[dict[str, Any]] = [
+INVALID_FIELDS: list[dict[str, Any]] = [
     {"state": "resting"},
     {"state": 3},
     {"service": None},
@@ -118,71 +126,73 @@
     {"models": "m"},
     {"models": [{}]},
 ]
-MISSING = ["service", "address", "zone", "slots", "state", "sequence"]
+REQUIRED_FIELDS = ["service", "address", "zone", "slots", "state", "sequence"]
 
 
-class TestOtherWriters:
-    """Entries that another writer left among those of servers.
+class TestInvalidEntries:
+    """Entries that another writer left among the entries of servers.
 
-    Missing fields were given usual values, so that an entry of another writer named a server to
-    use; one of a known server that could not be read any more left the old one in use.
+    Missing fields were given default values, so that an entry of another writer named a server to
+    use; when the entry of a known server became unreadable, the old entry stayed in use.
     """
 
-    @pytest.mark.parametrize("other", STRANGE, ids=str)
-    def test_a_strange_field_names_no_server_to_use(self, other: dict[str, Any]) -> None:
-        """The others hold; the next entry that can be read is used again."""
-        self._play(other)
+    @pytest.mark.parametrize("overrides", INVALID_FIELDS, ids=str)
+    def test_entry_with_an_invalid_field_is_not_used(self, overrides: dict[str, Any]) -> None:
+        """Other servers stay in use, and the next readable entry is used again."""
+        self._check_entry_is_not_used(overrides)
 
-    @pytest.mark.parametrize("field", MISSING)
-    def test_a_missing_field_names_no_server_to_use(self, field: str) -> None:
-        """None is given a usual value."""
-        self._play({field: ...})
+    @pytest.mark.parametrize("field", REQUIRED_FIELDS)
+    def test_entry_without_a_required_field_is_not_used(self, field: str) -> None:
+        """No default value replaces the missing field."""
+        self._check_entry_is_not_used({field: ...})
 
-    def _play(self, other: dict[str, Any]) -> None:
+    def _check_entry_is_not_used(self, overrides: dict[str, Any]) -> None:
         harness = GatewayHarness()
-        strange = harness.add_replica("i-s", "plain", start_time_ms=BORN)
-        sound = harness.add_replica("i-p", "plain", start_time_ms=BORN, port=free_port())
-
-        async def story() -> None:
-            if ... in other.values():
-                await harness.store.put("servers/i-s", _without(next(iter(other)), strange.port))
+        invalid = harness.add_replica("i-s", "plain", start_time_ms=START_TIME_MS)
+        valid = harness.add_replica("i-p", "plain", start_time_ms=START_TIME_MS, port=free_port())
+
+        async def scenario() -> None:
+            if ... in overrides.values():
+                await harness.store.put(
+                    "servers/i-s", _entry_without(next(iter(overrides)), invalid.port)
+                )
             else:
-                await strange.publish_entry(**other)
-            await sound.publish_entry("draining")
+                await invalid.publish_entry(**overrides)
+            await valid.publish_entry("draining")
             await curio.sleep(2.0)
             assert (await harness.call("a", "/once/a"))[0] == 503
-            await sound.publish_entry()
+            await valid.publish_entry()
             await curio.sleep(2.0)
             assert (await harness.call("b", "/once/a"))[0] == 200
-            assert (strange.executed_ids, sound.executed_ids) == ([], ["b"])
-            await strange.publish_entry()
-            await sound.publish_entry("draining")
+            assert (invalid.executed_ids, valid.executed_ids) == ([], ["b"])
+            await invalid.publish_entry()
+            await valid.publish_entry("draining")
             await curio.sleep(2.0)
             assert (await harness.call("c", "/once/a"))[0] == 200
-            assert strange.executed_ids == ["c"]
+            assert invalid.executed_ids == ["c"]
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_bytes_that_are_no_entry_name_no_server_to_use(self) -> None:
-        """Neither by themselves nor in the place of a known entry."""
+    def test_undecodable_entry_is_not_used(self) -> None:
+        """Neither on its own nor in place of a known entry."""
         harness = GatewayHarness()
-        strange = harness.add_replica("i-s", "plain")
-        sound = harness.add_replica("i-p", "plain")
+        invalid = harness.add_replica("i-s", "plain")
+        valid = harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for key in ("servers/i-s", "servers/", "servers/i-t"):
                 await harness.store.put(key, "bytes")
-            await sound.publish_entry("draining")
+            await valid.publish_entry("draining")
             await curio.sleep(2.0)
             assert (await harness.call("a", "/once/a"))[0] == 503
-            assert (strange.executed_ids, sound.executed_ids) == ([], [])
+            assert (invalid.executed_ids, valid.executed_ids) == ([], [])
             assert harness.logs.matching("event=entry_unreadable")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
 
-def _without(field: str, port: int) -> dict[str, Any]:
-    """Return an entry in which a field is missing."""
+def _entry_without(field: str, port: int) -> dict[str, Any]:
+    """Return an entry without one of its fields."""
     entry = {
         "service": "plain",
         "address": f"127.0.0.1:{port}",
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -15,11 +15,11 @@
 
 from crankhinge_bench._procs import HOST, free_ports, http_json
 
-PATIENCE_S = 20.0
+MAX_WAIT_S = 20.0
 
 
-def settings_text(ports: list[int], *, zone: str = "z1") -> str:
-    """Return a settings file; nobody listens at the source."""
+def make_settings(ports: list[int], *, zone: str = "z1") -> str:
+    """Return the text of a settings file; no process listens at the source's address."""
     front, ready, source, metrics = ports
     return "\n".join(
         (
@@ -34,14 +34,14 @@
     )
 
 
-class Program:
-    """A running gateway and what it has printed."""
+class GatewayProcess:
+    """A running gateway process and its output."""
 
     def __init__(self, folder: Path) -> None:
         self.ports = free_ports(4)
         self.path = folder / "gateway.toml"
         self.out = folder / "out.log"
-        self.path.write_text(settings_text(self.ports))
+        self.path.write_text(make_settings(self.ports))
         command = [sys.executable, "-m", "crankhinge_platform.gateway"]
         with self.out.open("w") as out:
             self.proc = subprocess.Popen(
@@ -51,92 +51,96 @@
                 env={**os.environ, "CRANKHINGE_CONFIG": str(self.path)},
             )
 
-    def wait_for(self, text: str) -> None:
-        """Return when *text* was printed."""
-        until = time.monotonic() + PATIENCE_S
+    def wait_for_output(self, text: str) -> None:
+        """Wait until *text* is in the output."""
+        deadline = time.monotonic() + MAX_WAIT_S
         while text not in self.out.read_text():
-            assert time.monotonic() < until, self.out.read_text()
+            assert time.monotonic() < deadline, self.out.read_text()
             assert self.proc.poll() is None, self.out.read_text()
             time.sleep(0.05)
 
 
 @pytest.fixture
-def program(tmp_path: Path) -> Iterator[Program]:
-    """Return a running gateway."""
-    running = Program(tmp_path)
-    running.wait_for("event=started")
+def gateway(tmp_path: Path) -> Iterator[GatewayProcess]:
+    """Start a gateway process; kill it after the test."""
+    running = GatewayProcess(tmp_path)
+    running.wait_for_output("event=started")
     yield running
     running.proc.kill()
     running.proc.wait()
 
 
-class TestProcess:
-    """What operators do to it."""
+class TestGatewayProcess:
+    """Signals, settings files and pages that operators use."""
 
-    def test_reloads_on_a_signal_and_on_a_changed_file(self, program: Program) -> None:
+    def test_reloads_settings_on_sighup_and_on_a_changed_file(
+        self, gateway: GatewayProcess
+    ) -> None:
         """Neither ends the process."""
-        program.proc.send_signal(signal.SIGHUP)
-        program.wait_for("event=reloaded cause=sighup")
-        program.path.write_text(settings_text(program.ports, zone="another"))
-        program.wait_for("event=reloaded cause=file")
-        assert program.proc.poll() is None
-
-    def test_bad_settings_change_nothing(self, program: Program) -> None:
-        """The line names file and reason; the process goes on."""
-        program.path.write_text("name = 5")
-        program.proc.send_signal(signal.SIGHUP)
-        program.wait_for("event=reload_failed")
-        assert program.proc.poll() is None
-
-    def test_shows_its_metrics_and_the_age_of_what_it_knows(self, program: Program) -> None:
-        """Prometheus' text form, also before the source was ever reached."""
-        program.wait_for("event=source_lost")
-        url = f"http://{HOST}:{program.ports[3]}/metrics"
-        with urllib.request.urlopen(url, timeout=PATIENCE_S) as resp:
+        gateway.proc.send_signal(signal.SIGHUP)
+        gateway.wait_for_output("event=reloaded cause=sighup")
+        gateway.path.write_text(make_settings(gateway.ports, zone="another"))
+        gateway.wait_for_output("event=reloaded cause=file")
+        assert gateway.proc.poll() is None
+
+    def test_invalid_settings_are_not_applied(self, gateway: GatewayProcess) -> None:
+        """The log line names file and reason; the process keeps running."""
+        gateway.path.write_text("name = 5")
+        gateway.proc.send_signal(signal.SIGHUP)
+        gateway.wait_for_output("event=reload_failed")
+        assert gateway.proc.poll() is None
+
+    def test_metrics_show_configuration_version_and_server_list_age(
+        self, gateway: GatewayProcess
+    ) -> None:
+        """The page has the Prometheus text format, even before the source was ever reached."""
+        gateway.wait_for_output("event=source_lost")
+        url = f"http://{HOST}:{gateway.ports[3]}/metrics"
+        with urllib.request.urlopen(url, timeout=MAX_WAIT_S) as resp:
             page = resp.read().decode()
         assert 'crankhinge_value{what="config_version"} 0.0' in page
         assert 'crankhinge_value{what="servers_heard_s_ago"}' in page
 
-    def test_a_stop_ends_with_status_0(self, program: Program) -> None:
-        """Unready at once, then out."""
-        program.proc.send_signal(signal.SIGTERM)
-        program.wait_for("event=draining")
-        assert program.proc.wait(PATIENCE_S) == 0
-        assert "event=stopped" in program.out.read_text()
+    def test_sigterm_ends_the_process_with_status_0(self, gateway: GatewayProcess) -> None:
+        """The process is unready at once, drains and exits."""
+        gateway.proc.send_signal(signal.SIGTERM)
+        gateway.wait_for_output("event=draining")
+        assert gateway.proc.wait(MAX_WAIT_S) == 0
+        assert "event=stopped" in gateway.out.read_text()
 
-    def test_nothing_is_served_before_a_configuration(self, program: Program) -> None:
-        """The balancer is told so."""
+    def test_is_not_ready_before_a_configuration(self, gateway: GatewayProcess) -> None:
+        """The load balancer's readiness check gets 503."""
         with pytest.raises(OSError, match="503"):
-            http_json("GET", program.ports[1], "/readyz")
+            http_json("GET", gateway.ports[1], "/readyz")
 
 
-def ignores_hangups(pid: int) -> bool:
-    """Whether a process ignores SIGHUP, as the kernel tells (proc(5), ``SigIgn``)."""
+def ignores_sighup(pid: int) -> bool:
+    """Return whether a process ignores SIGHUP, from ``SigIgn`` in proc(5)."""
     status = Path(f"/proc/{pid}/status").read_text()
     [mask] = [line.split()[1] for line in status.splitlines() if line.startswith("SigIgn:")]
     return bool(int(mask, 16) >> (signal.SIGHUP - 1) & 1)
 
 
-def test_a_reload_during_the_start_ends_nothing(tmp_path: Path) -> None:
-    """Found by the soak (seeds 119 and 139): SIGHUP ended a process that was still starting."""
-    program = Program(tmp_path)
+def test_sighup_during_startup_does_not_end_the_process(tmp_path: Path) -> None:
+    """SIGHUP ended a process that was still starting (found by soak runs, seeds 119 and 139)."""
+    gateway = GatewayProcess(tmp_path)
     try:
-        until = time.monotonic() + PATIENCE_S
-        while not ignores_hangups(program.proc.pid):
-            assert "event=started" not in program.out.read_text(), "never ignored before the start"
-            assert time.monotonic() < until
+        deadline = time.monotonic() + MAX_WAIT_S
+        while not ignores_sighup(gateway.proc.pid):
+            assert "event=started" not in gateway.out.read_text(), "never ignored before the start"
+            assert time.monotonic() < deadline
             time.sleep(0.001)
-        program.proc.send_signal(signal.SIGHUP)
-        program.wait_for("event=started")
-        program.proc.send_signal(signal.SIGHUP)
-        program.wait_for("event=reloaded cause=sighup")
+        gateway.proc.send_signal(signal.SIGHUP)
+        gateway.wait_for_output("event=started")
+        gateway.proc.send_signal(signal.SIGHUP)
+        gateway.wait_for_output("event=reloaded cause=sighup")
     finally:
-        program.proc.kill()
-        program.proc.wait()
+        gateway.proc.kill()
+        gateway.proc.wait()
 
 
-# A program that is told to reload, and to stop, as the first thing that it does.
-TOLD_AT_ONCE = """
+# A program that sends itself SIGHUP as soon as it serves, then SIGTERM.
+SELF_SIGNALLING_PROGRAM = """
 import os, signal, sys
 import curio, msgspec
 from crankhinge._early import ignore_sighup
@@ -157,23 +161,24 @@
 """
 
 
-def test_a_reload_as_soon_as_the_program_serves_is_acted_on(tmp_path: Path) -> None:
-    """Operators saw "started" and sent SIGHUP: 2 of 24 times, on a busy machine, it was lost.
+def test_sighup_as_soon_as_the_program_serves_reloads(tmp_path: Path) -> None:
+    """SIGHUP that operators sent right after "started" was lost 2 of 24 times on a busy machine.
 
-    The program's task ran before the one that installs the handlers; until then SIGHUP is ignored.
+    The program's task ran before the task that installs the signal handlers; until then the
+    process ignores SIGHUP.
     """
     path = tmp_path / "empty.toml"
     path.write_text("")
-    command = [sys.executable, "-c", TOLD_AT_ONCE, str(path)]
-    done = subprocess.run(command, capture_output=True, text=True, check=False, timeout=PATIENCE_S)
+    command = [sys.executable, "-c", SELF_SIGNALLING_PROGRAM, str(path)]
+    done = subprocess.run(command, capture_output=True, text=True, check=False, timeout=MAX_WAIT_S)
     assert done.returncode == 0
     assert done.stdout == "reloaded\n"
 
 
-def test_settings_are_checked_whole(tmp_path: Path) -> None:
-    """Status 2, with file, key and reason."""
+def test_check_option_rejects_invalid_settings(tmp_path: Path) -> None:
+    """The exit status is 2, and the message names file, key and reason."""
     path = tmp_path / "bad.toml"
-    path.write_text(settings_text([1, 2, 3, 4]).replace("drain_s = 8", "drain_s = -1"))
+    path.write_text(make_settings([1, 2, 3, 4]).replace("drain_s = 8", "drain_s = -1"))
     command = [sys.executable, "-m", "crankhinge_platform.gateway", "--check", str(path)]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 2
--- a/tests/test_legs.py
+++ b/tests/test_legs.py
@@ -1,4 +1,4 @@
-"""Tests of the way to a server: what bars it, and what a request's end says of its server."""
+"""Tests of one attempt: exclusions before it is sent, and what its end says of the server."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 
 
 @dataclass(frozen=True)
-class Way:
-    """The way of one request to one server."""
+class PreparedAttempt:
+    """The parts of one attempt of a request at one server."""
 
     legs: Legs
     backends: Backends
@@ -45,8 +45,8 @@
     server: Server
 
 
-def way_to(replica: FakeReplica, log: Any) -> Way:
-    """Return the way of a request to a server, at an instance that has nobody to ask."""
+def prepare_attempt(replica: FakeReplica, log: Any) -> PreparedAttempt:
+    """Return an attempt of a request at a server, at an instance without peers."""
     entry = (
         f'{{"service": "plain", "address": "{HOST}:{replica.port}", "zone": "z1", '
         '"slots": 4, "state": "ready", "sequence": 1}'
@@ -69,62 +69,64 @@
     crashes = CrashDetector(backends=backends, on_crash=quarantine.crashed, log=log)
     limits = make_standalone_limits("g", backends, log)
     legs = Legs(backends, ALLOW_ALL, quarantine, crashes, limits.permits)
-    return Way(legs, backends, cast(Relay, relay), server)
+    return PreparedAttempt(legs, backends, cast(Relay, relay), server)
 
 
-def failing_after(failure: Exception) -> float:
-    """Return the share of failures believed of a server after *failure* while its answer passed."""
-    seen: list[float] = []
+def failure_share_after(failure: Exception) -> float:
+    """Return the server's share of failures after *failure* occurred while its response passed."""
+    shares: list[float] = []
     harness = GatewayHarness()
     replica: FakeReplica = harness.add_replica("i-1", "plain")
 
-    async def story() -> None:
-        way = way_to(replica, get_log(program="t", stream=harness.logs))
+    async def scenario() -> None:
+        attempt = prepare_attempt(replica, get_log(program="t", stream=harness.logs))
         with pytest.raises(type(failure)):
-            async with way.legs.open(way.relay, way.server, AttemptParams("i-1", 1.0)):
+            async with attempt.legs.open(attempt.relay, attempt.server, AttemptParams("i-1", 1.0)):
                 raise failure
-        seen.append(way.backends.standing("i-1").failure_share)
+        shares.append(attempt.backends.standing("i-1").failure_share)
 
-    run_virtual(harness.run, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
-    return seen[0]
+    run_virtual(harness.run, scenario, route("r", "/r/", "safe", "plain"), settle_s=0.003)
+    return shares[0]
 
 
-class TestBarred:
-    """A server that was chosen, and is barred by the time that the request is sent."""
+class TestExcludedServer:
+    """A server that is excluded after its choice, before the request is sent."""
 
     @pytest.mark.parametrize(
-        "bar",
+        "exclude",
         [
-            lambda way: way.backends.bars.record_leaving("i-1", 1.0),
-            lambda way: way.backends.bars.record_backoff("i-1", math.inf),
-            lambda way: way.backends.replaced(way.server),
-            lambda way: way.backends._servers.apply_list([], 1.0, was_unreachable=False),
+            lambda attempt: attempt.backends.bars.record_leaving("i-1", 1.0),
+            lambda attempt: attempt.backends.bars.record_backoff("i-1", math.inf),
+            lambda attempt: attempt.backends.replaced(attempt.server),
+            lambda attempt: attempt.backends._servers.apply_list([], 1.0, was_unreachable=False),
         ],
-        ids=["leaving", "resting", "replaced", "gone"],
+        ids=["leaving", "backoff", "replaced", "gone"],
     )
-    def test_nothing_is_sent(self, bar: Callable[[Any], object]) -> None:
-        """Whoever sends it chooses another."""
+    def test_request_is_not_sent(self, exclude: Callable[[Any], object]) -> None:
+        """The sender gets an error and chooses another server."""
         harness = GatewayHarness()
         replica = harness.add_replica("i-1", "plain")
 
-        async def story() -> None:
-            way = way_to(replica, get_log(program="t", stream=harness.logs))
-            bar(way)
+        async def scenario() -> None:
+            attempt = prepare_attempt(replica, get_log(program="t", stream=harness.logs))
+            exclude(attempt)
             with pytest.raises(ServerBarred):
-                async with way.legs.open(way.relay, way.server, AttemptParams("i-1", 1.0)):
+                async with attempt.legs.open(
+                    attempt.relay, attempt.server, AttemptParams("i-1", 1.0)
+                ):
                     raise AssertionError("sent")
 
-        run_virtual(harness.run, story, route("r", "/r/", "safe", "plain"), settle_s=0.003)
+        run_virtual(harness.run, scenario, route("r", "/r/", "safe", "plain"), settle_s=0.003)
         assert not replica.arrivals
 
 
-class TestBlame:
-    """Who failed."""
+class TestFailureAttribution:
+    """Which failures count against the server."""
 
-    def test_a_server_that_breaks_off_is_noted(self) -> None:
-        """Its share of failures rises."""
-        assert failing_after(HttpClosed("in mid-body")) > 0
+    def test_broken_response_counts_against_the_server(self) -> None:
+        """The server's share of failures rises."""
+        assert failure_share_after(HttpClosed("in mid-body")) > 0
 
-    def test_a_caller_that_goes_is_not_the_servers_failure(self) -> None:
-        """Otherwise impatient callers would have a sound server left out."""
-        assert failing_after(CallerGone("closed")) == 0
+    def test_caller_disconnect_does_not_count_against_the_server(self) -> None:
+        """Otherwise impatient callers would exclude a sound server."""
+        assert failure_share_after(CallerGone("closed")) == 0
