--- a/src/crankhinge/agent/_agent.py
+++ b/src/crankhinge/agent/_agent.py
@@ -1,4 +1,4 @@
-"""The agent: links from entries on one side, a backend server on the other."""
+"""The agent: accepts links and passes their messages to the components of the process."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import curio
 
 from crankhinge.adapters import Engine, Instance, KeyValueStore
-from crankhinge.agent._adapters import AdapterKeeper
-from crankhinge.agent._fence_desk import FenceDesk
+from crankhinge.agent._adapter_loader import AdapterLoader
+from crankhinge.agent._fence_service import FenceService
 from crankhinge.agent._role import Role
 from crankhinge.agent._settings import AgentSettings
 from crankhinge.config import BundleKeeper
@@ -17,14 +17,14 @@
 from crankhinge.runtime import Supervisor, serve_tcp
 from crankhinge.wire import (
     WIRE_VERSION,
-    Beat,
     GetInstances,
+    Heartbeat,
     Hello,
+    InstanceListReply,
     InstanceRow,
-    InstancesAre,
     Link,
+    LoadedAdapters,
     Message,
-    Serves,
     accept_link,
     send_if_open,
 )
@@ -34,18 +34,18 @@
 
 
 class Agent:
-    """Owns the listener, the links and the role.
+    """Accepts links from entries and other agents, and runs the components of the agent.
 
     Args:
-        settings: its settings.
-        role: what it does for its backend server.
-        kv: the key-value service.
-        roster: the platform's list.
-        spread: keeps its bundle.
-        keeper: holds its bundle.
-        incarnation: larger each time it starts.
-        log: for events.
-        engine: its engine, for the adapters; None beside a plain service.
+        settings: settings of this agent.
+        role: sends requests to the backend server.
+        kv: client of the key-value service.
+        instance_list: local copy of the platform's list of agents.
+        propagator: exchanges bundles over the links.
+        keeper: holds the bundle in force.
+        incarnation: incarnation id of this agent. It increases each time the agent starts.
+        log: logger for events.
+        engine: the engine to load adapters into; None if the server is a plain service.
     """
 
     def __init__(
@@ -54,8 +54,8 @@
         settings: AgentSettings,
         role: Role,
         kv: KeyValueStore,
-        roster: InstanceListCache,
-        spread: BundlePropagator,
+        instance_list: InstanceListCache,
+        propagator: BundlePropagator,
         keeper: BundleKeeper,
         incarnation: int,
         log: Any,
@@ -63,39 +63,39 @@
     ) -> None:
         self._settings = settings
         self._role = role
-        self._spread = spread
+        self._propagator = propagator
         self._keeper = keeper
-        self._roster = roster
+        self._instance_list = instance_list
         self._incarnation = incarnation
         self._log = log
-        self._beater = HeartbeatSender(settings.beat_s, self._make_beat)
-        role.on_health = self._beater.send_now
-        self._fence = FenceDesk(
-            me=settings.name,
-            writer=incarnation,
+        self._heartbeat_sender = HeartbeatSender(settings.beat_s, self._make_heartbeat)
+        role.on_health_change = self._heartbeat_sender.send_now
+        self._fence_service = FenceService(
+            agent_name=settings.name,
+            incarnation=incarnation,
             kv=kv,
-            roster=roster,
-            make_hello=self._hello,
+            instance_list=instance_list,
+            make_hello=self._make_hello,
             run_link=self._run_link,
             log=log,
         )
-        keeper.listeners.append(self._fence.apply)
-        self._adapters: AdapterKeeper | None = None
+        keeper.listeners.append(self._fence_service.apply_bundle)
+        self._adapter_loader: AdapterLoader | None = None
         if engine is not None:
-            self._adapters = AdapterKeeper(
-                me=settings.name,
-                pool=settings.pool,
+            self._adapter_loader = AdapterLoader(
+                agent_name=settings.name,
+                pool_name=settings.pool,
                 engine=engine,
                 kv=kv,
-                changed=self._tell_served,
+                on_change=self._send_loaded_adapters,
                 log=log,
             )
-            keeper.listeners.append(self._adapters.apply)
+            keeper.listeners.append(self._adapter_loader.apply_bundle)
 
-    def _make_beat(self, now: float) -> Beat:
-        return Beat(self._keeper.version, self._role.load(now))
+    def _make_heartbeat(self, now: float) -> Heartbeat:
+        return Heartbeat(self._keeper.version, self._role.load(now))
 
-    def _hello(self) -> Hello:
+    def _make_hello(self) -> Hello:
         settings = self._settings
         return Hello(
             WIRE_VERSION,
@@ -111,79 +111,82 @@
         """Serve until cancelled."""
         supervisor = Supervisor(self._log)
         supervisor.add("listener", self._listen)
-        supervisor.add("beats", self._beater.run)
+        supervisor.add("beats", self._heartbeat_sender.run)
         supervisor.add("role", self._role.run)
         supervisor.add("backend", self._role.watch_backend)
-        supervisor.add("bundle", self._spread.watch)
-        supervisor.add("fence", self._fence.run)
-        supervisor.add("list", self._roster.run)
-        if self._adapters is not None:
-            supervisor.add("adapters", self._adapters.run)
+        supervisor.add("bundle", self._propagator.watch)
+        supervisor.add("fence", self._fence_service.run)
+        supervisor.add("list", self._instance_list.run)
+        if self._adapter_loader is not None:
+            supervisor.add("adapters", self._adapter_loader.run)
         await supervisor.run()
 
-    async def _tell_served(self, names: tuple[str, ...]) -> None:
-        """Tell all entries which adapters the engine has."""
-        for link in list(self._beater.links):
-            await send_if_open(link, Serves(names))
+    async def _send_loaded_adapters(self, names: tuple[str, ...]) -> None:
+        """Send the names of the loaded adapters on all links."""
+        for link in list(self._heartbeat_sender.links):
+            await send_if_open(link, LoadedAdapters(names))
 
     async def _listen(self) -> None:
         await serve_tcp(self._settings.host, self._settings.port, self._accept, log=self._log)
 
     async def _accept(self, sock: Any, addr: Any) -> None:
         try:
-            link = await accept_link(sock, self._hello())
+            link = await accept_link(sock, self._make_hello())
         except (WireError, LinkClosed) as exc:
             self._log.info("link_refused", peer=str(addr), code=exc.code, why=exc.detail)
             return
         await self._run_link(link)
 
     async def _run_link(self, link: Link) -> None:
-        """Serve a link until it ends, whichever side opened it."""
-        self._beater.links.add(link)
+        """Handle the messages of a link until it ends; either end may have opened it."""
+        self._heartbeat_sender.links.add(link)
         is_agent = link.peer.role in AGENT_ROLES
         try:
             if is_agent:
-                await self._fence.linked(link)
-            await self._spread.add_link(link)
-            if self._adapters is not None and not is_agent:
-                await link.send(Serves(self._adapters.served))
-            await self._beater.send_now()
+                await self._fence_service.add_link(link)
+            await self._propagator.add_link(link)
+            if self._adapter_loader is not None and not is_agent:
+                await link.send(LoadedAdapters(self._adapter_loader.loaded_names))
+            await self._heartbeat_sender.send_now()
             await link.run(self._handle)
         except (WireError, LinkClosed) as exc:
             self._log.warning("link_broken", peer=link.peer.name, code=exc.code, why=exc.detail)
         finally:
             link.closed = True
-            self._beater.links.discard(link)
-            self._spread.remove_link(link)
+            self._heartbeat_sender.links.discard(link)
+            self._propagator.remove_link(link)
             if is_agent:
-                await self._fence.unlinked(link)
-            await self._role.forget(link)
+                await self._fence_service.remove_link(link)
+            await self._role.cancel_requests_of(link)
 
     async def _handle(self, link: Link, msg: Message) -> None:
-        if await self._spread.handle_message(link, msg):
+        if await self._propagator.handle_message(link, msg):
             return
         if isinstance(msg, GetInstances):
-            await link.send(InstancesAre(tuple(_row_of(i) for i in self._roster.instances)))
+            await link.send(
+                InstanceListReply(tuple(_to_row(i) for i in self._instance_list.instances))
+            )
             return
-        if not await self._fence.handle(link, msg):
+        if not await self._fence_service.handle_message(link, msg):
             await self._role.handle(link, msg)
 
     async def drain(self) -> None:
-        """Take no new work and return once nothing is in progress, or after ``drain_s``."""
+        """Refuse new requests and wait for the open ones to end, for at most ``drain_s``."""
         self._log.info("draining")
-        self._role.close()
-        await self._beater.send_now()
+        self._role.stop_accepting()
+        await self._heartbeat_sender.send_now()
         await curio.ignore_after(self._settings.drain_s, self._wait_idle)
-        self._log.info("drained", open=self._role.open)
+        self._log.info("drained", open=self._role.open_requests)
 
     async def _wait_idle(self) -> None:
-        # One more heartbeat, for requests that were on their way when the first one left.
+        # Two heartbeat intervals let requests arrive that were sent before the entries learned
+        # of the drain.
         await curio.sleep(2 * self._settings.beat_s)
-        while self._role.busy:
+        while self._role.is_busy:
             await curio.sleep(DRAIN_POLL_S)
 
 
-def _row_of(instance: Instance) -> InstanceRow:
+def _to_row(instance: Instance) -> InstanceRow:
     return InstanceRow(
         instance.name,
         instance.host,
--- a/src/crankhinge/entry/_estimates.py
+++ b/src/crankhinge/entry/_estimates.py
@@ -1,64 +1,92 @@
-"""What an entry expects of a request: tokens, times, and until when it is worth trying."""
+"""Estimates the prompt length and the timeout of requests before they run."""
 
 from __future__ import annotations
 
 from crankhinge.config import Policy
 from crankhinge.decisions import FULL, Mechanisms, Router, RouteRequest
-from crankhinge.entry._ask import BLOCK_CHARS, CompletionAsk
+from crankhinge.entry._requests import PREFIX_BLOCK_CHARS, CompletionRequest
 
-CHARS_PER_TOKEN = 4.0
-CHARS_GAIN = 0.05
-PATIENT_S = 60.0
+# Used for a model until an engine has counted the tokens of a prompt.
+DEFAULT_CHARS_PER_TOKEN = 4.0
+# Weight of the newest prompt in the moving average of characters per token.
+CHARS_EWMA_WEIGHT = 0.05
+# Timeout to the first token if early refusal is disabled.
+FIXED_TIMEOUT_S = 60.0
+# A long prompt gets at least this multiple of the time that an idle engine needs for it.
 LONG_PROMPT_FACTOR = 1.5
-MARGIN = 0.05
-MARGIN_BY_WASTE = 0.1
+# Share of the target that is kept as a margin, and the share that the waste weight adds to it.
+TARGET_MARGIN = 0.05
+TARGET_MARGIN_PER_WASTE_WEIGHT = 0.1
 
 
-class Estimates:
-    """Learns how many characters a token has, model by model.
+class RequestEstimator:
+    """Estimates prompt lengths from the characters per token that it measures for each model.
 
     Args:
-        router: knows the engines.
-        mech: which mechanisms are at work.
+        router: provides the estimated prefill times of engines.
+        mech: the mechanisms that are enabled.
     """
 
     def __init__(self, router: Router, mech: Mechanisms = FULL) -> None:
         self._router = router
-        self._mech = mech
+        self._mechanisms = mech
         self._chars_per_token: dict[str, float] = {}
 
-    def _ratio(self, ask: CompletionAsk) -> float:
-        return self._chars_per_token.get(ask.model.name, CHARS_PER_TOKEN)
+    def _get_chars_per_token(self, request: CompletionRequest) -> float:
+        return self._chars_per_token.get(request.model.name, DEFAULT_CHARS_PER_TOKEN)
 
-    def tokens(self, ask: CompletionAsk) -> int:
-        """Return the likely number of prompt tokens, by what engines counted before."""
-        return max(1, int(len(ask.text) / self._ratio(ask)))
+    def prompt_tokens(self, request: CompletionRequest) -> int:
+        """Return the estimated number of prompt tokens, based on counts from engines."""
+        return max(1, int(len(request.prompt_text) / self._get_chars_per_token(request)))
 
-    def learn(self, ask: CompletionAsk, written: str, tokens: int) -> None:
-        """Take in how many tokens the prompt, with what was written of the answer, has."""
-        if tokens <= 0:
+    def record_prompt_tokens(
+        self, request: CompletionRequest, written_text: str, prompt_tokens: int
+    ) -> None:
+        """Update the characters per token of a model from the count of an engine.
+
+        Args:
+            request: the request.
+            written_text: the part of the answer that was sent to the engine with the prompt.
+            prompt_tokens: number of tokens that the engine counted in the prompt and that part.
+        """
+        if prompt_tokens <= 0:
             return
-        name = ask.model.name
-        seen = (len(ask.text) + len(written)) / tokens
-        before = self._chars_per_token.get(name, seen)
-        self._chars_per_token[name] = before + CHARS_GAIN * (seen - before)
+        name = request.model.name
+        measured = (len(request.prompt_text) + len(written_text)) / prompt_tokens
+        previous = self._chars_per_token.get(name, measured)
+        self._chars_per_token[name] = previous + CHARS_EWMA_WEIGHT * (measured - previous)
 
-    def route(self, ask: CompletionAsk, written: int) -> RouteRequest:
-        """Return what routing needs to know, with *written* tokens of the answer there."""
-        block_tokens = int(BLOCK_CHARS / self._ratio(ask))
-        name = ask.body["model"]
-        adapter = "" if name == ask.model.name else name
-        return RouteRequest(self.tokens(ask) + written, ask.prefix, block_tokens, adapter)
+    def make_route_request(self, request: CompletionRequest, written_tokens: int) -> RouteRequest:
+        """Return the description of the prompt for the router.
+
+        Args:
+            request: the completion request.
+            written_tokens: number of tokens of the answer that earlier attempts have written. The
+                engine must process them with the prompt.
+        """
+        block_tokens = int(PREFIX_BLOCK_CHARS / self._get_chars_per_token(request))
+        name = request.body["model"]
+        adapter = "" if name == request.model.name else name
+        return RouteRequest(
+            self.prompt_tokens(request) + written_tokens,
+            request.prefix_hashes,
+            block_tokens,
+            adapter,
+        )
 
-    def patience_s(self, ask: CompletionAsk, policy: Policy, now: float) -> float:
-        """Return the seconds until the first token after which the request is given up.
+    def first_token_timeout_s(
+        self, request: CompletionRequest, policy: Policy, now: float
+    ) -> float:
+        """Return the seconds to wait for the first token before the request is refused.
 
-        A prompt so long that even an idle engine reads it later than the target allows is given
-        the time that it needs: it can't be in time, but it can be answered.
+        If a prompt is so long that even an idle engine cannot process it within the target, it gets
+        the time that it needs. It will miss the target, but it will be answered.
         """
-        if not self._mech.refuse_early:
-            return PATIENT_S
-        aim = 1.0 - MARGIN - MARGIN_BY_WASTE * policy.waste_weight
-        target = ask.model.first_token_s * policy.patience * aim
-        idle = self._router.idle_prefill_s(ask.model.prefill, self.route(ask, 0), now)
-        return max(target, LONG_PROMPT_FACTOR * idle)
+        if not self._mechanisms.refuse_early:
+            return FIXED_TIMEOUT_S
+        target_share = 1.0 - TARGET_MARGIN - TARGET_MARGIN_PER_WASTE_WEIGHT * policy.waste_weight
+        target_s = request.model.first_token_s * policy.patience * target_share
+        idle_prefill_s = self._router.idle_prefill_s(
+            request.model.prefill, self.make_route_request(request, 0), now
+        )
+        return max(target_s, LONG_PROMPT_FACTOR * idle_prefill_s)
--- a/src/crankhinge/entry/_program.py
+++ b/src/crankhinge/entry/_program.py
@@ -1,4 +1,4 @@
-"""The parts of ``crankhinge-entry``, put together."""
+"""Builds and runs the components of ``crankhinge-entry``."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from crankhinge.adapters.consul import ConsulInstanceList, ConsulKeyValueStore
 from crankhinge.config import BundleKeeper
 from crankhinge.decisions import RetryBudget, Router, RoutingCosts, mechanisms_for
-from crankhinge.entry._calls import Calls
-from crankhinge.entry._completion import Completions
+from crankhinge.entry._agent_links import AgentLinks
+from crankhinge.entry._completion import CompletionRunner
 from crankhinge.entry._entry import Entry
-from crankhinge.entry._fence import Fence
-from crankhinge.entry._fleet import Fleet
-from crankhinge.entry._plain import PlainCalls
+from crankhinge.entry._fence_client import FenceClient
+from crankhinge.entry._mailboxes import Mailboxes
+from crankhinge.entry._plain_calls import PlainCallRunner
 from crankhinge.entry._progress import RequestIds
 from crankhinge.entry._settings import EntrySettings
 from crankhinge.peers import BundlePropagator, InstanceListCache, parse_endpoint
@@ -28,69 +28,74 @@
 
 
 async def serve(settings: EntrySettings, log: Any, stopping: curio.Event) -> None:
-    """Run the entry until *stopping*, then drain."""
+    """Run the entry until *stopping* is set, then drain it."""
     log = log.bind(name=settings.name)
     rng = random.Random(secrets.randbits(64))
-    mech = mechanisms_for(settings.policy)
+    mechanisms = mechanisms_for(settings.policy)
     keeper = BundleKeeper(settings.keys)
     metrics = Metrics(prefix=f"crankhinge.entry.{settings.name}", address=settings.statsd)
     kv = ConsulKeyValueStore(*parse_endpoint(settings.key_value))
-    spread = BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
-    ids = RequestIds(secrets.randbits(64))
-    calls = Calls(settings.buffer_tokens)
-    weights = RoutingCosts(zone=settings.zone, report_interval_s=settings.beat_s)
-    fleet = Fleet(
+    propagator = BundlePropagator(keeper, kv, log, watch_s=settings.watch_s, rng=rng)
+    request_ids = RequestIds(secrets.randbits(64))
+    mailboxes = Mailboxes(settings.buffer_tokens)
+    costs = RoutingCosts(zone=settings.zone, report_interval_s=settings.beat_s)
+    agent_links = AgentLinks(
         settings=settings,
-        roster=InstanceListCache(
+        instance_list=InstanceListCache(
             ConsulInstanceList(*parse_endpoint(settings.instances)),
             refresh_interval_s=settings.list_s,
             log=log,
             rng=rng,
         ),
-        router=Router(costs=weights, rng=rng, mech=mech),
-        calls=calls,
-        spread=spread,
+        router=Router(costs=costs, rng=rng, mech=mechanisms),
+        mailboxes=mailboxes,
+        propagator=propagator,
         keeper=keeper,
         incarnation=time.time_ns(),
         log=log,
         rng=rng,
     )
-    keeper.listeners.append(fleet.apply)
-    budget = RetryBudget()
-    keeper.listeners.append(lambda bundle: budget.set_ratio(bundle.policy.retry_ratio))
-    fence = Fence(fleet=fleet, calls=calls, metrics=metrics)
-    common: dict[str, Any] = {"fleet": fleet, "calls": calls, "budget": budget, "fence": fence}
+    keeper.listeners.append(agent_links.apply_bundle)
+    retry_budget = RetryBudget()
+    keeper.listeners.append(lambda bundle: retry_budget.set_ratio(bundle.policy.retry_ratio))
+    fence_client = FenceClient(agent_links=agent_links, mailboxes=mailboxes, metrics=metrics)
+    common: dict[str, Any] = {
+        "agent_links": agent_links,
+        "mailboxes": mailboxes,
+        "retry_budget": retry_budget,
+        "fence_client": fence_client,
+    }
     common.update(log=log, metrics=metrics)
     entry = Entry(
         settings=settings,
         keeper=keeper,
-        fleet=fleet,
-        completions=Completions(**common, mech=mech),
-        plain=PlainCalls(**common),
-        ids=ids,
+        agent_links=agent_links,
+        completions=CompletionRunner(**common, mech=mechanisms),
+        plain_calls=PlainCallRunner(**common),
+        request_ids=request_ids,
         log=log,
         metrics=metrics,
     )
     supervisor = Supervisor(log)
     supervisor.add("listener", entry.listen)
-    supervisor.add("beats", fleet.beater.run)
-    supervisor.add("fleet", fleet.run)
-    supervisor.add("bundle", spread.watch)
-    supervisor.add("streams", calls.watch)
+    supervisor.add("beats", agent_links.heartbeat_sender.run)
+    supervisor.add("fleet", agent_links.run)
+    supervisor.add("bundle", propagator.watch)
+    supervisor.add("streams", mailboxes.watch_streams)
     log.info("started", port=settings.port)
-    await run_until_first_ends(supervisor.run, partial(_drain_on, stopping, entry))
+    await run_until_first_ends(supervisor.run, partial(_drain_when_stopping, stopping, entry))
 
 
-async def _drain_on(stopping: curio.Event, entry: Entry) -> None:
+async def _drain_when_stopping(stopping: curio.Event, entry: Entry) -> None:
     await stopping.wait()
     await entry.drain()
 
 
 def run(argv: list[str] | None = None) -> int:
-    """Run the program; returns its exit status."""
+    """Run the program and return its exit status."""
     return run_process(
         program=PROGRAM,
-        description="a thin entry instance for callers",
+        description="serve callers and route their requests to agents",
         settings_type=EntrySettings,
         serve=serve,
         argv=argv,
--- a/src/crankhinge/wire/__init__.py
+++ b/src/crankhinge/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The streams between this project's own processes: typed msgpack messages over TCP."""
+"""The protocol between entries and agents: typed msgpack messages over TCP connections."""
 
 from crankhinge.decisions._fence_messages import (
     FenceAlreadyTaken,
@@ -15,38 +15,35 @@
 from crankhinge.wire._base import WIRE_VERSION, Load
 from crankhinge.wire._codec import FrameReader, decode, encode
 from crankhinge.wire._control import (
-    Beat,
-    BundleIs,
+    BundleUpdate,
     GetBundle,
     GetInstances,
+    Heartbeat,
     Hello,
+    InstanceListReply,
     InstanceRow,
-    InstancesAre,
-    Serves,
+    LoadedAdapters,
 )
 from crankhinge.wire._link import Link, accept_link, connect_link, send_if_open
 from crankhinge.wire._messages import (
-    Call,
-    CallDone,
     Cancel,
     Decode,
     DecodeDone,
     Failed,
-    Granted,
     Message,
     Prefill,
     PrefillDone,
     Refused,
-    Reserve,
+    ReserveSlot,
+    ServiceCall,
+    ServiceCallDone,
+    SlotGranted,
     Tokens,
 )
 
 __all__ = [
     "WIRE_VERSION",
-    "Beat",
-    "BundleIs",
-    "Call",
-    "CallDone",
+    "BundleUpdate",
     "Cancel",
     "Decode",
     "DecodeDone",
@@ -64,18 +61,21 @@
     "FrameReader",
     "GetBundle",
     "GetInstances",
-    "Granted",
+    "Heartbeat",
     "Hello",
+    "InstanceListReply",
     "InstanceRow",
-    "InstancesAre",
     "Link",
     "Load",
+    "LoadedAdapters",
     "Message",
     "Prefill",
     "PrefillDone",
     "Refused",
-    "Reserve",
-    "Serves",
+    "ReserveSlot",
+    "ServiceCall",
+    "ServiceCallDone",
+    "SlotGranted",
     "Tokens",
     "accept_link",
     "connect_link",
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -20,10 +20,10 @@
 from crankhinge.gateway import GatewaySettings, Platform, serve
 from crankhinge.gateway._authenticator import Authenticator
 from crankhinge.gateway._backends import Backends
-from crankhinge.gateway._limit_news import LimitNews
-from crankhinge.gateway._notices import Notices
+from crankhinge.gateway._limit_updates import LimitUpdates
+from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._permits import Permits
-from crankhinge.gateway._quarantine import QuarantineDesk
+from crankhinge.gateway._quarantine import QuarantineService
 from crankhinge.gateway._request import Relay
 from crankhinge.http import ClientStream, Exchange, HttpClient, serve_http
 from crankhinge.runtime import Metrics, get_log, run_until_first_ends, split_host_port
@@ -126,12 +126,12 @@
     body: bytes
 
 
-def make_standalone_quarantine(name: str, log: Any) -> QuarantineDesk:
+def make_standalone_quarantine(name: str, log: Any) -> QuarantineService:
     """Return the quarantine service of an instance without peers."""
-    return QuarantineDesk(
+    return QuarantineService(
         name=name,
-        members=Membership(name, 0.0),
-        notices=Notices(address="", peers=list, log=log),
+        membership=Membership(name, 0.0),
+        messenger=PeerMessenger(address="", peer_addresses=list, log=log),
         log=log,
         metrics=Metrics(prefix="t"),
     )
@@ -157,7 +157,7 @@
     def __init__(self) -> None:
         pass
 
-    def check(self, relay: Relay, now: float) -> None:
+    def recheck(self, relay: Relay, now: float) -> None:
         """Accept the request."""
 
 
@@ -168,7 +168,7 @@
 class StandaloneLimits:
     """The services that enforce servers' advertised limits, at an instance without peers."""
 
-    news: LimitNews
+    news: LimitUpdates
     permits: Permits
 
 
@@ -178,15 +178,15 @@
     """Return the services that enforce servers' limits, at an instance without peers."""
     membership = membership or Membership(name, 0.0)
     shared = SharedLimits(name=name, membership=membership, incarnation=1, now=0.0)
-    notices = Notices(address="", peers=list, log=log)
-    news = LimitNews(shared=shared, backends=backends, notices=notices, log=log)
+    notices = PeerMessenger(address="", peer_addresses=list, log=log)
+    news = LimitUpdates(shared_limits=shared, backends=backends, messenger=notices, log=log)
     permits = Permits(
         name=name,
-        shared=shared,
-        news=news,
-        members=membership,
+        shared_limits=shared,
+        limit_updates=news,
+        membership=membership,
         backends=backends,
-        notices=notices,
+        messenger=notices,
         log=log,
         metrics=Metrics(prefix="t"),
     )
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -58,39 +58,42 @@
             make_engine("r1", EngineRole.PREFILL),
             make_engine("w0", EngineRole.DECODE),
         )
-        backends.ordered("r0", EngineRole.DECODE, 13.0, told=True)
-        assert sorted_ids(backends.able("llm", 5.0, EngineRole.PREFILL)) == ["r1"]
-        assert sorted_ids(backends.able("llm", 5.0, EngineRole.DECODE)) == ["w0"]
-        assert backends.coming("llm", EngineRole.DECODE, 5.0) == 1
-        assert backends.coming("llm", EngineRole.PREFILL, 5.0) == 0
-        assert backends.coming("other", EngineRole.DECODE, 5.0) == 0
-        assert not backends.takes_work("r0", 5.0)
-        assert sorted_ids(backends.able("llm", 13.0, EngineRole.PREFILL)) == ["r0", "r1"]
-        assert backends.coming("llm", EngineRole.DECODE, 13.0) == 0
-        assert backends.takes_work("r0", 13.0)
+        backends.record_order("r0", EngineRole.DECODE, 13.0, by_peer=True)
+        assert sorted_ids(backends.available_servers("llm", 5.0, EngineRole.PREFILL)) == ["r1"]
+        assert sorted_ids(backends.available_servers("llm", 5.0, EngineRole.DECODE)) == ["w0"]
+        assert backends.count_changing_to("llm", EngineRole.DECODE, 5.0) == 1
+        assert backends.count_changing_to("llm", EngineRole.PREFILL, 5.0) == 0
+        assert backends.count_changing_to("other", EngineRole.DECODE, 5.0) == 0
+        assert not backends.accepts_work("r0", 5.0)
+        assert sorted_ids(backends.available_servers("llm", 13.0, EngineRole.PREFILL)) == [
+            "r0",
+            "r1",
+        ]
+        assert backends.count_changing_to("llm", EngineRole.DECODE, 13.0) == 0
+        assert backends.accepts_work("r0", 13.0)
 
     def test_have_their_new_role_when_their_entry_shows_it(self) -> None:
         """From then on they do not count as changing."""
         backends = make_backends(
             make_engine("r0", EngineRole.DECODE), make_engine("r1", EngineRole.PREFILL)
         )
-        backends.ordered("r0", EngineRole.DECODE, 13.0, told=True)
-        assert sorted_ids(backends.able("llm", 5.0, EngineRole.DECODE)) == ["r0"]
-        assert backends.coming("llm", EngineRole.DECODE, 5.0) == 0
+        backends.record_order("r0", EngineRole.DECODE, 13.0, by_peer=True)
+        assert sorted_ids(backends.available_servers("llm", 5.0, EngineRole.DECODE)) == ["r0"]
+        assert backends.count_changing_to("llm", EngineRole.DECODE, 5.0) == 0
 
     def test_are_used_when_no_other_engine_is_available(self) -> None:
         """A message about an order never empties a pool."""
         backends = make_backends(
             make_engine("r0", EngineRole.PREFILL), make_engine("w0", EngineRole.DECODE)
         )
-        backends.ordered("r0", EngineRole.DECODE, 13.0, told=True)
-        assert sorted_ids(backends.able("llm", 5.0, EngineRole.PREFILL)) == ["r0"]
+        backends.record_order("r0", EngineRole.DECODE, 13.0, by_peer=True)
+        assert sorted_ids(backends.available_servers("llm", 5.0, EngineRole.PREFILL)) == ["r0"]
 
     def test_order_to_an_unknown_server_is_ignored(self) -> None:
         """No state is kept for a server that is not in the list."""
         backends = make_backends(make_engine("r0", EngineRole.PREFILL))
-        backends.ordered("gone", EngineRole.DECODE, 13.0, told=True)
-        assert backends.coming("llm", EngineRole.DECODE, 5.0) == 0
+        backends.record_order("gone", EngineRole.DECODE, 13.0, by_peer=True)
+        assert backends.count_changing_to("llm", EngineRole.DECODE, 5.0) == 0
 
 
 class TestBackoff:
@@ -102,14 +105,16 @@
         backends = make_backends(
             make_engine("r0", EngineRole.PREFILL), make_engine("r1", EngineRole.PREFILL)
         )
-        backends.bars.record_backoff("r0", 10.0 + backoff_s)
-        assert sorted_ids(backends.eligible("llm", 10.0, EngineRole.PREFILL)) == ["r1"]
-        backends.bars.record_backoff("r1", 10.0 + 2 * backoff_s)
+        backends.exclusions.record_backoff("r0", 10.0 + backoff_s)
+        assert sorted_ids(backends.eligible_servers("llm", 10.0, EngineRole.PREFILL)) == ["r1"]
+        backends.exclusions.record_backoff("r1", 10.0 + 2 * backoff_s)
         last = 10.0 + 0.99 * backoff_s
-        assert backends.eligible("llm", last, EngineRole.PREFILL) == []
-        assert backends.pick("llm", last, avoid=frozenset()) is None
-        assert sorted_ids(backends.eligible("llm", 10.0 + backoff_s, EngineRole.PREFILL)) == ["r0"]
-        assert len(backends.eligible("llm", 10.0 + 2 * backoff_s, EngineRole.PREFILL)) == 2
+        assert backends.eligible_servers("llm", last, EngineRole.PREFILL) == []
+        assert backends.choose_server("llm", last, avoid=frozenset()) is None
+        assert sorted_ids(
+            backends.eligible_servers("llm", 10.0 + backoff_s, EngineRole.PREFILL)
+        ) == ["r0"]
+        assert len(backends.eligible_servers("llm", 10.0 + 2 * backoff_s, EngineRole.PREFILL)) == 2
 
     def test_first_end_is_returned_when_all_servers_back_off(self) -> None:
         """Only the servers that the request may go to count."""
@@ -117,20 +122,25 @@
             make_engine("r0", EngineRole.PREFILL), make_engine("r1", EngineRole.PREFILL)
         )
         r0, r1 = make_engine("r0", EngineRole.PREFILL), make_engine("r1", EngineRole.PREFILL)
-        backends.bars.record_backoff("r0", 13.0)
-        assert backends.rest_ends([r0, r1], 10.0) is None
-        backends.bars.record_backoff("r1", 16.0)
-        assert backends.rest_ends([r0, r1], 10.0) == 13.0
-        assert backends.rest_ends(backends.able("llm", 10.0, avoid=frozenset({"r0"})), 10.0) == 16.0
-        assert backends.rest_ends([r0, r1], 13.0) is None
-        assert backends.rest_ends([], 10.0) is None
+        backends.exclusions.record_backoff("r0", 13.0)
+        assert backends.backoff_end([r0, r1], 10.0) is None
+        backends.exclusions.record_backoff("r1", 16.0)
+        assert backends.backoff_end([r0, r1], 10.0) == 13.0
+        assert (
+            backends.backoff_end(
+                backends.available_servers("llm", 10.0, avoid=frozenset({"r0"})), 10.0
+            )
+            == 16.0
+        )
+        assert backends.backoff_end([r0, r1], 13.0) is None
+        assert backends.backoff_end([], 10.0) is None
 
     def test_servers_in_backoff_still_count_for_the_split(self) -> None:
         """A pool that lacks servers for seconds is no reason for orders."""
         backends = make_backends(make_engine("r0", EngineRole.PREFILL))
-        backends.bars.record_backoff("r0", 13.0)
-        assert sorted_ids(backends.able("llm", 10.0, EngineRole.PREFILL)) == ["r0"]
-        assert backends.barred(ExclusionReason.BACKOFF, 10.0) == 1
+        backends.exclusions.record_backoff("r0", 13.0)
+        assert sorted_ids(backends.available_servers("llm", 10.0, EngineRole.PREFILL)) == ["r0"]
+        assert backends.count_excluded(ExclusionReason.BACKOFF, 10.0) == 1
 
 
 class TestServerChoice:
@@ -155,7 +165,7 @@
             durations_s = []
             for _ in range(10):
                 started_at = time.process_time()
-                assert backends.pick("llm", 5.0, avoid=frozenset()) is not None
+                assert backends.choose_server("llm", 5.0, avoid=frozenset()) is not None
                 durations_s.append(time.process_time() - started_at)
         per_server_us = min(durations_s) / len(servers) * 1e6
         print(f"a choice among {len(servers)}: {per_server_us:.1f} us a server")
@@ -181,7 +191,7 @@
         """Also for a server that was used before the number of instances grew."""
         limit = 8
         backends = make_backends(
-            make_engine("r0", EngineRole.PREFILL), most_kept=lambda service: limit
+            make_engine("r0", EngineRole.PREFILL), idle_limit=lambda service: limit
         )
         client = backends.client(make_engine("r0", EngineRole.PREFILL))
         assert client.pool_size == 8
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of client accounts and their keys, between callers, a store and replicas."""
+"""Tests of client accounts and their keys, with callers, a store and replicas."""
 
 from __future__ import annotations
 
@@ -25,31 +25,31 @@
     return {"authorization": f"Bearer {key}"}
 
 
-def play(harness: GatewayHarness, story: Any, *routes: dict[str, Any]) -> None:
-    """Run *story* under a clock that jumps."""
-    run_virtual(harness.run, story, *(routes or ALL), settle_s=0.003)
+def run_scenario(harness: GatewayHarness, scenario: Any, *routes: dict[str, Any]) -> None:
+    """Run *scenario* on virtual time."""
+    run_virtual(harness.run, scenario, *(routes or ALL), settle_s=0.003)
 
 
 def keyed_harness(**settings: Any) -> GatewayHarness:
-    """Return a harness whose callers need keys."""
+    """Return a harness in which callers need keys."""
     return GatewayHarness(tenants=(RED, BLUE), **settings)
 
 
 class TestKeys:
-    """Who asks.
+    """Identification of callers.
 
-    Users saw the keys of their callers arrive at backend servers, which could have used them, and
-    no backend server knew for whom it worked.
+    Guards against passing callers' keys on to backend servers, which could have used them, and
+    against sending requests without the name of the client account.
     """
 
-    def test_a_server_gets_the_accounts_name_and_never_the_key(self) -> None:
-        """Whatever the caller says of its account, on every call for the request."""
+    def test_server_gets_the_account_name_and_never_the_key(self) -> None:
+        """The caller's own X-Tenant is replaced, on every call made for the request."""
         harness = keyed_harness()
         plain = harness.add_replica("i-p", "plain")
         reader = harness.add_replica("i-r", "llm", "prefill")
         writer = harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await harness.call("a", "/once/a", x_tenant="blue", **bearer("key-red"))
             await harness.call("b", "/stream/a", **TOKENS, **bearer("key-blue"))
             arrivals = [*plain.arrivals, *reader.arrivals, *writer.arrivals]
@@ -59,14 +59,14 @@
             names = [arrival.headers["x-tenant"] for arrival in arrivals]
             assert names == ["red", "blue", "blue"]
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_key_that_nobody_holds_is_refused(self) -> None:
-        """With 401, as is a request without one; the key is in no log line."""
+    def test_unknown_key_is_refused(self) -> None:
+        """Unknown and missing keys get 401; the key appears in no log line."""
         harness = keyed_harness()
         plain = harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await harness.call("a", "/once/a", **bearer("key-green")))[0] == 401
             assert (await harness.call("b", "/once/a"))[0] == 401
             assert (await harness.call("c", "/once/a", authorization="Basic key-red"))[0] == 401
@@ -74,36 +74,36 @@
             assert harness.logs.matching("code=bad-credentials")
             assert not harness.logs.matching("key-")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_route_without_need_of_a_key_goes_on_without(self) -> None:
-        """No account is named then, whatever the caller says."""
+    def test_anonymous_route_needs_no_key(self) -> None:
+        """The caller's own X-Tenant is dropped."""
         harness = keyed_harness()
         plain = harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await harness.call("a", "/open/a", x_tenant="red"))[0] == 200
             assert "x-tenant" not in plain.arrivals[0].headers
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_without_accounts_a_field_of_that_name_is_the_callers_own(self) -> None:
-        """Credentials are between caller and server then."""
+    def test_without_accounts_credentials_are_passed_on(self) -> None:
+        """If no accounts are configured, the server checks credentials itself."""
         harness = GatewayHarness()
         plain = harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await harness.call("a", "/once/a", **bearer("key-red")))[0] == 200
             assert plain.arrivals[0].headers["authorization"] == "Bearer key-red"
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_key_works_as_soon_as_a_configuration_has_it_and_no_longer(self) -> None:
-        """Keys come and go with versions."""
+    def test_key_is_valid_only_while_the_configuration_has_it(self) -> None:
+        """A new configuration adds one key and removes another."""
         harness = keyed_harness()
         harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             assert (await harness.call("a", "/once/a", **bearer("key-new")))[0] == 401
             later = make_config(2, *ALL, tenants=(account("red", "key-new"), BLUE))
             await harness.store.put("op/config", later)
@@ -111,22 +111,22 @@
             assert (await harness.call("b", "/once/a", **bearer("key-new")))[0] == 200
             assert (await harness.call("c", "/once/a", **bearer("key-red")))[0] == 401
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
 
-class TestTakenAway:
-    """Keys that are taken away while an instance can't hear of it.
+class TestRevokedKeys:
+    """Keys that operators revoke while an instance cannot reach the store.
 
-    Operators took a key away; instances that the store turned away, or that were cut off from it,
-    ran requests with that key for as long as the trouble lasted.
+    Guards against running requests with a revoked key. Instances that the store refused, or that
+    were disconnected from it, ran such requests for as long as the outage lasted.
     """
 
-    def test_runs_nothing_later_than_the_bound(self) -> None:
-        """The last is run within the bound after the store fell silent; then "not run"."""
+    def test_no_request_runs_after_the_revocation_bound(self) -> None:
+        """Requests are refused once the store has been unreachable for the bound."""
         harness = keyed_harness(**FAIL_CLOSED)
         plain = harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             began = await curio.clock()
             harness.store.down = True
             await harness.store.put("op/config", make_config(2, *ALL, tenants=(BLUE,)))
@@ -140,14 +140,14 @@
             assert max(arrival.arrived_at for arrival in plain.arrivals) <= began + REVOKE_S
             assert harness.logs.matching("code=config-too-old", "age_s=")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_tells_the_balancer_and_serves_again_when_the_store_is_back(self) -> None:
-        """A route without need of a key is served all the time."""
+    def test_instance_is_not_ready_until_the_store_is_back(self) -> None:
+        """Anonymous routes are served throughout."""
         harness = keyed_harness(**FAIL_CLOSED)
         harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             harness.store.down = True
             await curio.sleep(REVOKE_S + 0.1)
             assert await harness.get_readiness() == 503
@@ -158,14 +158,14 @@
             assert await harness.get_readiness() == 200
             assert (await harness.call("c", "/once/a", **bearer("key-red")))[0] == 200
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_quiet_store_is_no_trouble(self) -> None:
-        """With no change for a minute and with changes every two seconds a key works."""
+    def test_key_stays_valid_without_configuration_changes(self) -> None:
+        """A key works for a minute without changes, and with changes every two seconds."""
         harness = keyed_harness(**FAIL_CLOSED)
         harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(240):
                 assert (await harness.call("a", "/once/a", **bearer("key-red")))[0] == 200
                 await curio.sleep(0.25)
@@ -173,16 +173,16 @@
                     later = make_config(number, *ALL, tenants=(RED, BLUE))
                     await harness.store.put("op/config", later)
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_request_that_waits_is_not_sent_when_its_key_is_gone(self) -> None:
-        """It waited for room while its key was taken away."""
+    def test_waiting_request_is_refused_once_its_key_is_revoked(self) -> None:
+        """The key is revoked while the request waits for capacity."""
         harness = keyed_harness(**FAIL_CLOSED)
         writer = harness.add_replica(
             "i-w", "llm", "decode", handler=respond_stream, free_reservations=0
         )
 
-        async def story() -> None:
+        async def scenario() -> None:
             task = await curio.spawn(
                 lambda: harness.call("a", "/stream/a", **TOKENS, **bearer("key-red"))
             )
@@ -194,4 +194,4 @@
             assert status == 401
             assert writer.arrivals == []
 
-        play(harness, story)
+        run_scenario(harness, scenario)
--- a/tests/test_legs.py
+++ b/tests/test_legs.py
@@ -14,9 +14,9 @@
 from crankhinge.adapters import AttemptParams
 from crankhinge.decisions import Server
 from crankhinge.errors import CallerGone, HttpClosed, ServerBarred
+from crankhinge.gateway._attempts import Attempts
 from crankhinge.gateway._backends import Backends
 from crankhinge.gateway._crashes import CrashDetector
-from crankhinge.gateway._legs import Legs
 from crankhinge.gateway._request import Relay
 from crankhinge.http import HttpRequest
 from crankhinge.runtime import get_log
@@ -39,7 +39,7 @@
 class PreparedAttempt:
     """The parts of one attempt of a request at one server."""
 
-    legs: Legs
+    legs: Attempts
     backends: Backends
     relay: Relay
     server: Server
@@ -59,16 +59,16 @@
     )
     relay = SimpleNamespace(
         exchange=SimpleNamespace(req=req),
-        ask=SimpleNamespace(request_id="q"),
-        facts={},
+        request=SimpleNamespace(request_id="q"),
+        log_fields={},
         account_name=None,
-        trial="",
-        work=lambda *, read_only: "f",
+        trial_work="",
+        work_key=lambda *, prompt_only: "f",
     )
     quarantine = make_standalone_quarantine("g", log)
-    crashes = CrashDetector(backends=backends, on_crash=quarantine.crashed, log=log)
+    crashes = CrashDetector(backends=backends, on_crash=quarantine.record_crash, log=log)
     limits = make_standalone_limits("g", backends, log)
-    legs = Legs(backends, ALLOW_ALL, quarantine, crashes, limits.permits)
+    legs = Attempts(backends, ALLOW_ALL, quarantine, crashes, limits.permits)
     return PreparedAttempt(legs, backends, cast(Relay, relay), server)
 
 
@@ -83,7 +83,7 @@
         with pytest.raises(type(failure)):
             async with attempt.legs.open(attempt.relay, attempt.server, AttemptParams("i-1", 1.0)):
                 raise failure
-        shares.append(attempt.backends.standing("i-1").failure_share)
+        shares.append(attempt.backends.stats("i-1").failure_share)
 
     run_virtual(harness.run, scenario, route("r", "/r/", "safe", "plain"), settle_s=0.003)
     return shares[0]
@@ -95,9 +95,9 @@
     @pytest.mark.parametrize(
         "exclude",
         [
-            lambda attempt: attempt.backends.bars.record_leaving("i-1", 1.0),
-            lambda attempt: attempt.backends.bars.record_backoff("i-1", math.inf),
-            lambda attempt: attempt.backends.replaced(attempt.server),
+            lambda attempt: attempt.backends.exclusions.record_leaving("i-1", 1.0),
+            lambda attempt: attempt.backends.exclusions.record_backoff("i-1", math.inf),
+            lambda attempt: attempt.backends.record_replaced(attempt.server),
             lambda attempt: attempt.backends._servers.apply_list([], 1.0, was_unreachable=False),
         ],
         ids=["leaving", "backoff", "replaced", "gone"],
