--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -168,7 +168,7 @@
 class StandaloneLimits:
     """The services that enforce servers' advertised limits, at an instance without peers."""
 
-    news: LimitUpdates
+    limit_updates: LimitUpdates
     permits: Permits
 
 
@@ -177,20 +177,22 @@
 ) -> StandaloneLimits:
     """Return the services that enforce servers' limits, at an instance without peers."""
     membership = membership or Membership(name, 0.0)
-    shared = SharedLimits(name=name, membership=membership, incarnation=1, now=0.0)
-    notices = PeerMessenger(address="", peer_addresses=list, log=log)
-    news = LimitUpdates(shared_limits=shared, backends=backends, messenger=notices, log=log)
+    shared_limits = SharedLimits(name=name, membership=membership, incarnation=1, now=0.0)
+    messenger = PeerMessenger(address="", peer_addresses=list, log=log)
+    limit_updates = LimitUpdates(
+        shared_limits=shared_limits, backends=backends, messenger=messenger, log=log
+    )
     permits = Permits(
         name=name,
-        shared_limits=shared,
-        limit_updates=news,
+        shared_limits=shared_limits,
+        limit_updates=limit_updates,
         membership=membership,
         backends=backends,
-        messenger=notices,
+        messenger=messenger,
         log=log,
         metrics=Metrics(prefix="t"),
     )
-    return StandaloneLimits(news, permits)
+    return StandaloneLimits(limit_updates, permits)
 
 
 RequestHandler = Callable[["FakeReplica", Exchange], Awaitable[None]]
--- a/tests/test_legs.py
+++ b/tests/test_legs.py
@@ -39,7 +39,7 @@
 class PreparedAttempt:
     """The parts of one attempt of a request at one server."""
 
-    legs: Attempts
+    sender: Attempts
     backends: Backends
     relay: Relay
     server: Server
@@ -68,8 +68,8 @@
     quarantine = make_standalone_quarantine("g", log)
     crashes = CrashDetector(backends=backends, on_crash=quarantine.record_crash, log=log)
     limits = make_standalone_limits("g", backends, log)
-    legs = Attempts(backends, ALLOW_ALL, quarantine, crashes, limits.permits)
-    return PreparedAttempt(legs, backends, cast(Relay, relay), server)
+    sender = Attempts(backends, ALLOW_ALL, quarantine, crashes, limits.permits)
+    return PreparedAttempt(sender, backends, cast(Relay, relay), server)
 
 
 def failure_share_after(failure: Exception) -> float:
@@ -81,7 +81,9 @@
     async def scenario() -> None:
         attempt = prepare_attempt(replica, get_log(program="t", stream=harness.logs))
         with pytest.raises(type(failure)):
-            async with attempt.legs.open(attempt.relay, attempt.server, AttemptParams("i-1", 1.0)):
+            async with attempt.sender.open(
+                attempt.relay, attempt.server, AttemptParams("i-1", 1.0)
+            ):
                 raise failure
         shares.append(attempt.backends.stats("i-1").failure_share)
 
@@ -111,7 +113,7 @@
             attempt = prepare_attempt(replica, get_log(program="t", stream=harness.logs))
             exclude(attempt)
             with pytest.raises(ServerBarred):
-                async with attempt.legs.open(
+                async with attempt.sender.open(
                     attempt.relay, attempt.server, AttemptParams("i-1", 1.0)
                 ):
                     raise AssertionError("sent")
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""Tests of notices between instances."""
+"""Tests of messages between instances."""
 
 from __future__ import annotations
 
@@ -16,167 +16,169 @@
 from virtual_time import run_virtual
 
 STREAM = route("r-stream", "/stream/", "streaming", "llm")
-TOKENS = {"x_token_count": "3000,800", "length_hint": "800"}
-NOTICE = EngineOrdered("i-r0", EngineRole.DECODE, 13.0)
+TOKEN_HEADERS = {"x_token_count": "3000,800", "length_hint": "800"}
+ORDER_MESSAGE = EngineOrdered("i-r0", EngineRole.DECODE, 13.0)
 
 
 class Fleet:
-    """Instances that take notices."""
+    """Instances that exchange peer messages."""
 
     def __init__(self, count: int) -> None:
         self.addresses = [f"{HOST}:{free_port()}" for _ in range(count)]
-        self.heard: list[tuple[str, EngineOrdered]] = []
-        self.lines = LogCapture()
-        self.notices = [self._instance(address) for address in self.addresses]
+        self.received: list[tuple[str, EngineOrdered]] = []
+        self.logs = LogCapture()
+        self.messengers = [self._instance(address) for address in self.addresses]
 
     def _instance(self, address: str) -> PeerMessenger:
-        async def handle(notice: EngineOrdered, sender: str) -> None:
-            self.heard.append((address, notice))
+        async def handle(message: EngineOrdered, sender: str) -> None:
+            self.received.append((address, message))
 
         others = [other for other in self.addresses if other != address]
-        log = get_log(program="t", stream=self.lines)
-        notices = PeerMessenger(address=address, peer_addresses=lambda: others, log=log)
-        notices.add_handler(EngineOrdered, handle)
-        return notices
+        log = get_log(program="t", stream=self.logs)
+        messenger = PeerMessenger(address=address, peer_addresses=lambda: others, log=log)
+        messenger.add_handler(EngineOrdered, handle)
+        return messenger
 
-    def play(self, story: Any, running: int | None = None) -> None:
-        """Run *story* while the first *running* instances take notices."""
-        runs = [notices.run for notices in self.notices[:running]]
-        run_virtual(lambda: run_until_first_ends(*runs, story), settle_s=0.003)
+    def run(self, scenario: Any, running: int | None = None) -> None:
+        """Run *scenario* while the first *running* instances receive messages."""
+        runs = [messenger.run for messenger in self.messengers[:running]]
+        run_virtual(lambda: run_until_first_ends(*runs, scenario), settle_s=0.003)
 
 
-class TestNotices:
+class TestPeerMessages:
     """Datagrams between instances."""
 
-    def test_every_other_instance_is_told(self) -> None:
-        """Once each, and not the one that tells."""
+    def test_message_reaches_every_other_instance(self) -> None:
+        """Each of them receives it once, and the sender does not."""
         fleet = Fleet(4)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(0.05)
-            await fleet.notices[0].send_to_all(NOTICE)
+            await fleet.messengers[0].send_to_all(ORDER_MESSAGE)
             await curio.sleep(0.2)
-            assert sorted(fleet.heard) == sorted((at, NOTICE) for at in fleet.addresses[1:])
+            assert sorted(fleet.received) == sorted(
+                (at, ORDER_MESSAGE) for at in fleet.addresses[1:]
+            )
 
-        fleet.play(story)
+        fleet.run(scenario)
 
-    def test_one_that_is_gone_keeps_none_from_the_others(self) -> None:
-        """Nobody listens at the last address; it is told twice."""
+    def test_stopped_instance_does_not_affect_the_others(self) -> None:
+        """No process listens at the last address, to which two messages are sent."""
         fleet = Fleet(3)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(0.05)
             for _ in range(2):
-                await fleet.notices[0].send_to_all(NOTICE)
+                await fleet.messengers[0].send_to_all(ORDER_MESSAGE)
                 await curio.sleep(0.2)
-            assert [at for at, _ in fleet.heard] == [fleet.addresses[1]] * 2
+            assert [at for at, _ in fleet.received] == [fleet.addresses[1]] * 2
 
-        fleet.play(story, running=2)
+        fleet.run(scenario, running=2)
 
-    def test_what_is_no_notice_is_told_and_dropped(self) -> None:
-        """Bytes of anybody end nothing."""
+    def test_unreadable_datagram_is_logged_and_dropped(self) -> None:
+        """Bytes from an unknown sender do not end the task."""
         fleet = Fleet(2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(0.05)
             sock = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_DGRAM)
             host, _, port = fleet.addresses[1].rpartition(":")
             for data in (b"", b"\xc1", msgspec.msgpack.encode({"type": "engine-ordered"})):
                 await sock.sendto(data, (host, int(port)))
             await curio.sleep(0.1)
-            await fleet.notices[0].send_to_all(NOTICE)
+            await fleet.messengers[0].send_to_all(ORDER_MESSAGE)
             await curio.sleep(0.1)
             await sock.close()
-            assert len(fleet.lines.matching("event=notice_unreadable")) == 3
-            assert [notice for _, notice in fleet.heard] == [NOTICE]
+            assert len(fleet.logs.matching("event=notice_unreadable")) == 3
+            assert [message for _, message in fleet.received] == [ORDER_MESSAGE]
 
-        fleet.play(story)
+        fleet.run(scenario)
 
 
-class TestOrderedEngine:
-    """An engine that follows an order of another instance.
+class TestEngineUnderOrder:
+    """An engine that carries out an order of another instance.
 
-    It refuses work for its old part for six seconds, its entry tells nothing, and each of 68
-    instances found that out by refusals: 201 readings a day, each of them a repeat; for want of
-    repeats writers then read 305 prompts, at half the pace.
+    It refuses work of its old role for six seconds, while its entry does not show the change. Each
+    of 68 instances found that out by refusals: 201 refused prefills a day, each of them a retry.
+    When no retries were left, decode engines processed 305 prompts, at half the speed.
     """
 
-    def test_gets_nothing_to_read(self) -> None:
-        """It is left out until its entry tells its new part; then it writes."""
+    def test_gets_no_prefill_request(self) -> None:
+        """It is left out until its entry shows its new role; then it decodes."""
         harness = GatewayHarness()
         ordered = harness.add_replica("i-r0", "llm", "prefill")
-        # Whoever may choose soon prefers the other one.
+        # The other engine is slow, so that the gateway would soon prefer the ordered one.
         harness.add_replica("i-r1", "llm", "prefill", prefill_s=0.3)
-        writer = harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
+        decode_engine = harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
 
-        async def story() -> None:
-            await tell(harness, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
+        async def scenario() -> None:
+            await send_message(harness, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
             for number in range(20):
-                assert (await harness.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
+                assert (await harness.call(f"q{number}", "/stream/a", **TOKEN_HEADERS))[0] == 200
             assert ordered.arrivals == []
             ordered.role, ordered.handler = "decode", respond_stream
             await ordered.publish_entry()
-            writer.free_reservations = 0
+            decode_engine.free_reservations = 0
             await curio.sleep(0.1)
-            assert (await harness.call("r", "/stream/a", **TOKENS))[0] == 200
+            assert (await harness.call("r", "/stream/a", **TOKEN_HEADERS))[0] == 200
             assert ordered.executed_ids == ["r"]
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_is_used_again_when_the_order_is_over(self) -> None:
-        """A false notice, or an order that came to nothing, costs seconds."""
+    def test_is_used_again_when_the_order_has_expired(self) -> None:
+        """A false message, or an order that was not carried out, costs only seconds."""
         harness = GatewayHarness()
         ordered = harness.add_replica("i-r0", "llm", "prefill")
         harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
         other = harness.add_replica("i-r1", "llm", "prefill")
 
-        async def story() -> None:
-            await tell(harness, EngineOrdered("i-r0", EngineRole.DECODE, 900.0))
-            assert (await harness.call("q", "/stream/a", **TOKENS))[0] == 200
+        async def scenario() -> None:
+            await send_message(harness, EngineOrdered("i-r0", EngineRole.DECODE, 900.0))
+            assert (await harness.call("q", "/stream/a", **TOKEN_HEADERS))[0] == 200
             assert not ordered.arrivals
             await curio.sleep(14.0)
             other.refuses_prefill = True
             for number in range(3):
-                assert (await harness.call(f"r{number}", "/stream/a", **TOKENS))[0] == 200
+                assert (await harness.call(f"r{number}", "/stream/a", **TOKEN_HEADERS))[0] == 200
             assert ordered.arrivals
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_is_used_where_no_other_is(self) -> None:
-        """Asking it in vain is better than asking nobody."""
+    def test_is_used_when_no_other_engine_is_available(self) -> None:
+        """A vain attempt is better than none."""
         harness = GatewayHarness()
         ordered = harness.add_replica("i-r0", "llm", "prefill")
         harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
 
-        async def story() -> None:
-            await tell(harness, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
-            assert (await harness.call("q", "/stream/a", **TOKENS))[0] == 200
+        async def scenario() -> None:
+            await send_message(harness, EngineOrdered("i-r0", EngineRole.DECODE, 13.0))
+            assert (await harness.call("q", "/stream/a", **TOKEN_HEADERS))[0] == 200
             assert ordered.arrivals
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_of_a_server_that_nobody_knows_is_nothing(self) -> None:
-        """A notice that is late by a life of the engine."""
+    def test_message_about_an_unknown_server_is_ignored(self) -> None:
+        """Such a message may concern an earlier incarnation of an engine."""
         harness = GatewayHarness()
         harness.add_replica("i-r0", "llm", "prefill")
         harness.add_replica("i-w", "llm", "decode", handler=respond_stream)
 
-        async def story() -> None:
-            await tell(harness, EngineOrdered("i-gone", EngineRole.DECODE, 13.0))
+        async def scenario() -> None:
+            await send_message(harness, EngineOrdered("i-gone", EngineRole.DECODE, 13.0))
             assert not harness.logs.matching("event=server_changing")
-            assert (await harness.call("q", "/stream/a", **TOKENS))[0] == 200
+            assert (await harness.call("q", "/stream/a", **TOKEN_HEADERS))[0] == 200
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
 
-async def tell(harness: GatewayHarness, notice: EngineOrdered) -> None:
-    """Send a notice to the gateway as another instance does."""
+async def send_message(harness: GatewayHarness, message: EngineOrdered) -> None:
+    """Send a message to the gateway as another instance does."""
     sock = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_DGRAM)
     async with sock:
-        await sock.sendto(msgspec.msgpack.encode(notice), (HOST, harness.peer_port))
+        await sock.sendto(msgspec.msgpack.encode(message), (HOST, harness.peer_port))
     await curio.sleep(0.1)
 
 
-def play(harness: GatewayHarness, story: Any) -> None:
-    """Run *story* under a clock that jumps."""
-    run_virtual(harness.run, story, STREAM, settle_s=0.003)
+def run_scenario(harness: GatewayHarness, scenario: Any) -> None:
+    """Run *scenario* in virtual time."""
+    run_virtual(harness.run, scenario, STREAM, settle_s=0.003)
--- a/tests/test_orderer.py
+++ b/tests/test_orderer.py
@@ -1,4 +1,4 @@
-"""Tests of orders to engines."""
+"""Tests of role orders to engines."""
 
 from __future__ import annotations
 
@@ -16,279 +16,289 @@
 from virtual_time import run_virtual
 
 STREAM = route("r-stream", "/stream/", "streaming", "llm")
-TOKENS = {"x_token_count": "3000,800", "length_hint": "800"}
+TOKEN_HEADERS = {"x_token_count": "3000,800", "length_hint": "800"}
 
 
-def busy_harness(readers: int, writers: int) -> GatewayHarness:
-    """Return a harness whose answers take long and whose prompts are read at once."""
+def busy_harness(prefill_engines: int, decode_engines: int) -> GatewayHarness:
+    """Return a harness whose answers take long and whose prompts are processed at once."""
     harness = GatewayHarness()
-    for number in range(readers):
+    for number in range(prefill_engines):
         harness.add_replica(f"i-r{number}", "llm", "prefill")
 
-    async def slow(replica: object, exchange: object) -> None:
+    async def respond_after_two_seconds(replica: object, exchange: object) -> None:
         await curio.sleep(2.0)
         await respond_stream(replica, exchange)  # type: ignore[arg-type]
 
-    for number in range(writers):
-        harness.add_replica(f"i-w{number}", "llm", "decode", handler=slow)
+    for number in range(decode_engines):
+        harness.add_replica(f"i-w{number}", "llm", "decode", handler=respond_after_two_seconds)
     return harness
 
 
-async def traffic(harness: GatewayHarness) -> None:
-    """Send enough streams for the loads to be known."""
+async def send_streams(harness: GatewayHarness) -> None:
+    """Send enough streams for the workload to be measured."""
     for number in range(14):
-        assert (await harness.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
+        assert (await harness.call(f"q{number}", "/stream/a", **TOKEN_HEADERS))[0] == 200
 
 
-async def put_note(
-    harness: GatewayHarness, name: str, *, read_s: float, admitted: int, pace_s: float = 0.04
+async def put_instance_record(
+    harness: GatewayHarness,
+    name: str,
+    *,
+    prefill_s: float,
+    admitted: int,
+    decode_token_s: float = 0.04,
 ) -> None:
-    """Put the note of another instance; unless told its answers take as long as here."""
-    sheet = WorkloadStats(
+    """Store the record of another instance; by default its answers take as long as here."""
+    stats = WorkloadStats(
         admitted=admitted,
         answers=admitted,
         readings=admitted,
         tokens=3000.0,
-        read_s=read_s,
-        token_s=read_s / 3000.0,
+        read_s=prefill_s,
+        token_s=prefill_s / 3000.0,
         part=0.36,
         part_tokens=288.0,
-        pace_s=pace_s,
+        pace_s=decode_token_s,
     )
-    note = msgspec.to_builtins(InstanceRecord("", {"llm": sheet}))
-    await harness.store.put(f"crankhinge/work/{name}", note)
+    record = msgspec.to_builtins(InstanceRecord("", {"llm": stats}))
+    await harness.store.put(f"crankhinge/work/{name}", record)
 
 
-def play(harness: GatewayHarness, story: object) -> None:
-    """Run *story* under a clock that jumps."""
-    run_virtual(harness.run, story, STREAM, settle_s=0.003)
+def run_scenario(harness: GatewayHarness, scenario: object) -> None:
+    """Run *scenario* in virtual time."""
+    run_virtual(harness.run, scenario, STREAM, settle_s=0.003)
 
 
 class TestOrders:
-    """Who orders, and with what fence."""
+    """Which instance sends orders, and under which fencing token."""
 
-    def test_readers_without_work_are_ordered_to_write(self) -> None:
-        """One order for each engine that is wanted, under the store's revision as fence."""
+    def test_idle_prefill_engines_are_ordered_to_decode(self) -> None:
+        """Each engine that is needed gets one order, with the store's revision as fencing token."""
         harness = busy_harness(4, 2)
 
-        async def story() -> None:
-            await traffic(harness)
+        async def scenario() -> None:
+            await send_streams(harness)
             await curio.sleep(4.0)
             orders = [order for replica in harness.replicas for order in replica.orders]
             assert [order["phase"] for order in orders] == ["decode", "decode"]
-            fence = harness.store.items["crankhinge/orders"]["revision"]
-            assert {order["fencing_token"] for order in orders} == {fence}
+            fencing_token = harness.store.items["crankhinge/orders"]["revision"]
+            assert {order["fencing_token"] for order in orders} == {fencing_token}
             assert {order["expected_revision"] for order in orders} == {0}
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_no_order_while_another_holds_the_right(self) -> None:
-        """A held key means silence."""
+    def test_no_order_while_another_instance_holds_the_lease(self) -> None:
+        """The key of the order lease is taken in the store."""
         harness = busy_harness(4, 2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await harness.store.put("crankhinge/orders", "another", 9)
-            await traffic(harness)
+            await send_streams(harness)
             await curio.sleep(20.0)
             assert not any(replica.orders for replica in harness.replicas)
             assert harness.logs.matching("event=tenure_held_elsewhere")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_fenced_orderer_stays_quiet(self) -> None:
-        """After 412 the next engine is not ordered under the same fence."""
+    def test_fenced_instance_sends_no_further_order(self) -> None:
+        """After status 412 the next engine gets no order under the same fencing token."""
         harness = busy_harness(4, 2)
         for replica in harness.replicas:
             replica.order_status = 412
 
-        async def story() -> None:
-            await traffic(harness)
+        async def scenario() -> None:
+            await send_streams(harness)
             await curio.sleep(6.0)
             assert sum(len(replica.orders) for replica in harness.replicas) == 1
             assert harness.logs.matching("event=order_given", "end=fenced")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_no_order_without_an_answer_from_the_store(self) -> None:
-        """The right is not assumed."""
+    def test_no_order_while_the_store_is_unreachable(self) -> None:
+        """The instance does not assume that it holds the order lease."""
         harness = busy_harness(4, 2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             harness.store.down = True
-            await traffic(harness)
+            await send_streams(harness)
             await curio.sleep(20.0)
             assert not any(replica.orders for replica in harness.replicas)
             assert harness.logs.matching("event=notes_unknown")
             assert harness.logs.matching("event=note_unknown")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_no_order_without_an_answer_about_the_right(self) -> None:
-        """The others' notes were read, but leases are not given."""
+    def test_no_order_when_the_store_grants_no_lease(self) -> None:
+        """The records of the other instances can be read."""
         harness = busy_harness(4, 2)
         harness.store.refused_path = "/v1/kv-lease"
 
-        async def story() -> None:
-            await traffic(harness)
+        async def scenario() -> None:
+            await send_streams(harness)
             await curio.sleep(20.0)
             assert not any(replica.orders for replica in harness.replicas)
             assert harness.logs.matching("event=tenure_unknown")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_one_instance_does_not_decide_against_the_others(self) -> None:
-        """It sees readers without work; thirty others, whose answers are short, do not."""
+    def test_one_instance_does_not_outweigh_the_others(self) -> None:
+        """It sees idle prefill engines; thirty others, whose answers are short, do not."""
         harness = busy_harness(4, 2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(30):
-                await put_note(harness, f"other-{number}", read_s=0.5, pace_s=0.0002, admitted=50)
-            await traffic(harness)
+                await put_instance_record(
+                    harness, f"other-{number}", prefill_s=0.5, decode_token_s=0.0002, admitted=50
+                )
+            await send_streams(harness)
             await curio.sleep(10.0)
             assert not any(replica.orders for replica in harness.replicas)
             assert harness.logs.matching("event=work_together", "instances=31")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_few_requests_are_enough_where_others_saw_the_same(self) -> None:
-        """Two own answers, and the notes of four more instances, make an order."""
+    def test_few_requests_suffice_when_other_instances_agree(self) -> None:
+        """Two local answers and the records of four more instances lead to an order."""
         harness = busy_harness(4, 2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             for number in range(4):
-                await put_note(harness, f"other-{number}", read_s=0.01, admitted=5)
+                await put_instance_record(harness, f"other-{number}", prefill_s=0.01, admitted=5)
             for number in range(2):
-                assert (await harness.call(f"q{number}", "/stream/a", **TOKENS))[0] == 200
+                assert (await harness.call(f"q{number}", "/stream/a", **TOKEN_HEADERS))[0] == 200
             await curio.sleep(6.0)
             assert any(replica.orders for replica in harness.replicas)
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_note_that_cannot_be_read_is_left_out(self) -> None:
-        """A line says so; the others count."""
+    def test_unreadable_record_is_left_out(self) -> None:
+        """A log line names it; the other records count."""
         harness = busy_harness(4, 2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             await harness.store.put("crankhinge/work/odd", {"peer": "", "sheets": "?"})
-            await traffic(harness)
+            await send_streams(harness)
             await curio.sleep(4.0)
             assert any(replica.orders for replica in harness.replicas)
             assert harness.logs.matching("event=note_unreadable", "key=crankhinge/work/odd")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_an_unanswered_order_is_followed_by_no_other(self) -> None:
-        """It may be carried out seconds later; the right is kept until that is known."""
+    def test_order_without_a_response_is_followed_by_no_other(self) -> None:
+        """It may be carried out seconds later; the lease is kept until its outcome is known."""
         harness = busy_harness(4, 2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             for replica in harness.replicas:
                 replica.order_status = 0
-            await traffic(harness)
+            await send_streams(harness)
             await curio.sleep(10.0)
             assert sum(len(replica.orders) for replica in harness.replicas) == 1
             assert harness.logs.matching("event=order_given", "end=unanswered")
             assert any(call.startswith("/v1/kv-keep/") for call in harness.store.calls)
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
 
-class TestTold:
-    """What the other instances hear of orders."""
+class TestOrderMessages:
+    """Messages to the other instances about orders."""
 
-    def test_each_order_is_told_at_once(self) -> None:
-        """To where the notes say that the others take notices."""
+    def test_other_instances_learn_of_each_order_at_once(self) -> None:
+        """The messages go to the peer addresses in the instance records."""
         harness = busy_harness(4, 2)
-        heard: list[bytes] = []
+        received: list[bytes] = []
         port = free_port()
 
-        async def listen() -> None:
+        async def receive() -> None:
             sock = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_DGRAM)
             async with sock:
                 sock.bind((HOST, port))
                 while True:
-                    heard.append(await sock.recv(1200))
+                    received.append(await sock.recv(1200))
 
-        async def story() -> None:
-            task = await curio.spawn(listen, daemon=True)
-            note = msgspec.to_builtins(InstanceRecord(f"{HOST}:{port}", {}))
-            await harness.store.put("crankhinge/work/other", note)
-            await traffic(harness)
+        async def scenario() -> None:
+            task = await curio.spawn(receive, daemon=True)
+            record = msgspec.to_builtins(InstanceRecord(f"{HOST}:{port}", {}))
+            await harness.store.put("crankhinge/work/other", record)
+            await send_streams(harness)
             await curio.sleep(4.0)
             ordered = {replica.incarnation_id for replica in harness.replicas if replica.orders}
-            said = [msgspec.msgpack.decode(data, type=PeerMessage) for data in heard]
-            told = [message for message in said if isinstance(message, EngineOrdered)]
+            messages = [msgspec.msgpack.decode(data, type=PeerMessage) for data in received]
+            order_messages = [message for message in messages if isinstance(message, EngineOrdered)]
             assert ordered
-            assert {notice.server for notice in told} == ordered
-            assert {notice.phase for notice in told} == {EngineRole.DECODE}
+            assert {message.server for message in order_messages} == ordered
+            assert {message.phase for message in order_messages} == {EngineRole.DECODE}
             await task.cancel()
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    @pytest.mark.parametrize("told", [True, False])
-    def test_engines_under_order_are_counted_by_their_new_parts(self, told: bool) -> None:
-        """Another instance's orders are on their way: the split is as wanted, none is given."""
+    @pytest.mark.parametrize("notified", [True, False])
+    def test_engines_under_order_count_in_their_new_role(self, notified: bool) -> None:
+        """Orders of another instance already give the wanted split: no further order is sent."""
         harness = busy_harness(4, 2)
 
-        async def story() -> None:
+        async def scenario() -> None:
             sock = curio.socket.socket(curio.socket.AF_INET, curio.socket.SOCK_DGRAM)
             async with sock:
-                for ident in ("i-r0", "i-r1"):
-                    notice = EngineOrdered(ident, EngineRole.DECODE, 13.0)
-                    data = msgspec.msgpack.encode(notice)
-                    if told:
+                for server_id in ("i-r0", "i-r1"):
+                    message = EngineOrdered(server_id, EngineRole.DECODE, 13.0)
+                    data = msgspec.msgpack.encode(message)
+                    if notified:
                         await sock.sendto(data, (HOST, harness.peer_port))
             async with curio.TaskGroup() as group:
                 for number in range(14):
-                    await group.spawn(partial(harness.call, f"q{number}", "/stream/a", **TOKENS))
+                    await group.spawn(
+                        partial(harness.call, f"q{number}", "/stream/a", **TOKEN_HEADERS)
+                    )
             await curio.sleep(4.0)
-            assert any(replica.orders for replica in harness.replicas) is not told
+            assert any(replica.orders for replica in harness.replicas) is not notified
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
 
-class TestChange:
+class TestRoleChange:
     """Which engines are ordered, and how soon."""
 
-    def test_an_engine_in_the_way_is_passed_over(self) -> None:
-        """Two of five follow another order; the others are ordered all the same.
+    def test_busy_engine_is_skipped(self) -> None:
+        """Two of five engines carry out another order; the others still get orders.
 
-        A single one once ended the whole change, and the next came twelve seconds later.
+        A single busy engine once ended the whole change, and the next one came twelve seconds
+        later.
         """
         harness = busy_harness(5, 2)
         for replica in harness.replicas[:2]:
             replica.busy = True
 
-        async def story() -> None:
-            await traffic(harness)
+        async def scenario() -> None:
+            await send_streams(harness)
             await curio.sleep(4.0)
             ordered = [replica.incarnation_id for replica in harness.replicas if replica.orders]
             assert ordered
             assert not {"i-r0", "i-r1"} & set(ordered)
             assert harness.logs.matching("event=order_given", "end=taken")
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_dark_engine_is_passed_over(self) -> None:
-        """It does not answer; another one is ordered while the right lasts."""
+    def test_unresponsive_engine_is_skipped(self) -> None:
+        """Another engine is ordered while the order lease lasts."""
         harness = busy_harness(4, 2)
-        dark = harness.replicas[0]
-        dark.ignores_side_calls = True
+        unresponsive = harness.replicas[0]
+        unresponsive.ignores_side_calls = True
 
-        async def story() -> None:
-            await traffic(harness)
+        async def scenario() -> None:
+            await send_streams(harness)
             await curio.sleep(5.0)
             ordered = [replica.incarnation_id for replica in harness.replicas if replica.orders]
             assert ordered
-            assert dark.incarnation_id not in ordered
+            assert unresponsive.incarnation_id not in ordered
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_no_order_when_the_right_may_be_over(self) -> None:
-        """Six engines in the way, each of which takes half a second to say so, use it up.
+    def test_no_order_when_the_lease_may_have_expired(self) -> None:
+        """Six busy engines, each of which takes half a second to respond, use up the order lease.
 
-        So does an instance that stands still on its way: the end of the right is compared with the
-        clock before each order, not counted in steps.
+        A suspension of the instance in between does so, too: before each order the end of the lease
+        is compared with the clock, not counted in steps.
         """
         harness = busy_harness(8, 2)
         for replica in harness.replicas[:6]:
@@ -296,38 +306,38 @@
         for replica in harness.replicas[:8]:
             replica.report_delay_s = 0.5
 
-        async def story() -> None:
-            await traffic(harness)
+        async def scenario() -> None:
+            await send_streams(harness)
             await curio.sleep(5.0)
             assert harness.logs.matching("event=tenure_over")
             assert not any(replica.orders for replica in harness.replicas)
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
-    def test_a_wish_lasts_though_servers_come_and_go(self) -> None:
-        """A release changes the number of engines each half second."""
+    def test_wanted_split_persists_while_servers_come_and_go(self) -> None:
+        """A rollout changes the number of engines each half second."""
         harness = busy_harness(4, 2)
-        coming = harness.add_replica("i-c", "llm", "prefill")
+        restarting = harness.add_replica("i-c", "llm", "prefill")
 
-        async def story() -> None:
-            async def release() -> None:
+        async def scenario() -> None:
+            async def roll_out() -> None:
                 while True:
                     await harness.store.remove("servers/i-c")
                     await curio.sleep(0.45)
-                    await coming.publish_entry()
+                    await restarting.publish_entry()
                     await curio.sleep(0.45)
 
-            task = await curio.spawn(release, daemon=True)
-            await traffic(harness)
+            task = await curio.spawn(roll_out, daemon=True)
+            await send_streams(harness)
             await curio.sleep(4.0)
             assert any(replica.orders for replica in harness.replicas)
             await task.cancel()
 
-        play(harness, story)
+        run_scenario(harness, scenario)
 
 
-def test_the_meter_needs_both_kinds_of_samples() -> None:
-    """Readings alone say nothing about writing."""
+def test_meter_needs_prefill_and_decode_samples() -> None:
+    """Samples of prefills alone say nothing about decoding."""
     meter = WorkloadMeter()
     for _ in range(50):
         meter.record_prompt(3000, 0.2)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -100,7 +100,7 @@
         self.backends = make_standalone_backends(log, SERVER)
         self.members = Membership("here", 0.0)
         limits = make_standalone_limits("here", self.backends, log, self.members)
-        self.news, self.permits = limits.news, limits.permits
+        self.news, self.permits = limits.limit_updates, limits.permits
         self.relay = cast(
             Relay,
             SimpleNamespace(permits={}, request=SimpleNamespace(request_id="q"), log_fields={}),
--- a/tests/test_shared_work.py
+++ b/tests/test_shared_work.py
@@ -1,4 +1,4 @@
-"""Tests of when an instance tells the others what its requests take."""
+"""Tests of when an instance publishes its record, and of what the records say together."""
 
 from __future__ import annotations
 
@@ -25,189 +25,194 @@
 from virtual_time import run_virtual
 
 
-class Board(InstanceRegistry):
-    """Remembers what was published; away when told so."""
+class FakeRegistry(InstanceRegistry):
+    """Keeps the records that were published; unavailable while the test says so."""
 
     def __init__(self) -> None:
-        self.notes: list[InstanceRecord] = []
+        self.records: list[InstanceRecord] = []
         self.renewals = 0
-        self.away = False
+        self.is_unavailable = False
 
     @property
     def published(self) -> list[Mapping[str, WorkloadStats]]:
-        """What notes that told of any work said."""
-        return [note.sheets for note in self.notes if note.sheets]
+        """Workload statistics of the published records that have any."""
+        return [record.sheets for record in self.records if record.sheets]
 
     async def take_over(self, name: str) -> tuple[InstanceRecord, RecordLease] | None:
-        """Return the note of a life before."""
-        if not self.notes:
+        """Return the record of the previous incarnation."""
+        if not self.records:
             return None
-        return self.notes[-1], RecordLease(
+        return self.records[-1], RecordLease(
             await curio.clock() + RECORD_LEASE_S, may_have_lapsed=False
         )
 
     async def publish(self, name: str, record: InstanceRecord) -> RecordLease:
-        """Take a note."""
-        if self.away:
+        """Store a record."""
+        if self.is_unavailable:
             raise KeyValueUnavailable("away")
-        self.notes.append(record)
+        self.records.append(record)
         return RecordLease(
-            await curio.clock() + RECORD_LEASE_S, may_have_lapsed=len(self.notes) == 1
+            await curio.clock() + RECORD_LEASE_S, may_have_lapsed=len(self.records) == 1
         )
 
     async def renew(self) -> RecordLease | None:
-        """Have the note last longer."""
+        """Extend the lease of the record."""
         self.renewals += 1
         return RecordLease(await curio.clock() + RECORD_LEASE_S, may_have_lapsed=False)
 
     async def read_all(self, *, allow_stale: bool = True) -> dict[str, InstanceRecord]:
-        """Return the last note, also under another instance's name, and one of a third one."""
-        if not self.notes:
+        """Return the last record, under this and another name, and one of a third instance."""
+        if not self.records:
             return {}
         return {
-            "here": self.notes[-1],
-            "other": self.notes[-1],
+            "here": self.records[-1],
+            "other": self.records[-1],
             "third": InstanceRecord("127.0.0.1:9", {}),
         }
 
 
 class Instance:
-    """A meter and the task that tells of it.
+    """A workload meter and the task that publishes its statistics.
 
     Args:
-        resumed: whether the note of a life before lies on the board.
+        resumed: whether the registry holds a record of the previous incarnation.
     """
 
     def __init__(self, *, resumed: bool = False) -> None:
-        self.board = Board()
+        self.registry = FakeRegistry()
         if resumed:
-            self.board.notes.append(InstanceRecord("127.0.0.1:7", {}, settled=True))
+            self.registry.records.append(InstanceRecord("127.0.0.1:7", {}, settled=True))
         self.meter = WorkloadMeter()
-        self.lines = LogCapture()
-        log = get_log(program="t", stream=self.lines)
-        self.members = Membership("here", 0.0)
+        self.logs = LogCapture()
+        log = get_log(program="t", stream=self.logs)
+        self.membership = Membership("here", 0.0)
         self.limits = make_standalone_limits("here", make_standalone_backends(log), log)
-        self.work = InstanceRecordSync(
+        self.record_sync = InstanceRecordSync(
             name="here",
             address="127.0.0.1:7",
-            membership=self.members,
-            registry=self.board,
+            membership=self.membership,
+            registry=self.registry,
             meters={"llm": self.meter},
             quarantine=make_standalone_quarantine("here", log),
-            limit_updates=self.limits.news,
+            limit_updates=self.limits.limit_updates,
             log=log,
             rng=random.Random(3),
         )
 
-    def serve(self, count: int, *, pace_s: float = 0.004) -> None:
-        """Note *count* requests."""
+    def record_requests(self, count: int, *, decode_token_s: float = 0.004) -> None:
+        """Record *count* requests in the meter."""
         for _ in range(count):
             self.meter.record_prompt(3000, 0.1)
             self.meter.record_admission(0.1, 800)
-            self.meter.record_answer(800, 800 * pace_s)
-
-    def play(self, story: object) -> None:
-        """Run the task under *story*."""
-        run_virtual(run_until_first_ends, self.work.run, self.work.refresh_membership, story)
+            self.meter.record_answer(800, 800 * decode_token_s)
+
+    def run(self, scenario: object) -> None:
+        """Run the task while *scenario* runs."""
+        run_virtual(
+            run_until_first_ends,
+            self.record_sync.run,
+            self.record_sync.refresh_membership,
+            scenario,
+        )
 
 
-class TestNote:
-    """When the note is written."""
+class TestPublishing:
+    """When an instance publishes its record."""
 
-    def test_where_an_instance_is_reached_is_told_at_once(self) -> None:
-        """Then rarely, as long as nothing was measured."""
-        here = Instance()
+    def test_peer_address_is_published_at_once(self) -> None:
+        """Then the record is published rarely as long as nothing was measured."""
+        instance = Instance()
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(1.5)
-            assert [note.peer for note in here.board.notes] == ["127.0.0.1:7"]
+            assert [record.peer for record in instance.registry.records] == ["127.0.0.1:7"]
             await curio.sleep(60.0)
-            assert len(here.board.notes) <= 3
-            assert here.board.published == []
+            assert len(instance.registry.records) <= 3
+            assert instance.registry.published == []
 
-        here.play(story)
+        instance.run(scenario)
 
-    def test_others_are_seen_after_a_while(self) -> None:
-        """Each look is a tenth of a call."""
-        here = Instance()
+    def test_other_instances_are_found_after_a_while(self) -> None:
+        """Reads of the records are rare, since each of them costs a tenth of a call."""
+        instance = Instance()
 
-        async def story() -> None:
+        async def scenario() -> None:
             await curio.sleep(13.0)
-            assert set(here.members.peer_addresses) == {"127.0.0.1:7", "127.0.0.1:9"}
+            assert set(instance.membership.peer_addresses) == {"127.0.0.1:7", "127.0.0.1:9"}
 
-        here.play(story)
+        instance.run(scenario)
 
-    def test_what_stays_true_is_told_rarely(self) -> None:
-        """At once, then only before the store would drop it."""
-        here = Instance(resumed=True)
+    def test_unchanged_statistics_are_published_rarely(self) -> None:
+        """Once at first, then again only before the store would drop the record."""
+        instance = Instance(resumed=True)
 
-        async def story() -> None:
-            here.serve(10)
+        async def scenario() -> None:
+            instance.record_requests(10)
             await curio.sleep(2.0)
-            assert len(here.board.published) == 1
+            assert len(instance.registry.published) == 1
             await curio.sleep(MAX_REWRITE_INTERVAL_S - 5.0)
-            assert len(here.board.published) == 1
+            assert len(instance.registry.published) == 1
             await curio.sleep(10.0)
-            assert len(here.board.published) == 2
+            assert len(instance.registry.published) == 2
 
-        here.play(story)
+        instance.run(scenario)
 
-    def test_twice_the_samples_are_told(self) -> None:
-        """They weigh more where they are put together."""
-        here = Instance()
+    def test_doubled_samples_are_published(self) -> None:
+        """They weigh more when the statistics of all instances are combined."""
+        instance = Instance()
 
-        async def story() -> None:
-            here.serve(5)
+        async def scenario() -> None:
+            instance.record_requests(5)
             await curio.sleep(4.0)
-            here.serve(5)
+            instance.record_requests(5)
             await curio.sleep(4.0)
-            assert [note["llm"].admitted for note in here.board.published] == [5, 10]
+            assert [stats["llm"].admitted for stats in instance.registry.published] == [5, 10]
 
-        here.play(story)
+        instance.run(scenario)
 
-    def test_loads_that_moved_are_told(self) -> None:
+    def test_changed_loads_are_published(self) -> None:
         """Answers take three times as long."""
-        here = Instance()
+        instance = Instance()
 
-        async def story() -> None:
-            here.serve(100)
+        async def scenario() -> None:
+            instance.record_requests(100)
             await curio.sleep(4.0)
-            here.serve(60, pace_s=0.012)
+            instance.record_requests(60, decode_token_s=0.012)
             await curio.sleep(4.0)
-            first, second = here.board.published
+            first, second = instance.registry.published
             assert second["llm"].pace_s > 1.5 * first["llm"].pace_s
 
-        here.play(story)
+        instance.run(scenario)
 
-    def test_a_note_that_was_not_taken_is_tried_again(self) -> None:
-        """After a while, with a line that says why."""
-        here = Instance()
+    def test_failed_publication_is_retried(self) -> None:
+        """After a while, with a log line that gives the reason."""
+        instance = Instance()
 
-        async def story() -> None:
-            here.board.away = True
-            here.serve(10)
+        async def scenario() -> None:
+            instance.registry.is_unavailable = True
+            instance.record_requests(10)
             await curio.sleep(2.0)
-            assert here.lines.matching("event=note_unknown", "why=away")
-            here.board.away = False
+            assert instance.logs.matching("event=note_unknown", "why=away")
+            instance.registry.is_unavailable = False
             await curio.sleep(STORE_RETRY_S + 2.0)
-            assert len(here.board.published) == 1
+            assert len(instance.registry.published) == 1
 
-        here.play(story)
+        instance.run(scenario)
 
 
-class TestTogether:
-    """What all instances measured."""
+class TestCombinedStatistics:
+    """The statistics of all instances together."""
 
-    def test_the_own_note_is_the_newest(self) -> None:
-        """Not what the store holds of it, but what was measured until now."""
-        here = Instance()
+    def test_local_statistics_are_current(self) -> None:
+        """They come from the meter, not from the record in the store."""
+        instance = Instance()
 
-        async def story() -> None:
-            here.serve(10)
+        async def scenario() -> None:
+            instance.record_requests(10)
             await curio.sleep(2.0)
-            here.serve(5)
-            loads, answers = await here.work.fleet_loads("llm")
+            instance.record_requests(5)
+            loads, answers = await instance.record_sync.fleet_loads("llm")
             assert loads is not None
             assert answers == 10 + 15
 
-        here.play(story)
+        instance.run(scenario)
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -1,8 +1,8 @@
-"""Each way in which a request reaches a server, with each word that bars the server.
+"""Tests of each path by which a request reaches a server, with each signal that excludes it.
 
-What was seen: each word that servers say of themselves was kept on the ways that its own tests went
-and broken on another: a limit where streams are taken up elsewhere, a rest where all servers rest.
-Cause: no list of the ways stood anywhere, so each word was tried on those that came to mind.
+Servers' signals about themselves were respected on the paths that their own tests covered, and
+ignored on others: a limit where streams are resumed at another server, a backoff where all servers
+back off. No list of the paths existed, so that each signal was tested on some of them only.
 """
 
 from __future__ import annotations
@@ -32,270 +32,302 @@
 )
 from platform_fakes import Arrival, FakeReplica, RequestHandler, respond_stream
 
-ASKED_PER_S = 15.0
-ASKED_S = 6.0
-SAID_AT_S = 1.5
-# Seconds for which callers still ask when a server is barred no more: whichever instance it refused
-# last leaves it alone for one rest from then.
-ASKED_AGAIN_S = BACKOFF_S + 4.0
-# Seconds after which a server that leaves, or whose entry is gone, may get none, and those that a
-# request which was sent before may still take to arrive: its prompt is read elsewhere meanwhile.
+REQUESTS_PER_S = 15.0
+TRAFFIC_S = 6.0
+SIGNAL_AT_S = 1.5
+# Seconds of further traffic after an exclusion ends: the instance whose request the server refused
+# last sends it none for one backoff from then on.
+RECOVERY_TRAFFIC_S = BACKOFF_S + 4.0
+# Seconds after which a server that is leaving, or whose entry is gone, must get no request.
 DRAIN_S = 2.0
-UNDER_WAY_S = 0.9
-MOST_IN_REST = 2
-# Seconds after which a server that is barred no more is known to be so.
-BACK_S = 1.0
+# Seconds that a request sent before may still take to arrive, while another engine processes its
+# prompt.
+IN_FLIGHT_S = 0.9
+MAX_ARRIVALS_IN_BACKOFF = 2
+# Seconds after the end of an exclusion until the instances use the server again.
+READMISSION_S = 1.0
 LIMIT_PER_S = 1.0
 
 
 @dataclass
-class Way:
-    """Some instances and servers, and what callers ask for.
+class DispatchPath:
+    """Instances and servers with traffic that takes one path to the excluded server.
 
     Attributes:
         fleet: the instances.
-        server: the one that is barred.
-        path: that callers ask for.
-        goes: whether a request that reached the server came by this way.
-        tokens: fields that requests carry.
+        server: the server that gets excluded.
+        url_path: URL path of the requests.
+        matches: whether a request that the server received came by this path.
+        headers: header fields of the requests.
     """
 
     fleet: LimitedFleet
     server: FakeReplica
-    path: str
-    goes: Callable[[Arrival], bool] = lambda _: True
-    tokens: dict[str, str] = field(default_factory=dict)
+    url_path: str
+    matches: Callable[[Arrival], bool] = lambda _: True
+    headers: dict[str, str] = field(default_factory=dict)
 
 
-def first_tries(instances: int, *, others: int = 1) -> Way:
-    """Return the way of plain calls that are sent for the first time."""
+def first_attempts(instances: int, *, others: int = 1) -> DispatchPath:
+    """Return the path of plain requests at their first attempt."""
     fleet = LimitedFleet(instances)
     server = fleet.add("i-barred", handler=respond_slowly)
     for number in range(others):
         fleet.add(f"i-{number}", handler=respond_slowly)
-    return Way(fleet, server, "/once/a")
+    return DispatchPath(fleet, server, "/once/a")
 
 
-def repeats() -> Way:
-    """Return the way of calls that failed at another server."""
+def retries() -> DispatchPath:
+    """Return the path of plain requests that failed at another server."""
     fleet = LimitedFleet(1)
     server = fleet.add("i-barred", handler=respond_slowly)
     failing = fleet.add("i-failing", handler=respond_error)
 
     def failed_before(arrival: Arrival) -> bool:
-        return any(each.request_id == arrival.request_id for each in failing.arrivals)
+        return any(failed.request_id == arrival.request_id for failed in failing.arrivals)
 
-    return Way(fleet, server, "/safe/a", failed_before)
+    return DispatchPath(fleet, server, "/safe/a", failed_before)
 
 
-def engines(fleet: LimitedFleet, phase: str, **more: Any) -> Callable[[str], FakeReplica]:
-    """Return what adds engines of one part.
+def engine_adder(fleet: LimitedFleet, role: str, **options: Any) -> Callable[[str], FakeReplica]:
+    """Return a function that adds engines of one role.
 
-    They are busy with an order of somebody else, so that none is ordered to change its part.
+    The engines refuse orders as if another order were in progress, so that none changes its role.
     """
     return partial(
-        fleet.add, service="llm", role=phase, order_status=409, free_reservations=10_000, **more
+        fleet.add, service="llm", role=role, order_status=409, free_reservations=10_000, **options
     )
 
 
-def readings(*, second: bool) -> Way:
-    """Return the way of prompts that are read apart, or once more after a refusal."""
+def prefills(*, after_refusal: bool) -> DispatchPath:
+    """Return the path of prompts at a prefill engine, at the first attempt or after a refusal."""
     fleet = LimitedFleet(1)
-    server = engines(fleet, "prefill", prefill_s=0.1)("i-barred")
-    engines(fleet, "prefill", prefill_s=0.1, refuses_prefill=second)("i-other")
-    engines(fleet, "decode", handler=respond_stream)("i-writer")
-    return Way(fleet, server, "/stream/a", lambda each: "x-stage" in each.headers, TOKENS)
+    server = engine_adder(fleet, "prefill", prefill_s=0.1)("i-barred")
+    engine_adder(fleet, "prefill", prefill_s=0.1, refuses_prefill=after_refusal)("i-other")
+    engine_adder(fleet, "decode", handler=respond_stream)("i-writer")
+    return DispatchPath(
+        fleet, server, "/stream/a", lambda arrival: "x-stage" in arrival.headers, TOKENS
+    )
 
 
-def writings(*, readers: int = 1, read_s: float = 0.0, others: int = 1) -> Way:
-    """Return the way of streams; their prompts are read elsewhere while their place is held."""
+def streams(*, prefill_engines: int = 1, prefill_s: float = 0.0, others: int = 1) -> DispatchPath:
+    """Return the path of streams; another engine processes the prompt after the reservation."""
     fleet = LimitedFleet(1)
-    writer = engines(fleet, "decode", handler=respond_stream)
-    for number in range(readers):
-        engines(fleet, "prefill", prefill_s=read_s)(f"i-reader{number}")
-    server = writer("i-barred")
+    add_decode_engine = engine_adder(fleet, "decode", handler=respond_stream)
+    for number in range(prefill_engines):
+        engine_adder(fleet, "prefill", prefill_s=prefill_s)(f"i-reader{number}")
+    server = add_decode_engine("i-barred")
     for number in range(others):
-        writer(f"i-writer{number}")
-    fetches = readers > 0
-    return Way(
-        fleet, server, "/stream/a", lambda each: ("kv-from" in each.headers) == fetches, TOKENS
+        add_decode_engine(f"i-writer{number}")
+    fetches = prefill_engines > 0
+    return DispatchPath(
+        fleet,
+        server,
+        "/stream/a",
+        lambda arrival: ("kv-from" in arrival.headers) == fetches,
+        TOKENS,
     )
 
 
-def taken_up() -> Way:
-    """Return the way of streams that broke off at another engine."""
+def resumed_streams() -> DispatchPath:
+    """Return the path of streams that broke off at another engine."""
     fleet = LimitedFleet(1)
-    engines(fleet, "prefill")("i-reader")
-    server = engines(fleet, "decode", handler=respond_stream)("i-barred")
-    engines(fleet, "decode", handler=break_stream)("i-breaking")
-    return Way(fleet, server, "/resumed/a", lambda each: "last-event-id" in each.headers, TOKENS)
+    engine_adder(fleet, "prefill")("i-reader")
+    server = engine_adder(fleet, "decode", handler=respond_stream)("i-barred")
+    engine_adder(fleet, "decode", handler=break_stream)("i-breaking")
+    return DispatchPath(
+        fleet, server, "/resumed/a", lambda arrival: "last-event-id" in arrival.headers, TOKENS
+    )
 
 
-async def leaves(server: FakeReplica) -> None:
-    """Have a server say that it leaves."""
+async def announce_leaving(server: FakeReplica) -> None:
+    """Let a server announce that it is leaving."""
     server.leaving = True
 
 
-async def rests(server: FakeReplica) -> None:
-    """Have a server refuse all and ask for rest."""
+async def ask_for_backoff(server: FakeReplica) -> None:
+    """Let a server refuse all requests and ask for backoff."""
     server.handler = server.prefill_handler = BackoffHandler(BACKOFF_S)
 
 
-async def names_limit(server: FakeReplica) -> None:
-    """Have a server name a limit."""
+async def advertise_limit(server: FakeReplica) -> None:
+    """Let a server advertise a limit."""
     server.advertised_limit = f"{LIMIT_PER_S:g}"
 
 
-async def loses_entry(server: FakeReplica) -> None:
-    """Take a server's entry out of the list."""
+async def remove_entry(server: FakeReplica) -> None:
+    """Remove a server's entry from the store."""
     await server.store.remove(f"servers/{server.incarnation_id}")
 
 
-async def is_replaced(server: FakeReplica) -> None:
-    """Let another server have the address, while the entry stands."""
+async def replace_server(server: FakeReplica) -> None:
+    """Let another server take over the address while the old entry remains."""
     server.incarnation_id = "i-next"
 
 
-async def rests_no_more(server: FakeReplica, usual: RequestHandler) -> None:
-    """Have a server serve again."""
-    server.handler, server.prefill_handler = usual, None
+async def end_backoff(server: FakeReplica, normal_handler: RequestHandler) -> None:
+    """Let a server serve requests again."""
+    server.handler, server.prefill_handler = normal_handler, None
 
 
-async def names_no_limit(server: FakeReplica, usual: RequestHandler) -> None:
-    """Have a server take what it did before."""
+async def withdraw_limit(server: FakeReplica, normal_handler: RequestHandler) -> None:
+    """Let a server stop advertising its limit."""
     server.advertised_limit = None
 
 
-def none_late(server: FakeReplica, said_at: float) -> None:
-    """Check that nothing reached a server that leaves."""
-    late = [
-        each.arrived_at
-        for each in server.arrivals
-        if each.arrived_at > said_at + DRAIN_S + UNDER_WAY_S
+def check_none_after_leaving(server: FakeReplica, signalled_at: float) -> None:
+    """Check that no request reached a server after its exclusion."""
+    late_arrivals = [
+        arrival.arrived_at
+        for arrival in server.arrivals
+        if arrival.arrived_at > signalled_at + DRAIN_S + IN_FLIGHT_S
     ]
-    assert late == []
+    assert late_arrivals == []
 
 
-def none_in_rest(server: FakeReplica, said_at: float) -> None:
-    """Check that a server had its rest."""
-    resting = server.handler
-    assert isinstance(resting, BackoffHandler)
-    assert resting.refusals
-    assert resting.max_arrivals_in_backoff(server) <= MOST_IN_REST
+def check_backoff(server: FakeReplica, signalled_at: float) -> None:
+    """Check that few requests reached a server during its backoff."""
+    backoff = server.handler
+    assert isinstance(backoff, BackoffHandler)
+    assert backoff.refusals
+    assert backoff.max_arrivals_in_backoff(server) <= MAX_ARRIVALS_IN_BACKOFF
 
 
-def none_over_limit(server: FakeReplica, said_at: float) -> None:
-    """Check that a server got no more than it said."""
-    assert most_arrivals(server, since=said_at + 0.5) <= allowed(LIMIT_PER_S)
+def check_limit(server: FakeReplica, signalled_at: float) -> None:
+    """Check that a server received no more requests than its limit allows."""
+    assert most_arrivals(server, since=signalled_at + 0.5) <= allowed(LIMIT_PER_S)
 
 
-def none_misdirected(server: FakeReplica, said_at: float) -> None:
-    """Check that a server's successor was asked no more than by what was under way."""
-    asked = [each.arrived_at for each in server.arrivals if each.arrived_at >= said_at]
-    assert asked
-    assert [at for at in asked if at > asked[0] + UNDER_WAY_S] == []
+def check_not_misdirected(server: FakeReplica, signalled_at: float) -> None:
+    """Check that only requests in flight reached the server that took over the address."""
+    times = [
+        arrival.arrived_at for arrival in server.arrivals if arrival.arrived_at >= signalled_at
+    ]
+    assert times
+    assert [time for time in times if time > times[0] + IN_FLIGHT_S] == []
 
 
-Say = Callable[[FakeReplica], Awaitable[None]]
-Lift = Callable[[FakeReplica, RequestHandler], Awaitable[None]]
+SendSignal = Callable[[FakeReplica], Awaitable[None]]
+EndSignal = Callable[[FakeReplica, RequestHandler], Awaitable[None]]
 Check = Callable[[FakeReplica, float], None]
-WAYS: dict[str, Callable[[], Way]] = {
-    "first-try": partial(first_tries, 1),
-    "first-try-of-three-instances": partial(first_tries, 3),
-    "first-try-where-no-other-is": partial(first_tries, 1, others=0),
-    "repeat": repeats,
-    "prompt-read-apart": partial(readings, second=False),
-    "second-reading": partial(readings, second=True),
-    "stream-with-memory": writings,
-    "stream-where-no-other-is": partial(writings, others=0),
-    "place-taken-before": partial(writings, read_s=0.8),
-    "stream-without-reader": partial(writings, readers=0),
-    "stream-taken-up-elsewhere": taken_up,
+DISPATCH_PATHS: dict[str, Callable[[], DispatchPath]] = {
+    "first-attempt": partial(first_attempts, 1),
+    "first-attempt-of-three-instances": partial(first_attempts, 3),
+    "first-attempt-without-other-servers": partial(first_attempts, 1, others=0),
+    "retry": retries,
+    "prefill": partial(prefills, after_refusal=False),
+    "prefill-after-refusal": partial(prefills, after_refusal=True),
+    "stream-with-kv-cache": streams,
+    "stream-without-other-servers": partial(streams, others=0),
+    "stream-reserved-before": partial(streams, prefill_s=0.8),
+    "stream-without-prefill-engine": partial(streams, prefill_engines=0),
+    "stream-resumed": resumed_streams,
 }
-WORDS: dict[str, tuple[Say, Check]] = {
-    ExclusionReason.LEAVING.value: (leaves, none_late),
-    ExclusionReason.BACKOFF.value: (rests, none_in_rest),
-    ExclusionReason.GONE.value: (loses_entry, none_late),
-    ExclusionReason.REPLACED.value: (is_replaced, none_misdirected),
-    "limit": (names_limit, none_over_limit),
+SIGNALS: dict[str, tuple[SendSignal, Check]] = {
+    ExclusionReason.LEAVING.value: (announce_leaving, check_none_after_leaving),
+    ExclusionReason.BACKOFF.value: (ask_for_backoff, check_backoff),
+    ExclusionReason.GONE.value: (remove_entry, check_none_after_leaving),
+    ExclusionReason.REPLACED.value: (replace_server, check_not_misdirected),
+    "limit": (advertise_limit, check_limit),
 }
-# How each ends, and the least requests that show it: more than a limit that stands would allow.
-LIFTED: dict[str, tuple[Lift, int]] = {
-    ExclusionReason.BACKOFF.value: (rests_no_more, 1),
-    "limit": (names_no_limit, 8),
+# How each signal ends, and the least number of requests that shows it: more than a limit that is
+# still in force would allow.
+REVOCABLE_SIGNALS: dict[str, tuple[EndSignal, int]] = {
+    ExclusionReason.BACKOFF.value: (end_backoff, 1),
+    "limit": (withdraw_limit, 8),
 }
-# Modules that send requests to servers, each with its ways above.
-SENDERS = {"_plain", "_prompt_processor", "_stream"}
-
-
-class TestWays:
-    """What is said bars the server on each of them."""
-
-    @pytest.mark.parametrize("word", WORDS)
-    @pytest.mark.parametrize("name", WAYS)
-    def test_a_barred_server_gets_none(self, name: str, word: str) -> None:
-        """By none of the ways by which it got some before."""
-        way = WAYS[name]()
-        say, check = WORDS[word]
-        said_at = 0.0
-
-        async def story() -> None:
-            nonlocal said_at
-            ask = partial(way.fleet.ask_often, way.path, per_s=ASKED_PER_S, for_s=ASKED_S)
+# Modules that send requests to servers; each has its dispatch paths above.
+SENDING_MODULES = {"_plain", "_prompt_processor", "_stream"}
+
+
+class TestDispatchPaths:
+    """Each signal excludes the server on each path."""
+
+    @pytest.mark.parametrize("signal", SIGNALS)
+    @pytest.mark.parametrize("path_name", DISPATCH_PATHS)
+    def test_excluded_server_gets_no_request(self, path_name: str, signal: str) -> None:
+        """It had received requests by the same path before."""
+        dispatch_path = DISPATCH_PATHS[path_name]()
+        send_signal, check = SIGNALS[signal]
+        signalled_at = 0.0
+
+        async def scenario() -> None:
+            nonlocal signalled_at
+            send_requests = partial(
+                dispatch_path.fleet.ask_often,
+                dispatch_path.url_path,
+                per_s=REQUESTS_PER_S,
+                for_s=TRAFFIC_S,
+            )
             async with curio.TaskGroup(wait=all) as group:
-                await group.spawn(partial(ask, **way.tokens))
-                await curio.sleep(SAID_AT_S)
-                said_at = await curio.clock()
-                await say(way.server)
-
-        way.fleet.play(story, ONCE, SAFE, STREAM, RESUMED)
-        before = [each for each in way.server.arrivals if each.arrived_at <= said_at]
-        assert any(way.goes(each) for each in before)
-        check(way.server, said_at)
-
-    @pytest.mark.parametrize("word", LIFTED)
-    @pytest.mark.parametrize("name", WAYS)
-    def test_a_server_that_is_barred_no_more_gets_some(self, name: str, word: str) -> None:
-        """As soon as what it said is over."""
-        way = WAYS[name]()
-        (say, _), (lift, least) = WORDS[word], LIFTED[word]
-        lifted_at = 0.0
-
-        async def story() -> None:
-            nonlocal lifted_at
-            usual = way.server.handler
-            for_s = SAID_AT_S + BACKOFF_S + ASKED_AGAIN_S
-            ask = partial(way.fleet.ask_often, way.path, per_s=ASKED_PER_S, for_s=for_s)
+                await group.spawn(partial(send_requests, **dispatch_path.headers))
+                await curio.sleep(SIGNAL_AT_S)
+                signalled_at = await curio.clock()
+                await send_signal(dispatch_path.server)
+
+        dispatch_path.fleet.play(scenario, ONCE, SAFE, STREAM, RESUMED)
+        before = [
+            arrival
+            for arrival in dispatch_path.server.arrivals
+            if arrival.arrived_at <= signalled_at
+        ]
+        assert any(dispatch_path.matches(arrival) for arrival in before)
+        check(dispatch_path.server, signalled_at)
+
+    @pytest.mark.parametrize("signal", REVOCABLE_SIGNALS)
+    @pytest.mark.parametrize("path_name", DISPATCH_PATHS)
+    def test_server_gets_requests_again_after_its_exclusion(
+        self, path_name: str, signal: str
+    ) -> None:
+        """As soon as the condition that it signalled is over."""
+        dispatch_path = DISPATCH_PATHS[path_name]()
+        (send_signal, _), (end_signal, min_arrivals) = SIGNALS[signal], REVOCABLE_SIGNALS[signal]
+        ended_at = 0.0
+
+        async def scenario() -> None:
+            nonlocal ended_at
+            normal_handler = dispatch_path.server.handler
+            for_s = SIGNAL_AT_S + BACKOFF_S + RECOVERY_TRAFFIC_S
+            send_requests = partial(
+                dispatch_path.fleet.ask_often,
+                dispatch_path.url_path,
+                per_s=REQUESTS_PER_S,
+                for_s=for_s,
+            )
             async with curio.TaskGroup(wait=all) as group:
-                await group.spawn(partial(ask, **way.tokens))
-                await curio.sleep(SAID_AT_S)
-                await say(way.server)
+                await group.spawn(partial(send_requests, **dispatch_path.headers))
+                await curio.sleep(SIGNAL_AT_S)
+                await send_signal(dispatch_path.server)
                 await curio.sleep(BACKOFF_S)
-                lifted_at = await curio.clock()
-                await lift(way.server, usual)
+                ended_at = await curio.clock()
+                await end_signal(dispatch_path.server, normal_handler)
 
-        way.fleet.play(story, ONCE, SAFE, STREAM, RESUMED)
+        dispatch_path.fleet.play(scenario, ONCE, SAFE, STREAM, RESUMED)
         again = [
-            each.arrived_at for each in way.server.arrivals if each.arrived_at > lifted_at + BACK_S
+            arrival.arrived_at
+            for arrival in dispatch_path.server.arrivals
+            if arrival.arrived_at > ended_at + READMISSION_S
         ]
-        assert len(again) >= least
+        assert len(again) >= min_arrivals
 
 
-class TestLists:
-    """What the lists above hold."""
+class TestCompleteness:
+    """Completeness of the lists above."""
 
-    def test_each_bar_has_its_word(self) -> None:
-        """A new kind of bar is to be tried on each way."""
-        assert {bar.value for bar in ExclusionReason} <= set(WORDS)
+    def test_each_exclusion_reason_has_a_signal(self) -> None:
+        """A new exclusion reason must be tested on each path."""
+        assert {reason.value for reason in ExclusionReason} <= set(SIGNALS)
 
-    def test_each_sender_is_known(self) -> None:
-        """A module that sends requests by a way of its own needs an entry."""
+    def test_each_sending_module_is_listed(self) -> None:
+        """A module that sends requests in a way of its own needs a path in the list."""
         folder = Path(crankhinge.gateway.__file__).parent
-        assert {path.stem for path in folder.glob("*.py") if sends(path)} == SENDERS
+        assert {
+            path.stem for path in folder.glob("*.py") if opens_requests(path)
+        } == SENDING_MODULES
 
 
-def sends(path: Path) -> bool:
-    """Whether a module opens requests at servers."""
+def opens_requests(path: Path) -> bool:
+    """Return whether a module opens requests at servers."""
     calls = (
         node.func for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.Call)
     )
