--- a/tests/test_role_controller.py
+++ b/tests/test_role_controller.py
@@ -226,8 +226,8 @@
             messages = [msgspec.msgpack.decode(data, type=PeerMessage) for data in received]
             order_messages = [message for message in messages if isinstance(message, EngineOrdered)]
             assert ordered
-            assert {message.server for message in order_messages} == ordered
-            assert {message.phase for message in order_messages} == {EngineRole.DECODE}
+            assert {order.server for order in order_messages} == ordered
+            assert {order.phase for order in order_messages} == {EngineRole.DECODE}
             await task.cancel()
 
         run_scenario(harness, scenario)
