--- a/tests/limit_worlds.py
+++ b/tests/limit_worlds.py
@@ -11,7 +11,7 @@
 
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge_standins import operator
-from platform_fakes import FakeReplica, World
+from platform_fakes import FakeReplica, GatewayHarness
 from virtual_time import run_virtual
 
 # The operators allow a server, in any window of four seconds, one and a half times its advertised
@@ -76,17 +76,17 @@
     """
 
     def __init__(self, instances: int = 3, **settings: Any) -> None:
-        self.world = World(**settings)
-        others = [self.world.beside(f"g{number}") for number in range(1, instances)]
-        self.gateways = [self.world, *others]
+        self.harness = GatewayHarness(**settings)
+        others = [self.harness.add_gateway(f"g{number}") for number in range(1, instances)]
+        self.gateways = [self.harness, *others]
         self.outcomes: list[Outcome] = []
         self._request_count = 0
 
     def add(
-        self, incarnation_id: str, service: str = "plain", phase: str = "", **options: Any
+        self, incarnation_id: str, service: str = "plain", role: str = "", **options: Any
     ) -> FakeReplica:
         """Add a server."""
-        return self.world.add(incarnation_id, service, phase, **options)
+        return self.harness.add_replica(incarnation_id, service, role, **options)
 
     async def send(self, path: str, **options: Any) -> Outcome:
         """Send a request to the next instance in turn."""
@@ -120,7 +120,7 @@
             await curio.sleep(FLEET_READY_S)
             await scenario()
 
-        run_virtual(self.world.play, run_when_ready, *routes, settle_s=0.003)
+        run_virtual(self.harness.run, run_when_ready, *routes, settle_s=0.003)
 
     def count_statuses(self) -> dict[int, int]:
         """Return how many responses had each status."""
@@ -130,4 +130,6 @@
 
 def max_arrivals_in_window(replica: FakeReplica, since: float = 0.0) -> int:
     """Return the highest number of requests that reached a server within one window."""
-    return max_in_window(arrival.at for arrival in replica.arrivals if arrival.at >= since)
+    return max_in_window(
+        arrival.arrived_at for arrival in replica.arrivals if arrival.arrived_at >= since
+    )
--- a/tests/test_born_again.py
+++ b/tests/test_born_again.py
@@ -1,4 +1,4 @@
-"""Tests of servers that start again under the identity that they had, and of strange entries."""
+"""Tests of servers that restart under their old id, and of invalid entries."""
 
 from __future__ import annotations
 
@@ -7,96 +7,104 @@
 import curio
 import pytest
 
-from platform_fakes import World, free_port, route, stream
+from platform_fakes import GatewayHarness, free_port, respond_stream, route
 from virtual_time import run_virtual
 
 ONCE = route("r-once", "/once/", "unsafe", "plain")
 STREAM = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
 TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
-BORN = 1_780_000_000_000
+START_MS = 1_780_000_000_000
 
 
-def play(world: World, story: Any) -> None:
-    """Run *story* under a clock that jumps."""
-    run_virtual(world.play, story, ONCE, STREAM, settle_s=0.003)
+def run_scenario(harness: GatewayHarness, scenario: Any) -> None:
+    """Run *scenario* in virtual time."""
+    run_virtual(harness.run, scenario, ONCE, STREAM, settle_s=0.003)
 
 
-class TestBornAgain:
-    """A server starts again under its identity; its count of entries starts anew.
+class TestRestartedServer:
+    """A server restarts under its old id, and the sequence of its entries starts again.
 
-    It was not seen until its count had passed the old one, its new address not at all: a count of
-    50 was known, then came 1 at another address, and requests went to the old address.
+    The restarted server was ignored until its sequence number passed the old one, and its new
+    address altogether: sequence number 50 was known, then 1 came with another address, and requests
+    went to the old address.
     """
 
     def test_is_used_at_its_new_address(self) -> None:
-        """Its lower count does not matter."""
-        world = World()
-        old = world.add("i-p", "plain", beat=50, born=BORN)
-        new = world.add("i-p", "plain", beat=0, born=BORN + 5000)
+        """The lower sequence number of its entry does not matter."""
+        harness = GatewayHarness()
+        old = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=START_MS)
+        new = harness.add_replica("i-p", "plain", sequence=0, start_time_ms=START_MS + 5000)
 
-        async def story() -> None:
-            await old.enter()
+        async def scenario() -> None:
+            await old.publish_entry()
             await curio.sleep(2.0)
-            await new.enter()
+            await new.publish_entry()
             await curio.sleep(2.0)
-            assert (await world.call("a", "/once/a"))[0] == 200
-            assert (old.ran, new.ran) == ([], ["a"])
+            assert (await harness.call("a", "/once/a"))[0] == 200
+            assert (old.executed_ids, new.executed_ids) == ([], ["a"])
 
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
+        run_virtual(harness.run, scenario, ONCE, settle_s=0.003)
 
-    def test_is_used_after_its_entry_had_gone(self) -> None:
-        """As a new server is."""
-        world = World()
-        server = world.add("i-p", "plain", beat=50, born=BORN)
+    def test_is_used_after_its_entry_was_removed(self) -> None:
+        """It counts as a new server."""
+        harness = GatewayHarness()
+        server = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=START_MS)
 
-        async def story() -> None:
-            await world.store.remove("servers/i-p")
+        async def scenario() -> None:
+            await harness.store.remove("servers/i-p")
             await curio.sleep(0.2)
-            server.beat, server.born = 0, BORN + 5000
-            await server.enter()
+            server.sequence, server.start_time_ms = 0, START_MS + 5000
+            await server.publish_entry()
             await curio.sleep(0.2)
-            assert (await world.call("a", "/once/a"))[0] == 200
+            assert (await harness.call("a", "/once/a"))[0] == 200
 
-        play(world, story)
+        run_scenario(harness, scenario)
 
-    def test_an_entry_of_an_earlier_life_that_was_written_late_changes_nothing(self) -> None:
-        """Whatever its count, also after the later life has gone."""
-        world = World()
-        old = world.add("i-p", "plain", beat=50, born=BORN)
-        new = world.add("i-p", "plain", beat=0, born=BORN + 5000)
+    def test_late_entry_of_an_earlier_incarnation_is_ignored(self) -> None:
+        """Whatever its sequence number, and even after the later incarnation has ended."""
+        harness = GatewayHarness()
+        old = harness.add_replica("i-p", "plain", sequence=50, start_time_ms=START_MS)
+        new = harness.add_replica("i-p", "plain", sequence=0, start_time_ms=START_MS + 5000)
 
-        async def story() -> None:
-            await new.enter()
+        async def scenario() -> None:
+            await new.publish_entry()
             await curio.sleep(2.0)
-            await old.enter()
+            await old.publish_entry()
             await curio.sleep(2.0)
-            assert (await world.call("a", "/once/a"))[0] == 200
-            assert new.ran == ["a"]
-            await world.store.remove("servers/i-p")
+            assert (await harness.call("a", "/once/a"))[0] == 200
+            assert new.executed_ids == ["a"]
+            await harness.store.remove("servers/i-p")
             await curio.sleep(0.2)
-            await old.enter()
+            await old.publish_entry()
             await curio.sleep(0.2)
-            assert (await world.call("b", "/once/a"))[0] == 503
-
-        run_virtual(world.play, story, ONCE, settle_s=0.003)
-
-    def test_what_was_seen_of_an_earlier_life_is_forgotten(self) -> None:
-        """An engine that followed an order, or that was full, is neither after its start."""
-        world = World()
-        writer = world.add("i-w", "llm", "decode", behave=stream, room=0, born=BORN)
-
-        async def story() -> None:
-            assert (await world.call("a", "/stream/a", **TOKENS, x_deadline_ms="600"))[0] == 503
-            writer.room, writer.beat, writer.born = 5, 0, BORN + 5000
-            await writer.enter()
+            assert (await harness.call("b", "/once/a"))[0] == 503
+
+        run_virtual(harness.run, scenario, ONCE, settle_s=0.003)
+
+    def test_state_of_an_earlier_incarnation_is_discarded(self) -> None:
+        """An engine that carried out an order, or had no free memory, starts without this state."""
+        harness = GatewayHarness()
+        engine = harness.add_replica(
+            "i-w",
+            "llm",
+            "decode",
+            handler=respond_stream,
+            free_reservations=0,
+            start_time_ms=START_MS,
+        )
+
+        async def scenario() -> None:
+            assert (await harness.call("a", "/stream/a", **TOKENS, x_deadline_ms="600"))[0] == 503
+            engine.free_reservations, engine.sequence, engine.start_time_ms = 5, 0, START_MS + 5000
+            await engine.publish_entry()
             await curio.sleep(0.1)
-            assert (await world.call("b", "/stream/a", **TOKENS))[0] == 200
-            assert world.lines.having("event=server_gone", "why=born_again")
+            assert (await harness.call("b", "/stream/a", **TOKENS))[0] == 200
+            assert harness.logs.matching("event=server_gone", "why=born_again")
 
-        play(world, story)
+        run_scenario(harness, scenario)
 
 
-STRANGE: list[dict[str, Any]] = [
+INVALID_FIELDS: list[dict[str, Any]] = [
     {"state": "resting"},
     {"state": 3},
     {"service": None},
@@ -116,71 +124,73 @@
     {"models": "m"},
     {"models": [{}]},
 ]
-MISSING = ["service", "address", "zone", "slots", "state", "sequence"]
+REQUIRED_FIELDS = ["service", "address", "zone", "slots", "state", "sequence"]
 
 
-class TestOtherWriters:
-    """Entries that another writer left among those of servers.
+class TestInvalidEntries:
+    """Entries that another writer left among the entries of servers.
 
-    Missing fields were given usual values, so that an entry of another writer named a server to
-    use; one of a known server that could not be read any more left the old one in use.
+    Missing fields were given default values, so that an entry of another writer named a server to
+    use; when the entry of a known server became unreadable, the old entry stayed in use.
     """
 
-    @pytest.mark.parametrize("other", STRANGE, ids=str)
-    def test_a_strange_field_names_no_server_to_use(self, other: dict[str, Any]) -> None:
-        """The others hold; the next entry that can be read is used again."""
-        self._play(other)
-
-    @pytest.mark.parametrize("field", MISSING)
-    def test_a_missing_field_names_no_server_to_use(self, field: str) -> None:
-        """None is given a usual value."""
-        self._play({field: ...})
-
-    def _play(self, other: dict[str, Any]) -> None:
-        world = World()
-        strange = world.add("i-s", "plain", born=BORN)
-        sound = world.add("i-p", "plain", born=BORN, port=free_port())
-
-        async def story() -> None:
-            if ... in other.values():
-                await world.store.put("servers/i-s", _without(next(iter(other)), strange.port))
+    @pytest.mark.parametrize("overrides", INVALID_FIELDS, ids=str)
+    def test_entry_with_an_invalid_field_is_not_used(self, overrides: dict[str, Any]) -> None:
+        """Other servers stay in use, and the next readable entry is used again."""
+        self._check_entry_is_not_used(overrides)
+
+    @pytest.mark.parametrize("field", REQUIRED_FIELDS)
+    def test_entry_without_a_required_field_is_not_used(self, field: str) -> None:
+        """No default value replaces the missing field."""
+        self._check_entry_is_not_used({field: ...})
+
+    def _check_entry_is_not_used(self, overrides: dict[str, Any]) -> None:
+        harness = GatewayHarness()
+        invalid = harness.add_replica("i-s", "plain", start_time_ms=START_MS)
+        valid = harness.add_replica("i-p", "plain", start_time_ms=START_MS, port=free_port())
+
+        async def scenario() -> None:
+            if ... in overrides.values():
+                await harness.store.put(
+                    "servers/i-s", _entry_without(next(iter(overrides)), invalid.port)
+                )
             else:
-                await strange.enter(**other)
-            await sound.enter("draining")
+                await invalid.publish_entry(**overrides)
+            await valid.publish_entry("draining")
             await curio.sleep(2.0)
-            assert (await world.call("a", "/once/a"))[0] == 503
-            await sound.enter()
+            assert (await harness.call("a", "/once/a"))[0] == 503
+            await valid.publish_entry()
             await curio.sleep(2.0)
-            assert (await world.call("b", "/once/a"))[0] == 200
-            assert (strange.ran, sound.ran) == ([], ["b"])
-            await strange.enter()
-            await sound.enter("draining")
+            assert (await harness.call("b", "/once/a"))[0] == 200
+            assert (invalid.executed_ids, valid.executed_ids) == ([], ["b"])
+            await invalid.publish_entry()
+            await valid.publish_entry("draining")
             await curio.sleep(2.0)
-            assert (await world.call("c", "/once/a"))[0] == 200
-            assert strange.ran == ["c"]
+            assert (await harness.call("c", "/once/a"))[0] == 200
+            assert invalid.executed_ids == ["c"]
 
-        play(world, story)
+        run_scenario(harness, scenario)
 
-    def test_bytes_that_are_no_entry_name_no_server_to_use(self) -> None:
-        """Neither by themselves nor in the place of a known entry."""
-        world = World()
-        strange = world.add("i-s", "plain")
-        sound = world.add("i-p", "plain")
+    def test_undecodable_entry_is_not_used(self) -> None:
+        """Neither on its own nor in place of a known entry."""
+        harness = GatewayHarness()
+        invalid = harness.add_replica("i-s", "plain")
+        valid = harness.add_replica("i-p", "plain")
 
-        async def story() -> None:
+        async def scenario() -> None:
             for key in ("servers/i-s", "servers/", "servers/i-t"):
-                await world.store.put(key, "bytes")
-            await sound.enter("draining")
+                await harness.store.put(key, "bytes")
+            await valid.publish_entry("draining")
             await curio.sleep(2.0)
-            assert (await world.call("a", "/once/a"))[0] == 503
-            assert (strange.ran, sound.ran) == ([], [])
-            assert world.lines.having("event=entry_unreadable")
+            assert (await harness.call("a", "/once/a"))[0] == 503
+            assert (invalid.executed_ids, valid.executed_ids) == ([], [])
+            assert harness.logs.matching("event=entry_unreadable")
 
-        play(world, story)
+        run_scenario(harness, scenario)
 
 
-def _without(field: str, port: int) -> dict[str, Any]:
-    """Return an entry in which a field is missing."""
+def _entry_without(field: str, port: int) -> dict[str, Any]:
+    """Return an entry without one of its fields."""
     entry = {
         "service": "plain",
         "address": f"127.0.0.1:{port}",
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -4,15 +4,15 @@
 
 import curio
 
-from platform_fakes import World, config, route
+from platform_fakes import GatewayHarness, make_config, route
 from virtual_time import run_virtual
 
 ONCE = route("r-once", "/once/", "unsafe", "plain")
 
 
-def run_scenario(world: World, scenario: object) -> None:
+def run_scenario(harness: GatewayHarness, scenario: object) -> None:
     """Run *scenario* on virtual time."""
-    run_virtual(world.play, scenario, ONCE, settle_s=0.003)
+    run_virtual(harness.run, scenario, ONCE, settle_s=0.003)
 
 
 class TestConfig:
@@ -20,90 +20,90 @@
 
     def test_older_version_is_never_applied(self) -> None:
         """Version numbers may skip; a lower one is not applied."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
             moved = {**ONCE, "path_prefix": "/moved/"}
-            await world.store.put("op/config", config(7, moved))
+            await harness.store.put("op/config", make_config(7, moved))
             await curio.sleep(0.2)
-            assert (await world.call("q1", "/moved/a"))[0] == 200
-            await world.store.put("op/config", config(5, ONCE))
+            assert (await harness.call("q1", "/moved/a"))[0] == 200
+            await harness.store.put("op/config", make_config(5, ONCE))
             await curio.sleep(0.2)
-            assert (await world.call("q2", "/moved/a"))[0] == 200
-            assert (await world.call("q3", "/once/a"))[0] == 404
+            assert (await harness.call("q2", "/moved/a"))[0] == 200
+            assert (await harness.call("q3", "/once/a"))[0] == 404
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_requests_are_served_while_the_store_is_unreachable(self) -> None:
         """The known state stays in force; a recovered store is noticed within a second."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
-            world.store.down = True
-            world.store.forget_history()
-            await world.store.put("op/config", config(3, {**ONCE, "path_prefix": "/late/"}))
+            harness.store.down = True
+            harness.store.forget_history()
+            await harness.store.put("op/config", make_config(3, {**ONCE, "path_prefix": "/late/"}))
             await curio.sleep(20.0)
-            assert (await world.call("q1", "/once/a"))[0] == 200
-            assert world.lines.having("event=source_lost", "what=config")
-            world.store.down = False
+            assert (await harness.call("q1", "/once/a"))[0] == 200
+            assert harness.logs.matching("event=source_lost", "what=config")
+            harness.store.down = False
             await curio.sleep(1.0)
-            assert (await world.call("q2", "/late/a"))[0] == 200
-            assert world.lines.having("event=source_regained", "what=config")
+            assert (await harness.call("q2", "/late/a"))[0] == 200
+            assert harness.logs.matching("event=source_regained", "what=config")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_recovered_store_is_noticed_without_a_change(self) -> None:
         """The first watch after an outage asks for a response without a wait."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
-            world.store.down = True
+            harness.store.down = True
             await curio.sleep(10.0)
-            assert world.lines.having("event=source_lost", "what=config")
-            world.store.down = False
+            assert harness.logs.matching("event=source_lost", "what=config")
+            harness.store.down = False
             await curio.sleep(1.2)
             for what in ("config", "servers"):
-                assert world.lines.having("event=source_regained", f"what={what}")
+                assert harness.logs.matching("event=source_regained", f"what={what}")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_watch_starts_at_the_revision_of_the_read(self) -> None:
         """A store that dropped its history before the first read does not cause endless reads."""
-        world = World()
-        world.add("i-1", "plain")
-        world.store.revision = 1000
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
+        harness.store.revision = 1000
 
         def watch_calls() -> int:
             """Return the number of calls for configuration and list, without those for records."""
-            return sum(call in ("/v1/kv-watch", "/v1/kv-key") for call in world.store.calls)
+            return sum(call in ("/v1/kv-watch", "/v1/kv-key") for call in harness.store.calls)
 
         async def scenario() -> None:
             await curio.sleep(1.0)
-            world.store.forget_history()
+            harness.store.forget_history()
             before = watch_calls()
-            await world.store.put("other/key", "x")
+            await harness.store.put("other/key", "x")
             await curio.sleep(60.0)
             # Two watches of 2 s each make one call per second, not thousands.
             assert watch_calls() - before < 65
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_lost_history_is_retried_with_growing_delays(self) -> None:
         """A store that answers every watch with 'history gone' is called with growing delays."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
-            world.store.oldest_revision = 10**9
-            await world.store.put("op/config", config(2, ONCE))
-            before = len(world.store.calls)
+            harness.store.oldest_revision = 10**9
+            await harness.store.put("op/config", make_config(2, ONCE))
+            before = len(harness.store.calls)
             await curio.sleep(10.0)
-            assert len(world.store.calls) - before < 120
+            assert len(harness.store.calls) - before < 120
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
 
 # Capacity of a slow link in bytes per second (5 Mbit/s), and seconds for which the store keeps its
@@ -126,43 +126,45 @@
 
     def test_large_configuration_is_applied_over_a_slow_link(self) -> None:
         """A read continues as long as bytes arrive."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
         more = [route(f"r-{n}", f"/more-{n:05}/", "unsafe", "plain") for n in range(4200)]
 
         async def scenario() -> None:
-            await world.store.put("other/key", "x")
-            world.store.forget_history()
-            world.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S
-            await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}, *more))
-            value = world.store.items["op/config"]["value"]
+            await harness.store.put("other/key", "x")
+            harness.store.forget_history()
+            harness.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S
+            await harness.store.put(
+                "op/config", make_config(2, {**ONCE, "path_prefix": "/new/"}, *more)
+            )
+            value = harness.store.items["op/config"]["value"]
             carried_s = len(value) / SLOW_LINK_BYTES_PER_S
             assert carried_s > 1.5
             await curio.sleep(carried_s + 1.5)
-            assert (await world.call("q1", "/new/a"))[0] == 200
-            assert (await world.call("q2", "/once/a"))[0] == 404
+            assert (await harness.call("q1", "/new/a"))[0] == 200
+            assert (await harness.call("q2", "/once/a"))[0] == 404
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_configuration_is_not_read_again_after_a_connection_ends(self) -> None:
         """The watch continues from its last revision, so the value is not transferred again."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
             await curio.sleep(1.0)
-            before = world.store.calls.count("/v1/kv-key")
-            world.store.down = True
-            await world.store.put("other/key", "x")
+            before = harness.store.calls.count("/v1/kv-key")
+            harness.store.down = True
+            await harness.store.put("other/key", "x")
             await curio.sleep(6.0)
-            world.store.down = False
-            await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}))
+            harness.store.down = False
+            await harness.store.put("op/config", make_config(2, {**ONCE, "path_prefix": "/new/"}))
             await curio.sleep(1.0)
-            assert (await world.call("q1", "/new/a"))[0] == 200
-            assert world.lines.having("event=source_regained", "what=config")
-            assert world.store.calls.count("/v1/kv-key") == before
+            assert (await harness.call("q1", "/new/a"))[0] == 200
+            assert harness.logs.matching("event=source_regained", "what=config")
+            assert harness.store.calls.count("/v1/kv-key") == before
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_versions_in_quick_succession_are_skipped(self) -> None:
         """Of the versions written during a transfer, only the newest is read.
@@ -171,24 +173,24 @@
         slow link six times as long as the time in which a version must be applied, and further ones
         are written in the meantime.
         """
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
         more = [route(f"r-{n}", f"/more-{n:05}/", "unsafe", "plain") for n in range(2000)]
 
         async def scenario() -> None:
-            world.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S // 2
+            harness.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S // 2
             for version in range(2, 14):
                 moved = {**ONCE, "path_prefix": f"/v{version}/"}
-                await world.store.put("op/config", config(version, moved, *more))
+                await harness.store.put("op/config", make_config(version, moved, *more))
                 await curio.sleep(0.3)
-            value = world.store.items["op/config"]["value"]
+            value = harness.store.items["op/config"]["value"]
             # Time for the version in transfer and for the newest one.
             await curio.sleep(2 * len(value) / (SLOW_LINK_BYTES_PER_S // 2) + 0.5)
-            assert (await world.call("q1", "/v13/a"))[0] == 200
-            assert world.lines.having("event=config_passed_over")
-            assert not world.lines.having("event=history_lost", "what=config")
+            assert (await harness.call("q1", "/v13/a"))[0] == 200
+            assert harness.logs.matching("event=config_passed_over")
+            assert not harness.logs.matching("event=history_lost", "what=config")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
 
 class TestMissedRemoval:
@@ -206,23 +208,23 @@
 
     def test_unchanged_list_does_not_count_as_an_outage(self) -> None:
         """A server missing from a list that is read again after an idle time is dropped at once."""
-        world = World(HISTORY_S)
-        leaving = world.add("i-1", "plain")
-        world.add("i-2", "plain")
+        harness = GatewayHarness(HISTORY_S)
+        leaving = harness.add_replica("i-1", "plain")
+        harness.add_replica("i-2", "plain")
 
         async def scenario() -> None:
             for number in range(48):
                 # Other items change meanwhile, so the revision of the unchanged list grows old.
                 await curio.sleep(0.5)
-                await world.store.put("other/key", number)
-            await world.store.remove("servers/i-1")
+                await harness.store.put("other/key", number)
+            await harness.store.remove("servers/i-1")
             await curio.sleep(0.5)
-            assert world.lines.having("event=server_gone", "server=i-1")
+            assert harness.logs.matching("event=server_gone", "server=i-1")
             for number in range(20):
-                assert (await world.call(f"q{number}", "/once/a"))[2] == b"whole:i-2"
+                assert (await harness.call(f"q{number}", "/once/a"))[2] == b"whole:i-2"
             assert not leaving.arrivals
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_disconnected_instance_drops_a_server_missing_from_the_list(self) -> None:
         """If the other entries still exist, the store was reachable for the servers.
@@ -231,25 +233,25 @@
         instances were disconnected for twelve seconds, a server left after three of them, and a
         request reached it 13 s later, 4 s after the connections were back and the list was read.
         """
-        world = World()
-        leaving = world.add("i-1", "plain")
-        world.add("i-2", "plain")
-        world.add("i-3", "plain")
+        harness = GatewayHarness()
+        leaving = harness.add_replica("i-1", "plain")
+        harness.add_replica("i-2", "plain")
+        harness.add_replica("i-3", "plain")
 
         async def scenario() -> None:
-            world.store.down = True
+            harness.store.down = True
             await curio.sleep(3.0)
-            await world.store.remove("servers/i-1")
+            await harness.store.remove("servers/i-1")
             await curio.sleep(9.0)
-            world.store.down = False
-            while not world.lines.having("event=source_regained", "what=servers"):
+            harness.store.down = False
+            while not harness.logs.matching("event=source_regained", "what=servers"):
                 await curio.sleep(0.05)
-            assert world.lines.having("event=server_gone", "server=i-1")
+            assert harness.logs.matching("event=server_gone", "server=i-1")
             for number in range(20):
-                assert (await world.call(f"q{number}", "/once/a"))[2] != b"whole:i-1"
+                assert (await harness.call(f"q{number}", "/once/a"))[2] != b"whole:i-1"
             assert not leaving.arrivals
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
 
 # Seconds after a reset of its connections until an instance counts as reconnected.
@@ -266,22 +268,22 @@
 
     def test_unresponsive_connection_is_noticed_in_time(self) -> None:
         """Configuration and list are read again on another connection."""
-        world = World()
-        world.add("i-1", "plain")
-        world.add("i-2", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
+        harness.add_replica("i-2", "plain")
 
         async def scenario() -> None:
             # Both watches have just been sent again.
             await curio.sleep(10.0)
-            world.store.mute_open_calls()
-            await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}))
-            await world.store.remove("servers/i-1")
+            harness.store.mute_open_calls()
+            await harness.store.put("op/config", make_config(2, {**ONCE, "path_prefix": "/new/"}))
+            await harness.store.remove("servers/i-1")
             await curio.sleep(RECONNECTED_S)
-            assert world.lines.having("event=server_gone", "server=i-1")
+            assert harness.logs.matching("event=server_gone", "server=i-1")
             for number in range(10):
-                assert (await world.call(f"q{number}", "/new/a"))[2] == b"whole:i-2"
+                assert (await harness.call(f"q{number}", "/new/a"))[2] == b"whole:i-2"
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_unresponsive_connection_is_noticed_between_batched_watches(self) -> None:
         """The connection fails between two watches, while the gateway waits to batch changes.
@@ -289,36 +291,36 @@
         The next watch is sent on it up to 0.8 s later. With the full wait of a watch, a leaving
         server would be noticed only after 3.6 s.
         """
-        world = World()
-        world.add("i-1", "plain")
-        world.add("i-2", "plain")
-        other = world.add("i-3", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
+        harness.add_replica("i-2", "plain")
+        other = harness.add_replica("i-3", "plain")
 
         async def scenario() -> None:
             await curio.sleep(10.0)
             for state in ("draining", "ready", "draining"):
-                await other.enter(state)
+                await other.publish_entry(state)
                 await curio.sleep(0.02)
-            world.store.mute_open_conns()
-            await world.store.remove("servers/i-1")
+            harness.store.mute_open_conns()
+            await harness.store.remove("servers/i-1")
             await curio.sleep(RECONNECTED_S)
-            assert world.lines.having("event=server_gone", "server=i-1")
+            assert harness.logs.matching("event=server_gone", "server=i-1")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_watch_ends_before_the_store_drops_its_history(self) -> None:
         """A watch that waits longer than the store keeps its history would cause a full read."""
-        world = World(HISTORY_S)
-        world.add("i-1", "plain")
+        harness = GatewayHarness(HISTORY_S)
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
             for number in range(100):
                 await curio.sleep(0.5)
-                await world.store.put("other/key", number)
-            assert not world.lines.having("event=history_lost")
-            assert len(world.lines.having("event=servers_listed")) == 1
+                await harness.store.put("other/key", number)
+            assert not harness.logs.matching("event=history_lost")
+            assert len(harness.logs.matching("event=servers_listed")) == 1
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
 
 class TestManyChanges:
@@ -330,77 +332,77 @@
 
     def test_changes_are_batched(self) -> None:
         """Ten changes per second for ten seconds take fewer than two calls per second."""
-        world = World()
-        world.add("i-1", "plain")
-        other = world.add("i-2", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
+        other = harness.add_replica("i-2", "plain")
 
         async def scenario() -> None:
             await curio.sleep(1.0)
-            before = world.store.calls.count("/v1/kv-watch")
+            before = harness.store.calls.count("/v1/kv-watch")
             for number in range(100):
-                await other.enter("draining" if number % 2 else "ready")
+                await other.publish_entry("draining" if number % 2 else "ready")
                 await curio.sleep(0.1)
             # One watch for the list every 0.8 s, one for the configuration every 2 s.
-            assert world.store.calls.count("/v1/kv-watch") - before < 20
-            assert world.lines.having("event=source_called", "watch_servers=")
+            assert harness.store.calls.count("/v1/kv-watch") - before < 20
+            assert harness.logs.matching("event=source_called", "watch_servers=")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_leaving_server_gets_no_request_after_the_bound(self) -> None:
         """It leaves at the worst moment, right after the response to a watch."""
-        world = World()
-        leaving = world.add("i-1", "plain")
-        world.add("i-2", "plain")
-        other = world.add("i-3", "plain")
+        harness = GatewayHarness()
+        leaving = harness.add_replica("i-1", "plain")
+        harness.add_replica("i-2", "plain")
+        other = harness.add_replica("i-3", "plain")
 
         async def scenario() -> None:
             await curio.sleep(1.0)
             for state in ("draining", "ready", "draining"):
-                await other.enter(state)
+                await other.publish_entry(state)
                 await curio.sleep(0.05)
             left = await curio.clock()
-            await leaving.enter("draining")
+            await leaving.publish_entry("draining")
             for number in range(100):
                 async with curio.TaskGroup() as group:
                     for part in range(4):
-                        await group.spawn(world.call, f"q{number}-{part}", "/once/a")
+                        await group.spawn(harness.call, f"q{number}-{part}", "/once/a")
                 await curio.sleep(0.04)
-            late = [arrival for arrival in leaving.arrivals if arrival.at > left + 1.0]
+            late = [arrival for arrival in leaving.arrivals if arrival.arrived_at > left + 1.0]
             assert len(leaving.arrivals) > 0
             assert late == []
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_first_change_after_an_idle_time_is_seen_at_once(self) -> None:
         """Batching does not delay a change that follows an idle time."""
-        world = World()
-        leaving = world.add("i-1", "plain")
-        world.add("i-2", "plain")
+        harness = GatewayHarness()
+        leaving = harness.add_replica("i-1", "plain")
+        harness.add_replica("i-2", "plain")
 
         async def scenario() -> None:
             await curio.sleep(5.0)
-            await leaving.enter("draining")
+            await leaving.publish_entry("draining")
             await curio.sleep(0.05)
-            assert world.lines.having("event=server_seen", "server=i-1", "leaving=true")
+            assert harness.logs.matching("event=server_seen", "server=i-1", "leaving=true")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_many_configurations_in_succession_are_applied(self) -> None:
         """The last of forty versions in ten seconds is applied within half a second."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
             await curio.sleep(1.0)
             for version in range(2, 42):
-                await world.store.put(
-                    "op/config", config(version, {**ONCE, "path_prefix": f"/v{version}/"})
+                await harness.store.put(
+                    "op/config", make_config(version, {**ONCE, "path_prefix": f"/v{version}/"})
                 )
                 await curio.sleep(0.25)
             await curio.sleep(0.5)
-            assert (await world.call("q", "/v41/a"))[0] == 200
+            assert (await harness.call("q", "/v41/a"))[0] == 200
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
 
 class TestEntriesExpiredTogether:
@@ -413,73 +415,73 @@
 
     def test_servers_that_vanish_together_are_kept_until_the_grace_ends(self) -> None:
         """The servers get requests meanwhile; one whose entry does not return is then dropped."""
-        world = World()
-        replicas = [world.add(f"i-{number}", "plain") for number in (1, 2, 3)]
+        harness = GatewayHarness()
+        replicas = [harness.add_replica(f"i-{number}", "plain") for number in (1, 2, 3)]
 
         async def scenario() -> None:
-            world.store.faults.down = "silent"
+            harness.store.faults.down = "silent"
             for replica in replicas:
-                await world.store.remove(f"servers/{replica.ident}")
+                await harness.store.remove(f"servers/{replica.incarnation_id}")
             await curio.sleep(6.0)
-            world.store.faults.down = ""
-            while not world.lines.having("event=source_regained", "what=servers"):
+            harness.store.faults.down = ""
+            while not harness.logs.matching("event=source_regained", "what=servers"):
                 await curio.sleep(0.05)
-            assert len(world.lines.having("event=server_doubted")) == 3
-            assert (await world.call("q1", "/once/a"))[0] == 200
-            await replicas[1].enter()
-            await replicas[2].enter()
+            assert len(harness.logs.matching("event=server_doubted")) == 3
+            assert (await harness.call("q1", "/once/a"))[0] == 200
+            await replicas[1].publish_entry()
+            await replicas[2].publish_entry()
             await curio.sleep(0.2)
             for number in range(20):
-                assert (await world.call(f"p{number}", "/once/a"))[2] != b"whole:i-1"
+                assert (await harness.call(f"p{number}", "/once/a"))[2] != b"whole:i-1"
             await curio.sleep(2.3)
-            assert world.lines.having("event=server_gone", "server=i-1", "why=not_back")
-            assert len(world.lines.having("event=server_gone")) == 1
+            assert harness.logs.matching("event=server_gone", "server=i-1", "why=not_back")
+            assert len(harness.logs.matching("event=server_gone")) == 1
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_server_whose_entry_returns_late_is_kept(self) -> None:
         """Entries return over two seconds; batching the first ones does not drop the later ones."""
-        world = World()
-        replicas = [world.add(f"i-{number}", "plain") for number in range(5)]
+        harness = GatewayHarness()
+        replicas = [harness.add_replica(f"i-{number}", "plain") for number in range(5)]
 
         async def scenario() -> None:
-            world.store.faults.down = "silent"
+            harness.store.faults.down = "silent"
             for replica in replicas:
-                await world.store.remove(f"servers/{replica.ident}")
+                await harness.store.remove(f"servers/{replica.incarnation_id}")
             await curio.sleep(6.0)
-            world.store.faults.down = ""
-            while not world.lines.having("event=source_regained", "what=servers"):
+            harness.store.faults.down = ""
+            while not harness.logs.matching("event=source_regained", "what=servers"):
                 await curio.sleep(0.01)
             back = await curio.clock()
             for replica, after_s in zip(replicas, (0.2, 0.4, 0.6, 1.5, 2.1), strict=True):
                 await curio.sleep(back + after_s - await curio.clock())
-                await replica.enter()
+                await replica.publish_entry()
             await curio.sleep(2.0)
-            assert len(world.lines.having("event=server_doubted")) == 5
-            assert not world.lines.having("event=server_gone")
+            assert len(harness.logs.matching("event=server_doubted")) == 5
+            assert not harness.logs.matching("event=server_gone")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_recreated_entries_make_the_missing_ones_suspect(self) -> None:
         """Two of the expired entries are back when the list is read; the third is waited for."""
-        world = World()
-        replicas = [world.add(f"i-{number}", "plain") for number in (1, 2, 3, 4)]
+        harness = GatewayHarness()
+        replicas = [harness.add_replica(f"i-{number}", "plain") for number in (1, 2, 3, 4)]
 
         async def scenario() -> None:
-            world.store.down = True
+            harness.store.down = True
             for replica in replicas[:3]:
-                await world.store.remove(f"servers/{replica.ident}")
-            world.store.forget_history()
+                await harness.store.remove(f"servers/{replica.incarnation_id}")
+            harness.store.forget_history()
             await curio.sleep(6.0)
-            await replicas[0].enter()
-            await replicas[1].enter()
-            world.store.down = False
-            while not world.lines.having("event=source_regained", "what=servers"):
+            await replicas[0].publish_entry()
+            await replicas[1].publish_entry()
+            harness.store.down = False
+            while not harness.logs.matching("event=source_regained", "what=servers"):
                 await curio.sleep(0.05)
-            assert world.lines.having("event=server_doubted", "server=i-3")
-            assert not world.lines.having("event=server_gone")
+            assert harness.logs.matching("event=server_doubted", "server=i-3")
+            assert not harness.logs.matching("event=server_gone")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
 
 class TestLogs:
@@ -487,46 +489,48 @@
 
     def test_unresponsive_store_differs_from_one_that_aborts_responses(self) -> None:
         """During an outage, lines report the number of failures and the bytes received."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
-            world.store.faults.down = "silent"
+            harness.store.faults.down = "silent"
             await curio.sleep(45.0)
-            silent = world.lines.having("event=source_still_lost", "what=config")
+            silent = harness.logs.matching("event=source_still_lost", "what=config")
             assert 5 <= len(silent) <= 9
             assert all(" received=0" in line and " failures=" in line for line in silent)
-            world.store.faults.break_off = True
-            world.store.faults.down = ""
+            harness.store.faults.break_off = True
+            harness.store.faults.down = ""
             await curio.sleep(12.0)
-            broken = world.lines.having("event=source_still_lost", "what=config")[len(silent) :]
+            broken = harness.logs.matching("event=source_still_lost", "what=config")[len(silent) :]
             assert broken
             assert " received=0" not in broken[-1]
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_repeated_read_of_the_list_logs_suspect_servers(self) -> None:
         """The lines say how long ago the last response about the list came."""
-        world = World()
-        world.add("i-1", "plain")
-        world.add("i-2", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
+        harness.add_replica("i-2", "plain")
 
         async def scenario() -> None:
-            assert world.lines.having("event=servers_listed", "servers=2", "doubted=0")
-            world.store.down = True
-            await world.store.remove("servers/i-1")
-            await world.store.remove("servers/i-2")
-            world.store.forget_history()
+            assert harness.logs.matching("event=servers_listed", "servers=2", "doubted=0")
+            harness.store.down = True
+            await harness.store.remove("servers/i-1")
+            await harness.store.remove("servers/i-2")
+            harness.store.forget_history()
             await curio.sleep(6.0)
-            world.store.down = False
+            harness.store.down = False
             await curio.sleep(1.0)
-            again = world.lines.having("event=servers_listed", "servers=0")
+            again = harness.logs.matching("event=servers_listed", "servers=0")
             assert " doubted=2" in again[0]
             assert " heard_s=6." in again[0]
             for ident in ("i-1", "i-2"):
-                assert world.lines.having("event=server_doubted", f"server={ident}", "heard_s=6.")
+                assert harness.logs.matching(
+                    "event=server_doubted", f"server={ident}", "heard_s=6."
+                )
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
 
 class TestSlowStore:
@@ -534,17 +538,17 @@
 
     def test_changes_are_applied_despite_slow_responses(self) -> None:
         """A watch without a wait has the same timeout for its first byte as any call."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
-            world.store.faults.delay_s = 1.2
+            harness.store.faults.delay_s = 1.2
             await curio.sleep(10.0)
-            await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}))
+            await harness.store.put("op/config", make_config(2, {**ONCE, "path_prefix": "/new/"}))
             await curio.sleep(6.0)
-            assert (await world.call("q1", "/new/a"))[0] == 200
+            assert (await harness.call("q1", "/new/a"))[0] == 200
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
 
 class TestServers:
@@ -552,46 +556,46 @@
 
     def test_leaving_server_gets_no_new_request(self) -> None:
         """It gets none from the moment its entry says so."""
-        world = World()
-        leaving = world.add("i-1", "plain")
-        world.add("i-2", "plain")
+        harness = GatewayHarness()
+        leaving = harness.add_replica("i-1", "plain")
+        harness.add_replica("i-2", "plain")
 
         async def scenario() -> None:
-            await leaving.enter("draining")
+            await leaving.publish_entry("draining")
             await curio.sleep(0.1)
             for number in range(10):
-                assert (await world.call(f"q{number}", "/once/a"))[2] == b"whole:i-2"
+                assert (await harness.call(f"q{number}", "/once/a"))[2] == b"whole:i-2"
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_servers_whose_entries_expired_in_an_outage_are_kept_for_a_while(self) -> None:
         """An empty list is ignored right after an outage and applied if it persists."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
-            world.store.down = True
-            await world.store.remove("servers/i-1")
-            world.store.forget_history()
+            harness.store.down = True
+            await harness.store.remove("servers/i-1")
+            harness.store.forget_history()
             await curio.sleep(6.0)
-            world.store.down = False
+            harness.store.down = False
             await curio.sleep(1.5)
-            assert (await world.call("q1", "/once/a"))[0] == 200
+            assert (await harness.call("q1", "/once/a"))[0] == 200
             await curio.sleep(3.0)
-            assert (await world.call("q2", "/once/a"))[0] == 503
-            assert world.lines.having("event=server_gone", "why=not_back")
+            assert (await harness.call("q2", "/once/a"))[0] == 503
+            assert harness.logs.matching("event=server_gone", "why=not_back")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
 
     def test_invalid_entry_affects_only_its_own_server(self) -> None:
         """The other servers are used, and a log line names the key of the invalid entry."""
-        world = World()
-        world.add("i-1", "plain")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
-            await world.store.put("servers/i-bad", {"service": 5})
+            await harness.store.put("servers/i-bad", {"service": 5})
             await curio.sleep(0.1)
-            assert (await world.call("q1", "/once/a"))[0] == 200
-            assert world.lines.having("event=entry_unreadable", "i-bad")
+            assert (await harness.call("q1", "/once/a"))[0] == 200
+            assert harness.logs.matching("event=entry_unreadable", "i-bad")
 
-        run_scenario(world, scenario)
+        run_scenario(harness, scenario)
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -21,7 +21,7 @@
 import curio
 import pytest
 
-from behaviours import break_off, fail
+from behaviours import break_stream, respond_error
 from crankhinge.http import Exchange
 from limit_worlds import (
     FLEET_READY_S,
@@ -36,7 +36,7 @@
     max_arrivals_in_window,
     max_in_window,
 )
-from platform_fakes import Behave, FakeReplica, stream
+from platform_fakes import FakeReplica, RequestHandler, respond_stream
 
 # Requests a second that callers send, many times what the server takes, and for how many seconds.
 OFFERED_PER_S = 30.0
@@ -61,7 +61,7 @@
     def test_limits_total_of_all_instances(self, instances: int) -> None:
         """Excess requests go to the other servers, and every caller is served."""
         fleet = LimitedFleet(instances)
-        limited = fleet.add("i-limited", limit="2")
+        limited = fleet.add("i-limited", advertised_limit="2")
         others = [fleet.add(f"i-{number}") for number in range(2)]
 
         async def scenario() -> None:
@@ -75,8 +75,8 @@
     def test_limits_retries(self) -> None:
         """A call that failed on another server is not retried on this one beyond its limit."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="2")
-        fleet.add("i-failing", behave=fail)
+        limited = fleet.add("i-limited", advertised_limit="2")
+        fleet.add("i-failing", handler=respond_error)
 
         async def scenario() -> None:
             await fleet.send_at_rate("/safe/a", per_s=OFFERED_PER_S, duration_s=OFFERED_S)
@@ -88,8 +88,15 @@
         """The limit holds at a decode engine."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="2",
+            handler=respond_stream,
+            free_reservations=10_000,
+        )
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         send_streams(fleet)
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
@@ -98,8 +105,8 @@
     def test_limits_prompts_at_prefill_engine(self) -> None:
         """The decode engine processes the prompts that exceed the prefill engine's limit."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", "llm", "prefill", limit="2")
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        limited = fleet.add("i-limited", "llm", "prefill", advertised_limit="2")
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         send_streams(fleet)
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
@@ -120,7 +127,7 @@
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(send_requests)
                 await curio.sleep(3.0)
-                limited.limit, advertised_at = "2", await curio.clock()
+                limited.advertised_limit, advertised_at = "2", await curio.clock()
 
         fleet.run(scenario, UNSAFE_ROUTE)
         assert max_arrivals_in_window(limited, since=advertised_at + 0.5) <= max_allowed_in_window(
@@ -136,8 +143,15 @@
         """Streams break off at one engine and resume on another, which takes four a second."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
-        fleet.add("i-breaking", "llm", "decode", behave=break_off, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="4",
+            handler=respond_stream,
+            free_reservations=10_000,
+        )
+        fleet.add("i-breaking", "llm", "decode", handler=break_stream, free_reservations=10_000)
 
         async def scenario() -> None:
             await fleet.send_at_rate("/resumed/a", per_s=12.0, duration_s=15.0, **TOKEN_HEADERS)
@@ -150,9 +164,9 @@
     def test_second_prompt_attempts_are_limited(self) -> None:
         """The first prefill engine refuses a prompt; the second one advertises a limit."""
         fleet = LimitedFleet()
-        fleet.add("i-refusing", "llm", "prefill", refuses_to_read=True)
-        limited = fleet.add("i-limited", "llm", "prefill", limit="2")
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        fleet.add("i-refusing", "llm", "prefill", refuses_prefill=True)
+        limited = fleet.add("i-limited", "llm", "prefill", advertised_limit="2")
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         send_streams(fleet)
         assert limited.arrivals
@@ -162,7 +176,14 @@
         """The request to a decode engine that makes it fetch the KV cache of a prompt counts."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="4",
+            handler=respond_stream,
+            free_reservations=10_000,
+        )
 
         send_streams(fleet)
         assert any("kv-from" in each.headers for each in limited.arrivals)
@@ -172,8 +193,15 @@
         """An engine without capacity gets no more reservation calls than its limit allows."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=4)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="2",
+            handler=respond_stream,
+            free_reservations=4,
+        )
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         send_streams(fleet)
         reservation_calls = limited.side_calls.count("POST /v1/hold-take")
@@ -186,9 +214,11 @@
         Other engines then decode the requests that exceed its limit.
         """
         fleet = LimitedFleet()
-        fleet.add("i-reader", "llm", "prefill", read_s=0.8)
-        limited = fleet.add("i-limited", "llm", "decode", behave=stream, room=10_000)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        fleet.add("i-reader", "llm", "prefill", prefill_s=0.8)
+        limited = fleet.add(
+            "i-limited", "llm", "decode", handler=respond_stream, free_reservations=10_000
+        )
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
         advertised_at = 0.0
 
         async def scenario() -> None:
@@ -199,7 +229,7 @@
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(send_requests)
                 await curio.sleep(2.0)
-                limited.limit, advertised_at = "0.5", await curio.clock()
+                limited.advertised_limit, advertised_at = "0.5", await curio.clock()
 
         fleet.run(scenario, STREAM_ROUTE)
         # Instances learn the limit only from the first response that carries it.
@@ -217,17 +247,24 @@
         """Calls that release KV memory reduce the engine's load."""
         fleet = LimitedFleet()
         prefill_engine = fleet.add("i-reader", "llm", "prefill")
-        limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
+        limited = fleet.add(
+            "i-limited",
+            "llm",
+            "decode",
+            advertised_limit="2",
+            handler=respond_stream,
+            free_reservations=10_000,
+        )
 
         async def scenario() -> None:
             await fleet.send("/stream/a", **TOKEN_HEADERS)
             await curio.sleep(FLEET_READY_S)
-            prefill_engine.read_s = 0.8
+            prefill_engine.prefill_s = 0.8
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(fleet.send, "/stream/a", **TOKEN_HEADERS))
                 await curio.sleep(0.4)
                 # It leaves while the prompt is processed, so the reservation is released.
-                await limited.enter("draining")
+                await limited.publish_entry("draining")
 
         fleet.run(scenario, STREAM_ROUTE)
         assert limited.side_calls.count("POST /v1/hold-take") == 2
@@ -236,7 +273,7 @@
 
 async def answer_slow_body_late(replica: FakeReplica, exchange: Exchange) -> None:
     """Respond, after 1 s to a request with a certain body, with the header as of its arrival."""
-    head = replica.head(exchange)
+    head = replica.response_fields(exchange)
     await curio.sleep(1.0 if exchange.req.body == b"slow" else 0.0)
     await exchange.respond_with_fields(200, head, b"whole")
 
@@ -247,13 +284,13 @@
     def test_ends_with_first_response_without_it(self) -> None:
         """A server that no longer advertises a limit gets its share of all requests again."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="1")
+        limited = fleet.add("i-limited", advertised_limit="1")
         withdrawn_at = 0.0
 
         async def scenario() -> None:
             nonlocal withdrawn_at
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
-            limited.limit = None
+            limited.advertised_limit = None
             await curio.sleep(4.0)
             withdrawn_at = await curio.clock()
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
@@ -263,24 +300,24 @@
         assert len(later) == 4 * OFFERED_PER_S
         assert all(each.status == 200 for each in later)
         for gateway in fleet.gateways:
-            assert gateway.lines.having("server_limit ", "per_s=", "was=1.0")
+            assert gateway.logs.matching("server_limit ", "per_s=", "was=1.0")
 
     def test_withdrawal_is_sent_to_all_instances(self) -> None:
         """An instance that sends the server nothing at the time gets no response of its own."""
         fleet = LimitedFleet(2)
-        limited = fleet.add("i-limited", limit="8")
+        limited = fleet.add("i-limited", advertised_limit="8")
         other_gateway = fleet.gateways[1]
 
         async def scenario() -> None:
             await fleet.send("/once/a")
             await fleet.send("/once/a")
-            limited.limit = None
+            limited.advertised_limit = None
             await curio.sleep(1.0)
             await fleet.send("/once/a")
             await curio.sleep(0.1)
 
         fleet.run(scenario, UNSAFE_ROUTE)
-        assert other_gateway.lines.having(
+        assert other_gateway.logs.matching(
             "server_limit ", "per_s= ", "was=8.0", "told_by=127.0.0.1"
         )
 
@@ -288,19 +325,21 @@
     def test_new_limit_applies_at_once(self, first: str, second: str) -> None:
         """Permits that were saved under the old limit are not used under the new one."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit=first)
+        limited = fleet.add("i-limited", advertised_limit=first)
         fleet.add("i-other")
         changed_at = 0.0
 
         async def scenario() -> None:
             nonlocal changed_at
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=8.0)
-            limited.limit, changed_at = second, await curio.clock()
+            limited.advertised_limit, changed_at = second, await curio.clock()
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=16.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
-        before = [each.at for each in limited.arrivals if each.at < changed_at]
-        later = [each.at for each in limited.arrivals if each.at >= changed_at + 0.5]
+        before = [each.arrived_at for each in limited.arrivals if each.arrived_at < changed_at]
+        later = [
+            each.arrived_at for each in limited.arrivals if each.arrived_at >= changed_at + 0.5
+        ]
         assert max_in_window(before) <= max_allowed_in_window(float(first))
         assert max_in_window(later) <= max_allowed_in_window(float(second))
         assert len(later) >= 0.8 * 15.5 * float(second)
@@ -309,7 +348,7 @@
     def test_limit_below_one_per_second_is_probed(self, limit: str) -> None:
         """The server gets a request now and then, so that the end of its limit is noticed."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit=limit)
+        limited = fleet.add("i-limited", advertised_limit=limit)
         fleet.add("i-other")
 
         async def scenario() -> None:
@@ -323,20 +362,20 @@
     def test_unreadable_value_changes_nothing(self) -> None:
         """The last readable limit stays; without one the server has no limit."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="lots")
+        limited = fleet.add("i-limited", advertised_limit="lots")
         fleet.add("i-other")
         advertised_at = 0.0
 
         async def scenario() -> None:
             nonlocal advertised_at
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=2.0)
-            limited.limit, advertised_at = "2", await curio.clock()
+            limited.advertised_limit, advertised_at = "2", await curio.clock()
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=3.0)
-            limited.limit = "nan"
+            limited.advertised_limit = "nan"
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=8.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
-        assert sum(each.at < advertised_at for each in limited.arrivals) >= 15
+        assert sum(each.arrived_at < advertised_at for each in limited.arrivals) >= 15
         assert max_arrivals_in_window(limited, since=advertised_at + 0.5) <= max_allowed_in_window(
             2.0
         )
@@ -344,45 +383,45 @@
     def test_response_to_earlier_request_does_not_end_it(self) -> None:
         """A late response may have been begun before the server had the limit."""
         fleet = LimitedFleet(1)
-        limited = fleet.add("i-limited", behave=answer_slow_body_late)
+        limited = fleet.add("i-limited", handler=answer_slow_body_late)
 
         async def scenario() -> None:
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(fleet.send, "/once/a", body=b"slow"))
                 await curio.sleep(0.2)
-                limited.limit = "2"
+                limited.advertised_limit = "2"
                 await fleet.send("/once/a")
 
         fleet.run(scenario, UNSAFE_ROUTE)
         assert fleet.count_statuses() == {200: 2}
-        assert len(fleet.world.lines.having("event=server_limit ")) == 1
+        assert len(fleet.harness.logs.matching("event=server_limit ")) == 1
 
     def test_refusal_does_not_end_it(self) -> None:
         """A refusal may come from a proxy in front of the server that advertises the limit."""
         fleet = LimitedFleet(1)
-        limited = fleet.add("i-limited", limit="2")
+        limited = fleet.add("i-limited", advertised_limit="2")
 
         async def scenario() -> None:
             await fleet.send("/once/a")
-            limited.behave = refuse
+            limited.handler = refuse
             await curio.sleep(2.0)
             await fleet.send("/once/a")
 
         fleet.run(scenario, UNSAFE_ROUTE)
         assert fleet.count_statuses() == {200: 1, 503: 1}
-        assert len(fleet.world.lines.having("event=server_limit ")) == 1
+        assert len(fleet.harness.logs.matching("event=server_limit ")) == 1
 
     def test_does_not_apply_to_next_incarnation(self) -> None:
         """A server that restarts under its name has advertised nothing yet."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="0.25", born=1000)
+        limited = fleet.add("i-limited", advertised_limit="0.25", start_time_ms=1000)
         restarted_at = 0.0
 
         async def scenario() -> None:
             nonlocal restarted_at
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=2.0)
-            limited.limit, limited.born = None, 2000
-            await limited.enter()
+            limited.advertised_limit, limited.start_time_ms = None, 2000
+            await limited.publish_entry()
             await curio.sleep(1.0)
             restarted_at = await curio.clock()
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=2.0)
@@ -394,23 +433,23 @@
     def test_limit_survives_missing_entry(self) -> None:
         """Entries lapse while the store is unreachable; a server's limit does not end with them."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="2")
+        limited = fleet.add("i-limited", advertised_limit="2")
         fleet.add("i-other")
         entered_again_at = 0.0
 
         async def scenario() -> None:
             nonlocal entered_again_at
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=3.0)
-            await fleet.world.store.remove("servers/i-limited")
+            await fleet.harness.store.remove("servers/i-limited")
             await curio.sleep(4.0)
-            await limited.enter()
+            await limited.publish_entry()
             await curio.sleep(0.5)
             entered_again_at = await curio.clock()
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
         assert max_arrivals_in_window(limited, since=entered_again_at) <= max_allowed_in_window(2.0)
-        assert any(each.at >= entered_again_at for each in limited.arrivals)
+        assert any(each.arrived_at >= entered_again_at for each in limited.arrivals)
 
 
 class TestAllServersLimited:
@@ -419,7 +458,7 @@
     def test_excess_requests_are_refused_at_once(self) -> None:
         """A request is served within its target or refused at once; none waits in vain."""
         fleet = LimitedFleet()
-        servers = [fleet.add(f"i-{number}", limit="2") for number in range(3)]
+        servers = [fleet.add(f"i-{number}", advertised_limit="2") for number in range(3)]
 
         async def scenario() -> None:
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=OFFERED_S)
@@ -440,7 +479,7 @@
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         for number in range(2):
-            fleet.add(f"i-{number}", "llm", "decode", limit="0", behave=stream)
+            fleet.add(f"i-{number}", "llm", "decode", advertised_limit="0", handler=respond_stream)
 
         async def scenario() -> None:
             await fleet.send_at_rate("/stream/a", per_s=4.0, duration_s=6.0, **TOKEN_HEADERS)
@@ -450,12 +489,12 @@
         assert len(refused) >= 15
         assert max(each.response_s for each in refused) <= 0.2
         assert min(each.retry_after_s for each in refused) > 0.0
-        assert fleet.world.lines.having("request_failed", "code=server-at-limit")
+        assert fleet.harness.logs.matching("request_failed", "code=server-at-limit")
 
     def test_permit_of_disconnected_caller_goes_to_next_caller(self) -> None:
         """The permit was granted for half a second later, and its caller disconnects before."""
         fleet = LimitedFleet(1)
-        fleet.add("i-limited", limit="2")
+        fleet.add("i-limited", advertised_limit="2")
 
         async def scenario() -> None:
             await fleet.send("/once/a")
@@ -473,7 +512,7 @@
     def test_caller_that_obeys_retry_after_is_served(self) -> None:
         """Twelve callers send at once to a server that takes two requests a second."""
         fleet = LimitedFleet()
-        fleet.add("i-limited", limit="2")
+        fleet.add("i-limited", advertised_limit="2")
         statuses: list[int] = []
 
         async def send_and_retry() -> None:
@@ -500,35 +539,35 @@
     def test_restarted_instance_knows_limit(self) -> None:
         """The allocators of a server keep its limit in their instance records."""
         fleet = LimitedFleet()
-        limited = fleet.add("i-limited", limit="2")
+        limited = fleet.add("i-limited", advertised_limit="2")
         fleet.add("i-other")
 
         async def scenario() -> None:
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=4.0)
             await curio.sleep(3.0)
             for gateway in fleet.gateways:
-                await gateway.kill()
+                await gateway.kill_gateway()
             await curio.sleep(1.5)
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=6.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
         for gateway in fleet.gateways:
-            assert gateway.lines.having("server_limit ", "per_s=2.0", "told_by=note:")
+            assert gateway.logs.matching("server_limit ", "per_s=2.0", "told_by=note:")
 
     def test_instance_without_responses_is_notified_by_others(self) -> None:
         """No response is read for callers that disconnect before it comes."""
         fleet = LimitedFleet(2)
-        fleet.add("i-limited", limit="2")
+        fleet.add("i-limited", advertised_limit="2")
         other_gateway = fleet.gateways[1]
 
         async def scenario() -> None:
-            await fleet.world.call("q", "/once/a")
+            await fleet.harness.call("q", "/once/a")
             await curio.sleep(0.1)
 
         fleet.run(scenario, UNSAFE_ROUTE)
-        assert other_gateway.lines.having("server_limit ", "server=i-limited", "per_s=2.0")
-        assert not other_gateway.lines.having("event=answered")
+        assert other_gateway.logs.matching("server_limit ", "server=i-limited", "per_s=2.0")
+        assert not other_gateway.logs.matching("event=answered")
 
 
 async def refuse(replica: FakeReplica, exchange: Exchange, *extra_headers: tuple[str, str]) -> None:
@@ -549,10 +588,10 @@
     @pytest.mark.parametrize(
         ("behave", "max_requests"), [(refuse_with_retry_after, 3), (refuse, 5)]
     )
-    def test_gets_pause_after_refusal(self, behave: Behave, max_requests: int) -> None:
+    def test_gets_pause_after_refusal(self, behave: RequestHandler, max_requests: int) -> None:
         """It gets none until its Retry-After, or for ever longer pauses; others serve meanwhile."""
         fleet = LimitedFleet(1)
-        refusing = fleet.add("i-shedding", behave=behave)
+        refusing = fleet.add("i-shedding", handler=behave)
         fleet.add("i-other")
 
         async def scenario() -> None:
--- a/tests/test_limits_relayed.py
+++ b/tests/test_limits_relayed.py
@@ -7,7 +7,7 @@
 import curio
 
 from crankhinge_standins.operator import account
-from platform_fakes import World, config, route, stream
+from platform_fakes import GatewayHarness, make_config, respond_stream, route
 from virtual_time import run_virtual
 
 UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
@@ -27,25 +27,28 @@
     """Several gateways with the same store and the same servers."""
 
     def __init__(self, count: int, account: dict[str, Any]) -> None:
-        self.worlds = [
-            World(tenants=(account,), name=f"g{number}", **QUOTA_SETTINGS)
+        self.harnesses = [
+            GatewayHarness(tenants=(account,), name=f"g{number}", **QUOTA_SETTINGS)
             for number in range(count)
         ]
-        self.first = self.worlds[0]
-        for world in self.worlds[1:]:
-            world.store = self.first.store
+        self.first = self.harnesses[0]
+        for harness in self.harnesses[1:]:
+            harness.store = self.first.store
 
     def run(self, scenario: Any) -> None:
         """Run *scenario* once all instances know each other."""
 
         async def run_when_ready() -> None:
-            tasks = [await curio.spawn(world.gateway, daemon=True) for world in self.worlds[1:]]
+            tasks = [
+                await curio.spawn(harness.run_gateway, daemon=True)
+                for harness in self.harnesses[1:]
+            ]
             await curio.sleep(8.0)
             await scenario()
             for task in tasks:
                 await task.cancel()
 
-        run_virtual(self.first.play, run_when_ready, UNSAFE_ROUTE, STREAM_ROUTE, settle_s=0.003)
+        run_virtual(self.first.run, run_when_ready, UNSAFE_ROUTE, STREAM_ROUTE, settle_s=0.003)
 
 
 class TestAccountLimit:
@@ -54,7 +57,7 @@
     def test_one_instance_may_use_whole_limit(self) -> None:
         """If all callers use one instance, an equal share would refuse half of their requests."""
         fleet = GatewayFleet(3, account_with_limit(1000, 2000))
-        fleet.first.add("i-p", "plain")
+        fleet.first.add_replica("i-p", "plain")
 
         async def scenario() -> None:
             for number in range(10):
@@ -65,19 +68,21 @@
     def test_total_of_all_instances_is_bounded_and_retry_after_holds(self) -> None:
         """Requests over the limit get 429 and do not run; a retry after Retry-After is served."""
         fleet = GatewayFleet(3, account_with_limit(1000, 2000))
-        replica = fleet.first.add("i-p", "plain")
+        replica = fleet.first.add_replica("i-p", "plain")
 
         async def scenario() -> None:
             statuses = []
             for number in range(30):
-                world = fleet.worlds[number % 3]
-                status, headers, _ = await world.call(f"q{number}", "/once/a", **SMALL_REQUEST)
+                harness = fleet.harnesses[number % 3]
+                status, headers, _ = await harness.call(f"q{number}", "/once/a", **SMALL_REQUEST)
                 statuses.append(status)
             assert set(statuses) == {200, 429}
-            assert len(replica.ran) <= 11
+            assert len(replica.executed_ids) <= 11
             await curio.sleep(float(headers["retry-after"]))
-            assert (await fleet.worlds[1].call("r", "/once/a", **SMALL_REQUEST))[0] == 200
-            lines = [line for world in fleet.worlds for line in world.lines.having("over_limit")]
+            assert (await fleet.harnesses[1].call("r", "/once/a", **SMALL_REQUEST))[0] == 200
+            lines = [
+                line for harness in fleet.harnesses for line in harness.logs.matching("over_limit")
+            ]
             assert all("account=red" in line and "left=" in line for line in lines)
 
         fleet.run(scenario)
@@ -85,43 +90,47 @@
     def test_request_without_reservation_returns_its_tokens(self) -> None:
         """A request that got no KV memory did not run, so its tokens are not charged."""
         fleet = GatewayFleet(2, account_with_limit(300, 2000))
-        decode_engine = fleet.first.add("i-w", "llm", "decode", behave=stream, room=0)
+        decode_engine = fleet.first.add_replica(
+            "i-w", "llm", "decode", handler=respond_stream, free_reservations=0
+        )
 
         async def scenario() -> None:
-            for world in (*fleet.worlds, *fleet.worlds):
-                status, _, _ = await world.call(
+            for harness in (*fleet.harnesses, *fleet.harnesses):
+                status, _, _ = await harness.call(
                     "q", "/stream/a", **LARGE_REQUEST, x_deadline_ms="900"
                 )
                 assert status == 503
-            decode_engine.room = 10
-            for world in fleet.worlds:
-                assert (await world.call("r", "/stream/a", **LARGE_REQUEST))[0] == 200
+            decode_engine.free_reservations = 10
+            for harness in fleet.harnesses:
+                assert (await harness.call("r", "/stream/a", **LARGE_REQUEST))[0] == 200
 
         fleet.run(scenario)
 
     def test_lowered_limit_applies_at_once(self) -> None:
         """Tokens that were saved under the old limit are dropped once the new limit is known."""
         fleet = GatewayFleet(2, account_with_limit(1000, 4000))
-        replica = fleet.first.add("i-p", "plain")
+        replica = fleet.first.add_replica("i-p", "plain")
 
         async def scenario() -> None:
-            lowered = config(2, UNSAFE_ROUTE, STREAM_ROUTE, tenants=(account_with_limit(100, 200),))
+            lowered = make_config(
+                2, UNSAFE_ROUTE, STREAM_ROUTE, tenants=(account_with_limit(100, 200),)
+            )
             await fleet.first.store.put("op/config", lowered)
             await curio.sleep(1.0)
             for number in range(10):
-                await fleet.worlds[number % 2].call(f"q{number}", "/once/a", **SMALL_REQUEST)
-            assert len(replica.ran) == 1
+                await fleet.harnesses[number % 2].call(f"q{number}", "/once/a", **SMALL_REQUEST)
+            assert len(replica.executed_ids) == 1
 
         fleet.run(scenario)
 
     def test_account_without_limit_sends_no_quota_request(self) -> None:
         """Instances ask no allocator for tokens of an account without a limit."""
         fleet = GatewayFleet(2, account("red", "key-red"))
-        fleet.first.add("i-p", "plain")
+        fleet.first.add_replica("i-p", "plain")
 
         async def scenario() -> None:
             for number in range(5):
                 assert (await fleet.first.call(f"q{number}", "/once/a", **SMALL_REQUEST))[0] == 200
-            assert not fleet.first.lines.having("granted_by")
+            assert not fleet.first.logs.matching("granted_by")
 
         fleet.run(scenario)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -31,14 +31,14 @@
 from crankhinge.runtime import get_log
 from limit_worlds import FLEET_READY_S
 from platform_fakes import (
+    ALLOW_ALL,
     HOST,
-    PASSES,
-    Lines,
-    World,
+    GatewayHarness,
+    LogCapture,
     free_port,
-    lone_backends,
-    lone_desk,
-    lone_limits,
+    make_standalone_backends,
+    make_standalone_limits,
+    make_standalone_quarantine,
     route,
 )
 from virtual_time import run_virtual
@@ -53,40 +53,40 @@
 
     def test_limit_is_logged_when_it_starts_changes_and_ends(self) -> None:
         """Each change is logged once, however many responses carry the limit."""
-        world = World()
-        replica = world.add("i-1", "plain")
+        harness = GatewayHarness()
+        replica = harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
             for number, limit in enumerate((None, "8", "8", "6.5", "lots", None, None)):
-                replica.limit = limit
+                replica.advertised_limit = limit
                 await curio.sleep(1.0)
-                await world.call(f"q{number}", "/once/a")
+                await harness.call(f"q{number}", "/once/a")
 
-        run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
+        run_virtual(harness.run, scenario, UNSAFE_ROUTE, settle_s=0.003)
         logged = [
-            line.split("event=server_limit ")[1] for line in world.lines.having("server_limit ")
+            line.split("event=server_limit ")[1] for line in harness.logs.matching("server_limit ")
         ]
         assert [" ".join(line.split()) for line in logged] == [
             "server=i-1 per_s=8.0 was= told_by=own",
             "server=i-1 per_s=6.5 was=8.0 told_by=own",
             "server=i-1 per_s= was=6.5 told_by=own",
         ]
-        assert len(world.lines.having("server_limit_unreadable", "was=6.5")) == 1
+        assert len(harness.logs.matching("server_limit_unreadable", "was=6.5")) == 1
 
     def test_requests_to_limited_server_are_logged(self) -> None:
         """The requests to a limited server are logged, and the servers tried per request."""
-        world = World()
-        world.add("i-1", "plain", limit="8")
+        harness = GatewayHarness()
+        harness.add_replica("i-1", "plain", advertised_limit="8")
 
         async def scenario() -> None:
             await curio.sleep(FLEET_READY_S)
             for number in range(5):
-                await world.call(f"q{number}", "/once/a")
+                await harness.call(f"q{number}", "/once/a")
             await curio.sleep(5.0)
 
-        run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
-        assert world.lines.having("server_limit_use", "server=i-1", "per_s=8.0", "sent=4")
-        assert len(world.lines.having("event=answered", "sent=1")) == 5
+        run_virtual(harness.run, scenario, UNSAFE_ROUTE, settle_s=0.003)
+        assert harness.logs.matching("server_limit_use", "server=i-1", "per_s=8.0", "sent=4")
+        assert len(harness.logs.matching("event=answered", "sent=1")) == 5
 
 
 SERVER = Server("i-1", "plain", HOST, 9, "z1", EngineRole.PLAIN, 4, False, 1)
@@ -96,11 +96,11 @@
     """The only instance of a fleet, in front of a server that takes two requests a second."""
 
     def __init__(self) -> None:
-        log = get_log(program="t", stream=Lines())
-        self.backends = lone_backends(log, SERVER)
+        log = get_log(program="t", stream=LogCapture())
+        self.backends = make_standalone_backends(log, SERVER)
         self.membership = Membership("here", 0.0)
-        limits = lone_limits("here", self.backends, log, self.membership)
-        self.limit_updates, self.permits = limits.news, limits.permits
+        limits = make_standalone_limits("here", self.backends, log, self.membership)
+        self.limit_updates, self.permits = limits.limit_updates, limits.permits
         self.relay = cast(
             Relay,
             SimpleNamespace(permits={}, request=SimpleNamespace(request_id="q"), log_fields={}),
@@ -204,12 +204,12 @@
         """No request was sent, so the permit was not used."""
         instance = LoneInstance()
         server = dataclasses.replace(SERVER, port=free_port())
-        log = get_log(program="t", stream=Lines())
-        quarantine = lone_desk("here", log)
+        log = get_log(program="t", stream=LogCapture())
+        quarantine = make_standalone_quarantine("here", log)
         crashes = CrashDetector(
             backends=instance.backends, on_crash=quarantine.record_crash, log=log
         )
-        attempts = Attempts(instance.backends, PASSES, quarantine, crashes, instance.permits)
+        attempts = Attempts(instance.backends, ALLOW_ALL, quarantine, crashes, instance.permits)
         req = HttpRequest("GET", "/", {"x-request-id": "q"}, b"", (("x-request-id", "q"),))
         instance.relay.exchange = cast(Any, SimpleNamespace(req=req))
         instance.relay.__dict__.update(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -26,7 +26,15 @@
 
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.http import Exchange
-from platform_fakes import FakeReplica, World, crash, events, route, sealed, stream
+from platform_fakes import (
+    FakeReplica,
+    GatewayHarness,
+    crash,
+    make_events,
+    respond_ok,
+    respond_stream,
+    route,
+)
 from virtual_time import run_virtual
 
 UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
@@ -49,18 +57,18 @@
 
 async def crash_if_crashing_body(replica: FakeReplica, exchange: Exchange) -> None:
     """End the server process if the request has the crashing body; else serve it."""
-    behave = crash if exchange.req.body == CRASHING_BODY else sealed
+    behave = crash if exchange.req.body == CRASHING_BODY else respond_ok
     await behave(replica, exchange)
 
 
 async def crash_in_stream(replica: FakeReplica, exchange: Exchange) -> None:
     """End the server process in mid-stream if the request has the crashing body; else serve it."""
     if exchange.req.body != CRASHING_BODY:
-        await stream(replica, exchange)
+        await respond_stream(replica, exchange)
         return
     first = int(exchange.req.headers.get("last-event-id", "0")) + 1
-    await exchange.start_with_fields(200, replica.head(exchange))
-    await exchange.write(events(first, first))
+    await exchange.start_with_fields(200, replica.response_fields(exchange))
+    await exchange.write(make_events(first, first))
     await replica.crash()
 
 
@@ -73,9 +81,9 @@
     """
 
     def __init__(self, tenants: Any = None, instances: int = 2) -> None:
-        self.world = World(tenants=tenants)
-        others = [self.world.beside(f"g{number}") for number in range(1, instances)]
-        self.gateways = [self.world, *others]
+        self.harness = GatewayHarness(tenants=tenants)
+        others = [self.harness.add_gateway(f"g{number}") for number in range(1, instances)]
+        self.gateways = [self.harness, *others]
         self.replicas: list[FakeReplica] = []
         self.statuses: list[int] = []
 
@@ -83,13 +91,13 @@
         """Add *count* servers of one kind."""
         for number in range(count):
             incarnation_id = f"i-{role or 'plain'}-{number}"
-            options = {"behave": crash_if_crashing_body, "back_s": SERVER_RESTART_S, **options}
-            self.replicas.append(self.world.add(incarnation_id, service, role, **options))
+            options = {"handler": crash_if_crashing_body, "restart_s": SERVER_RESTART_S, **options}
+            self.replicas.append(self.harness.add_replica(incarnation_id, service, role, **options))
 
     @property
     def crash_count(self) -> int:
         """The number of server crashes so far."""
-        return sum(replica.lives - 1 + replica.crashed.is_set() for replica in self.replicas)
+        return sum(replica.incarnations - 1 + replica.crashed.is_set() for replica in self.replicas)
 
     async def send(self, number: int, path: str, **options: Any) -> int:
         """Send a request to the instance of this number; return its status, 0 for no response."""
@@ -114,7 +122,7 @@
             await curio.sleep(FLEET_READY_S)
             await scenario()
 
-        run_virtual(self.world.play, run_when_ready, *routes, settle_s=0.003)
+        run_virtual(self.harness.run, run_when_ready, *routes, settle_s=0.003)
 
 
 def plain_fleet(instances: int = 2) -> Fleet:
@@ -127,8 +135,8 @@
 def engine_fleet(**prefill_options: Any) -> Fleet:
     """Return a fleet in front of prefill and decode engines."""
     fleet = Fleet()
-    fleet.add(4, "llm", "prefill", **{"behave": crash_in_stream, **prefill_options})
-    fleet.add(6, "llm", "decode", behave=crash_in_stream)
+    fleet.add(4, "llm", "prefill", **{"handler": crash_in_stream, **prefill_options})
+    fleet.add(6, "llm", "decode", handler=crash_in_stream)
     return fleet
 
 
@@ -141,7 +149,7 @@
         fleet = plain_fleet()
 
         async def scenario() -> None:
-            await fleet.send_crashing_request(8, "/once/a", fresh=fresh)
+            await fleet.send_crashing_request(8, "/once/a", new_connection=fresh)
 
         fleet.run(scenario, UNSAFE_ROUTE)
         assert fleet.crash_count == MAX_CRASHES
@@ -179,8 +187,8 @@
     def test_prompt_reaches_no_prefill_engine_after_third_crash(self) -> None:
         """The decode engine processes a prompt that crashes prefill engines."""
         fleet = Fleet()
-        fleet.add(6, "llm", "prefill", crashes_on_reading=CRASHING_BODY)
-        fleet.add(2, "llm", "decode", behave=stream)
+        fleet.add(6, "llm", "prefill", crash_on_prompt=CRASHING_BODY)
+        fleet.add(2, "llm", "decode", handler=respond_stream)
 
         async def scenario() -> None:
             await fleet.send_crashing_request(8, "/stream/a", **TOKEN_HEADERS)
@@ -224,7 +232,7 @@
     def test_instance_without_peer_messages_learns_from_store(self) -> None:
         """The instance records in the store make up for lost peer messages."""
         fleet = plain_fleet()
-        without_messages = fleet.world.beside("deaf")
+        without_messages = fleet.harness.add_gateway("deaf")
         without_messages.peer_port = 1
 
         async def scenario() -> None:
@@ -263,7 +271,7 @@
         async def scenario() -> None:
             await fleet.send_crashing_request(3, "/stream/a", **TOKEN_HEADERS)
             for replica in fleet.replicas:
-                replica.room = 0
+                replica.free_reservations = 0
             started_at = await curio.clock()
             assert await fleet.send(0, "/stream/a", body=CRASHING_BODY, **TOKEN_HEADERS) == 503
             assert await curio.clock() - started_at < 0.1
@@ -284,7 +292,7 @@
 
     def test_request_in_progress_is_refused(self) -> None:
         """If the third crash happens while its prompt is processed, its answer is not begun."""
-        fleet = engine_fleet(read_s=0.6)
+        fleet = engine_fleet(prefill_s=0.6)
         send = partial(fleet.send, path="/stream/a", body=CRASHING_BODY, **TOKEN_HEADERS)
 
         async def scenario() -> None:
@@ -309,7 +317,7 @@
             await fleet.send(len(fleet.statuses), path, body=CRASHING_BODY)
             await curio.sleep(CALLER_RETRY_S)
         for replica in fleet.replicas:
-            replica.behave = sealed
+            replica.handler = respond_ok
 
     def test_successful_trial_ends_quarantine_on_all_instances(self) -> None:
         """One attempt is let through after ten seconds; its response ends the quarantine."""
@@ -371,11 +379,11 @@
             for _ in range(3):
                 await fleet.send_crashing_request(2, "/once/a")
                 for replica in fleet.replicas:
-                    replica.behave = sealed
+                    replica.handler = respond_ok
                 assert await fleet.send(0, "/once/a", body=CRASHING_BODY) == 200
                 await curio.sleep(PEER_MESSAGE_S)
                 for replica in fleet.replicas:
-                    replica.behave = crash_if_crashing_body
+                    replica.handler = crash_if_crashing_body
 
         fleet.run(scenario, UNSAFE_ROUTE)
         assert fleet.crash_count == 6
@@ -391,10 +399,10 @@
 
         async def serve_slowly(replica: FakeReplica, exchange: Exchange) -> None:
             await curio.sleep(0.3)
-            await sealed(replica, exchange)
+            await respond_ok(replica, exchange)
 
         fleet = Fleet()
-        fleet.add(4, "plain", behave=serve_slowly)
+        fleet.add(4, "plain", handler=serve_slowly)
         send = partial(fleet.send, path="/once/a", body=b"same")
 
         async def scenario() -> None:
@@ -404,7 +412,7 @@
                 await curio.sleep(0.2)
                 for replica in fleet.replicas[:3]:
                     await replica.crashed.set()
-            assert fleet.gateways[0].lines.having("event=request_quarantined")
+            assert fleet.gateways[0].logs.matching("event=request_quarantined")
             await curio.sleep(PEER_MESSAGE_S)
             fleet.statuses.clear()
             for number in range(4):
@@ -420,7 +428,7 @@
             raise HttpClosed("reset")
 
         fleet = Fleet()
-        fleet.add(4, "plain", behave=reset_connection)
+        fleet.add(4, "plain", handler=reset_connection)
 
         async def scenario() -> None:
             await fleet.send_crashing_request(8, "/once/a")
@@ -438,7 +446,7 @@
 
         async def scenario() -> None:
             await fleet.send_crashing_request(4, "/once/a")
-            await fleet.gateways[0].kill()
+            await fleet.gateways[0].kill_gateway()
             await curio.sleep(CALLER_RETRY_S)
             assert await fleet.send(0, "/once/a", body=CRASHING_BODY) == 503
 
@@ -452,7 +460,7 @@
         async def scenario() -> None:
             await fleet.send_crashing_request(4, "/once/a")
             for gateway in fleet.gateways:
-                await gateway.kill()
+                await gateway.kill_gateway()
             await curio.sleep(CALLER_RETRY_S)
             for number in range(2):
                 assert await fleet.send(number, "/once/a", body=CRASHING_BODY) == 503
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -22,7 +22,7 @@
 from crankhinge.errors import BadHttp, HttpClosed
 from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.http import Exchange
-from platform_fakes import FakeReplica, World, crash, route, sealed, stream
+from platform_fakes import FakeReplica, GatewayHarness, crash, respond_ok, respond_stream, route
 from virtual_time import run_virtual
 
 UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
@@ -69,26 +69,28 @@
     def __post_init__(self) -> None:
         self._rng = random.Random(self.seed)
         self._kill_counts: Counter[str] = Counter()
-        self._world = World()
-        self._gateways = [self._world, *(self._world.beside(f"g{n}") for n in range(2))]
+        self._harness = GatewayHarness()
+        self._gateways = [self._harness, *(self._harness.add_gateway(f"g{n}") for n in range(2))]
         self._replicas = [
-            self._world.add(f"i-{n}", "plain", behave=self._serve_plain, back_s=2.0)
+            self._harness.add_replica(f"i-{n}", "plain", handler=self._serve_plain, restart_s=2.0)
             for n in range(6)
         ]
         self._replicas += [
-            self._world.add(f"i-w{n}", "llm", "decode", behave=self._serve_stream, back_s=2.0)
+            self._harness.add_replica(
+                f"i-w{n}", "llm", "decode", handler=self._serve_stream, restart_s=2.0
+            )
             for n in range(5)
         ]
-        self._world.add("i-r0", "llm", "prefill")
-        self._world.add("i-r1", "llm", "prefill")
+        self._harness.add_replica("i-r0", "llm", "prefill")
+        self._harness.add_replica("i-r1", "llm", "prefill")
         self._request_count = 0
 
     async def _serve_plain(self, replica: FakeReplica, exchange: Exchange) -> None:
         await curio.sleep(0.05)
-        await self._serve_or_crash(replica, exchange, sealed)
+        await self._serve_or_crash(replica, exchange, respond_ok)
 
     async def _serve_stream(self, replica: FakeReplica, exchange: Exchange) -> None:
-        await self._serve_or_crash(replica, exchange, stream)
+        await self._serve_or_crash(replica, exchange, respond_stream)
 
     async def _serve_or_crash(self, replica: FakeReplica, exchange: Exchange, behave: Any) -> None:
         body = exchange.req.body
@@ -109,7 +111,7 @@
 
         with mock.patch.object(PeerMessenger, "send", lossy_send):
             run_virtual(
-                self._world.play,
+                self._harness.run,
                 self._scenario,
                 UNSAFE_ROUTE,
                 SAFE_ROUTE,
@@ -132,7 +134,7 @@
         gateway = self._rng.choice(self._gateways)
         headers = TOKEN_HEADERS if path.startswith("/stream") else {}
         call = partial(
-            gateway.call, f"q{self._request_count}", path, body=body, fresh=True, **headers
+            gateway.call, f"q{self._request_count}", path, body=body, new_connection=True, **headers
         )
         kills = self._kill_counts[gateway.name]
         try:
@@ -174,15 +176,15 @@
         for gateway in self._rng.sample(self._gateways, self._rng.choice((1, 1, 3))):
             self.last_fault_at = await curio.clock()
             self._kill_counts[gateway.name] += 1
-            await gateway.kill()
+            await gateway.kill_gateway()
         self.last_fault_at = await curio.clock()
 
     async def _make_store_unreachable(self) -> None:
-        self._world.store.down = True
+        self._harness.store.down = True
         for _ in range(20):
             self.last_fault_at = await curio.clock()
             await curio.sleep(0.1)
-        self._world.store.down = False
+        self._harness.store.down = False
         self.last_fault_at = await curio.clock()
 
     async def _kill_server(self) -> None:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -70,10 +70,10 @@
 
         async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
-            store.refused = "/v1/kv-txn"
+            store.refused_path = "/v1/kv-txn"
             with pytest.raises(KeyValueUnavailable):
                 await registry.publish("here", RECORD)
-            store.refused = ""
+            store.refused_path = ""
             await registry.publish("here", RECORD)
             assert store.calls.count("/v1/kv-lease") == 2
             assert await registry.read_all() == {"here": RECORD}
--- a/tests/test_server_signals.py
+++ b/tests/test_server_signals.py
@@ -23,7 +23,7 @@
 import curio
 import pytest
 
-from behaviours import REST_S, Resting, break_off, fail, slowly
+from behaviours import BACKOFF_S, BackoffHandler, break_stream, respond_error, respond_slowly
 from crankhinge.http import Exchange
 from limit_worlds import (
     RESUMABLE_ROUTE,
@@ -34,7 +34,7 @@
     UNSAFE_ROUTE,
     LimitedFleet,
 )
-from platform_fakes import FakeReplica, sealed, stream
+from platform_fakes import FakeReplica, respond_ok, respond_stream
 
 OFFERED_PER_S = 15.0
 # What the operators allow: how long after its announcement requests may still reach a server that
@@ -59,7 +59,7 @@
 
 def arrivals_after(replica: FakeReplica, at: float) -> list[float]:
     """Return when requests reached a server after a time, in seconds from that time."""
-    return [round(each.at - at, 2) for each in replica.arrivals if each.at > at]
+    return [round(each.arrived_at - at, 2) for each in replica.arrivals if each.arrived_at > at]
 
 
 async def send_while_server_leaves(
@@ -102,9 +102,11 @@
         """A prefill engine gets no prompts, a decode engine no streams and no reservation calls."""
         fleet = LimitedFleet()
         prefill_engine = fleet.add("i-reader", "llm", "prefill")
-        decode_engine = fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        decode_engine = fleet.add(
+            "i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000
+        )
         fleet.add("i-reader2", "llm", "prefill")
-        fleet.add("i-writer2", "llm", "decode", behave=stream, room=10_000)
+        fleet.add("i-writer2", "llm", "decode", handler=respond_stream, free_reservations=10_000)
         leaving = prefill_engine if role == "prefill" else decode_engine
         leaving_at = reserved = 0.0
 
@@ -134,7 +136,7 @@
         async def scenario() -> None:
             leaving.leaving = True
             while not leaving.arrivals:
-                await fleet.world.call("q", "/once/a")
+                await fleet.harness.call("q", "/once/a")
             await curio.sleep(0.1)
             for number in range(40):
                 await other_gateway.call(f"q{number}", "/once/a")
@@ -152,11 +154,11 @@
         async def scenario() -> None:
             nonlocal leaving_at
             leaving_at = await send_while_server_leaves(fleet, leaving, "/once/a")
-            await leaving.enter()
+            await leaving.publish_entry()
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
             await leaving.store.remove("servers/i-leaving")
             await curio.sleep(3.0)
-            await leaving.enter()
+            await leaving.publish_entry()
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
@@ -165,15 +167,15 @@
     def test_next_incarnation_gets_requests(self) -> None:
         """A restarted server under the same name gets requests at once."""
         fleet = LimitedFleet(1)
-        leaving = fleet.add("i-leaving", born=1)
+        leaving = fleet.add("i-leaving", start_time_ms=1)
         other = fleet.add("i-other")
 
         async def scenario() -> None:
             leaving.leaving = True
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
-            leaving.leaving, leaving.born = False, 2
+            leaving.leaving, leaving.start_time_ms = False, 2
             leaving.arrivals.clear()
-            await leaving.enter()
+            await leaving.publish_entry()
             await curio.sleep(0.2)
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
 
@@ -207,35 +209,35 @@
 class TestBackoff:
     """A server refuses a request and asks the instance for backoff."""
 
-    @pytest.mark.parametrize("backoff_s", [0.9, REST_S, 12.0])
+    @pytest.mark.parametrize("backoff_s", [0.9, BACKOFF_S, 12.0])
     def test_gets_no_further_calls(self, backoff_s: float) -> None:
         """The whole backoff is kept, also if it exceeds the pause that an instance would choose."""
         fleet = LimitedFleet(1)
-        backoff = Resting(backoff_s)
-        server = fleet.add("i-resting", behave=backoff)
-        fleet.add("i-other", behave=slowly)
+        backoff = BackoffHandler(backoff_s)
+        server = fleet.add("i-resting", handler=backoff)
+        fleet.add("i-other", handler=respond_slowly)
 
         async def scenario() -> None:
             # Enough requests that a smaller window for the whole service would show.
             await fleet.send_at_rate("/once/a", per_s=30.0, duration_s=1.5 * backoff_s + 2.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
-        assert backoff.most_in_rest(server) == 0
+        assert backoff.max_arrivals_in_backoff(server) == 0
         assert len(server.arrivals) >= 2
         assert fleet.count_statuses()[503] == len(server.arrivals)
 
     def test_gets_few_further_calls_if_all_servers_back_off(self) -> None:
         """Callers are told at once in how many seconds the first backoff ends."""
         fleet = LimitedFleet(1)
-        backoffs = [Resting(REST_S), Resting(2 * REST_S)]
+        backoffs = [BackoffHandler(BACKOFF_S), BackoffHandler(2 * BACKOFF_S)]
         servers = [
-            fleet.add(f"i-{number}", behave=backoff) for number, backoff in enumerate(backoffs)
+            fleet.add(f"i-{number}", handler=backoff) for number, backoff in enumerate(backoffs)
         ]
 
         send_calls(fleet, "/safe/a", duration_s=8.0)
         for backoff, server in zip(backoffs, servers, strict=True):
-            assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
-        first_end = min(until for backoff in backoffs for _, until in backoff.told[:1])
+            assert backoff.max_arrivals_in_backoff(server) <= MAX_REQUESTS_IN_BACKOFF
+        first_end = min(until for backoff in backoffs for _, until in backoff.refusals[:1])
         # Requests that can be served in time after the backoff are not refused.
         both_known = [
             each
@@ -252,7 +254,7 @@
         """Both servers back off while an earlier call occupies the service's window of one call."""
         fleet = LimitedFleet(1)
         for number in range(2):
-            fleet.add(f"i-{number}", behave=behave_as_body_says)
+            fleet.add(f"i-{number}", handler=behave_as_body_says)
 
         async def scenario() -> None:
             async with curio.TaskGroup(wait=all) as group:
@@ -270,11 +272,11 @@
     def test_caller_waits_for_short_backoff(self) -> None:
         """A request that can still be served in time waits instead of being refused."""
         fleet = LimitedFleet(1)
-        backoff = Resting(0.4)
-        fleet.add("i-resting", behave=backoff)
+        backoff = BackoffHandler(0.4)
+        fleet.add("i-resting", handler=backoff)
 
         async def scenario() -> None:
-            backoff.over_at = await curio.clock() + 0.2
+            backoff.serve_from = await curio.clock() + 0.2
             await fleet.send("/once/a")
             await fleet.send("/once/a")
 
@@ -284,9 +286,9 @@
     def test_refused_caller_may_retry_before_backoff_ends(self) -> None:
         """Another server takes requests, so the caller need not wait for the end of the backoff."""
         fleet = LimitedFleet(1)
-        backoff = Resting(12.0)
-        fleet.add("i-resting", behave=backoff)
-        fleet.add("i-other", behave=slowly)
+        backoff = BackoffHandler(12.0)
+        fleet.add("i-resting", handler=backoff)
+        fleet.add("i-other", handler=respond_slowly)
 
         send_calls(fleet, "/once/a", duration_s=2.0)
         refused = [each for each in fleet.outcomes if each.status == 503]
@@ -295,45 +297,55 @@
 
     @pytest.mark.parametrize(
         "backoff",
-        [Resting(status=429), Resting(status=503), Resting(fields=(("x-server-seal", "s"),))],
+        [
+            BackoffHandler(status=429),
+            BackoffHandler(status=503),
+            BackoffHandler(fields=(("x-server-seal", "s"),)),
+        ],
         ids=["429", "503", "503-without-not-executed"],
     )
-    def test_each_kind_of_refusal_starts_it(self, backoff: Resting) -> None:
+    def test_each_kind_of_refusal_starts_it(self, backoff: BackoffHandler) -> None:
         """A refusal that does not say that nothing ran counts too; it goes to the caller."""
         fleet = LimitedFleet(1)
-        server = fleet.add("i-resting", behave=backoff)
-        fleet.add("i-other", behave=slowly)
+        server = fleet.add("i-resting", handler=backoff)
+        fleet.add("i-other", handler=respond_slowly)
 
         send_calls(fleet, "/safe/a", duration_s=6.0)
-        assert backoff.most_in_rest(server) == 0
+        assert backoff.max_arrivals_in_backoff(server) == 0
 
     def test_gets_few_retries(self) -> None:
         """A call that failed on the other server is not retried on this one."""
         fleet = LimitedFleet(1)
-        backoff = Resting()
-        server = fleet.add("i-resting", behave=backoff)
-        fleet.add("i-failing", behave=fail)
+        backoff = BackoffHandler()
+        server = fleet.add("i-resting", handler=backoff)
+        fleet.add("i-failing", handler=respond_error)
 
         send_calls(fleet, "/safe/a", duration_s=8.0)
-        assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
+        assert backoff.max_arrivals_in_backoff(server) <= MAX_REQUESTS_IN_BACKOFF
 
     @pytest.mark.parametrize("others", [0, 5])
     def test_gets_few_streams(self, others: int) -> None:
         """A decode engine backs off; the others serve all callers but the few that it refused."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        backoff = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=backoff, room=10_000)
+        backoff = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "decode", handler=backoff, free_reservations=10_000)
         decode_engines = [
-            fleet.add(f"i-writer{number}", "llm", "decode", behave=stream, room=10_000)
+            fleet.add(
+                f"i-writer{number}",
+                "llm",
+                "decode",
+                handler=respond_stream,
+                free_reservations=10_000,
+            )
             for number in range(others)
         ]
 
         send_streams(fleet)
-        assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
+        assert backoff.max_arrivals_in_backoff(server) <= MAX_REQUESTS_IN_BACKOFF
         # The route allows one server per request.
         sent_ids = [
-            each.ident
+            each.request_id
             for decode_engine in [server, *decode_engines]
             for each in decode_engine.arrivals
         ]
@@ -343,69 +355,69 @@
             assert (
                 OFFERED_PER_S * 8 - fleet.count_statuses()[200]
                 <= len(server.arrivals)
-                <= 8.0 / REST_S + 1
+                <= 8.0 / BACKOFF_S + 1
             )
 
     def test_gets_few_reservation_calls(self) -> None:
         """An engine without capacity is asked no earlier than it said either."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        backoff = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=backoff, room=3)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        backoff = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "decode", handler=backoff, free_reservations=3)
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         send_streams(fleet)
-        assert backoff.most_in_rest(server) == 0
+        assert backoff.max_arrivals_in_backoff(server) == 0
         assert (
             server.side_calls.count("POST /v1/hold-take")
-            <= 3 + 8.0 / REST_S * MAX_REQUESTS_IN_BACKOFF
+            <= 3 + 8.0 / BACKOFF_S * MAX_REQUESTS_IN_BACKOFF
         )
 
     def test_prefill_engine_gets_no_prompts(self) -> None:
         """The decode engine processes the prompts meanwhile."""
         fleet = LimitedFleet(1)
-        backoff = Resting()
-        server = fleet.add("i-resting", "llm", "prefill", read=backoff)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        backoff = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "prefill", prefill_handler=backoff)
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         send_streams(fleet)
-        assert backoff.most_in_rest(server) == 0
+        assert backoff.max_arrivals_in_backoff(server) == 0
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 8)}
 
     def test_gets_few_resumed_streams(self) -> None:
         """The streams broke off at the other engine."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
-        backoff = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=backoff, room=10_000)
-        fleet.add("i-breaking", "llm", "decode", behave=break_off, room=10_000)
+        backoff = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "decode", handler=backoff, free_reservations=10_000)
+        fleet.add("i-breaking", "llm", "decode", handler=break_stream, free_reservations=10_000)
 
         send_streams(fleet, "/resumed/a")
-        assert backoff.told
-        assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
+        assert backoff.refusals
+        assert backoff.max_arrivals_in_backoff(server) <= MAX_REQUESTS_IN_BACKOFF
 
     def test_earlier_reservations_are_not_used(self) -> None:
         """The prompts are processed elsewhere meanwhile, and another engine decodes the answers."""
         fleet = LimitedFleet(1)
-        fleet.add("i-reader", "llm", "prefill", read_s=0.8)
-        backoff = Resting()
-        server = fleet.add("i-resting", "llm", "decode", behave=backoff, room=10_000)
-        fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
+        fleet.add("i-reader", "llm", "prefill", prefill_s=0.8)
+        backoff = BackoffHandler()
+        server = fleet.add("i-resting", "llm", "decode", handler=backoff, free_reservations=10_000)
+        fleet.add("i-writer", "llm", "decode", handler=respond_stream, free_reservations=10_000)
 
         send_streams(fleet)
-        assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
+        assert backoff.max_arrivals_in_backoff(server) <= MAX_REQUESTS_IN_BACKOFF
 
     def test_shorter_value_does_not_shorten_it(self) -> None:
         """The last of several concurrent requests is refused with a shorter time."""
         fleet = LimitedFleet(1)
-        backoff = Resting(REST_S, after_s=0.2)
-        server = fleet.add("i-resting", behave=backoff)
-        fleet.add("i-other", behave=slowly)
+        backoff = BackoffHandler(BACKOFF_S, refusal_delay_s=0.2)
+        server = fleet.add("i-resting", handler=backoff)
+        fleet.add("i-other", handler=respond_slowly)
 
         async def shorter() -> None:
             while not server.arrivals:
                 await curio.sleep(0.01)
-            backoff.rest_s = 0.5
+            backoff.backoff_s = 0.5
 
         async def scenario() -> None:
             async with curio.TaskGroup(wait=all) as group:
@@ -415,23 +427,23 @@
                 )
 
         fleet.run(scenario, UNSAFE_ROUTE)
-        announced = [round(until - at, 1) for at, until in backoff.told]
-        assert announced[:2] == [REST_S, 0.5]
-        assert backoff.most_in_rest(server) == 0
+        announced = [round(until - at, 1) for at, until in backoff.refusals]
+        assert announced[:2] == [BACKOFF_S, 0.5]
+        assert backoff.max_arrivals_in_backoff(server) == 0
 
     def test_backoff_survives_missing_entry(self) -> None:
         """An entry may lapse though its server runs."""
         fleet = LimitedFleet(1)
-        backoff = Resting(8.0)
-        server = fleet.add("i-resting", behave=backoff)
-        fleet.add("i-other", behave=slowly)
+        backoff = BackoffHandler(8.0)
+        server = fleet.add("i-resting", handler=backoff)
+        fleet.add("i-other", handler=respond_slowly)
 
         async def scenario() -> None:
-            while not backoff.told:
+            while not backoff.refusals:
                 await fleet.send("/once/a")
             await server.store.remove("servers/i-resting")
             await curio.sleep(1.0)
-            await server.enter()
+            await server.publish_entry()
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=6.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
@@ -440,40 +452,40 @@
     def test_next_incarnation_gets_requests(self) -> None:
         """A restarted server under the same name gets requests before the old backoff ends."""
         fleet = LimitedFleet(1)
-        backoff = Resting(60.0)
-        server = fleet.add("i-resting", behave=backoff, born=1)
-        fleet.add("i-other", behave=slowly)
+        backoff = BackoffHandler(60.0)
+        server = fleet.add("i-resting", handler=backoff, start_time_ms=1)
+        fleet.add("i-other", handler=respond_slowly)
 
         async def scenario() -> None:
-            while not backoff.told:
+            while not backoff.refusals:
                 await fleet.send("/once/a")
-            server.behave, server.born = sealed, 2
+            server.handler, server.start_time_ms = respond_ok, 2
             server.arrivals.clear()
-            await server.enter()
+            await server.publish_entry()
             await curio.sleep(0.2)
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=1.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
         assert server.arrivals
         assert set(fleet.count_statuses()) == {200, 503}
-        assert fleet.count_statuses()[503] == len(backoff.told)
+        assert fleet.count_statuses()[503] == len(backoff.refusals)
 
     def test_server_gets_its_share_afterwards(self) -> None:
         """The server gets its share of the requests once its backoff is over."""
         fleet = LimitedFleet(1)
-        backoff = Resting(REST_S, serve=slowly)
-        server = fleet.add("i-resting", behave=backoff)
-        other = fleet.add("i-other", behave=slowly)
+        backoff = BackoffHandler(BACKOFF_S, serve=respond_slowly)
+        server = fleet.add("i-resting", handler=backoff)
+        other = fleet.add("i-other", handler=respond_slowly)
 
         async def scenario() -> None:
-            backoff.over_at = await curio.clock() + 1.0
+            backoff.serve_from = await curio.clock() + 1.0
             await fleet.send_at_rate("/once/a", per_s=OFFERED_PER_S, duration_s=10.0)
 
         fleet.run(scenario, UNSAFE_ROUTE)
-        after_backoff = arrivals_after(server, backoff.told[0][1])
+        after_backoff = arrivals_after(server, backoff.refusals[0][1])
         assert after_backoff
         assert after_backoff[0] < 1.0
-        assert len(after_backoff) > 0.2 * len(other.arrivals) * (10.0 - REST_S) / 10.0
+        assert len(after_backoff) > 0.2 * len(other.arrivals) * (10.0 - BACKOFF_S) / 10.0
 
 
 async def behave_as_body_says(replica: FakeReplica, exchange: Exchange) -> None:
@@ -481,7 +493,7 @@
     action, _, after_s = exchange.req.body.decode().partition(" ")
     await curio.sleep(float(after_s or 0))
     if action == "run":
-        await sealed(replica, exchange)
+        await respond_ok(replica, exchange)
         return
     request_id = exchange.req.headers["x-request-id"]
     retry_after = [("retry-after", "3")] if action == "rest" else []
