--- a/src/crankhinge/gateway/_admission.py
+++ b/src/crankhinge/gateway/_admission.py
@@ -46,18 +46,18 @@
             UnknownRoute: the configuration has no route for the request.
             BadCredentials, ConfigTooOld: as raised by :meth:`Authenticator.identify`.
         """
-        table = self._discovery.table
-        if table is None or not self._discovery.has_server_list:
+        config = self._discovery.config
+        if config is None or not self._discovery.has_server_list:
             raise NotReady(
                 "no configuration or no list of servers yet", retry_after_s=NOT_READY_RETRY_S
             )
-        route, service = self._match(table, exchange.req)
+        route, service = self._match(config, exchange.req)
         started_at = await curio.clock()
-        account = self._authenticator.identify(table, route, request, started_at)
+        account = self._authenticator.identify(config, route, request, started_at)
         caller_timeout_s = DEFAULT_TIMEOUT_S if request.timeout_s is None else request.timeout_s
         deadline = started_at + min(route.timeout_s, caller_timeout_s)
-        relay = Relay(exchange, request, route, service, table.version, started_at, deadline)
-        relay.has_accounts, relay.account = table.accounts is not None, account
+        relay = Relay(exchange, request, route, service, config.version, started_at, deadline)
+        relay.has_accounts, relay.account = config.accounts is not None, account
         relay.fingerprint = _fingerprint(relay, exchange.req)
         relay.is_retry = self._retry_detector.record_request(
             route.name, caller_timeout_s, connection_reused=exchange.connection_reused
@@ -65,11 +65,11 @@
         self._record_log_fields(relay, caller_timeout_s)
         return relay
 
-    def _match(self, table: RouteTable, req: HttpRequest) -> tuple[Route, Service]:
-        route = table.match(req.headers.get("host", ""), req.path)
+    def _match(self, config: RouteTable, req: HttpRequest) -> tuple[Route, Service]:
+        route = config.match(req.headers.get("host", ""), req.path)
         if route is None:
             raise UnknownRoute(f"no route for {req.headers.get('host')}{req.path}")
-        service = table.services.get(route.pick_service(self._rng.random()))
+        service = config.services.get(route.pick_service(self._rng.random()))
         if service is None:
             raise NotReady(f"route {route.name} names a service that is not configured")
         return route, service
--- a/src/crankhinge/gateway/_authenticator.py
+++ b/src/crankhinge/gateway/_authenticator.py
@@ -28,7 +28,7 @@
         self._discovery = discovery
 
     def identify(
-        self, table: RouteTable, route: Route, request: RelayRequest, now: float
+        self, config: RouteTable, route: Route, request: RelayRequest, now: float
     ) -> Account | None:
         """Return the account of the caller; None if the request needs no key.
 
@@ -36,9 +36,9 @@
             BadCredentials: no account has the key.
             ConfigTooOld: this instance cannot tell whether an account still has the key.
         """
-        if table.accounts is None:
+        if config.accounts is None:
             return None
-        account = table.accounts.by_key.get(request.api_key) if request.api_key else None
+        account = config.accounts.by_key.get(request.api_key) if request.api_key else None
         if account is None and route.anonymous:
             return None
         if not self._discovery.may_use_keys(now):
@@ -57,6 +57,6 @@
         Raises:
             BadCredentials, ConfigTooOld: as raised by :meth:`identify`.
         """
-        table = self._discovery.table
-        if relay.account is not None and table is not None:
-            self.identify(table, relay.route, relay.request, now)
+        config = self._discovery.config
+        if relay.account is not None and config is not None:
+            self.identify(config, relay.route, relay.request, now)
--- a/src/crankhinge/gateway/_discovery.py
+++ b/src/crankhinge/gateway/_discovery.py
@@ -33,7 +33,7 @@
         rng: source of the jitter of retry delays.
 
     Attributes:
-        table: routes of the configuration in force; None before the first configuration.
+        config: routes of the configuration in force; None before the first configuration.
         servers: the backend servers.
         has_server_list: whether the list of servers was read at least once.
         on_server_gone: each is called with the incarnation id of a server that is gone.
@@ -44,7 +44,7 @@
     def __init__(
         self, source: DiscoverySource, freshness: FreshnessBounds, log: Any, rng: random.Random
     ) -> None:
-        self.table: RouteTable | None = None
+        self.config: RouteTable | None = None
         self.servers = ServerList()
         self.has_server_list = False
         self.on_server_gone: list[Callable[[str], Awaitable[None]]] = []
@@ -77,7 +77,7 @@
     @property
     def has_data(self) -> bool:
         """Whether requests can be served: there are a configuration and a list of servers."""
-        return self.table is not None and self.has_server_list
+        return self.config is not None and self.has_server_list
 
     def keys_age_s(self, now: float) -> float:
         """Return the age of what this instance knows about keys, in seconds."""
@@ -120,10 +120,10 @@
         """Put a configuration in force if it is newer; an older one is never applied."""
         if update.table is None:
             return
-        before = self.table.version if self.table else None
+        before = self.config.version if self.config else None
         if before is not None and update.table.version <= before:
             return
-        self.table = update.table
+        self.config = update.table
         self._config_bytes = update.size_bytes
         self._log.info(
             "config_in_force",
@@ -144,7 +144,7 @@
         self._log.info(
             "servers_listed",
             servers=len(update.servers),
-            heard_s=self._list_age_s(now),
+            heard_s=self._since_list_response_s(now),
             was_away=was_unreachable,
             doubted=len(change.suspected),
         )
@@ -172,7 +172,7 @@
         """
         return bool(update.servers or update.removed) and not self.servers.suspects()
 
-    def _list_age_s(self, now: float) -> float | None:
+    def _since_list_response_s(self, now: float) -> float | None:
         """Return the seconds since the last response about the list; None before the first."""
         return (
             None
@@ -197,7 +197,9 @@
         for incarnation_id in change.removed:
             await self._remove_server(incarnation_id, why)
         for incarnation_id in change.suspected:
-            self._log.info("server_doubted", server=incarnation_id, heard_s=self._list_age_s(now))
+            self._log.info(
+                "server_doubted", server=incarnation_id, heard_s=self._since_list_response_s(now)
+            )
         if change.suspected:
             await self._suspects_added.set()
 
--- a/src/crankhinge/gateway/_server_signals.py
+++ b/src/crankhinge/gateway/_exclusion_listener.py
@@ -18,7 +18,7 @@
 from crankhinge.gateway._signal_listener import SignalListener
 
 
-class ServerSignals(SignalListener):
+class ExclusionListener(SignalListener):
     """Records which servers are leaving and which are in backoff.
 
     Args:
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -21,12 +21,12 @@
 from crankhinge.gateway._admission import Admission
 from crankhinge.gateway._discovery import Discovery
 from crankhinge.gateway._permits import Permits
-from crankhinge.gateway._plain import PlainRelay
+from crankhinge.gateway._plain import PlainRunner
 from crankhinge.gateway._quarantine import QuarantineService
 from crankhinge.gateway._quota import AccountLimits
 from crankhinge.gateway._request import Relay
 from crankhinge.gateway._settings import GatewaySettings
-from crankhinge.gateway._stream import StreamRelay
+from crankhinge.gateway._stream import StreamRunner
 from crankhinge.http import Exchange, HttpLimits, serve_http
 from crankhinge.runtime import split_host_port
 from crankhinge.runtime._exposed import PrometheusMetrics
@@ -73,8 +73,8 @@
         permits: Permits,
         quarantine: QuarantineService,
         dialect: Dialect,
-        plain: PlainRelay,
-        streams: StreamRelay,
+        plain: PlainRunner,
+        streams: StreamRunner,
         log: Any,
         metrics: PrometheusMetrics,
     ) -> None:
@@ -109,10 +109,10 @@
         )
 
     def _caller_limits(self) -> HttpLimits:
-        table = self._discovery.table
-        if table is None:
+        config = self._discovery.config
+        if config is None:
             return HttpLimits()
-        limits = table.limits
+        limits = config.limits
         return HttpLimits(
             max_body_bytes=limits.max_body_bytes,
             max_header_bytes=limits.max_header_bytes,
@@ -185,7 +185,7 @@
         try:
             relay = await self._admit(exchange, request)
         except CrankhingeError as exc:
-            return await self._refuse(exchange, request, None, exc)
+            return await self._send_error(exchange, request, None, exc)
         try:
             return await self._run_unless_gone(exchange, request, relay)
         finally:
@@ -218,7 +218,7 @@
             # Before the response, since the caller may use these tokens for its next request at
             # once.
             await self._limits.return_unused(relay)
-            return await self._refuse(relay.exchange, relay.request, relay, exc)
+            return await self._send_error(relay.exchange, relay.request, relay, exc)
         await _record_duration(relay)
         self._log_end(relay)
         if relay.log_fields["status"] == HTTP_OK:
@@ -270,7 +270,7 @@
             **relay.log_fields,
         )
 
-    async def _refuse(
+    async def _send_error(
         self, exchange: Exchange, request: RelayRequest, relay: Relay | None, exc: CrankhingeError
     ) -> bool:
         """Send the error response of a failed request, with whether it may have been executed.
@@ -292,8 +292,8 @@
             await _record_duration(relay)
             log_fields.update(relay.log_fields, route=relay.route.name, config=relay.config_version)
             log_fields["sent"] = len(relay.sent_to)
-        elif (table := self._discovery.table) is not None:
-            log_fields["config"] = table.version
+        elif (config := self._discovery.config) is not None:
+            log_fields["config"] = config.version
             log_fields["keys_age_s"] = round(self._discovery.keys_age_s(await curio.clock()), 2)
         log_fields.update(code=exc.code, why=exc.detail, outcome=outcome.value, status=status)
         self._metrics.count(f"failed.{exc.code}")
--- a/src/crankhinge/gateway/_limit_updates.py
+++ b/src/crankhinge/gateway/_limit_updates.py
@@ -150,12 +150,12 @@
 
     def to_instance_record(self, now: float) -> Mapping[str, float]:
         """Return what this instance publishes in its record: the limits that it allocates."""
-        servers = [
+        incarnation_ids = [
             incarnation_id
             for incarnation_id in self._limits.servers
             if self._shared_limits.is_allocator(incarnation_id)
         ]
-        return self._limits.to_instance_record(servers, now)
+        return self._limits.to_instance_record(incarnation_ids, now)
 
     async def apply_instance_records(self, records: Mapping[str, InstanceRecord]) -> None:
         """Apply the limits in the records of instances."""
--- a/src/crankhinge/gateway/_peer_messages.py
+++ b/src/crankhinge/gateway/_peer_messages.py
@@ -101,7 +101,7 @@
     fingerprints: tuple[str, ...]
 
 
-class QuarantineBegun(msgspec.Struct, frozen=True, tag="quarantine-begun"):
+class QuarantineUpdateMessage(msgspec.Struct, frozen=True, tag="quarantine-begun"):
     """A request is in quarantine, or its trial has begun.
 
     Attributes:
@@ -252,7 +252,7 @@
     | QuotaResponse
     | QuotaReturn
     | ServerCrashed
-    | QuarantineBegun
+    | QuarantineUpdateMessage
     | QuarantineEnded
     | LimitAdvertised
     | LimitWithdrawn
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -210,7 +210,7 @@
         for allocator in self._shared_limits.allocators(incarnation_id, now):
             if allocator == self._name:
                 break
-            response = await self._request_from(allocator, incarnation_id, params)
+            response = await self._lease_and_request(allocator, incarnation_id, params)
             if response is not None and response.decision is not None:
                 return allocator, response.decision
         now = await curio.clock()
@@ -218,7 +218,7 @@
             incarnation_id, params.within_s, now, for_caller=params.for_caller
         )
 
-    async def _request_from(
+    async def _lease_and_request(
         self, allocator: str, incarnation_id: str, params: _PermitParams | None
     ) -> _PermitReply | None:
         """Lease this instance's share to an allocator and, if *params* is given, request a permit.
@@ -313,7 +313,7 @@
             if allocator == self._name:
                 self._shared_limits.use_local_share(incarnation_id, now)
                 return
-            if await self._request_from(allocator, incarnation_id, None) is not None:
+            if await self._lease_and_request(allocator, incarnation_id, None) is not None:
                 return
 
     async def log_use(self) -> None:
--- a/src/crankhinge/gateway/_plain.py
+++ b/src/crankhinge/gateway/_plain.py
@@ -55,7 +55,7 @@
     body: bytes
 
 
-class PlainRelay:
+class PlainRunner:
     """Runs requests whose answer is a single response.
 
     Args:
@@ -148,8 +148,8 @@
             Overloaded: the service did not recover in time.
             ServersRest: all servers are in backoff for longer than the request may wait.
         """
-        name = relay.service.name
-        queue = self._queues[name]
+        service = relay.service.name
+        queue = self._queues[service]
         started_at = now = await curio.clock()
         request = self._queue_request(relay, now)
         max_wait_s = _max_queue_wait_s(request)
@@ -166,8 +166,8 @@
                 if now - started_at > max_wait_s:
                     self._log_not_sent(relay, now - started_at)
                     raise Overloaded(
-                        f"{name} is overloaded",
-                        retry_after_s=self._retry_after_s(name, now),
+                        f"{service} is overloaded",
+                        retry_after_s=self._retry_after_s(service, now),
                     )
                 await curio.sleep(CONGESTION_POLL_S)
                 now = await curio.clock()
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -29,23 +29,23 @@
 from crankhinge.gateway._call_log import CallLog
 from crankhinge.gateway._crashes import CrashDetector
 from crankhinge.gateway._discovery import Discovery
+from crankhinge.gateway._exclusion_listener import ExclusionListener
 from crankhinge.gateway._gateway import Gateway
 from crankhinge.gateway._join_announcer import JoinAnnouncer
 from crankhinge.gateway._limit_updates import LimitUpdates
 from crankhinge.gateway._peer_messages import EngineOrdered
 from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._permits import Permits
-from crankhinge.gateway._plain import PlainRelay
+from crankhinge.gateway._plain import PlainRunner
 from crankhinge.gateway._quarantine import QuarantineService
 from crankhinge.gateway._quota import AccountLimits
 from crankhinge.gateway._record_sync import InstanceRecordSync
 from crankhinge.gateway._role_controller import MAX_ORDER_S, RoleController
 from crankhinge.gateway._server_selector import ServerSelector
-from crankhinge.gateway._server_signals import ServerSignals
 from crankhinge.gateway._settings import GatewaySettings
 from crankhinge.gateway._source_watcher import SourceWatcher
 from crankhinge.gateway._status import StatusPages
-from crankhinge.gateway._stream import StreamRelay
+from crankhinge.gateway._stream import StreamRunner
 from crankhinge.runtime import (
     LineSink,
     Supervisor,
@@ -138,16 +138,18 @@
         incarnation=rng.getrandbits(INCARNATION_BITS),
         now=now,
     )
-    limit_news = LimitUpdates(
+    limit_updates = LimitUpdates(
         shared_limits=shared_limits, backends=backends, messenger=messenger, log=log
     )
-    discovery.on_server_gone.append(limit_news.remove_server)
-    server_signals = ServerSignals(exclusions=backends.exclusions, messenger=messenger, log=log)
-    backends.listeners += [limit_news, server_signals]
+    discovery.on_server_gone.append(limit_updates.remove_server)
+    exclusion_listener = ExclusionListener(
+        exclusions=backends.exclusions, messenger=messenger, log=log
+    )
+    backends.listeners += [limit_updates, exclusion_listener]
     permits = Permits(
         name=settings.name,
         shared_limits=shared_limits,
-        limit_updates=limit_news,
+        limit_updates=limit_updates,
         membership=membership,
         backends=backends,
         messenger=messenger,
@@ -188,8 +190,8 @@
         permits=permits,
         quarantine=quarantine,
         dialect=dialect,
-        plain=PlainRelay(**common),
-        streams=StreamRelay(**common, permits=permits, quarantine=quarantine, meters=meters),
+        plain=PlainRunner(**common),
+        streams=StreamRunner(**common, permits=permits, quarantine=quarantine, meters=meters),
         log=log,
         metrics=metrics,
     )
@@ -203,7 +205,7 @@
         registry=platform.registry,
         meters=meters,
         quarantine=quarantine,
-        limit_updates=limit_news,
+        limit_updates=limit_updates,
         log=log,
         rng=rng,
     )
@@ -225,10 +227,10 @@
         "servers_heard_s_ago", partial(_seconds_since_response, discovery.server_list_watcher)
     )
     metrics.set_gauge_function(
-        "config_version", lambda: discovery.table.version if discovery.table else 0
+        "config_version", lambda: discovery.config.version if discovery.config else 0
     )
     metrics.set_gauge_function("requests_quarantined", quarantine.__len__)
-    metrics.set_gauge_function("servers_limited", limit_news.__len__)
+    metrics.set_gauge_function("servers_limited", limit_updates.__len__)
     metrics.set_gauge_function(
         "servers_leaving", lambda: backends.count_excluded(ExclusionReason.LEAVING, steady_s())
     )
@@ -261,7 +263,7 @@
 
 def _idle_limit(discovery: Discovery, membership: Membership, service: str) -> int:
     """Return the number of idle connections to keep to each server of a service."""
-    known = discovery.table.services.get(service) if discovery.table else None
+    known = discovery.config.services.get(service) if discovery.config else None
     return (
         MAX_IDLE_CONNECTIONS
         if known is None
--- a/src/crankhinge/gateway/_quarantine.py
+++ b/src/crankhinge/gateway/_quarantine.py
@@ -19,7 +19,11 @@
 from crankhinge.adapters import InstanceRecord
 from crankhinge.decisions import Membership, Quarantine, QuarantineUpdate, Server
 from crankhinge.errors import Quarantined
-from crankhinge.gateway._peer_messages import QuarantineBegun, QuarantineEnded, ServerCrashed
+from crankhinge.gateway._peer_messages import (
+    QuarantineEnded,
+    QuarantineUpdateMessage,
+    ServerCrashed,
+)
 from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._request import Relay
 from crankhinge.runtime import Metrics
@@ -57,7 +61,7 @@
         self._metrics = metrics
         self._quarantine = Quarantine()
         messenger.add_handler(ServerCrashed, self._on_server_crashed)
-        messenger.add_handler(QuarantineBegun, self._on_quarantine_begun)
+        messenger.add_handler(QuarantineUpdateMessage, self._on_quarantine_update)
         messenger.add_handler(QuarantineEnded, self._on_quarantine_ended)
 
     def __len__(self) -> int:
@@ -171,14 +175,14 @@
         )
 
     async def _announce(self, update: QuarantineUpdate) -> None:
-        message = QuarantineBegun(update.fingerprint, update.servers, update.left_s)
+        message = QuarantineUpdateMessage(update.fingerprint, update.servers, update.left_s)
         await self._messenger.send_to_all(message, fingerprint=update.fingerprint)
 
     async def _on_server_crashed(self, message: ServerCrashed, sender: str) -> None:
         for fingerprint in message.fingerprints:
             await self._count_crash(fingerprint, message.server, sender)
 
-    async def _on_quarantine_begun(self, message: QuarantineBegun, sender: str) -> None:
+    async def _on_quarantine_update(self, message: QuarantineUpdateMessage, sender: str) -> None:
         update = QuarantineUpdate(message.fingerprint, message.servers, message.left_s)
         if self._quarantine.apply_update(update, await curio.clock()):
             self._log_begun(update, sender)
--- a/src/crankhinge/gateway/_quota.py
+++ b/src/crankhinge/gateway/_quota.py
@@ -90,18 +90,18 @@
         decision = self._allocator.allocate_local(account, tokens, await curio.clock())
         self._apply_decision(relay, TokenGrant("", account, tokens), decision)
 
-    def _apply_decision(self, relay: Relay, grant: TokenGrant, decision: QuotaDecision) -> None:
-        allocator_name = grant.allocator or "own"
+    def _apply_decision(self, relay: Relay, requested: TokenGrant, decision: QuotaDecision) -> None:
+        allocator_name = requested.allocator or "own"
         if decision.outcome is QuotaOutcome.GRANTED:
-            relay.grant = grant
-            relay.log_fields.update(cost=grant.tokens, granted_by=allocator_name)
+            relay.grant = requested
+            relay.log_fields.update(cost=requested.tokens, granted_by=allocator_name)
             return
         self._metrics.count("over_limit")
         self._log.info(
             "over_limit",
             request=relay.request.request_id,
-            account=grant.account.name,
-            tokens=grant.tokens,
+            account=requested.account.name,
+            tokens=requested.tokens,
             by=allocator_name,
             left=round(decision.left_tokens),
             after_ms=round(decision.retry_after_s * 1000),
@@ -113,7 +113,7 @@
                 retry_after_s=NO_ALLOCATOR_RETRY_S,
             )
         raise LimitReached(
-            f"account {grant.account.name} has reached its limit",
+            f"account {requested.account.name} has reached its limit",
             retry_after_s=decision.retry_after_s,
         )
 
@@ -153,10 +153,10 @@
         return decision
 
     def _account(self, name: str) -> Account | None:
-        table = self._discovery.table
-        if table is None or table.accounts is None:
+        config = self._discovery.config
+        if config is None or config.accounts is None:
             return None
-        return table.accounts.by_name.get(name)
+        return config.accounts.by_name.get(name)
 
     async def _on_request(self, message: QuotaRequest, sender: str) -> None:
         account = self._account(message.account)
--- a/src/crankhinge/gateway/_record_sync.py
+++ b/src/crankhinge/gateway/_record_sync.py
@@ -78,11 +78,11 @@
         self._quarantine = quarantine
         self._limit_updates = limit_updates
         self._published_quarantined: Mapping[str, tuple[str, ...]] = {}
-        self._published_limited: Mapping[str, float] = {}
+        self._published_rates: Mapping[str, float] = {}
         self._log = log
         self._published_stats: dict[str, WorkloadStats] = {}
         self._published_at = float("-inf")
-        self._published_settled = False
+        self._published_may_coordinate = False
 
     async def run(self) -> None:
         """Keep this instance's record up to date, until cancelled."""
@@ -123,18 +123,21 @@
             self._membership.may_coordinate(now),
             self._quarantine.to_instance_record(),
         )
-        limited = self._limit_updates.to_instance_record(now)
+        rates = self._limit_updates.to_instance_record(now)
         changed = (
-            may_coordinate is not self._published_settled
+            may_coordinate is not self._published_may_coordinate
             or quarantined != self._published_quarantined
-            or limited != self._published_limited
+            or rates != self._published_rates
         )
         if changed or self._is_rewrite_due(all_stats, now):
-            record = InstanceRecord(self._address, all_stats, may_coordinate, quarantined, limited)
+            record = InstanceRecord(self._address, all_stats, may_coordinate, quarantined, rates)
             lease = await self._registry.publish(self._name, record)
             self._published_stats, self._published_at = all_stats, now
-            self._published_settled, self._published_quarantined = may_coordinate, quarantined
-            self._published_limited = limited
+            self._published_may_coordinate, self._published_quarantined = (
+                may_coordinate,
+                quarantined,
+            )
+            self._published_rates = rates
             await self._record_lease(lease)
         elif now - self._lease_renewed_at >= LEASE_RENEWAL_INTERVAL_S:
             await self._record_lease(await self._registry.renew())
--- a/src/crankhinge/gateway/_reservations.py
+++ b/src/crankhinge/gateway/_reservations.py
@@ -333,8 +333,8 @@
         service, request = search.relay.service.name, search.request
         now = search.started_at + waited_s
         forecast = self._forecasts[service]
-        requests_ahead = self._queues[service].tokens_of_others(search.queue_number)
-        free_s = forecast.retry_in_s(request.tokens, requests_ahead, now)
+        others_tokens = self._queues[service].tokens_of_others(search.queue_number)
+        free_s = forecast.retry_in_s(request.tokens, others_tokens, now)
         retry_after_s = retry_delay_s(self._backends.rng, request, free_s)
         forecast.record_promised_retry(request.tokens, now + retry_after_s)
         self._log.info(
@@ -342,7 +342,7 @@
             request=search.relay.request.request_id,
             back_ms=round(retry_after_s * 1000),
             free_ms=None if free_s is None else round(free_s * 1000),
-            ahead_tokens=requests_ahead,
+            ahead_tokens=others_tokens,
         )
         return retry_after_s
 
--- a/src/crankhinge/gateway/_role_controller.py
+++ b/src/crankhinge/gateway/_role_controller.py
@@ -56,7 +56,7 @@
     role: EngineRole | None = None
     checks: int = 0
 
-    def is_confirmed(self, role: EngineRole | None) -> bool:
+    def record_check(self, role: EngineRole | None) -> bool:
         """Record the result of a check; return whether enough consecutive checks agree."""
         self.checks = self.checks + 1 if role is self.role else 1
         self.role = role
@@ -129,10 +129,10 @@
         """Check the split of each service again and again, until cancelled."""
         while True:
             await curio.sleep(SPLIT_CHECK_INTERVAL_S * self._backends.rng.uniform(0.8, 1.2))
-            table = self._discovery.table
-            if table is None:
+            config = self._discovery.config
+            if config is None:
                 continue
-            for service in table.services.values():
+            for service in config.services.values():
                 if service.engine is not None:
                     await self._check_split(service)
 
@@ -146,7 +146,7 @@
         wanted = wanted_prompt_engines(loads, *split, MIN_ANSWERS_TO_GROW_PREFILL)
         # The counts change each second as servers come and go, so only the wanted role has to
         # stay the same.
-        if self._wanted_changes[service.name].is_confirmed(_role_to_grow(wanted, split[0])):
+        if self._wanted_changes[service.name].record_check(_role_to_grow(wanted, split[0])):
             del self._wanted_changes[service.name]
             await self._decide_change(service, pools)
 
--- a/src/crankhinge/gateway/_source_watcher.py
+++ b/src/crankhinge/gateway/_source_watcher.py
@@ -116,14 +116,14 @@
         revision: int | None = None
         retry_s = FIRST_RETRY_S
         history_retry_s = 0.0
-        batched_s = 0.0
+        last_pause_s = 0.0
         while True:
             was_watch = revision is not None
             # After an outage the response is wanted at once, since it shows that the source is
             # back. The watch continues from its revision: reading all data again may take a link of
             # low bandwidth seconds.
             sent_at = await curio.clock()
-            wait_s = self._wait_s(sent_at, batched_s)
+            wait_s = self._wait_s(sent_at, last_pause_s)
             try:
                 result = await (self._read() if revision is None else self._watch(revision, wait_s))
             except HistoryLost as exc:
@@ -145,20 +145,20 @@
             self.current_at = max(self.current_at, sent_at + (wait_s if result.unchanged else 0.0))
             await self._record_response()
             retry_s = FIRST_RETRY_S
-            batched_s = 0.0
+            last_pause_s = 0.0
             if was_watch:
                 history_retry_s = 0.0
                 if result.may_batch:
                     # The connection may become unresponsive during the pause, in which no watch is
                     # open to notice that. Therefore the next watch is shorter by the pause.
-                    batched_s = self._batcher.record_change(await curio.clock())
-                    await curio.sleep(batched_s)
+                    last_pause_s = self._batcher.record_change(await curio.clock())
+                    await curio.sleep(last_pause_s)
 
-    def _wait_s(self, now: float, batched_s: float) -> float:
+    def _wait_s(self, now: float, last_pause_s: float) -> float:
         """Return how long the next watch waits, in seconds."""
         if self.was_unreachable:
             return 0.0
-        return max(0.0, self._watch_wait_s(now - self.current_at) - batched_s)
+        return max(0.0, self._watch_wait_s(now - self.current_at) - last_pause_s)
 
     async def _record_failure(self, exc: KeyValueUnavailable) -> None:
         now = await curio.clock()
--- a/src/crankhinge/gateway/_status.py
+++ b/src/crankhinge/gateway/_status.py
@@ -71,12 +71,12 @@
         if exchange.req.path != self._settings.ready_path:
             await exchange.respond(404, b"{}")
             return
-        table = self._discovery.table
-        version = table.version if table else None
+        config = self._discovery.config
+        version = config.version if config else None
         state = {"ready": ready, "config": version, "open": self._gateway.open_requests}
         await exchange.respond(200 if ready else 503, msgspec.json.encode(state))
 
     def _may_use_keys(self, now: float) -> bool:
-        table = self._discovery.table
-        keyless = table is None or table.accounts is None
+        config = self._discovery.config
+        keyless = config is None or config.accounts is None
         return keyless or self._discovery.may_use_keys(now)
--- a/src/crankhinge/gateway/_stream.py
+++ b/src/crankhinge/gateway/_stream.py
@@ -42,7 +42,7 @@
     BROKEN = "broken"
 
 
-class StreamRelay:
+class StreamRunner:
     """Runs requests whose answer is a stream of events.
 
     Args:
