--- a/src/crankhinge/gateway/_plain.py
+++ b/src/crankhinge/gateway/_plain.py
@@ -34,7 +34,7 @@
 from crankhinge.http import ConnectFailed
 
 # Retry delay in seconds after a refusal: within this time the queue of a busy service moves on.
-RETRY_AFTER_S = 0.25
+NO_SERVER_RETRY_S = 0.25
 # A request that may be repeated is sent to another server if the first has not responded after this
 # share of the time that is left.
 ATTEMPT_TIME_SHARE = 0.45
@@ -241,7 +241,7 @@
         if relay.may_have_run:
             return BackendFailed("no other server is available")
         return NoBackend(
-            f"{relay.service.name}: no server is available", retry_after_s=RETRY_AFTER_S
+            f"{relay.service.name}: no server is available", retry_after_s=NO_SERVER_RETRY_S
         )
 
     def _may_retry(self, relay: Relay, result: ServerResponse | CrankhingeError) -> bool:
--- a/src/crankhinge/gateway/_role_controller.py
+++ b/src/crankhinge/gateway/_role_controller.py
@@ -37,7 +37,7 @@
 DISAGREEMENT_PAUSE_S = 2.0
 # Seconds without another attempt if another instance was ordering already: it holds the order lease
 # until the engines have their new roles, which takes about six seconds.
-OTHER_CONTROLLER_PAUSE_S = 6.0
+ORDER_ATTEMPT_PAUSE_S = 6.0
 # Seconds until the order lease is requested again after the store did not respond. A lease that was
 # created in spite of that has expired by then.
 STORE_RETRY_S = 4.0
@@ -173,7 +173,7 @@
         wanted = wanted_prompt_engines(loads, *split, answers)
         if wanted == split[0]:
             return
-        self._paused_until = now + OTHER_CONTROLLER_PAUSE_S
+        self._paused_until = now + ORDER_ATTEMPT_PAUSE_S
         role = _role_to_grow(wanted, split[0])
         assert role is not None
         self._log.info(
