--- a/src/crankhinge/gateway/_admission.py
+++ b/src/crankhinge/gateway/_admission.py
@@ -21,10 +21,10 @@
 
 
 class Admission:
-    """Creates the relay of each request that arrives.
+    """Creates a :class:`Relay` for each request that arrives.
 
     Args:
-        discovery: the routes and services.
+        discovery: the configuration, with its routes and services.
         authenticator: identifies the caller.
         rng: source of the random choices between the services of a route.
     """
@@ -38,7 +38,7 @@
         self._retry_detector = CallerRetryDetector()
 
     async def admit(self, exchange: Exchange, request: RelayRequest) -> Relay:
-        """Return the relay of a request.
+        """Return the :class:`Relay` of a request.
 
         Raises:
             NotReady: this instance has no configuration or no list of servers yet, or the
@@ -90,8 +90,8 @@
         )
         if relay.route.max_pause_s:
             relay.log_fields["pause_ms"] = round(relay.route.max_pause_s * 1000)
-        # Seconds since the last response about the list of servers. What this instance knows of
-        # servers is at least that old, unless the list is watched and has not changed.
+        # Seconds since the last response about the list of servers. The list may still be current
+        # if it is watched: the watch responds only when the list changes or the wait ends.
         relay.log_fields["list_age_s"] = round(
             relay.started_at - (self._discovery.server_list_watcher.received_at or 0.0), 1
         )
--- a/src/crankhinge/gateway/_attempts.py
+++ b/src/crankhinge/gateway/_attempts.py
@@ -32,9 +32,9 @@
     Args:
         backends: the backend servers.
         authenticator: checks again, before anything is sent, whether the caller's key is valid.
-        quarantine: checks again whether servers crashed under the request.
+        quarantine: checks again whether the request is in quarantine.
         crashes: notified of each connection that ends in the middle of a request.
-        permits: grants requests to servers that advertise a limit.
+        permits: provides permits to send requests to servers that advertise a limit.
     """
 
     def __init__(
@@ -57,16 +57,16 @@
     ) -> AsyncIterator[ClientStream]:
         """Send a request to a server and provide the response, whose head has been read.
 
-        The connection is aborted if the caller's block raises. Otherwise it is closed, or kept if
-        the response was read completely.
+        If the ``async with`` block raises, the connection is aborted. Otherwise the connection is
+        closed, or kept for another request if the response was read completely.
 
         Raises:
             BadCredentials: the caller's key was revoked meanwhile.
             ConfigTooOld: this instance can no longer tell whether the key is valid.
             Quarantined: servers crashed meanwhile while they ran this request.
-            ServerBarred: nothing was sent, since the server must get no request now.
-            ConnectFailed: nothing was sent to this server. If another server has its address, that
-                one did not execute the request.
+            ServerBarred: nothing was sent, since the server is excluded or at its limit.
+            ConnectFailed: nothing was sent to this server. If another server responds at its
+                address, that other server did not execute the request.
             HttpClosed: the connection ended; the request may have been executed.
             BadHttp: the response is malformed; the request may have been executed.
         """
@@ -81,8 +81,8 @@
         reason = self._backends.exclusion_reason(server, started_at)
         if reason is not None:
             raise ServerBarred(f"{server.incarnation_id}: {reason.value}")
-        # The last check, since it uses the permit up: if the request is then not sent, no other
-        # request can use that permit.
+        # This is the last check, since it uses the permit up: if a later check stopped the request,
+        # no other request could use that permit.
         permit = await self._permits.use_permit(relay, server)
         relay.log_fields.update(
             self._backends.exclusions.violation_log_fields(server.incarnation_id, started_at)
@@ -127,5 +127,8 @@
 
 
 def _is_response_to(dialect: Any, request_id: str) -> Any:
-    """Return a predicate on response headers: whether the response belongs to *request_id*."""
+    """Return a predicate on response headers: whether the response may belong to *request_id*.
+
+    A response that names no request is accepted as well.
+    """
     return lambda headers: dialect.response_request_id(headers) in ("", request_id)
--- a/src/crankhinge/gateway/_authenticator.py
+++ b/src/crankhinge/gateway/_authenticator.py
@@ -8,7 +8,7 @@
 from crankhinge.gateway._discovery import Discovery
 from crankhinge.gateway._request import Relay
 
-# Seconds after which a caller should retry whose key this instance cannot check. A new connection
+# Seconds after which a caller should retry if this instance cannot check its key. A new connection
 # reaches another instance, since this one reports that it is not ready.
 OTHER_INSTANCE_RETRY_S = 0.1
 
@@ -16,9 +16,10 @@
 class Authenticator:
     """Identifies callers by their keys.
 
-    A key may have been revoked without this instance having received that. Therefore keys are
-    accepted only if the configuration was known to be current a short time ago. The age counts from
-    when the call that showed it was sent, since the response may have been under way for any time.
+    A key may have been revoked although this instance has not received that change yet. Therefore
+    keys are accepted only if the configuration was known to be current a short time ago. That time
+    counts from when the call to the store was sent whose response showed that the configuration is
+    current, since it is unknown how long the response took to arrive.
 
     Args:
         discovery: the configuration and its age.
--- a/src/crankhinge/gateway/_backends.py
+++ b/src/crankhinge/gateway/_backends.py
@@ -1,4 +1,8 @@
-"""The backend servers as this instance uses them: connections, statistics and side calls."""
+"""The backend servers as this instance uses them: connections, statistics and side calls.
+
+A side call is a call to a server that the gateway makes itself, for instance to reserve memory. It
+does not carry a caller's request.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 # A connection within an availability zone is established in a millisecond. A lost first packet is
 # sent again after one second, which is too late for most requests: another server is tried instead.
 CONNECT_TIMEOUT_S = 0.35
-# A side call is answered in milliseconds; it fails after this many seconds.
+# Servers respond to a side call within milliseconds. It fails after this many seconds.
 SIDE_CALL_TIMEOUT_S = 0.6
 
 
@@ -47,7 +51,8 @@
 
     Attributes:
         listeners: notified of the signals in the head of each server response.
-        exclusions: servers that must get no request because of what their responses said.
+        exclusions: servers that must get no request because they announced their shutdown, to this
+            instance or to another one, or asked this instance for backoff.
     """
 
     def __init__(
@@ -71,8 +76,9 @@
         self._log = log
         self._metrics = metrics
         self._clients: dict[str, HttpClient] = {}
-        # Each choice looks up every server several times. A defaultdict creates statistics only for
-        # a server that it does not have yet.
+        # Each choice of a server looks up every server several times. A defaultdict creates an
+        # object only for a server without statistics; ``setdefault`` would need one at each
+        # look-up.
         self._stats: defaultdict[str, ServerStats] = defaultdict(ServerStats)
 
     def stats(self, incarnation_id: str) -> ServerStats:
@@ -80,7 +86,7 @@
         return self._stats[incarnation_id]
 
     def client(self, server: Server) -> HttpClient:
-        """Return the HTTP client with the connections to a server."""
+        """Return the HTTP client with the connections to a server; create it if there is none."""
         if server.incarnation_id not in self._clients:
             self._clients[server.incarnation_id] = HttpClient(
                 server.host, server.port, connect_timeout_s=CONNECT_TIMEOUT_S
@@ -104,14 +110,15 @@
         model: str = "",
         avoid: frozenset[str] = frozenset(),
     ) -> list[Server]:
-        """Return the servers of a service that accept new work for a model.
+        """Return the servers of a service that accept new work for a model, now or soon.
 
-        Servers that carry out an order to change their role are included only if there is no other
-        server.
+        Servers that are in backoff or at their advertised limit are included. Servers that carry
+        out an order to change their role are included only if there is no other server.
 
-        Suspect servers are included only while more than half of the servers are suspect. The few
-        servers that return first could not carry the load of all; once half are back, the others
-        have probably gone.
+        A server is suspect if its entry is missing from the list but may only have lapsed during an
+        outage of the store. Suspect servers are included only while more than half of the servers
+        are suspect. The few servers whose entries return first could not carry the load of all;
+        once half of the entries are back, the other servers have probably gone.
         """
         listed = [
             server
@@ -142,10 +149,10 @@
         model: str = "",
         avoid: frozenset[str] = frozenset(),
     ) -> list[Server]:
-        """Return the servers of a service that a request may be sent to now.
+        """Return the available servers that are not in backoff.
 
-        These are the available servers without those in backoff. A server in backoff is still
-        available, since it accepts requests again after a short time.
+        :meth:`available_servers` includes servers in backoff, since they accept requests again
+        after a short time. Servers at their advertised limit are included here, too.
         """
         return self.without_backoff(self.available_servers(service, now, role, model, avoid), now)
 
@@ -162,7 +169,8 @@
     def exclusion_reason(self, server: Server, now: float) -> ExclusionReason | None:
         """Return why no request may be sent to a server; None if requests may be sent.
 
-        The result does not depend on which other servers there are.
+        Only the state of this server counts. :meth:`available_servers` may also leave out a server
+        that is suspect or changes its role, depending on the state of the others.
         """
         listed_server = self._servers.get(server.incarnation_id)
         if listed_server is None:
@@ -179,8 +187,8 @@
     def _permanent_exclusion(self, server: Server) -> ExclusionReason | None:
         """Return why a listed server is excluded until its incarnation ends; None if it is not.
 
-        A leaving server says so in its responses before its entry shows it, since the store may be
-        unreachable or slow to write entries.
+        A leaving server announces its shutdown in its responses. Its entry may show that later,
+        since the store may be unreachable or slow to write entries.
         """
         if server.leaving or self.exclusions.leaving_since(server.incarnation_id) is not None:
             return ExclusionReason.LEAVING
@@ -278,16 +286,16 @@
         )
 
     def servers_at_limit(self, servers: list[Server], now: float) -> list[Server]:
-        """Return those of *servers* that are at their limit, the first to leave it first."""
+        """Return those of *servers* that are at their limit, soonest free first."""
         limited = [
             server for server in servers if self.stats(server.incarnation_id).limited_until > now
         ]
         return sorted(limited, key=lambda server: self.stats(server.incarnation_id).limited_until)
 
     def backoff_end(self, servers: list[Server], now: float) -> float | None:
-        """Return when the first backoff of *servers* ends.
+        """Return when the first backoff of *servers* ends, on the runtime's clock.
 
-        Return None if there is no server or one of them is not in backoff.
+        Return None if at least one server is not in backoff, or if *servers* is empty.
         """
         ends = [self.exclusions.backoff_until(server.incarnation_id, now) for server in servers]
         return None if None in ends else min((end for end in ends if end is not None), default=None)
@@ -300,7 +308,10 @@
             await listener.on_signals(server, signals, sent_at=sent_at, succeeded=succeeded)
 
     async def side_call(self, server: Server, call: SideCall) -> Response | None:
-        """Make a call of this router itself; return None if the server does not respond in time."""
+        """Make a side call; return None if the server gives no valid response in time.
+
+        The listeners are notified of the signals in the response.
+        """
         client = self.client(server)
         headers = self.dialect.side_call_fields(server.name)
         sent_at = await curio.clock()
--- a/src/crankhinge/gateway/_crashes.py
+++ b/src/crankhinge/gateway/_crashes.py
@@ -1,8 +1,8 @@
 """Finds out whether a server crashed when a connection to it ended.
 
-A connection may also be reset by the network, or closed by a server that works otherwise. If the
-process is gone, nothing listens at its address any more, and its entry lapses some seconds later.
-A server that announced its shutdown has not crashed when it ends.
+A connection may also be reset by the network, or closed by a server that is still running. If the
+server's process is gone, nothing listens at its address any more, and its entry lapses some seconds
+later. A server that announced its shutdown has not crashed when it ends.
 """
 
 from __future__ import annotations
@@ -21,8 +21,9 @@
 # crashes cuts all its requests within a few milliseconds: 1 to 5 ms were measured between the first
 # and the last.
 CUTS_BATCH_S = 0.01
-# Seconds within which the entry of a crashed server lapses: three of its heartbeats of 1.2 s and
-# the delay of the list (2.6 to 2.9 s were measured), and as much again for a busy store. The lapse
+# Seconds after a crash within which the server's entry lapses: three heartbeat intervals of 1.2 s
+# after the last heartbeat, which the server sent before the crash, plus the delay of the list, and
+# as much again for a busy store. From the crash to the lapse, 2.6 to 2.9 s were measured. The lapse
 # shows crashes that the check of the address misses: the machine does not respond at all, or
 # another incarnation listens there already.
 ENTRY_LAPSE_S = 8.0
@@ -38,7 +39,7 @@
     Attributes:
         server: the server.
         fingerprints: fingerprints of the requests.
-        checked_at: when the server was checked, on the runtime's clock.
+        checked_at: when the server was last checked, on the runtime's clock.
     """
 
     server: Server
@@ -86,8 +87,8 @@
         await curio.sleep(CUTS_BATCH_S)
         fingerprints = self._cut_requests.pop(server.incarnation_id)
         if not self._backends.is_listed(server.incarnation_id):
-            # An instance that was suspended learns of the removed entry and the ended connection at
-            # once, and handles the entry first.
+            # An instance that was suspended may learn of the removed entry and of the ended
+            # connection at the same time, and handle the entry first.
             await self._report_crash(server, fingerprints, "entry_gone")
             return
         try:
--- a/src/crankhinge/gateway/_discovery.py
+++ b/src/crankhinge/gateway/_discovery.py
@@ -24,7 +24,7 @@
 
 
 class Discovery:
-    """What this instance knows about routes and servers, and how old that is.
+    """What this instance knows about configuration and servers, and how old that is.
 
     Args:
         source: source of the configuration and the list of servers.
@@ -33,7 +33,8 @@
         rng: source of the jitter of retry delays.
 
     Attributes:
-        config: routes of the configuration in force; None before the first configuration.
+        config: the active configuration: routes, services, accounts and limits; None before the
+            first one.
         servers: the backend servers.
         has_server_list: whether the list of servers was read at least once.
         on_server_gone: each is called with the incarnation id of a server that is gone.
@@ -88,7 +89,11 @@
         return self.keys_age_s(now) <= self._freshness.max_key_age_s
 
     async def expire_suspects(self) -> None:
-        """Remove suspect servers whose entries did not come back with the list, until cancelled."""
+        """Remove suspect servers whose entries do not come back in time, until cancelled.
+
+        A server is suspect if its entry is missing from the list but may only have lapsed during an
+        outage of the store.
+        """
         while True:
             await self._suspects_added.wait()
             self._suspects_added.clear()
@@ -117,7 +122,7 @@
         )
 
     def _apply_config(self, update: ConfigUpdate) -> None:
-        """Put a configuration in force if it is newer; an older one is never applied."""
+        """Activate a configuration if it is newer than the active one."""
         if update.table is None:
             return
         before = self.config.version if self.config else None
@@ -168,7 +173,7 @@
     def _may_batch(self, update: ServersUpdate) -> bool:
         """Return whether the next call may wait for further changes after these.
 
-        It may not while servers are suspect, since each entry that returns gives callers a server.
+        It must not while servers are suspect: each entry that comes back gives callers a server.
         """
         return bool(update.servers or update.removed) and not self.servers.suspects()
 
--- a/src/crankhinge/gateway/_exclusion_listener.py
+++ b/src/crankhinge/gateway/_exclusion_listener.py
@@ -1,8 +1,8 @@
-"""Processes the signals of servers that leave or ask for backoff.
+"""Records which servers announce their shutdown or ask for backoff in their responses.
 
-The announcement of a shutdown holds for all instances, so the first instance that receives it
-notifies the others. Without that, they would send requests until a response tells them, and the
-server cuts off the last of these requests when it ends.
+The announcement of a shutdown holds for all instances, so an instance that receives it from the
+server notifies the others. Otherwise these would send requests until they get a response with the
+announcement, and the server would cut the last of these requests off when it ends.
 """
 
 from __future__ import annotations
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -34,7 +34,8 @@
 HTTP_OK = 200
 # Seconds after which a caller should retry if the error names no other delay.
 DEFAULT_RETRY_AFTER_S = 0.5
-# Seconds after which a caller should retry that met a stopping instance: it finds another at once.
+# Seconds after which a caller should retry if this instance is stopping: the caller finds another
+# instance at once.
 STOPPING_RETRY_S = 0.05
 # Seconds between becoming unready and closing the port. The balancer checks once a second and stops
 # sending callers after two misses; an instance that closes sooner refuses callers' connections.
@@ -51,11 +52,11 @@
 
     Args:
         settings: settings of the gateway.
-        discovery: the routes and servers.
-        admission: creates the relay of each request.
+        discovery: the configuration and the list of servers.
+        admission: creates the :class:`Relay` of each request.
         limits: limits of accounts.
-        permits: grants requests to servers that advertise a limit.
-        quarantine: requests under which servers crashed.
+        permits: takes back the permits that requests did not use.
+        quarantine: refuses requests that servers were running when they crashed.
         dialect: builds and parses the messages of the platform's protocol.
         plain: runs requests whose answer is a single response.
         streams: runs requests whose answer is a stream.
@@ -122,7 +123,10 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether new requests are refused because the instance is stopping."""
+        """Whether this instance is stopping, so that it reports that it is not ready.
+
+        It still serves new requests for the first UNREADY_BEFORE_CLOSE_S seconds.
+        """
         return self._draining
 
     @property
@@ -131,20 +135,26 @@
         return self._open_requests
 
     async def drain(self) -> None:
-        """Refuse new requests, then wait for the open ones and cancel those that take too long."""
+        """Stop serving within the time that the settings allow.
+
+        This instance first reports that it is not ready, and still serves new requests. After
+        UNREADY_BEFORE_CLOSE_S seconds it refuses them, waits for the open requests, and cancels
+        those that take too long.
+        """
         started_at = await curio.clock()
         self._draining = True
         self._log.info("draining", open=self._open_requests)
         await curio.sleep(UNREADY_BEFORE_CLOSE_S)
-        # A request that came now could not be completed. It gets a refusal, or its caller finds
-        # the port closed.
+        # By now the balancer has stopped sending callers here. A request that still comes might not
+        # be completed before the end, so it is refused, or its caller finds the port closed.
         await self._stopped_accepting.set()
         remaining_s = (
             self._settings.drain_s - CANCEL_BEFORE_END_S - (await curio.clock() - started_at)
         )
         await curio.ignore_after(max(0.0, remaining_s), self._wait_idle)
         if self._open_requests:
-            # Cancelled requests still get a response that says what is known of their execution.
+            # The callers of cancelled requests still get a response, which says whether a server
+            # may have executed the request.
             self._log.warning("cut_by_stop", open=self._open_requests)
             await self._cancelling.set()
             await curio.ignore_after(FINAL_RESPONSES_S, self._wait_idle)
@@ -176,8 +186,9 @@
         Returns:
             Whether the caller got a complete response.
         """
-        # An instance that was suspended finds requests together with their callers' disconnects.
-        # Without this check, each request would run although its caller has sent it elsewhere.
+        # After this instance was suspended, it reads requests whose callers have disconnected
+        # meanwhile. Without this check, it would run these requests although their callers have
+        # sent them elsewhere.
         if exchange.is_disconnected:
             self._metrics.count("callers_gone")
             self._log.info("caller_gone", request=request.request_id, why="left_before")
@@ -215,8 +226,8 @@
             await self._limits.take_tokens(relay)
             await self._run(relay)
         except CrankhingeError as exc:
-            # Before the response, since the caller may use these tokens for its next request at
-            # once.
+            # The tokens are returned before the response is sent, since the caller may use them for
+            # its next request at once.
             await self._limits.return_unused(relay)
             return await self._send_error(relay.exchange, relay.request, relay, exc)
         await _record_duration(relay)
@@ -275,7 +286,8 @@
     ) -> bool:
         """Send the error response of a failed request, with whether it may have been executed.
 
-        If the response has begun, the caller's connection is broken off instead.
+        If the response has begun, or if *exc* is HttpClosed, no error response is sent: the calling
+        code breaks off the caller's connection instead.
 
         Returns:
             Whether the caller got a complete response.
--- a/src/crankhinge/gateway/_join_announcer.py
+++ b/src/crankhinge/gateway/_join_announcer.py
@@ -13,7 +13,7 @@
 
 
 class JoinAnnouncer:
-    """Sends join announcements to known instances, and acknowledges those of later instances.
+    """Sends join announcements to known instances, and acknowledges the announcements of others.
 
     Args:
         name: name of this instance.
--- a/src/crankhinge/gateway/_limit_updates.py
+++ b/src/crankhinge/gateway/_limit_updates.py
@@ -1,8 +1,8 @@
 """Learns the limits that servers advertise in their responses, and notifies the other instances.
 
-An instance that learns a changed limit notifies all others, since they send requests to the server
-meanwhile. The allocators of a server also publish its rate in their instance records in the store,
-for instances that start.
+An instance that receives a changed limit notifies all others, since they may be sending requests to
+the server at the same time. The allocators of a server also publish its rate in their instance
+records in the store, for instances that start.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
         self._messenger = messenger
         self._log = log
         self._notified_at: dict[str, float] = {}
-        # Servers whose latest limit was unreadable; one line is logged for each.
+        # Incarnation ids of servers whose latest limit was unreadable, so that it is logged once.
         self._unreadable: set[str] = set()
         messenger.add_handler(LimitAdvertised, self._on_limit_advertised)
         messenger.add_handler(LimitWithdrawn, self._on_limit_withdrawn)
@@ -149,7 +149,7 @@
         self._unreadable.discard(incarnation_id)
 
     def to_instance_record(self, now: float) -> Mapping[str, float]:
-        """Return what this instance publishes in its record: the limits that it allocates."""
+        """Return the limits to publish: of the servers that this instance is an allocator of."""
         incarnation_ids = [
             incarnation_id
             for incarnation_id in self._limits.servers
--- a/src/crankhinge/gateway/_peer_messages.py
+++ b/src/crankhinge/gateway/_peer_messages.py
@@ -38,7 +38,7 @@
 
 
 class JoinAcknowledgement(msgspec.Struct, frozen=True, tag="greeted"):
-    """An instance counts the one that announced itself.
+    """An instance has added the instance that announced itself to its fleet.
 
     Attributes:
         name: name of the instance that acknowledges.
@@ -102,12 +102,12 @@
 
 
 class QuarantineUpdateMessage(msgspec.Struct, frozen=True, tag="quarantine-begun"):
-    """A request is in quarantine, or its trial has begun.
+    """The quarantine of a request began or was extended, or its trial began.
 
     Attributes:
         fingerprint: fingerprint of the request.
         servers: incarnation ids of the servers that crashed while they ran the request.
-        left_s: seconds until a trial may begin.
+        left_s: seconds until a trial, or the next trial, may begin.
     """
 
     fingerprint: str
@@ -189,7 +189,10 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, tag="permit-ask", kw_only=True):
-    """Lease of the sender's share of a server's limit, with or without a permit request.
+    """Request for a permit to send to a server, lease of the sender's share of its limit, or both.
+
+    Without both it only tells the receiver the limit, and the response tells the sender the
+    receiver's clock.
 
     Attributes:
         number: number by which the sender matches the response.
@@ -198,8 +201,9 @@
         per_s: advertised limit in requests per second.
         ago_s: seconds since the limit was received.
         within_s: seconds within which the request is to be sent; None for no permit request.
-        caller: whether a refusal goes to the caller as the time after which to retry.
-        loan: the lease; None if the share cannot be leased now.
+        caller: whether, if the permit is refused, the caller will be told to retry after the delay
+            in the response.
+        loan: the lease of the share; None if the share cannot be leased now.
     """
 
     number: int
@@ -223,7 +227,7 @@
         number: number of the request.
         granted: whether the permit is granted; None if none was requested.
         after_s: seconds after which the request may be sent, or the permit requested again.
-        life: number of the responding instance's incarnation.
+        life: number of the incarnation of the responding instance.
         at: time on that instance's clock, in seconds.
     """
 
--- a/src/crankhinge/gateway/_peer_messenger.py
+++ b/src/crankhinge/gateway/_peer_messenger.py
@@ -1,7 +1,8 @@
 """Sends and receives datagrams between instances.
 
-No instance depends on a datagram: one that misses it finds out by itself or does without. An
-instance that believes a false one excludes a server for seconds.
+No instance depends on a datagram: an instance that misses one learns its content in another way
+later or does without it. A false datagram may exclude a server, for seconds or, if it announces a
+shutdown, until the server's incarnation ends; it may also put a request in quarantine.
 """
 
 from __future__ import annotations
--- a/src/crankhinge/gateway/_peer_requests.py
+++ b/src/crankhinge/gateway/_peer_requests.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 # Seconds to wait for a response. A request and its response take 3 ms between availability zones,
-# and about ten more if the other instance is busy.
+# and about 10 ms more if the other instance is busy.
 RESPONSE_TIMEOUT_S = 0.1
 
 
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -37,8 +37,8 @@
 from crankhinge.gateway._request import Relay, SendPermit
 from crankhinge.runtime import Metrics
 
-# Seconds between log lines about the requests sent to servers with limits. The operators sum their
-# requests over the same time.
+# Seconds between log lines about the requests sent to servers with limits. To check the limits, the
+# operators sum the requests over intervals of the same length.
 USE_LOG_INTERVAL_S = 4.0
 # Jitter factors of the renewal interval, so that instances do not renew leases in step.
 RENEWAL_JITTER = (0.8, 1.0)
@@ -50,7 +50,8 @@
 
     Attributes:
         within_s: seconds within which the request is to be sent.
-        for_caller: whether a refusal goes to the caller as the time after which to retry.
+        for_caller: whether, if the permit is refused, the caller of the request will be told to
+            retry after the delay in the decision.
     """
 
     within_s: float
@@ -119,7 +120,8 @@
 
         Returns:
             Whether the request may be sent. If not, ``limited_until`` in the server's statistics
-            says when to try again; this instance requests no permit before that.
+            says when to try again; until then this method asks no allocator. :meth:`request_permit`
+            may ask before that.
         """
         if self._shared_limits.advertised.get(server.incarnation_id) is None:
             return True
@@ -132,7 +134,7 @@
         return (await self._obtain(relay, server, _PermitParams(0.0, for_caller=False))).granted
 
     async def request_permit(self, relay: Relay, server: Server, within_s: float) -> PermitDecision:
-        """Get a permit to send a request to a server soon, or a time for its caller to retry.
+        """Get a permit to send a request to a server soon, or a retry delay for its caller.
 
         Args:
             relay: the request; it keeps the permit.
@@ -142,7 +144,7 @@
         return await self._obtain(relay, server, _PermitParams(within_s, for_caller=True))
 
     async def wait_for_permit(self, server: Server, decision: PermitDecision) -> None:
-        """Wait until a request may be sent whose permit was granted for later."""
+        """Wait until a request may be sent with a permit that was granted for a later time."""
         await curio.sleep(decision.after_s)
         self._backends.stats(server.incarnation_id).limited_until = 0.0
 
@@ -151,8 +153,8 @@
         stats = self._backends.stats(server.incarnation_id)
         allocator, decision = await self._request_from_allocators(server.incarnation_id, params)
         if decision.granted:
-            # Counted from when the permit was requested, since the response may have been under way
-            # for any time.
+            # The lifetime of the permit counts from when the permit was requested, since it is
+            # unknown how long the response took to arrive.
             relay.permits[server.incarnation_id] = SendPermit(
                 allocator, now + decision.after_s + PERMIT_TRANSIT_S
             )
@@ -204,7 +206,8 @@
     ) -> tuple[str, PermitDecision]:
         """Request a permit; return the name of the allocator that decided and its decision.
 
-        The name is empty if no allocator responded and this instance decided by its local share.
+        The name is empty if this instance decided, either because it is the next allocator or
+        because no allocator responded.
         """
         now = await curio.clock()
         for allocator in self._shared_limits.allocators(incarnation_id, now):
@@ -223,6 +226,8 @@
     ) -> _PermitReply | None:
         """Lease this instance's share to an allocator and, if *params* is given, request a permit.
 
+        The share is not leased if that is impossible now; the message is sent in any case.
+
         Returns:
             The response; None if the allocator has no known address or did not respond.
         """
--- a/src/crankhinge/gateway/_plain.py
+++ b/src/crankhinge/gateway/_plain.py
@@ -1,4 +1,7 @@
-"""Requests with short answers: a response is read completely before the caller gets any of it."""
+"""Runs requests whose answer is a single response.
+
+The response is read completely before the caller gets any of it.
+"""
 
 from __future__ import annotations
 
@@ -33,16 +36,18 @@
 from crankhinge.gateway._server_selector import ServerSelector
 from crankhinge.http import ConnectFailed
 
-# Retry delay in seconds after a refusal: within this time the queue of a busy service moves on.
+# Seconds after which a caller should retry if no server is available. Within this time a busy
+# service completes some of the requests in its queue.
 NO_SERVER_RETRY_S = 0.25
-# A request that may be repeated is sent to another server if the first has not responded after this
-# share of the time that is left.
+# A request that may be repeated is sent to another server if the first one has not responded within
+# this share of the time until the deadline.
 ATTEMPT_TIME_SHARE = 0.45
 # Seconds between checks of whether a service that responded too late has recovered.
 CONGESTION_POLL_S = 0.02
 # Jitter factors of predicted retry delays.
 RETRY_AFTER_JITTER = (0.8, 1.2)
-# A request is sent only if the time that is left is at least this many unloaded response times.
+# A request waits for an overloaded service only as long as the time until its deadline is at least
+# this many times the response time of the idle service.
 SERVICE_TIME_FACTOR = 3.0
 
 
@@ -177,7 +182,11 @@
             relay.log_fields["waited_ms"] = round((now - started_at) * 1000)
 
     def _queue_request(self, relay: Relay, now: float) -> ReservationRequest:
-        """Return the times by which the queue decides how long a request waits."""
+        """Return the times by which the queue orders a request and bounds its wait.
+
+        The queue of reservations is used for its order. No memory is reserved, so the number of
+        tokens has no effect.
+        """
         unloaded_s = self._congestion[relay.service.name].unloaded_response_s
         target_s = relay.route.target_s
         if target_s <= unloaded_s:
@@ -228,11 +237,11 @@
     async def _max_wait_s(self, relay: Relay) -> float:
         """Return the seconds that a request may wait while no server accepts it."""
         if relay.sent_to:
-            # The request failed once and is late. Requests that are not late should get the
-            # capacity.
+            # The request was sent once already, so it counts as late. Capacity that becomes free
+            # should go to requests that may still be in time.
             return 0.0
-        # A caller that retried after the delay it was given waits as long as a first attempt does,
-        # in order of arrival.
+        # A caller's retry may wait as long as a first attempt, since its caller did wait for the
+        # delay that it was given.
         now: float = await curio.clock()
         unloaded_s = self._congestion[relay.service.name].unloaded_response_s
         return relay.route.target_s - unloaded_s - (now - relay.started_at)
@@ -320,11 +329,11 @@
                 return ServerResponse(stream.status, stream.fields, body)
             now = await curio.clock()
             if signals.backoff_s is None:
-                # With a backoff the server speaks for itself alone, so the window of the whole
-                # service stays as it is.
+                # A backoff concerns only this server, so it does not change the congestion window
+                # of the whole service.
                 self._congestion[relay.service.name].record_refusal(now)
-            # A server that refuses at once looks least busy and would get most of the next
-            # requests.
+            # Without this record, a server that refuses at once would look least busy and get most
+            # of the next requests.
             self._backends.stats(server.incarnation_id).record_refusal(now)
             server_retry_after_s = signals.retry_after_s
             self._log_failed_attempt(
@@ -333,8 +342,8 @@
                 "refused",
                 f"status {stream.status}, retry after {server_retry_after_s} s",
             )
-            # The retry delay in the response holds for this server; others may take the request
-            # sooner.
+            # The retry delay in the response holds only for this server. Other servers may accept
+            # the request sooner.
             end = self._selector.backoff_end(relay, now, avoid=frozenset(), max_wait_s=float("inf"))
             retry_after_s = (
                 end - now if end is not None else self._retry_after_s(relay.service.name, now)
@@ -343,7 +352,11 @@
 
 
 def _max_queue_wait_s(request: ReservationRequest) -> float:
-    """Return how many seconds a request waits in the queue; a first attempt only while in time."""
+    """Return how many seconds a request may wait in the queue.
+
+    A first attempt waits only while its response can still be in time. A caller's retry is late in
+    any case and waits for as long as that is worth more to its caller than a refusal.
+    """
     return (
         request.max_wait_s
         if request.is_retry
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -58,11 +58,12 @@
 
 PROGRAM = "crankhinge-gateway"
 STDOUT = 1
-# Retries are bounded over all instances together, by a share of all requests plus a constant. Each
-# instance may use less than that share of its own first attempts, since requests are counted by
-# when callers sent them. Each saves up only a few unused retries: thirty instances that use all of
-# them at once, each with one retry of debt, stay below a constant of one hundred.
+# The operators bound the retries of all instances together: ``repeat_ratio`` times the number of
+# requests plus a constant. They count requests by when callers sent them, so each instance uses
+# only this share of the ratio for its own first attempts.
 RETRY_RATIO_SHARE = 0.75
+# Unused retries that an instance saves up. Thirty instances that use them at once, and one more
+# retry each as a debt, stay below a constant of one hundred.
 MAX_SAVED_RETRIES = 2.0
 # Random bits in the number of an instance's incarnation, enough that no two are equal.
 INCARNATION_BITS = 63
@@ -218,8 +219,8 @@
         messenger=messenger,
         log=log,
     )
-    # Gauges are read outside of any curio task, where curio's clock cannot be called;
-    # steady_s reads the same clock.
+    # Gauges are read outside of any curio task, where curio's clock cannot be called; steady_s()
+    # reads the same clock.
     metrics.set_gauge_function(
         "config_heard_s_ago", partial(_seconds_since_response, discovery.config_watcher)
     )
--- a/src/crankhinge/gateway/_prompt_processor.py
+++ b/src/crankhinge/gateway/_prompt_processor.py
@@ -1,4 +1,4 @@
-"""Has prompts processed by the engines whose role is to process prompts."""
+"""Sends prompts to prompt engines, which process them and keep the KV cache for a decode engine."""
 
 from __future__ import annotations
 
@@ -19,8 +19,9 @@
 
 # Attempts to process the prompt of one request: the first, and a second if a server failed.
 MAX_PROMPT_ATTEMPTS = 2
-# Seconds that all attempts for one request may take. Later its first event is late in any case, its
-# reservation is about to lapse, and the decode engine may as well process the prompt itself.
+# Seconds that all attempts for one request may take. After that time the first event of the request
+# is late in any case and its reservation is about to lapse, so the decode engine may as well
+# process the prompt itself.
 MAX_PROMPT_S = 1.0
 # With fewer seconds left no attempt is started: a prompt of 3,000 tokens takes 0.1 s without load.
 MIN_PROMPT_S = 0.1
@@ -47,7 +48,7 @@
         backends: the backend servers.
         selector: selects a server.
         attempts: sends requests to servers.
-        quarantine: prompts under which engines crashed; prompt engines do not get these.
+        quarantine: notified of processed prompts, since these do not crash engines.
         log: log for events.
     """
 
@@ -69,7 +70,8 @@
     async def process(self, relay: Relay, zone: str, budget: RetryBudget) -> PromptKvCache | None:
         """Return the KV cache of the request's prompt; None if no prompt engine processed it.
 
-        Without it the decode engine processes the prompt itself, which takes that engine longer.
+        Without the KV cache, the decode engine processes the prompt itself, which takes that engine
+        longer.
 
         Args:
             relay: the request.
@@ -105,9 +107,9 @@
     def _may_attempt(self, server: Server, budget: RetryBudget, *, is_repeat: bool) -> bool:
         """Return whether the budget allows an attempt at an engine.
 
-        An attempt that an engine refuses counts as a retry. When the budget is in debt, not even a
-        reliable engine is tried: with many instances, each would find out by itself that the engine
-        is overloaded, and all these refusals count as retries.
+        An attempt that an engine refuses counts as a retry. While the budget is in debt, not even a
+        reliable engine is tried. Otherwise each of many instances would have to be refused before
+        it knows that the engine is overloaded, and each of these refusals counts as a retry.
         """
         if is_repeat or self._is_doubtful(server):
             return budget.allows_retry()
--- a/src/crankhinge/gateway/_quarantine.py
+++ b/src/crankhinge/gateway/_quarantine.py
@@ -1,11 +1,15 @@
-"""Keeps requests under which servers crashed away from further servers, over all instances.
-
-The crashes of one request are counted by the first two instances in the order of its fingerprint,
-so a crash costs two datagrams for each request that it cut, however many instances there are. An
-instance that has counted enough crashes notifies all others, once per quarantine. Datagrams may be
-lost. Therefore two instances count; an instance that missed the notification gets it again when it
-reports its next crash; and the instances that counted publish the quarantine in their records in
-the store, which all instances read and which outlive restarts.
+"""Keeps requests that servers were running when they crashed away from further servers.
+
+An instance that notices a crash counts it for each request that the crash cut, and reports it to
+the first two instances in the order that depends on the request's fingerprint. So a crash costs at
+most two datagrams for each request that it cut, however many instances there are; one datagram
+holds up to 48 requests. An instance that has counted enough crashes of a request puts it in
+quarantine and notifies all others once. The instance that begins a trial notifies them as well.
+
+Datagrams may be lost. Therefore the reports go to two instances. An instance that missed the
+notification about a quarantine is notified again when it reports the request's next crash. The
+instances that counted the crashes publish the quarantine in their records in the store, which all
+instances read and which outlive restarts.
 """
 
 from __future__ import annotations
@@ -28,14 +32,15 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.runtime import Metrics
 
-# Instances that count the crashes of one request: one of them may be gone or miss a message.
+# Instances to which the crashes of one request are reported: one of them may be gone or miss a
+# message.
 COUNTING_INSTANCES = 2
 # Fingerprints in one datagram: each takes 19 bytes, and a datagram has 1,200.
 MAX_FINGERPRINTS_PER_MESSAGE = 48
 
 
 class QuarantineService:
-    """Refuses requests that are in quarantine, and notifies instances of crashes.
+    """Refuses requests that are in quarantine, and counts and reports crashes.
 
     Args:
         name: name of this instance.
@@ -103,7 +108,7 @@
         await self._announce(trial)
 
     async def record_crash(self, server: Server, fingerprints: Collection[str]) -> None:
-        """Record that a server crashed while it ran requests, and have the crash counted."""
+        """Count a server's crash for each request that it ran, and report it to other instances."""
         by_instance: defaultdict[str, list[str]] = defaultdict(list)
         for fingerprint in fingerprints:
             for instance in self._membership.first_instances(fingerprint, COUNTING_INSTANCES):
@@ -149,7 +154,11 @@
                 await self._messenger.send(address, QuarantineEnded(work_key))
 
     def to_instance_record(self) -> Mapping[str, tuple[str, ...]]:
-        """Return what this instance publishes in its record: the quarantines that it counted."""
+        """Return what this instance publishes in its record in the store.
+
+        These are the newest requests that this instance put in quarantine, by fingerprint, each
+        with the servers that crashed.
+        """
         return self._quarantine.to_instance_record()
 
     async def apply_instance_records(self, records: Mapping[str, InstanceRecord]) -> None:
--- a/src/crankhinge/gateway/_quota.py
+++ b/src/crankhinge/gateway/_quota.py
@@ -29,7 +29,7 @@
 
 
 class AccountLimits:
-    """Gets each request the tokens that it costs, before the request waits for anything else.
+    """Takes the tokens of a request from its account, before the request waits for a server.
 
     Args:
         name: name of this instance.
@@ -162,8 +162,9 @@
         account = self._account(message.account)
         decision = NOT_ALLOCATOR
         if account is not None and account.limit is not None:
-            # Decided even if this instance has an outdated limit, since a new limit binds only once
-            # every instance can have received it.
+            # This instance decides even if its limit of the account may be outdated: a changed
+            # limit has to be kept only after the time within which all instances must have received
+            # it.
             decision = self._allocator.allocate(account, message.tokens, await curio.clock())
         response = QuotaResponse(
             message.number, decision.outcome, decision.retry_after_s, decision.left_tokens
--- a/src/crankhinge/gateway/_record_sync.py
+++ b/src/crankhinge/gateway/_record_sync.py
@@ -28,12 +28,15 @@
 # Seconds between checks of whether this instance's record is up to date.
 RECORD_CHECK_INTERVAL_S = 1.0
 # A record is written again when its number of samples has doubled or its loads have changed by this
-# share, but at the earliest MIN_REWRITE_INTERVAL_S seconds after the last write.
+# share, but at the earliest MIN_REWRITE_INTERVAL_S seconds after the last write. Changes of its
+# quarantines, its limits or its readiness to coordinate are written at the next check.
 REWRITE_CHANGE_SHARE = 0.15
 MIN_REWRITE_INTERVAL_S = 2.5
-# Seconds after which a record is written again at the latest, since the store drops it later.
+# Seconds after which a record is written again at the latest, so that small changes are published,
+# too.
 MAX_REWRITE_INTERVAL_S = 30.0
-# Seconds until the store is tried again after it did not respond: well within a record's lease.
+# Seconds until the store is tried again after it did not respond, well before a record's lease
+# ends.
 STORE_RETRY_S = 1.0
 # Jitter factors of the read interval, so that instances do not read in step.
 READ_JITTER = (0.8, 1.2)
@@ -159,7 +162,12 @@
             self._joined = False
 
     async def _join(self, lease: RecordLease | None, *, resumed: bool) -> None:
-        """Read which instances exist, once this instance's record is written."""
+        """Join the fleet of instances that the records show, once this instance's record is stored.
+
+        Args:
+            lease: lease of the record that this instance took over; None if it wrote its own.
+            resumed: whether this instance's earlier incarnation was ready to coordinate.
+        """
         if lease is not None:
             await self._record_lease(lease)
         elif self._published_at == float("-inf"):
@@ -184,8 +192,9 @@
         sent_at = await curio.clock()
         records = await self._registry.read_all()
         if self._joined:
-            # The records may be as old as the call that read them, so their age counts from when
-            # the call was sent.
+            # The store read the records at some time after the call was sent, so their age counts
+            # from then. That a stale read may return records some seconds older is allowed for in
+            # Membership.
             self._membership.apply_records(_addresses(records), sent_at)
         await self._apply_records(records)
         return records
@@ -222,12 +231,17 @@
         )
 
     def local_loads(self, service: str) -> PoolLoads | None:
-        """Return the loads as this instance measured them; the number of requests may be small."""
+        """Return the load of an average request on the engines, as this instance measured it.
+
+        Return None if it measured no request. Its number of requests may be small.
+        """
         stats = self._meters[service].stats()
         return None if stats is None else stats.loads()
 
     async def fleet_loads(self, service: str) -> tuple[PoolLoads | None, int]:
-        """Return the loads as all instances measured them, and the number of answers behind them.
+        """Return the load of an average request on the engines, as all instances measured it.
+
+        The second value is the number of answers that the instances measured.
 
         Raises:
             KeyValueUnavailable: the records of the other instances cannot be read.
--- a/src/crankhinge/gateway/_request.py
+++ b/src/crankhinge/gateway/_request.py
@@ -11,9 +11,10 @@
 from crankhinge.decisions import Account, Route, Service
 from crankhinge.http import Exchange
 
-# Prefix of a request's fingerprint if only the processing of its prompt is meant.
+# Prefix of a work key that stands for the processing of a request's prompt by a prompt engine.
 PROMPT_ONLY_PREFIX = "r:"
-# Servers that may be unreachable for one request; each costs the timeout of a connection at most.
+# A request fails when this many servers were unreachable for it. Each of them costs at most the
+# timeout of a connection.
 MAX_UNREACHABLE = 3
 
 
@@ -47,7 +48,7 @@
 
 @dataclass
 class Relay:
-    """A request, the rules that apply to it, and what was done for it so far.
+    """A request that the gateway relays, the rules that apply to it, and its progress so far.
 
     Attributes:
         exchange: the caller's HTTP request and the means to respond.
@@ -63,9 +64,10 @@
         grant: tokens that the request was granted; None if it costs none.
         permits: permits for servers that advertise limits, by incarnation id.
         trial_work: key of the work that may run as the trial of a quarantine; empty for none.
-        is_retry: whether the caller was refused before and has retried.
-        sent_to: incarnation ids of the servers that the request was sent to.
-        unreachable: incarnation ids of servers that could not be reached and received nothing.
+        is_retry: whether the request is probably a caller's retry after a refusal.
+        sent_to: incarnation ids of the decode engines or plain servers that were tried, including
+            the current one. Prompt engines and unreachable servers are not included.
+        unreachable: incarnation ids of servers that could not be reached; they received nothing.
         may_have_run: whether a server may have executed the request.
         prompt_processed: whether a prompt engine processed the prompt.
         reserved_at: when a decode engine granted the reservation; None before.
@@ -109,7 +111,7 @@
 
     @property
     def rank(self) -> int:
-        """Priority of the request, 0 the highest; an account's own comes before its route's."""
+        """Priority of the request, 0 the highest; the account's, if set, overrides the route's."""
         if self.account is None or self.account.rank is None:
             return self.route.rank
         return self.account.rank
@@ -144,10 +146,10 @@
 
     @property
     def may_try_another(self) -> bool:
-        """Whether the route allows an attempt at one more server."""
+        """Whether the route allows the request to be sent to one more server."""
         return len(self.sent_to) < self.route.max_servers
 
     @property
     def may_retry(self) -> bool:
-        """Whether another attempt cannot run the request twice, or the route allows that."""
+        """Whether the request has certainly not run yet, or the route allows it to run again."""
         return self.route.repeatable or not self.may_have_run
--- a/src/crankhinge/gateway/_reservations.py
+++ b/src/crankhinge/gateway/_reservations.py
@@ -31,11 +31,14 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.gateway._server_selector import ServerSelector
 
-# Engines tried in one round; the chance of finding room does not justify the cost of more calls.
+# A request asks engines for a reservation in rounds until one engine has room. Engines asked in one
+# round: the chance that one more engine has room does not justify the cost of the call.
 MAX_ENGINES_PER_ROUND = 3
-# Seconds between rounds. This instance does not see when requests of other instances end.
+# Seconds between rounds. Engines are polled, since this instance does not see when requests of
+# other instances end and free their memory.
 ROUND_INTERVAL_S = 0.05
-# Seconds that must be left for a round to begin; a round takes some milliseconds.
+# No further round begins if fewer seconds than this remain of the time that the request may wait. A
+# round takes some milliseconds.
 MIN_ROUND_S = 0.005
 
 
@@ -79,12 +82,12 @@
 
 
 class Reservations:
-    """Finds reservations for streams.
+    """Reserves KV memory on decode engines for streams.
 
     Args:
         backends: the backend servers.
-        selector: tells when the backoff of servers ends.
-        permits: grants requests to servers that advertise a limit.
+        selector: determines when the servers' backoffs end.
+        permits: gets permits to send requests to servers that advertise a limit.
         log: log for events.
         meters: measured cost of each service's requests, by service name.
     """
@@ -109,7 +112,7 @@
     async def reserve(
         self, relay: Relay, *, extra_tokens: int = 0, avoid: frozenset[str] = frozenset()
     ) -> AsyncIterator[Reservation]:
-        """Provide a reservation; it is released at the end unless it was used.
+        """Reserve memory for an ``async with`` block; release it at the end unless it was used.
 
         Args:
             relay: the request.
@@ -173,7 +176,8 @@
         )
         return ReservationRequest(
             tokens=tokens,
-            # A stream that is resumed at another engine has had its first event.
+            # The target counts from when the request was read. A stream that is resumed at another
+            # engine has had its first event, so its timeout counts from its last event.
             target_s=relay.started_at + relay.route.target_s - now,
             remaining_s=relay.deadline - now,
             event_timeout_s=(relay.last_event_at or relay.started_at)
@@ -187,7 +191,10 @@
     async def _try_engines(
         self, search: _Search, engine: EngineLimits, queue: ReservationQueue
     ) -> Reservation | None:
-        """Ask the engines that may have room; return the first reservation, None if there is none.
+        """Ask the engines that may have room; return the first reservation.
+
+        Return None if no engine grants one. No engine is asked while a request ahead in the queue
+        waits that needs no more memory than this one.
 
         Raises:
             Overloaded: the request cannot be completed in time.
@@ -226,8 +233,9 @@
                 server, request.tokens, engine.max_reservation_s
             )
             if reservation_id is None:
-                # A call without success uses the permit up, too: while an engine is short of
-                # capacity, every call counts.
+                # A call that got no reservation counts against the server's limit, too, so it has
+                # used the permit up. Calls must not exceed the limit while an engine is short of
+                # capacity.
                 relay.permits.pop(server.incarnation_id, None)
             if reservation_id is not None:
                 relay.reserved_at = await curio.clock()
@@ -329,7 +337,10 @@
         return self._forecasts[service].free_in_s(tokens, now)
 
     def _retry_after_s(self, search: _Search, waited_s: float) -> float:
-        """Return the seconds after which the caller of a refused request should retry."""
+        """Return the seconds after which the caller of a refused request should retry.
+
+        The promised time is logged, and recorded in the forecast of the memory.
+        """
         service, request = search.relay.service.name, search.request
         now = search.started_at + waited_s
         forecast = self._forecasts[service]
--- a/src/crankhinge/gateway/_role_controller.py
+++ b/src/crankhinge/gateway/_role_controller.py
@@ -1,8 +1,9 @@
-"""Changes the roles of engines, one order at a time, from one instance at a time.
+"""Sends engines orders to change their roles; only one instance does so at a time.
 
-An instance acquires the order lease only when it wants to send an order, and lets it expire
-afterwards. If an engine does not respond to an order, the instance watches the engine's entry until
-the outcome is known, and no other order is sent meanwhile.
+An instance acquires the order lease only when it wants to change roles, and lets it expire
+afterwards. It sends the orders of one change one after the other, and stops at the first engine
+that does not respond or refuses the order. Then it keeps the lease, so that no instance sends
+orders, until the entries of the engines show the outcome or a time limit has passed.
 """
 
 from __future__ import annotations
@@ -30,22 +31,26 @@
 
 # Seconds between checks of the split.
 SPLIT_CHECK_INTERVAL_S = 1.0
-# Consecutive checks that have to want the same change before it is made. Until then a server that
-# crashed is back or its entry has lapsed.
+# Consecutive checks that have to want the same change before it is made, so that a state that lasts
+# only for a moment, for instance while a crashed server restarts, changes no roles.
 CONSISTENT_CHECKS = 2
-# Seconds until the records of the other instances are read again if they did not want the change.
+# Seconds until this instance considers another change, after the measurements of all instances did
+# not confirm one or could not be read.
 DISAGREEMENT_PAUSE_S = 2.0
-# Seconds without another attempt if another instance was ordering already: it holds the order lease
-# until the engines have their new roles, which takes about six seconds.
+# Seconds from one attempt to send orders to the next, whether or not this instance gets the order
+# lease: the instance that holds the lease keeps it until the engines have their new roles, which
+# takes about six seconds.
 ORDER_ATTEMPT_PAUSE_S = 6.0
-# Seconds until the order lease is requested again after the store did not respond. A lease that was
-# created in spite of that has expired by then.
+# Seconds until the order lease is requested again after the store did not respond. If the store
+# created the lease nevertheless, it has expired by then.
 STORE_RETRY_S = 4.0
-# Seconds before its end from which the order lease is not used: the way to the engine takes time.
+# No order is sent in this many seconds before the order lease ends, since the order could reach the
+# engine after the end.
 LEASE_END_MARGIN_S = 0.5
-# Seconds between checks of a pending order, and seconds until an order without response counts as
-# lost. An order may be carried out up to twelve seconds late.
+# Seconds between checks of whether engines have carried out their orders.
 ORDER_POLL_INTERVAL_S = 1.0
+# Seconds after which an order is not expected to be carried out any more, whether or not the engine
+# accepted it. An engine may carry out an order up to twelve seconds after it was sent.
 MAX_ORDER_S = 13.0
 
 
@@ -95,9 +100,9 @@
 
     Args:
         name: name of this instance.
-        discovery: the routes and servers.
+        discovery: the configuration and the list of servers.
         backends: the backend servers.
-        order_leases: store of the order lease.
+        order_leases: grants the order lease.
         record_sync: the measurements of all instances.
         messenger: notifies the other instances of orders.
         log: log for events.
@@ -211,9 +216,9 @@
                 OrderOutcome.ACCEPTED,
                 OrderOutcome.CONFLICT,
             ):
-                # Without a response, or fenced: the next engine may well give the same result. An
-                # engine that is unreachable or carries out another order says nothing about the
-                # next.
+                # Stop if the engine did not respond or refused the order: the next engine would
+                # probably do the same. An engine that is busy, has the role already or did not tell
+                # its state (CONFLICT) is skipped, since that says nothing about the next engine.
                 break
         await self._await_orders(pending, role)
         self._lease = None
@@ -232,7 +237,9 @@
         """Send an order to an engine.
 
         Returns:
-            The outcome; None if the engine did not respond and may still carry out the order.
+            The outcome; None if the engine did not respond and may still carry out the order. It is
+            CONFLICT also if no order was sent because the engine did not tell its state, is busy or
+            has the role already, and FENCED if none was sent because the lease is about to end.
         """
         lease = self._lease
         assert lease is not None
@@ -259,14 +266,21 @@
         return outcome
 
     async def _announce_order(self, server: Server, role: EngineRole) -> None:
-        """Exclude an engine from new requests, on all instances, until it has its new role."""
+        """Record on all instances that an engine changes its role.
+
+        For MAX_ORDER_S seconds or until its entry shows the new role, they send the engine requests
+        only if its service has no other engine for them.
+        """
         until = await curio.clock() + MAX_ORDER_S
         self._backends.record_order(server.incarnation_id, role, until, by_peer=False)
         message = EngineOrdered(server.incarnation_id, role, MAX_ORDER_S)
         await self._messenger.send_to_all(message, server=message.server, phase=role.value)
 
     async def _await_orders(self, servers: list[Server], role: EngineRole) -> None:
-        """Keep the order lease until the outcome of all orders is known."""
+        """Keep the order lease until the outcome of all orders is known.
+
+        Stop earlier if the lease is lost, or after MAX_ORDER_S seconds.
+        """
         until = await curio.clock() + MAX_ORDER_S
         while servers and await curio.clock() < until and await self._renew_lease():
             await curio.sleep(ORDER_POLL_INTERVAL_S)
--- a/src/crankhinge/gateway/_server_selector.py
+++ b/src/crankhinge/gateway/_server_selector.py
@@ -20,7 +20,7 @@
 
     Args:
         backends: the backend servers.
-        permits: grants requests to servers that advertise a limit.
+        permits: gets permits to send requests to servers that advertise a limit.
     """
 
     def __init__(self, backends: Backends, permits: Permits) -> None:
@@ -52,8 +52,9 @@
                 zone=zone,
                 model=relay.request.model,
             )
-            # A server that refuses the permit counts as at its limit, so that the next turn of this
-            # loop selects another server: requests above one server's limit go to the others.
+            # If no permit is granted for a server, the server counts as at its limit and the next
+            # turn of this loop selects another one. So requests above the limit of one server go to
+            # the other servers.
             if server is None or await self._permits.try_get_permit(relay, server):
                 return server
 
@@ -74,8 +75,9 @@
             role: the role that the server must have; None for any.
 
         Raises:
-            ServerAtLimit: no server grants a permit within that time; raised without waiting.
-            ServersRest: all servers are in backoff for longer; raised without waiting.
+            ServerAtLimit: no permit is available within *max_wait_s*; raised without waiting.
+            ServersRest: all servers are in backoff for longer than *max_wait_s*; raised without
+                waiting.
         """
         at_limit = await self._servers_at_limit(relay, avoid, role)
         if not at_limit:
@@ -109,9 +111,9 @@
         max_wait_s: float,
         role: EngineRole | None = None,
     ) -> float | None:
-        """Return when the first backoff ends.
+        """Return when the first of the servers' backoffs ends, on the runtime's clock.
 
-        Return None if there is no server or one of them is not in backoff.
+        Return None if at least one server is not in backoff, or if there is no server.
 
         Args:
             relay: the request.
--- a/src/crankhinge/gateway/_settings.py
+++ b/src/crankhinge/gateway/_settings.py
@@ -23,10 +23,11 @@
         metrics: ``host:port`` where counters and histograms are read; empty for none.
         source: ``host:port`` of the service with the configuration and the list of servers.
         drain_s: maximum duration of a planned stop, in seconds.
-        apply_s: seconds within which a changed configuration has to be in force.
-        leave_s: seconds after which a leaving backend server may get no request.
-        contact_s: seconds after the end of an instance's faults from which ``apply_s`` and
-            ``leave_s`` hold again.
+        apply_s: seconds within which a changed configuration has to be active in this process.
+        leave_s: seconds after the announcement of its shutdown from which a backend server may get
+            no request.
+        contact_s: seconds after the end of a fault of this instance, such as a lost connection to
+            the store, from which ``apply_s`` and ``leave_s`` hold again.
         revoke_s: seconds after which no caller may be served by a revoked key, whatever faults
             there are; infinite for no such bound.
         quota_window_s: seconds over which the use of an account is summed.
--- a/src/crankhinge/gateway/_signal_listener.py
+++ b/src/crankhinge/gateway/_signal_listener.py
@@ -1,4 +1,4 @@
-"""Interface of the parts that process the signals in the heads of servers' responses."""
+"""Interface of objects that process what servers say about themselves in their responses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class SignalListener(abc.ABC):
-    """Processes some of the signals in the heads of servers' responses."""
+    """Notified of the signals of each server response: its limit, shutdown or backoff.
+
+    Each subclass uses the signals that concern it.
+    """
 
     @abc.abstractmethod
     async def on_signals(
@@ -21,7 +24,8 @@
             server: the server.
             signals: the signals in the head.
             sent_at: when the request was sent, on the runtime's clock, in seconds.
-            succeeded: whether the server executed a request successfully. A refusal may come from
+            succeeded: whether the response shows that the server executed a caller's request
+                successfully. Only then does a missing signal mean anything: a refusal may come from
                 a component in front of the server, and the response to a side call need not have
-                all signals.
+                all signals. It is false for all side calls.
         """
--- a/src/crankhinge/gateway/_source_watcher.py
+++ b/src/crankhinge/gateway/_source_watcher.py
@@ -1,4 +1,8 @@
-"""Watches one kind of data at the source: reads it, waits for changes, reads it after a loss."""
+"""Watches one kind of data at the source.
+
+The data is read once, then each watch waits for changes after the last known revision. If the
+source has lost the history since that revision, the data is read again.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +18,9 @@
 from crankhinge.decisions import ChangeBatcher
 from crankhinge.errors import KeyValueUnavailable
 
-# Bounds of the delay between attempts while the source is unreachable, in seconds: short enough
-# that its return is noticed well within the two seconds in which a configuration has to be in
-# force.
+# Bounds of the delay between attempts while the source is unreachable, in seconds, before jitter:
+# short enough that its return is noticed well within the two seconds in which a changed
+# configuration has to be active.
 FIRST_RETRY_S = 0.1
 MAX_RETRY_S = 0.6
 # Seconds between log lines about a source that is still unreachable. Each call fails after 1.5 s at
@@ -30,7 +34,7 @@
 
     Attributes:
         revision: revision from which to watch next.
-        may_batch: whether the next call may wait, so that its response has several changes.
+        may_batch: whether the next call may be delayed, so that its response has several changes.
         unchanged: whether nothing changed until the end of the wait.
     """
 
@@ -70,7 +74,8 @@
         read: reads the current data and applies it.
         watch: waits for changes after a revision, for some seconds at most, and applies them.
         watch_wait_s: returns the longest wait of one watch.
-        pause_s: seconds without a call while changes go on, so that one response has several.
+        pause_s: seconds to wait before the next watch while the data keeps changing, so that one
+            response has several changes.
         source: the source of the data.
         log: log for events.
         rng: source of the jitter of retry delays.
@@ -119,9 +124,9 @@
         last_pause_s = 0.0
         while True:
             was_watch = revision is not None
-            # After an outage the response is wanted at once, since it shows that the source is
-            # back. The watch continues from its revision: reading all data again may take a link of
-            # low bandwidth seconds.
+            # After an outage the watch does not wait, since its response shows that the source is
+            # back. It continues from the last revision: to read all data again may take seconds on
+            # a link of low bandwidth.
             sent_at = await curio.clock()
             wait_s = self._wait_s(sent_at, last_pause_s)
             try:
@@ -129,8 +134,8 @@
             except HistoryLost as exc:
                 self._log.info("history_lost", what=self._name, why=exc.detail)
                 revision = None
-                # The next read is current. The pause keeps a source that loses its history again at
-                # once from being read without end.
+                # The data is read again without delay at the first loss. The delay grows with each
+                # further one, so that a source that keeps losing its history is not read in a loop.
                 await curio.sleep(history_retry_s)
                 history_retry_s = min(MAX_RETRY_S, history_retry_s * 2 or FIRST_RETRY_S)
                 continue
@@ -149,8 +154,8 @@
             if was_watch:
                 history_retry_s = 0.0
                 if result.may_batch:
-                    # The connection may become unresponsive during the pause, in which no watch is
-                    # open to notice that. Therefore the next watch is shorter by the pause.
+                    # If the connection becomes unresponsive during this pause, no watch is open
+                    # that would notice it. Therefore the next watch is shorter by the pause.
                     last_pause_s = self._batcher.record_change(await curio.clock())
                     await curio.sleep(last_pause_s)
 
--- a/src/crankhinge/gateway/_status.py
+++ b/src/crankhinge/gateway/_status.py
@@ -23,7 +23,7 @@
 
     Args:
         settings: settings of the gateway.
-        discovery: the routes and servers.
+        discovery: the configuration and the list of servers.
         gateway: handles the requests of callers.
         log: log for events.
         metrics: the metrics to serve.
@@ -66,7 +66,8 @@
 
     async def _send_readiness(self, exchange: Exchange) -> None:
         ready = self._discovery.has_data and not self._gateway.is_draining
-        # Other instances may have recent keys; the balancer then sends new connections to them.
+        # If this instance's API keys are too old, it is not ready. Other instances may have recent
+        # keys, and the balancer sends new connections to them.
         ready = ready and self._may_use_keys(await curio.clock())
         if exchange.req.path != self._settings.ready_path:
             await exchange.respond(404, b"{}")
--- a/src/crankhinge/gateway/_stream.py
+++ b/src/crankhinge/gateway/_stream.py
@@ -1,4 +1,8 @@
-"""Relays streams: reserves memory, has the prompt processed, passes events on as they come."""
+"""Runs requests whose answer is a stream of events.
+
+Memory is reserved on a decode engine first, then the prompt is processed, and the events of the
+answer are passed on to the caller as they arrive.
+"""
 
 from __future__ import annotations
 
@@ -48,10 +52,10 @@
     Args:
         backends: the backend servers.
         selector: selects a server.
-        permits: grants requests to servers that advertise a limit.
+        permits: gets permits to send requests to servers that advertise a limit.
         attempts: sends requests to servers.
         budget_of: returns the retry budget of a service.
-        quarantine: requests under which servers crashed.
+        quarantine: notified of prompts that engines processed, since these do not crash engines.
         log: log for events.
         meters: measures the cost of each service's requests, by service name.
     """
@@ -173,7 +177,8 @@
                     reservation.server.incarnation_id, await curio.clock()
                 ):
                     return await self._run_at_engine(relay, reservation, kv_cache, events, budget)
-                # The engine began to leave while the prompt was processed.
+                # While the prompt was processed, the engine stopped accepting work: it may be
+                # leaving, in backoff, replaced or gone, or it changes its role.
                 async with self._reservations.reserve(
                     relay, extra_tokens=answered_tokens, avoid=avoid
                 ) as second_reservation:
@@ -212,7 +217,8 @@
         params = await self._attempt_params(relay, reservation, kv_cache, events)
         end, why = await self._attempt(relay, server, params, events)
         if end is _AttemptEnd.EXCLUDED:
-            # Nothing was sent: the reservation has to be released and the KV cache freed.
+            # Nothing was sent. The reservation gets its id back so that it is released, and the KV
+            # cache is freed.
             reservation.reservation_id = params.reservation_id
             if kv_cache is not None:
                 await self._prompt_processor.free(kv_cache)
@@ -301,7 +307,7 @@
     ) -> None:
         exchange = relay.exchange
         if stream.status != 200:
-            # An error that the server reports has no events.
+            # The server responded with an error, whose body has no events.
             body = await stream.read_all()
             fields = self._backends.dialect.response_fields(stream.fields)
             if exchange.response_started:
