--- a/src/crankhinge/gateway/_admission.py
+++ b/src/crankhinge/gateway/_admission.py
@@ -14,7 +14,7 @@
 from crankhinge.gateway._request import Relay
 from crankhinge.http import Exchange, HttpRequest
 
-# Seconds that a request may take if neither the caller nor the route sets a bound.
+# Seconds that a request may take if its caller sets no bound. The route may set a shorter one.
 DEFAULT_TIMEOUT_S = 60.0
 # Seconds after which a caller should retry if this instance cannot serve requests yet.
 NOT_READY_RETRY_S = 0.5
--- a/src/crankhinge/gateway/_discovery.py
+++ b/src/crankhinge/gateway/_discovery.py
@@ -186,7 +186,7 @@
         )
 
     async def _report_changes(self, change: ServerListChange, why: str, now: float) -> None:
-        """Log a change of the list, remove servers that are gone, and let suspects expire."""
+        """Log a change of the list, remove servers that are gone, and let suspects expire later."""
         for server in change.changed:
             self._log.info(
                 "server_seen",
--- a/src/crankhinge/gateway/_permits.py
+++ b/src/crankhinge/gateway/_permits.py
@@ -116,7 +116,7 @@
         self._shared_limits.record_joined(name)
 
     async def try_get_permit(self, relay: Relay, server: Server) -> bool:
-        """Get a permit to send a request to a server now; the relay keeps the permit.
+        """Get a permit to send a request to a server now; *relay* keeps the permit.
 
         Returns:
             Whether the request may be sent. If not, ``limited_until`` in the server's statistics
--- a/src/crankhinge/gateway/_prompt_processor.py
+++ b/src/crankhinge/gateway/_prompt_processor.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class PromptKvCache:
-    """The KV cache of a prompt at the server that processed it, and the duration in seconds."""
+    """The KV cache of a prompt, the server that has it, and how long the processing took."""
 
     server: Server
     cache_handle: str
--- a/src/crankhinge/gateway/_record_sync.py
+++ b/src/crankhinge/gateway/_record_sync.py
@@ -192,9 +192,9 @@
         sent_at = await curio.clock()
         records = await self._registry.read_all()
         if self._joined:
-            # The store read the records at some time after the call was sent, so their age counts
-            # from then. That a stale read may return records some seconds older is allowed for in
-            # Membership.
+            # The age of the records counts from when the call was sent, since it is unknown when
+            # the store made its response. Membership allows for the further seconds by which the
+            # records of a stale read may be older.
             self._membership.apply_records(_addresses(records), sent_at)
         await self._apply_records(records)
         return records
--- a/src/crankhinge/gateway/_role_controller.py
+++ b/src/crankhinge/gateway/_role_controller.py
@@ -56,7 +56,7 @@
 
 @dataclass
 class _WantedChange:
-    """The change of roles that the checks want, and how many consecutive checks wanted it."""
+    """The role that the last checks found too few engines for, and how many of them agree."""
 
     role: EngineRole | None = None
     checks: int = 0
@@ -96,7 +96,7 @@
 
 
 class RoleController:
-    """Keeps the split between prompt engines and decode engines as the load requires.
+    """Adapts the numbers of prompt engines and decode engines to the load.
 
     Args:
         name: name of this instance.
@@ -131,7 +131,7 @@
         self._wanted_changes: defaultdict[str, _WantedChange] = defaultdict(_WantedChange)
 
     async def run(self) -> None:
-        """Check the split of each service again and again, until cancelled."""
+        """Check the split of each service at intervals, until cancelled."""
         while True:
             await curio.sleep(SPLIT_CHECK_INTERVAL_S * self._backends.rng.uniform(0.8, 1.2))
             config = self._discovery.config
--- a/src/crankhinge/gateway/_server_selector.py
+++ b/src/crankhinge/gateway/_server_selector.py
@@ -10,8 +10,8 @@
 from crankhinge.gateway._permits import Permits
 from crankhinge.gateway._request import Relay
 
-# Jitter of the retry delay after a backoff, as factors of the time that is left of the backoff:
-# the callers that were refused during a backoff do not all retry at its end.
+# Jitter of the retry delay after a backoff, as factors of the time that is left of the backoff, so
+# that the callers that were refused during a backoff do not all retry at its end.
 BACKOFF_JITTER = (1.0, 1.2)
 
 
