--- a/src/crankhinge/gateway/_authenticator.py
+++ b/src/crankhinge/gateway/_authenticator.py
@@ -8,7 +8,7 @@
 from crankhinge.gateway._discovery import Discovery
 from crankhinge.gateway._request import Relay
 
-# Seconds after which a caller should retry whose key this instance cannot check. A new connection
+# Seconds after which a caller should retry if this instance cannot check its key. A new connection
 # reaches another instance, since this one reports that it is not ready.
 OTHER_INSTANCE_RETRY_S = 0.1
 
@@ -16,9 +16,10 @@
 class Authenticator:
     """Identifies callers by their keys.
 
-    A key may have been revoked without this instance having received that. Therefore keys are
-    accepted only if the configuration was known to be current a short time ago. The age counts from
-    when the call that showed it was sent, since the response may have been under way for any time.
+    A key may have been revoked although this instance has not received that change yet. Therefore
+    keys are accepted only if the configuration was known to be current a short time ago. That time
+    counts from when the call to the store was sent whose response showed that the configuration is
+    current, since it is unknown how long the response took to arrive.
 
     Args:
         discovery: the configuration and its age.
@@ -28,7 +29,7 @@
         self._discovery = discovery
 
     def identify(
-        self, table: RouteTable, route: Route, request: RelayRequest, now: float
+        self, config: RouteTable, route: Route, request: RelayRequest, now: float
     ) -> Account | None:
         """Return the account of the caller; None if the request needs no key.
 
@@ -36,9 +37,9 @@
             BadCredentials: no account has the key.
             ConfigTooOld: this instance cannot tell whether an account still has the key.
         """
-        if table.accounts is None:
+        if config.accounts is None:
             return None
-        account = table.accounts.by_key.get(request.api_key) if request.api_key else None
+        account = config.accounts.by_key.get(request.api_key) if request.api_key else None
         if account is None and route.anonymous:
             return None
         if not self._discovery.may_use_keys(now):
@@ -57,6 +58,6 @@
         Raises:
             BadCredentials, ConfigTooOld: as raised by :meth:`identify`.
         """
-        table = self._discovery.table
-        if relay.account is not None and table is not None:
-            self.identify(table, relay.route, relay.request, now)
+        config = self._discovery.config
+        if relay.account is not None and config is not None:
+            self.identify(config, relay.route, relay.request, now)
--- a/src/crankhinge/gateway/_discovery.py
+++ b/src/crankhinge/gateway/_discovery.py
@@ -24,7 +24,7 @@
 
 
 class Discovery:
-    """What this instance knows about routes and servers, and how old that is.
+    """What this instance knows about configuration and servers, and how old that is.
 
     Args:
         source: source of the configuration and the list of servers.
@@ -33,7 +33,8 @@
         rng: source of the jitter of retry delays.
 
     Attributes:
-        table: routes of the configuration in force; None before the first configuration.
+        config: the active configuration: routes, services, accounts and limits; None before the
+            first one.
         servers: the backend servers.
         has_server_list: whether the list of servers was read at least once.
         on_server_gone: each is called with the incarnation id of a server that is gone.
@@ -44,7 +45,7 @@
     def __init__(
         self, source: DiscoverySource, freshness: FreshnessBounds, log: Any, rng: random.Random
     ) -> None:
-        self.table: RouteTable | None = None
+        self.config: RouteTable | None = None
         self.servers = ServerList()
         self.has_server_list = False
         self.on_server_gone: list[Callable[[str], Awaitable[None]]] = []
@@ -77,7 +78,7 @@
     @property
     def has_data(self) -> bool:
         """Whether requests can be served: there are a configuration and a list of servers."""
-        return self.table is not None and self.has_server_list
+        return self.config is not None and self.has_server_list
 
     def keys_age_s(self, now: float) -> float:
         """Return the age of what this instance knows about keys, in seconds."""
@@ -88,7 +89,11 @@
         return self.keys_age_s(now) <= self._freshness.max_key_age_s
 
     async def expire_suspects(self) -> None:
-        """Remove suspect servers whose entries did not come back with the list, until cancelled."""
+        """Remove suspect servers whose entries do not come back in time, until cancelled.
+
+        A server is suspect if its entry is missing from the list but may only have lapsed during an
+        outage of the store.
+        """
         while True:
             await self._suspects_added.wait()
             self._suspects_added.clear()
@@ -117,13 +122,13 @@
         )
 
     def _apply_config(self, update: ConfigUpdate) -> None:
-        """Put a configuration in force if it is newer; an older one is never applied."""
+        """Activate a configuration if it is newer than the active one."""
         if update.table is None:
             return
-        before = self.table.version if self.table else None
+        before = self.config.version if self.config else None
         if before is not None and update.table.version <= before:
             return
-        self.table = update.table
+        self.config = update.table
         self._config_bytes = update.size_bytes
         self._log.info(
             "config_in_force",
@@ -144,7 +149,7 @@
         self._log.info(
             "servers_listed",
             servers=len(update.servers),
-            heard_s=self._list_age_s(now),
+            heard_s=self._since_list_response_s(now),
             was_away=was_unreachable,
             doubted=len(change.suspected),
         )
@@ -168,11 +173,11 @@
     def _may_batch(self, update: ServersUpdate) -> bool:
         """Return whether the next call may wait for further changes after these.
 
-        It may not while servers are suspect, since each entry that returns gives callers a server.
+        It must not while servers are suspect: each entry that comes back gives callers a server.
         """
         return bool(update.servers or update.removed) and not self.servers.suspects()
 
-    def _list_age_s(self, now: float) -> float | None:
+    def _since_list_response_s(self, now: float) -> float | None:
         """Return the seconds since the last response about the list; None before the first."""
         return (
             None
@@ -181,7 +186,7 @@
         )
 
     async def _report_changes(self, change: ServerListChange, why: str, now: float) -> None:
-        """Log a change of the list, remove servers that are gone, and let suspects expire."""
+        """Log a change of the list, remove servers that are gone, and let suspects expire later."""
         for server in change.changed:
             self._log.info(
                 "server_seen",
@@ -197,7 +202,9 @@
         for incarnation_id in change.removed:
             await self._remove_server(incarnation_id, why)
         for incarnation_id in change.suspected:
-            self._log.info("server_doubted", server=incarnation_id, heard_s=self._list_age_s(now))
+            self._log.info(
+                "server_doubted", server=incarnation_id, heard_s=self._since_list_response_s(now)
+            )
         if change.suspected:
             await self._suspects_added.set()
 
--- a/src/crankhinge/gateway/_quarantine.py
+++ b/src/crankhinge/gateway/_quarantine.py
@@ -1,11 +1,15 @@
-"""Keeps requests under which servers crashed away from further servers, over all instances.
-
-The crashes of one request are counted by the first two instances in the order of its fingerprint,
-so a crash costs two datagrams for each request that it cut, however many instances there are. An
-instance that has counted enough crashes notifies all others, once per quarantine. Datagrams may be
-lost. Therefore two instances count; an instance that missed the notification gets it again when it
-reports its next crash; and the instances that counted publish the quarantine in their records in
-the store, which all instances read and which outlive restarts.
+"""Keeps requests that servers were running when they crashed away from further servers.
+
+An instance that notices a crash counts it for each request that the crash cut, and reports it to
+the first two instances in the order that depends on the request's fingerprint. So a crash costs at
+most two datagrams for each request that it cut, however many instances there are; one datagram
+holds up to 48 requests. An instance that has counted enough crashes of a request puts it in
+quarantine and notifies all others once. The instance that begins a trial notifies them as well.
+
+Datagrams may be lost. Therefore the reports go to two instances. An instance that missed the
+notification about a quarantine is notified again when it reports the request's next crash. The
+instances that counted the crashes publish the quarantine in their records in the store, which all
+instances read and which outlive restarts.
 """
 
 from __future__ import annotations
@@ -19,19 +23,24 @@
 from crankhinge.adapters import InstanceRecord
 from crankhinge.decisions import Membership, Quarantine, QuarantineUpdate, Server
 from crankhinge.errors import Quarantined
-from crankhinge.gateway._peer_messages import QuarantineBegun, QuarantineEnded, ServerCrashed
+from crankhinge.gateway._peer_messages import (
+    QuarantineEnded,
+    QuarantineUpdateMessage,
+    ServerCrashed,
+)
 from crankhinge.gateway._peer_messenger import PeerMessenger
 from crankhinge.gateway._request import Relay
 from crankhinge.runtime import Metrics
 
-# Instances that count the crashes of one request: one of them may be gone or miss a message.
+# Instances to which the crashes of one request are reported: one of them may be gone or miss a
+# message.
 COUNTING_INSTANCES = 2
 # Fingerprints in one datagram: each takes 19 bytes, and a datagram has 1,200.
 MAX_FINGERPRINTS_PER_MESSAGE = 48
 
 
 class QuarantineService:
-    """Refuses requests that are in quarantine, and notifies instances of crashes.
+    """Refuses requests that are in quarantine, and counts and reports crashes.
 
     Args:
         name: name of this instance.
@@ -57,7 +66,7 @@
         self._metrics = metrics
         self._quarantine = Quarantine()
         messenger.add_handler(ServerCrashed, self._on_server_crashed)
-        messenger.add_handler(QuarantineBegun, self._on_quarantine_begun)
+        messenger.add_handler(QuarantineUpdateMessage, self._on_quarantine_update)
         messenger.add_handler(QuarantineEnded, self._on_quarantine_ended)
 
     def __len__(self) -> int:
@@ -99,7 +108,7 @@
         await self._announce(trial)
 
     async def record_crash(self, server: Server, fingerprints: Collection[str]) -> None:
-        """Record that a server crashed while it ran requests, and have the crash counted."""
+        """Count a server's crash for each request that it ran, and report it to other instances."""
         by_instance: defaultdict[str, list[str]] = defaultdict(list)
         for fingerprint in fingerprints:
             for instance in self._membership.first_instances(fingerprint, COUNTING_INSTANCES):
@@ -145,7 +154,11 @@
                 await self._messenger.send(address, QuarantineEnded(work_key))
 
     def to_instance_record(self) -> Mapping[str, tuple[str, ...]]:
-        """Return what this instance publishes in its record: the quarantines that it counted."""
+        """Return what this instance publishes in its record in the store.
+
+        These are the newest requests that this instance put in quarantine, by fingerprint, each
+        with the servers that crashed.
+        """
         return self._quarantine.to_instance_record()
 
     async def apply_instance_records(self, records: Mapping[str, InstanceRecord]) -> None:
@@ -171,14 +184,14 @@
         )
 
     async def _announce(self, update: QuarantineUpdate) -> None:
-        message = QuarantineBegun(update.fingerprint, update.servers, update.left_s)
+        message = QuarantineUpdateMessage(update.fingerprint, update.servers, update.left_s)
         await self._messenger.send_to_all(message, fingerprint=update.fingerprint)
 
     async def _on_server_crashed(self, message: ServerCrashed, sender: str) -> None:
         for fingerprint in message.fingerprints:
             await self._count_crash(fingerprint, message.server, sender)
 
-    async def _on_quarantine_begun(self, message: QuarantineBegun, sender: str) -> None:
+    async def _on_quarantine_update(self, message: QuarantineUpdateMessage, sender: str) -> None:
         update = QuarantineUpdate(message.fingerprint, message.servers, message.left_s)
         if self._quarantine.apply_update(update, await curio.clock()):
             self._log_begun(update, sender)
--- a/src/crankhinge/gateway/_status.py
+++ b/src/crankhinge/gateway/_status.py
@@ -23,7 +23,7 @@
 
     Args:
         settings: settings of the gateway.
-        discovery: the routes and servers.
+        discovery: the configuration and the list of servers.
         gateway: handles the requests of callers.
         log: log for events.
         metrics: the metrics to serve.
@@ -66,17 +66,18 @@
 
     async def _send_readiness(self, exchange: Exchange) -> None:
         ready = self._discovery.has_data and not self._gateway.is_draining
-        # Other instances may have recent keys; the balancer then sends new connections to them.
+        # If this instance's API keys are too old, it is not ready. Other instances may have recent
+        # keys, and the balancer sends new connections to them.
         ready = ready and self._may_use_keys(await curio.clock())
         if exchange.req.path != self._settings.ready_path:
             await exchange.respond(404, b"{}")
             return
-        table = self._discovery.table
-        version = table.version if table else None
+        config = self._discovery.config
+        version = config.version if config else None
         state = {"ready": ready, "config": version, "open": self._gateway.open_requests}
         await exchange.respond(200 if ready else 503, msgspec.json.encode(state))
 
     def _may_use_keys(self, now: float) -> bool:
-        table = self._discovery.table
-        keyless = table is None or table.accounts is None
+        config = self._discovery.config
+        keyless = config is None or config.accounts is None
         return keyless or self._discovery.may_use_keys(now)
