--- a/src/crankhinge/decisions/_fair.py
+++ b/src/crankhinge/decisions/_fair.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class _Entry(Generic[T]):
+class _QueuedItem(Generic[T]):
     item: T
     path: FlowPath
     cost: float
@@ -47,13 +47,13 @@
 
     def __init__(self) -> None:
         self._root = _Node()
-        self._entries: dict[int, _Entry[T]] = {}
+        self._queued: dict[int, _QueuedItem[T]] = {}
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._queued)
 
     def __contains__(self, key: int) -> bool:
-        return key in self._entries
+        return key in self._queued
 
     def push(
         self,
@@ -87,16 +87,16 @@
             child.count += 1
             node = child
         heapq.heappush(node.heap, (deadline, key))
-        self._entries[key] = _Entry(item, path, cost)
+        self._queued[key] = _QueuedItem(item, path, cost)
 
     def remove(self, key: int) -> T | None:
         """Remove the item *key* and return it; None when it is not waiting."""
-        entry = self._entries.pop(key, None)
-        if entry is None:
+        queued = self._queued.pop(key, None)
+        if queued is None:
             return None
-        for node in self._nodes(entry.path):
+        for node in self._nodes(queued.path):
             node.count -= 1
-        return entry.item
+        return queued.item
 
     def _nodes(self, path: FlowPath) -> list[_Node]:
         nodes = [self._root]
@@ -107,57 +107,57 @@
     def peek(self) -> T | None:
         """Return the item that :meth:`pop` would return, without removing or charging it."""
         key = self._next_key()
-        return None if key is None else self._entries[key].item
+        return None if key is None else self._queued[key].item
 
     def pop(self) -> T | None:
         """Remove and return the next item, and charge its flow for it."""
         key = self._next_key()
         if key is None:
             return None
-        entry = self._entries.pop(key)
-        self._charge(entry)
-        return entry.item
+        queued = self._queued.pop(key)
+        self._charge(queued)
+        return queued.item
 
     def _next_key(self) -> int | None:
-        if not self._entries:
+        if not self._queued:
             return None
         node = self._root
         while node.children:
             waiting = [child for child in node.children.values() if child.count]
             node = min(waiting, key=lambda child: child.start_tag)
-        while node.heap[0][1] not in self._entries:
+        while node.heap[0][1] not in self._queued:
             heapq.heappop(node.heap)
         return node.heap[0][1]
 
-    def _charge(self, entry: _Entry[T]) -> None:
+    def _charge(self, queued: _QueuedItem[T]) -> None:
         node = self._root
         node.count -= 1
-        for name in entry.path:
+        for name in queued.path:
             child = node.children[name]
             node.virtual_time = max(node.virtual_time, child.start_tag)
-            child.start_tag += entry.cost / child.weight
+            child.start_tag += queued.cost / child.weight
             child.count -= 1
             _remove_idle(node)
             node = child
 
     def share(self, path: FlowPath, weights: tuple[float, ...]) -> float:
         """Return the share (0 to 1] of the service that a flow would get if it waited now."""
-        part = 1.0
+        fraction = 1.0
         node: _Node | None = self._root
         for name, weight in zip(path, weights, strict=True):
             children = node.children if node else {}
             others = sum(c.weight for n, c in children.items() if c.count and n != name)
-            part *= weight / (weight + others)
+            fraction *= weight / (weight + others)
             node = children.get(name)
-        return part
+        return fraction
 
     def waiting_cost(self, path: FlowPath) -> float:
         """Return the total cost of the items that wait in the flow *path*."""
-        return sum(entry.cost for entry in self._entries.values() if entry.path == path)
+        return sum(queued.cost for queued in self._queued.values() if queued.path == path)
 
     def items(self) -> list[T]:
         """Return all waiting items, in no order."""
-        return [entry.item for entry in self._entries.values()]
+        return [queued.item for queued in self._queued.values()]
 
 
 def _remove_idle(node: _Node) -> None:
--- a/src/crankhinge/decisions/_quarantine.py
+++ b/src/crankhinge/decisions/_quarantine.py
@@ -129,19 +129,19 @@
 
     def refusal_left_s(self, fingerprint: str, now: float) -> float:
         """Return the seconds for which a request is still refused; 0 if it may run."""
-        entry = self._quarantined.get(fingerprint)
-        return max(0.0, entry.trial_at - now) if entry else 0.0
+        quarantined = self._quarantined.get(fingerprint)
+        return max(0.0, quarantined.trial_at - now) if quarantined else 0.0
 
     def record_crash(self, fingerprint: str, server: str, now: float) -> QuarantineUpdate | None:
         """Record that a server crashed while it ran a request.
 
         Returns the quarantine that this crash begins or extends; None if there is none.
         """
-        entry = self._quarantined.get(fingerprint)
-        if entry is not None:
-            if not entry.add((server,), now):
+        quarantined = self._quarantined.get(fingerprint)
+        if quarantined is not None:
+            if not quarantined.add((server,), now):
                 return None
-            return self._extend(fingerprint, entry, now)
+            return self._extend(fingerprint, quarantined, now)
         suspect = self._suspects.pop(fingerprint, None) or _Suspect()
         if suspect.servers and now - suspect.last_crash_at > CRASH_RETENTION_S:
             suspect = _Suspect()
@@ -150,40 +150,40 @@
             keep_newest(self._suspects, fingerprint, suspect, MAX_SUSPECTS)
             self._drop_old(now)
             return None
-        entry = _Quarantined(suspect.servers, now)
-        keep_newest(self._quarantined, fingerprint, entry, MAX_QUARANTINED)
-        return self._extend(fingerprint, entry, now)
+        quarantined = _Quarantined(suspect.servers, now)
+        keep_newest(self._quarantined, fingerprint, quarantined, MAX_QUARANTINED)
+        return self._extend(fingerprint, quarantined, now)
 
-    def _extend(self, fingerprint: str, entry: _Quarantined, now: float) -> QuarantineUpdate:
-        entry.counted_here = True
-        entry.trial_at = now + entry.quarantine_s
-        return QuarantineUpdate(fingerprint, tuple(entry.servers), entry.quarantine_s)
+    def _extend(self, fingerprint: str, quarantined: _Quarantined, now: float) -> QuarantineUpdate:
+        quarantined.counted_here = True
+        quarantined.trial_at = now + quarantined.quarantine_s
+        return QuarantineUpdate(fingerprint, tuple(quarantined.servers), quarantined.quarantine_s)
 
     def begin_trial(self, fingerprint: str, now: float) -> QuarantineUpdate:
         """Let one attempt through; all others are refused until the time of the trial is over."""
-        entry = self._quarantined[fingerprint]
-        entry.trial_at = now + TRIAL_S
-        return QuarantineUpdate(fingerprint, tuple(entry.servers), TRIAL_S)
+        quarantined = self._quarantined[fingerprint]
+        quarantined.trial_at = now + TRIAL_S
+        return QuarantineUpdate(fingerprint, tuple(quarantined.servers), TRIAL_S)
 
     def apply_update(self, update: QuarantineUpdate, now: float) -> bool:
         """Apply an update from another instance; returns whether it changed anything."""
         fingerprint = update.fingerprint
         known = self._quarantined.get(fingerprint)
-        entry = known or _Quarantined()
-        is_new = entry.add(update.servers, now)
-        left_s = min(update.left_s, entry.quarantine_s)
-        entry.trial_at = max(entry.trial_at, now + left_s)
+        quarantined = known or _Quarantined()
+        is_new = quarantined.add(update.servers, now)
+        left_s = min(update.left_s, quarantined.quarantine_s)
+        quarantined.trial_at = max(quarantined.trial_at, now + left_s)
         if known is None:
             self._suspects.pop(fingerprint, None)
-            keep_newest(self._quarantined, fingerprint, entry, MAX_QUARANTINED)
+            keep_newest(self._quarantined, fingerprint, quarantined, MAX_QUARANTINED)
         return is_new
 
     def to_instance_record(self) -> Mapping[str, tuple[str, ...]]:
         """Return the newest quarantines for this instance's record: servers by fingerprint."""
         own = [
-            (key, tuple(each.servers))
-            for key, each in self._quarantined.items()
-            if each.counted_here
+            (fingerprint, tuple(quarantined.servers))
+            for fingerprint, quarantined in self._quarantined.items()
+            if quarantined.counted_here
         ]
         return dict(own[-MAX_PUBLISHED:])
 
@@ -227,6 +227,6 @@
             if now - self._suspects[oldest].last_crash_at <= CRASH_RETENTION_S:
                 break
             del self._suspects[oldest]
-        for key, entry in list(self._quarantined.items()):
-            if now - max(entry.last_crash_at, entry.trial_at) > CRASH_RETENTION_S:
-                del self._quarantined[key]
+        for fingerprint, quarantined in list(self._quarantined.items()):
+            if now - max(quarantined.last_crash_at, quarantined.trial_at) > CRASH_RETENTION_S:
+                del self._quarantined[fingerprint]
--- a/src/crankhinge/decisions/_rollout.py
+++ b/src/crankhinge/decisions/_rollout.py
@@ -31,11 +31,11 @@
 
     Attributes:
         token: grows with each lease; the fencing token of the lease's orders.
-        places: the leases, at most as many as agents may load at once.
+        leases: the leases, at most as many as agents may load at once.
     """
 
     token: int = 0
-    places: tuple[RolloutLease, ...] = ()
+    leases: tuple[RolloutLease, ...] = ()
 
 
 class AcquiredRollout(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
         width: maximum number of agents that may load at once.
         wall_ms: wall-clock time in milliseconds since the Unix epoch.
     """
-    others = tuple(p for p in record.places if p.name != me and p.until_ms > wall_ms)
+    others = tuple(p for p in record.leases if p.name != me and p.until_ms > wall_ms)
     if len(others) >= width:
         return None
     token = record.token + 1
@@ -66,7 +66,7 @@
 
 def release_rollout(record: RolloutRecord, me: str) -> RolloutRecord:
     """Return the record without the lease of *me*."""
-    return RolloutRecord(record.token, tuple(p for p in record.places if p.name != me))
+    return RolloutRecord(record.token, tuple(p for p in record.leases if p.name != me))
 
 
 def adapters_to_load(wanted: dict[str, int], loaded: dict[str, int]) -> list[str]:
--- a/src/crankhinge/decisions/_routing.py
+++ b/src/crankhinge/decisions/_routing.py
@@ -91,8 +91,8 @@
     def remove_backend(self, name: str) -> None:
         """Remove a backend server."""
         self.backends.pop(name, None)
-        for members in self._pools.values():
-            members.pop(name, None)
+        for pool_backends in self._pools.values():
+            pool_backends.pop(name, None)
 
     def usable_backends(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
         """Return the servers of *pools* that may get new requests and have *adapter* loaded.
@@ -180,11 +180,11 @@
 
     def transfer_s(self, tokens: int, from_zone: str, to_zone: str) -> float:
         """Return the seconds that a transfer of the KV cache takes on an idle link."""
-        weights = self.costs
+        costs = self.costs
         same = from_zone == to_zone
-        rate = weights.same_zone_bytes_per_s if same else weights.cross_zone_bytes_per_s
-        delay = 0.0 if same else weights.cross_zone_s
-        return delay + (tokens * weights.kv_bytes_per_token / rate if rate else 0.0)
+        rate = costs.same_zone_bytes_per_s if same else costs.cross_zone_bytes_per_s
+        delay = 0.0 if same else costs.cross_zone_s
+        return delay + (tokens * costs.kv_bytes_per_token / rate if rate else 0.0)
 
     def record_report(
         self,
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -42,7 +42,7 @@
         record = RolloutRecord(4, (RolloutLease("a", 10**15),))
         lease = try_acquire_rollout(record, "a", 1, 0)
         assert lease is not None
-        assert [rollout_lease.name for rollout_lease in lease.record.places] == ["a"]
+        assert [rollout_lease.name for rollout_lease in lease.record.leases] == ["a"]
 
     def test_adapters_to_load(self) -> None:
         """New adapters and new versions are loaded, nothing else."""
