--- a/src/crankhinge/decisions/_accounts.py
+++ b/src/crankhinge/decisions/_accounts.py
@@ -12,7 +12,7 @@
 
     Attributes:
         per_s: tokens a second.
-        burst: additional tokens.
+        burst: additional tokens that may be used at once.
     """
 
     per_s: float
@@ -27,7 +27,7 @@
         name: name that is sent to backend servers.
         rank: priority class, 0 is the most urgent; None uses that of the route.
         limit: token limit; None for no limit.
-        default_tokens: tokens counted for a request that states none.
+        default_tokens: tokens counted for a request that does not state its tokens.
         counts_tokens: whether requests count by their tokens; otherwise each counts as one.
     """
 
@@ -38,7 +38,11 @@
     counts_tokens: bool = True
 
     def cost(self, tokens: int) -> int:
-        """Return what a request counts against the limit; *tokens* is 0 when it states none."""
+        """Return how much of the account's limit a request uses.
+
+        Args:
+            tokens: tokens that the request states; 0 when it states none.
+        """
         if not self.counts_tokens:
             return 1
         return tokens or self.default_tokens
--- a/src/crankhinge/decisions/_advertised_limits.py
+++ b/src/crankhinge/decisions/_advertised_limits.py
@@ -2,9 +2,10 @@
 
 An overloaded server advertises a rate in its responses as long as the overload lasts. Responses
 overtake each other, and instances forward what they received. Of two contradicting messages, the
-one that is certainly later counts: a rate counts from when it was received, and its end from when a
-request was sent whose response advertised none. A server that advertises something that is not a
-rate is still overloaded, and its last rate stays in force.
+one that is certainly later counts: an advertised rate is dated by the time at which it was
+received, and the end of a limit by the time at which the request was sent whose response advertised
+no limit. A server that advertises something that is not a rate is still overloaded, and its last
+rate continues to apply.
 """
 
 from __future__ import annotations
@@ -14,16 +15,17 @@
 
 from crankhinge.decisions._bounded import keep_newest
 
-# Number of servers with a limit that are remembered, and of servers whose limit has ended: no fleet
-# has more overloaded servers at a time.
+# Maximum number of servers with a limit that are remembered, and of servers whose limit has ended:
+# no fleet has more overloaded servers at a time.
 MAX_TRACKED_SERVERS = 1024
 # Maximum number of limits in the instance record in the store: 1 kB at most.
 MAX_PUBLISHED_LIMITS = 16
 # A published limit is updated only when it has changed by this factor. Each update of the record is
 # a write that is charged for, and its readers get the exact limit with the server's first response.
 REPUBLISH_FACTOR = 2.0
-# Assumed age in seconds of a limit that is read from an instance record, so that an end received
-# since then stays in force.
+# Seconds for which a limit is published after it was last received. A limit that is read from an
+# instance record is assumed to be this old, so that it does not override an end of the limit that
+# this instance has seen since then.
 MAX_RECORD_AGE_S = 40.0
 
 
@@ -81,7 +83,10 @@
         return known is None or known.per_s != per_s
 
     def record_unreadable(self, server: str, received_at: float) -> None:
-        """Record that a server advertised an unreadable limit: it is still overloaded."""
+        """Record that a server advertised something that is not a rate.
+
+        The server is still overloaded, so its last rate continues to apply.
+        """
         known = self._limits.get(server)
         if known is not None and received_at > known.received_at:
             keep_newest(
@@ -108,7 +113,9 @@
         return True
 
     def to_instance_record(self, servers: Collection[str], now: float) -> Mapping[str, float]:
-        """Return the approximate limits of some servers for this instance's record in the store.
+        """Return the limits of some servers for this instance's record in the store.
+
+        The limits are approximate: a small change is not published.
 
         Args:
             servers: incarnation ids.
@@ -131,7 +138,7 @@
         return dict(published)
 
     def apply_instance_record(self, published: Mapping[str, float], now: float) -> list[str]:
-        """Apply the limits from an instance record; returns the servers whose limit changed."""
+        """Apply the limits from an instance record; return the servers whose limit changed."""
         at = now - MAX_RECORD_AGE_S
         return [
             server for server, per_s in published.items() if self.record_limit(server, per_s, at)
@@ -139,5 +146,6 @@
 
 
 def _has_moved(published: float, per_s: float) -> bool:
+    """Whether a limit has changed enough to be published again."""
     low, high = sorted((published, per_s))
     return high > REPUBLISH_FACTOR * low
--- a/src/crankhinge/decisions/_backend.py
+++ b/src/crankhinge/decisions/_backend.py
@@ -6,6 +6,8 @@
 
 from crankhinge.decisions._breaker import Breaker
 
+# Seconds added to the expected wait for each request that was sent since the last report and
+# exceeds the free slots of that report.
 WAIT_PER_QUEUED_S = 0.02
 
 
@@ -20,18 +22,19 @@
         zone: its availability zone.
         incarnation: incarnation of its agent.
         linked: whether there is a connection to its agent.
-        leaving: whether the platform's list says that it is leaving.
-        draining: whether its agent says so.
+        leaving: whether the platform's list shows it as leaving.
+        draining: whether its agent reports that it accepts no new requests.
         free_slots: free slots in the last report.
         queued: waiting requests in the last report.
         backlog_s: seconds of queued work in the last report.
-        step_s: seconds between tokens; 0 when unknown.
-        tokens_per_s: prompt tokens processed per second; 0 when unknown.
+        step_s: seconds between tokens in the last report; 0 when unknown.
+        tokens_per_s: prompt tokens processed per second, in the last report; 0 when unknown.
         reported_at: time of the last report, in seconds.
         sent_since_report: number of requests sent since the last report.
         sent_work_s: seconds of work sent since the last report.
         open_requests: number of this entry's requests in progress on the server.
         adapters: names of the adapters that its engine has loaded.
+        breaker: its circuit breaker.
     """
 
     name: str
@@ -56,7 +59,7 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether it is connected and neither leaving nor draining."""
+        """Whether its agent is connected and the server is neither leaving nor draining."""
         return self.linked and not self.leaving and not self.draining
 
     @property
@@ -65,7 +68,10 @@
         return self.free_slots - self.sent_since_report > 0
 
     def pending_work_s(self, now: float) -> float:
-        """Return the seconds of work left, by the report, the requests sent and the time since."""
+        """Return the estimated seconds of work left.
+
+        The estimate follows from the last report, the work sent since, and the time since.
+        """
         return max(0.0, self.backlog_s + self.sent_work_s - (now - self.reported_at))
 
     def expected_wait_s(self, now: float) -> float:
--- a/src/crankhinge/decisions/_breaker.py
+++ b/src/crankhinge/decisions/_breaker.py
@@ -4,9 +4,12 @@
 
 import enum
 
+# Consecutive failures that open the breaker, and the shortest and longest time for which it is
+# open.
 FAILURES_TO_OPEN = 3
 FIRST_OPEN_S = 1.0
 MAX_OPEN_S = 30.0
+# Seconds after a trial was sent before the next one may be sent if it has no outcome.
 TRIAL_S = 1.0
 
 
@@ -19,7 +22,7 @@
 
 
 class Breaker:
-    """Opens after consecutive failures, and lets one trial through after a while.
+    """Opens after consecutive failures, and lets one request through as a trial after a while.
 
     The time for which it is open doubles with each failed trial, up to a maximum.
     """
@@ -46,19 +49,20 @@
     def record_sent(self, now: float) -> None:
         """Record that a request was sent: in the half-open state it is the trial.
 
-        A trial that the agent's queue refuses says nothing about the server; it only ends.
+        A trial that the agent's queue refuses says nothing about the server: no outcome is
+        recorded, and another trial may be sent after TRIAL_S.
         """
         if self.state(now) is BreakerState.HALF_OPEN:
             self._trial_until = now + TRIAL_S
 
     def record_success(self) -> None:
-        """Record a success."""
+        """Record a success, which closes the breaker."""
         self._failures = 0
         self._open_s = FIRST_OPEN_S
         self._trial_until = 0.0
 
     def record_failure(self, now: float) -> None:
-        """Record a failure."""
+        """Record a failure, which may open the breaker, for longer after a failed trial."""
         self._failures += 1
         if self._failures < FAILURES_TO_OPEN:
             return
--- a/src/crankhinge/decisions/_budget.py
+++ b/src/crankhinge/decisions/_budget.py
@@ -8,7 +8,7 @@
 
     Args:
         ratio: retries allowed per first attempt.
-        burst: maximum number of retries saved up.
+        burst: maximum number of unused retries that are kept for later.
     """
 
     def __init__(self, *, ratio: float = 0.1, burst: float = 10.0) -> None:
@@ -25,7 +25,7 @@
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def allows_retry(self) -> bool:
-        """Whether one more retry is allowed; does not change the state."""
+        """Whether one more retry is allowed; does not charge it."""
         return self._tokens >= 1.0
 
     @property
@@ -41,7 +41,7 @@
         return True
 
     def charge_retry(self) -> None:
-        """Charge a retry that was made without asking, after a server refused the first attempt.
+        """Charge a retry made without :meth:`try_retry`, after a server refused the first attempt.
 
         It is subtracted from the retries that may be made next, down to minus the burst.
         """
--- a/src/crankhinge/decisions/_congestion.py
+++ b/src/crankhinge/decisions/_congestion.py
@@ -1,12 +1,12 @@
-"""The number of requests a plain service may have in flight so that responses come in time.
+"""How many requests a plain service may have in flight so that its responses come in time.
 
 A service that gets more requests than it can process fills its queues until every response is late,
 and some services work more slowly the fuller the queues are. Many instances share the servers and
 none sees the queues, but each sees the response times. So an instance whose responses come late
-reduces its number of requests in flight by a factor, and raises it by one for each round of
-responses that come early; together the instances find the capacity of the service, like TCP senders
-that share a link. Requests that are not sent yet wait in this process, ordered by whether they may
-still be in time.
+reduces its window, the number of requests that it may have in flight, by a factor, and raises it by
+one for each round of responses that come early. Together the instances find the capacity of the
+service, like TCP senders that share a link. Requests that are not sent yet wait in this process,
+ordered by whether they may still be in time.
 
 Measured effect: with twenty instances and three servers of six slots, two days with two seeds,
 0.722 instead of 0.686 of the calls were in time; with four or five instances nothing is gained or
@@ -17,8 +17,8 @@
 
 from collections import deque
 
-# The wait at the servers is the median of this many newest responses: they show a queue that fills
-# within a second, while a single slow response does not count.
+# The wait at the servers is estimated by the median of this many newest response times: they show a
+# queue that fills within a second, while a single slow response does not count.
 RECENT_RESPONSES = 5
 # Number of responses kept to estimate the response time of an idle service, and the quantile of
 # them that is used as the estimate.
@@ -29,11 +29,12 @@
 # Responses may always take this many times as long as those of an idle service, whatever the
 # target: a service that is slow by nature is not congested.
 ALLOWED_SLOWDOWN = 2.0
-# Fraction of the wait allowed by the target at which the servers' queues are kept after a
-# congestion: response times vary, and at half of the allowed wait most responses are in time.
+# Once there is a window, it is reduced when the wait at the servers exceeds this fraction of the
+# wait that the target allows: response times vary, and at half of the allowed wait most responses
+# are in time.
 TARGET_WAIT_SHARE = 0.5
-# Factor by which the window is reduced, and the minimum number of seconds between two reductions: a
-# response that shows the effect of a reduction takes that long to arrive.
+# Factor that the window is multiplied by when it is reduced, and the minimum number of seconds
+# between two reductions: a response that shows the effect of a reduction takes that long to arrive.
 DECREASE_FACTOR = 0.7
 MIN_DECREASE_INTERVAL_S = 0.15
 # Seconds without any request after which a late request is sent although the window is full: if
@@ -46,7 +47,7 @@
 
 
 class CongestionWindow:
-    """The responses of a service as one instance sees them, and the window derived from them."""
+    """What one instance measured of a service's responses, and the window that follows from it."""
 
     def __init__(self) -> None:
         self._response_times: deque[float] = deque(maxlen=MAX_KEPT_RESPONSES)
@@ -68,7 +69,11 @@
         return self._window
 
     def may_send(self, now: float, *, late: bool) -> bool:
-        """Whether one more request may be sent; late requests take no capacity from others."""
+        """Whether one more request may be sent now.
+
+        While there is a window, late requests take no capacity from others: one is sent only when
+        no request was sent for a while.
+        """
         if self._window is None:
             return True
         if late:
@@ -120,6 +125,7 @@
         )
 
     def _decrease(self, now: float) -> None:
+        """Reduce the window, unless the last reduction was a moment ago."""
         if now - self._decreased_at < MIN_DECREASE_INTERVAL_S:
             return
         self._decreased_at = now
@@ -129,5 +135,6 @@
         self._window = max(1.0, window * DECREASE_FACTOR)
 
     def _increase(self, window: float) -> None:
+        """Raise the window, or remove it when it is too large to have an effect."""
         raised = window + 1.0 / window
         self._window = None if raised > UNBOUNDED_FACTOR * max(1, self._in_flight) else raised
--- a/src/crankhinge/decisions/_exclusions.py
+++ b/src/crankhinge/decisions/_exclusions.py
@@ -1,8 +1,8 @@
 """Servers that must get no request now, by what they announced: a shutdown or a backoff.
 
-An exclusion holds no matter which other servers exist. The choice among the servers that are not
-excluded is a preference, kept in :class:`ServerStats`; estimates of an instance are kept apart so
-that they never shorten an announcement of a server.
+An excluded server gets no request even if no other server is left. Among the servers that are not
+excluded, the choice follows :class:`ServerStats`. The pauses that this instance estimates by itself
+are kept there, too, so that an estimate never shortens a backoff that a server announced.
 """
 
 from __future__ import annotations
@@ -17,7 +17,14 @@
 
 
 class ExclusionReason(enum.Enum):
-    """Why a server must get no request."""
+    """Why a server must get no request.
+
+    Attributes:
+        GONE: it is no longer in the server list.
+        LEAVING: it announced its shutdown.
+        REPLACED: another server has its address now.
+        BACKOFF: it asked for no requests for a while.
+    """
 
     GONE = "gone"
     LEAVING = "leaving"
@@ -26,7 +33,7 @@
 
 
 class ServerExclusions:
-    """What servers announced, by incarnation id.
+    """The announcements of servers, by incarnation id.
 
     An announcement outlives the server's entry in the list: the entry may lapse and be written
     again by the same incarnation.
@@ -38,7 +45,7 @@
         self._latest_backoff_end = float("-inf")
 
     def record_leaving(self, server: str, received_at: float) -> bool:
-        """Record that a server announced its shutdown; returns whether that is new.
+        """Record that a server announced its shutdown; return whether that is new.
 
         The announcement is never withdrawn: an incarnation that is leaving does not come back.
 
@@ -52,7 +59,7 @@
         return True
 
     def record_backoff(self, server: str, until: float) -> bool:
-        """Record that a server asked for no requests for a while; returns whether this extends it.
+        """Record that a server asked for no requests for a while; return whether this extends it.
 
         Args:
             server: its incarnation id.
@@ -65,11 +72,14 @@
         return True
 
     def leaving_since(self, server: str) -> float | None:
-        """Return when this instance first learned that the server is leaving; None if it is not."""
+        """Return when this instance first learned that the server is leaving; None if it is not.
+
+        The time is by the runtime's clock, in seconds.
+        """
         return self._leaving_since.get(server)
 
     def has_backoffs(self, now: float) -> bool:
-        """Whether any server may be in backoff; if false, callers need not check each server."""
+        """Whether any server may be in backoff; if not, single servers need no check."""
         return now < self._latest_backoff_end
 
     def backoff_until(self, server: str, now: float) -> float | None:
--- a/src/crankhinge/decisions/_fair.py
+++ b/src/crankhinge/decisions/_fair.py
@@ -1,8 +1,8 @@
 """A weighted fair queue over a tree of flows, earliest deadline first within a flow.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996), applied at each level of the tree: priority
-class, partner, member. A class or member with little work never waits behind one with much, and
-none starves, since the virtual time of each level only increases.
+The queue applies start-time fair queueing (Goyal, Vin and Cheng, 1996) at each level of the tree:
+priority class, partner, member (a client account). A class or member with little work never waits
+behind one with much, and none starves, since the virtual time of each level only increases.
 """
 
 from __future__ import annotations
@@ -21,7 +21,16 @@
 
 @dataclass
 class _Node:
-    """A flow: either child flows with their start tags, or waiting items."""
+    """A flow: either child flows with their start tags, or waiting items.
+
+    Attributes:
+        weight: weight among the flows of the same parent.
+        start_tag: virtual time of the parent at which its next item starts.
+        virtual_time: largest start tag of a child that has been served.
+        count: number of waiting items in the flow.
+        children: child flows by name.
+        heap: deadlines and keys of the items; may include removed items.
+    """
 
     weight: float = 1.0
     start_tag: float = 0.0
@@ -33,16 +42,21 @@
 
 @dataclass(frozen=True)
 class _QueuedItem(Generic[T]):
+    """A waiting item, the path of its flow, and its amount of work."""
+
     item: T
     path: FlowPath
     cost: float
 
 
 class FairQueue(Generic[T]):
-    """Holds items by integer key; :meth:`pop` returns the one whose flow is furthest behind.
+    """A queue of items with integer keys; :meth:`pop` returns the next item of the flow to serve.
+
+    At each level that is the flow with the lowest start tag, the one furthest behind its share of
+    the service.
 
     Flows without items are removed once their start tag is not ahead of the virtual time, so memory
-    use depends on the number of members that wait, not on the number ever seen.
+    use depends on the number of flows with waiting items, not on the number ever seen.
     """
 
     def __init__(self) -> None:
@@ -99,6 +113,7 @@
         return queued.item
 
     def _nodes(self, path: FlowPath) -> list[_Node]:
+        """Return the nodes from the root to the flow *path*."""
         nodes = [self._root]
         for name in path:
             nodes.append(nodes[-1].children[name])
@@ -119,6 +134,7 @@
         return queued.item
 
     def _next_key(self) -> int | None:
+        """Return the key of the next item; None when no item waits."""
         if not self._queued:
             return None
         node = self._root
@@ -130,6 +146,7 @@
         return node.heap[0][1]
 
     def _charge(self, queued: _QueuedItem[T]) -> None:
+        """Charge the flows of an item, at each level, for its cost."""
         node = self._root
         node.count -= 1
         for name in queued.path:
@@ -141,7 +158,10 @@
             node = child
 
     def share(self, path: FlowPath, weights: tuple[float, ...]) -> float:
-        """Return the share (0 to 1] of the service that a flow would get if it waited now."""
+        """Return the fraction of the service that a flow would get if it waited now.
+
+        It is above 0 and at most 1.
+        """
         fraction = 1.0
         node: _Node | None = self._root
         for name, weight in zip(path, weights, strict=True):
@@ -161,6 +181,7 @@
 
 
 def _remove_idle(node: _Node) -> None:
+    """Remove the child flows that have no items and are not ahead of the virtual time."""
     idle = [n for n, c in node.children.items() if not c.count and c.start_tag <= node.virtual_time]
     for name in idle:
         del node.children[name]
--- a/src/crankhinge/decisions/_fence.py
+++ b/src/crankhinge/decisions/_fence.py
@@ -42,11 +42,12 @@
     FenceSync,
 )
 
-# Seconds without a connection after which a paired replica, and one that has no trusted record,
-# tries to continue alone.
+# Seconds without a connection to the other replica after which a replica tries to continue alone:
+# when it is paired, and when it has no trusted record.
 PAIRED_GRACE_S = 3.0
 JOINING_GRACE_S = 15.0
-# Seconds for which a replica that is alone grants no permission while it sends its record.
+# Seconds for which a replica that is alone grants no permission, while it sends its record to the
+# other replica.
 SYNC_TIMEOUT_S = 5.0
 # Maximum number of keys in one message of a copy.
 MAX_SYNC_ROWS = 500
@@ -54,7 +55,16 @@
 
 @dataclass
 class _IncomingCopy:
-    """A copy of the record that is being received from the other replica."""
+    """A copy of the record that is being received from the other replica.
+
+    Attributes:
+        epoch: epoch of the sender.
+        since_ms: keys created before this time may be missing from the copy.
+        sync_id: identifies this copy.
+        rows: the keys received so far.
+        complete: whether the last part has been received.
+        acknowledged: whether the sender was told so.
+    """
 
     epoch: int
     since_ms: int
@@ -71,7 +81,13 @@
         range_id: identifies the record.
         me: name of this replica.
         other: name of the other replica.
-        writer: identifies this run of the process, which recognizes its own swaps by it.
+        writer: identifies this incarnation of the process, which recognizes its own swaps by it.
+
+    Attributes:
+        role: what this replica may do now.
+        epoch: epoch of the record, as this replica knows it.
+        since_ms: keys created before this time (in Unix milliseconds) may be missing from the keys
+            of this replica.
     """
 
     def __init__(self, *, range_id: str, me: str, other: str, writer: int) -> None:
@@ -120,9 +136,11 @@
         return [Reply(msg.req, None)]
 
     def _may_grant_alone(self, now: float) -> bool:
+        """Whether a replica that is alone may grant permission now."""
         return self._swap is None and now >= self._syncing_until
 
     def _on_known_key(self, msg: FencePermitRequest, known: KeyState) -> list[FenceAction]:
+        """Respond to a request whose key is already recorded."""
         if known.nonce == msg.req:
             return [] if known.awaiting_consent else [Reply(msg.req, FencePermitted(msg.req))]
         same = known.digest == msg.digest
@@ -153,7 +171,7 @@
         return [self._announce_state()]
 
     def on_unlinked(self, now: float) -> list[FenceAction]:
-        """Handle a lost connection: attempts that wait for consent are answered "not now"."""
+        """Handle a lost connection: attempts that wait for consent get the response "not now"."""
         self._linked = False
         self._unlinked_at = now
         self._other_state = ""
@@ -161,6 +179,7 @@
         return self._drop_unconsented()
 
     def _drop_unconsented(self) -> list[FenceAction]:
+        """Drop the keys without the other replica's consent, and respond to their requests."""
         unconsented = [(key, known) for key, known in self._keys.items() if known.awaiting_consent]
         for key, _ in unconsented:
             del self._keys[key]
@@ -170,7 +189,11 @@
         return Send(FenceState(self.range_id, self.role.value, self.epoch))
 
     def on_claim(self, msg: FenceClaim, now: float) -> list[FenceAction]:
-        """Record a key for the other replica."""
+        """Record a key for the other replica, which then grants permission for it.
+
+        The claim is refused when another attempt has the key, or when the replicas are not paired
+        at the same epoch.
+        """
         valid = self.role is FenceRole.PAIRED and msg.epoch == self.epoch
         if not valid:
             return [self._claim_reply(msg, valid=False, fresh=False)]
@@ -191,7 +214,7 @@
         return Send(FenceClaimReply(self.range_id, msg.key, msg.nonce, valid, fresh, self.epoch))
 
     def on_claim_reply(self, msg: FenceClaimReply) -> list[FenceAction]:
-        """Act on the other replica's consent or refusal."""
+        """Grant or refuse permission by the other replica's reply to a claim."""
         known = self._keys.get(msg.key)
         if known is None or known.nonce != msg.nonce or not known.awaiting_consent:
             return []
@@ -207,7 +230,7 @@
         return actions
 
     def on_state(self, msg: FenceState, now: float) -> list[FenceAction]:
-        """Act on the state that the other replica reports."""
+        """Act on the state that the other replica announces."""
         self._other_state = msg.state
         if msg.epoch > self.epoch and self.role is not FenceRole.JOINING:
             return self._step_down()
@@ -222,7 +245,7 @@
         return [self._announce_state()] if copy is None else []
 
     def _step_down(self) -> list[FenceAction]:
-        """Stop trusting this replica's copy, since the record has changed without it."""
+        """Stop trusting this replica's keys, since the record has changed without it."""
         actions = self._drop_unconsented()
         self.role = FenceRole.JOINING
         self._copy = None
@@ -230,6 +253,7 @@
         return [*actions, self._announce_state()] if self._linked else actions
 
     def _on_other_joining(self, now: float) -> list[FenceAction]:
+        """Send the record to the other replica, or begin a new one if this one has none either."""
         if self.role is FenceRole.JOINING:
             # Both replicas are empty: the one with the smaller name begins a new record.
             return self._read_record() if self.me < self.other else []
@@ -239,6 +263,7 @@
         return [Send(message) for message in self._sync_parts(now)]
 
     def _sync_parts(self, now: float) -> list[FenceSync]:
+        """Return the messages that send a copy of the record."""
         rows = [
             FenceRow(key, known.digest, known.nonce, now - known.recorded_at, known.response)
             for key, known in self._keys.items()
@@ -270,7 +295,11 @@
         return self._read_record()
 
     def on_joined(self, msg: FenceJoined, now: float) -> list[FenceAction]:
-        """Handle a read without a response from the key-value service; :meth:`on_tick` retries."""
+        """Handle the message that the other replica has received a complete copy.
+
+        If the copy is current and this replica is alone and still waits for the message, it reads
+        the record's head in order to make the other replica its pair.
+        """
         current = msg.sync == self._sync_id and msg.epoch == self.epoch
         if self.role is not FenceRole.SOLO or not current or now >= self._syncing_until:
             return []
@@ -279,6 +308,7 @@
     # -- the key-value service ----------------------------------------------------------------
 
     def _read_record(self) -> list[FenceAction]:
+        """Read the record's head, unless a read is pending."""
         if self._read_pending:
             return []
         self._read_pending = True
@@ -303,11 +333,12 @@
         return []
 
     def on_read_failed(self) -> list[FenceAction]:
-        """The key-value service did not respond to a read; :meth:`on_tick` tries again."""
+        """Handle a read without a response from the key-value service; :meth:`on_tick` retries."""
         self._read_pending = False
         return []
 
     def _try_join(self, head: FenceRecord, index: int, now: float) -> list[FenceAction]:
+        """Try to get a trusted record: use the received copy, or begin a record or take it over."""
         copy = self._copy
         if copy is not None and copy.complete:
             return self._use_copy(copy, head, now)
@@ -323,12 +354,13 @@
         return []
 
     def _use_copy(self, copy: _IncomingCopy, head: FenceRecord, now: float) -> list[FenceAction]:
+        """Acknowledge a complete copy, or trust it once both replicas keep the record."""
         if head.epoch == copy.epoch and head.holder == self.other:
             copy.acknowledged = True
             return [Send(FenceJoined(self.range_id, copy.epoch, copy.sync_id))]
         paired_since = head.epoch == copy.epoch + 1 and self._other_state == "paired"
         if head.holder or not (head.epoch == copy.epoch or paired_since):
-            # The copy belongs to an older epoch; this message tells its sender the newer one.
+            # The copy is outdated. The announcement tells its sender the newer epoch.
             self._copy = None
             self.epoch = max(self.epoch, head.epoch)
             return [self._announce_state()] if self._linked else []
@@ -344,6 +376,7 @@
         return [self._announce_state()]
 
     def _start_swap(self, index: int, holder: str) -> list[FenceAction]:
+        """Try to swap in a head that makes *holder* continue alone; empty for both replicas."""
         self._swap = FenceRecord(self.epoch + 1, holder, self._writer)
         return [SwapRecord(index, self._swap)]
 
@@ -372,6 +405,7 @@
         return self._step_down()
 
     def _apply_swap(self, swap: FenceRecord, now: float, wall_ms: int) -> list[FenceAction]:
+        """Take the role that follows from this replica's successful swap."""
         self.epoch = swap.epoch
         if self.role is FenceRole.JOINING:
             self._keys.clear()
@@ -391,6 +425,7 @@
     # -- timers -------------------------------------------------------------------------------
 
     def _is_other_lost(self, now: float, grace_s: float = PAIRED_GRACE_S) -> bool:
+        """Whether there has been no connection to the other replica for *grace_s* seconds."""
         return self._unlinked_at is not None and now - self._unlinked_at >= grace_s
 
     def on_tick(self, now: float) -> list[FenceAction]:
@@ -405,6 +440,7 @@
         return self._tick_joining(now) if self.role is FenceRole.JOINING else []
 
     def _tick_joining(self, now: float) -> list[FenceAction]:
+        """Retry what brings a replica without a trusted record closer to one."""
         if not self._linked:
             return self._read_record() if self._is_other_lost(now, JOINING_GRACE_S) else []
         copy = self._copy
--- a/src/crankhinge/decisions/_fence_actions.py
+++ b/src/crankhinge/decisions/_fence_actions.py
@@ -37,8 +37,8 @@
     Attributes:
         epoch: grows with each change.
         holder: the replica that continues alone; empty while both keep the record.
-        writer: identifies the process that swapped it in, which recognizes its own swap by this
-            when the response was lost.
+        writer: identifies the incarnation of the process that swapped it in. When the response to a
+            swap is lost, the process recognizes its own swap by this.
     """
 
     epoch: int
@@ -63,7 +63,12 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """Respond to the entry; a *msg* of None stands for "not now, and nothing was run"."""
+    """Respond to an entry's request for permission.
+
+    Attributes:
+        req: identifies the attempt.
+        msg: the response; None stands for "not now, and nothing was run".
+    """
 
     req: int
     msg: FencePermitted | FenceAlreadyTaken | None
@@ -71,12 +76,12 @@
 
 @dataclass(frozen=True)
 class ReadRecord:
-    """Read the record's head; respond with :meth:`FencePair.on_record`."""
+    """Read the record's head; its content goes to :meth:`FencePair.on_record`."""
 
 
 @dataclass(frozen=True)
 class SwapRecord:
-    """Swap the record's head; respond with :meth:`FencePair.on_swapped`.
+    """Swap the record's head; the result goes to :meth:`FencePair.on_swapped`.
 
     Attributes:
         index: index that the compare-and-swap compares; 0 when there is no head yet.
--- a/src/crankhinge/decisions/_fence_keys.py
+++ b/src/crankhinge/decisions/_fence_keys.py
@@ -8,10 +8,15 @@
 
 from crankhinge.decisions._fence_messages import RecordedResponse
 
+# Seconds for which a key is kept in the record. A key is accepted as new only in the first half of
+# that time after its creation.
 KEY_RETENTION_S = 900.0
+# Largest assumed difference, in milliseconds, between the wall clocks of callers and agents.
 MAX_CLOCK_SKEW_MS = 5_000
+# Longest body of a response that is recorded.
 MAX_RECORDED_BODY_BYTES = 4096
 UUID_VERSION = 7
+# Error codes for the caller.
 TOO_OLD = "key-too-old"
 BAD_KEY = "bad-key"
 
@@ -23,7 +28,7 @@
     Attributes:
         digest: digest of the request.
         nonce: identifies the attempt that has permission, or waits for it.
-        recorded_at: when the key was recorded, in seconds.
+        recorded_at: when the key was recorded, by the monotonic clock in seconds.
         awaiting_consent: whether the other replica has yet to consent.
         response: how the attempt ended; None while unknown.
     """
--- a/src/crankhinge/decisions/_fence_messages.py
+++ b/src/crankhinge/decisions/_fence_messages.py
@@ -1,4 +1,4 @@
-"""Messages about the record that lets a non-repeatable request run at most once.
+"""Messages about a fence record, which lets a non-repeatable request run at most once.
 
 They are plain values; :mod:`crankhinge.wire` sends them.
 """
@@ -32,7 +32,7 @@
     """One key of the record.
 
     Attributes:
-        key: member and idempotency key.
+        key: name of the member (a client account) and idempotency key of the request.
         digest: digest of the request.
         nonce: identifies the attempt that got permission.
         age_s: seconds since the key was recorded.
@@ -52,7 +52,7 @@
     Attributes:
         req: identifies this attempt.
         range_id: identifies the record.
-        key: member and idempotency key.
+        key: name of the member (a client account) and idempotency key of the request.
         digest: digest of the request.
     """
 
@@ -63,7 +63,7 @@
 
 
 class FencePermitted(_Base, tag=18, frozen=True):
-    """Permission is granted to this attempt only."""
+    """Permission is granted to the attempt *req* only."""
 
     req: int
 
@@ -94,7 +94,7 @@
 
 
 class FenceRelease(_Base, tag=23, frozen=True):
-    """The attempt has not run and never will; its key may be used again."""
+    """The attempt *req* has not run and never will; its key may be used again."""
 
     req: int
     range_id: str
@@ -119,7 +119,7 @@
         key: the key.
         nonce: nonce of the claim.
         valid: whether the two replicas are paired at the epoch of the claim.
-        fresh: whether the key is now recorded for this nonce.
+        fresh: whether the key is now recorded for this nonce, which consents to the attempt.
         epoch: epoch of the responding replica.
     """
 
@@ -160,7 +160,7 @@
 
 
 class FenceJoined(_Base, tag=26, frozen=True):
-    """The copy *sync* has been received completely."""
+    """The replica that joins has received the copy *sync* completely."""
 
     range_id: str
     epoch: int
--- a/src/crankhinge/decisions/_forecast.py
+++ b/src/crankhinge/decisions/_forecast.py
@@ -1,8 +1,8 @@
 """Predicts when KV memory becomes free, from the answers that this instance has in progress.
 
-An instance sees only the ends of its own answers. Waiting instances share the memory that becomes
-free in about the same proportion as they share the memory in use, so the memory that its own
-answers release tells when its own requests get memory.
+An instance sees only the ends of its own answers. Waiting instances get memory that becomes free in
+about the same proportion as they occupy memory now, so the memory that this instance's own answers
+release predicts when its own requests get memory.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 # An answer that takes longer than expected is assumed to continue for this fraction of the expected
-# time: its caller's estimate was too short by an unknown amount.
+# time: its caller's estimate was too short, by an unknown amount.
 OVERDUE_SHARE = 0.25
 # Weight of the newest reservation in the share of reservations that go to first attempts: about ten
 # reservations determine it.
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
+    """An answer in progress: its memory in tokens, its start, and its expected duration."""
+
     tokens: int
     since: float
     expected_s: float
@@ -43,7 +45,7 @@
     def record_reserved(
         self, tokens: int, expected_s: float, now: float, *, late: bool = False
     ) -> int:
-        """Record a reservation; returns its number.
+        """Record a reservation; return its number.
 
         Args:
             tokens: reserved memory, in tokens.
@@ -78,14 +80,14 @@
         return left_s * tokens / max(1, freed)
 
     def retry_in_s(self, tokens: int, tokens_ahead: int, now: float) -> float | None:
-        """Return the seconds after which a refused request should be retried.
+        """Return the seconds after which the caller of a refused request should retry.
 
         By then the requests that wait now, and the retries promised to others, have got their
         memory. The released memory is shared with first attempts, which go before retries.
 
         Args:
-            tokens: memory that it needs, in tokens.
-            tokens_ahead: memory that waiting requests need, in tokens.
+            tokens: memory that the request needs, in tokens.
+            tokens_ahead: memory that the requests waiting now need, in tokens.
             now: time of the runtime's clock in seconds.
 
         Returns:
@@ -101,5 +103,5 @@
         )
 
     def record_promised_retry(self, tokens: int, at: float) -> None:
-        """Record that a refused request was told to come back at a time."""
+        """Record that the caller of a refused request was told to retry at the time *at*."""
         self._promised_retries.append((at, tokens))
--- a/src/crankhinge/decisions/_freshness.py
+++ b/src/crankhinge/decisions/_freshness.py
@@ -1,9 +1,9 @@
-"""How often the platform's store is asked for changes, from how old its data may become.
+"""How often an instance asks the platform's store for changes, from how old its data may become.
 
-A watch returns at the first change, so an instance that sends the next watch at once makes a call
-for each change, and a fleet makes the number of instances times the number of changes. An instance
-that pauses after a change gets all changes made meanwhile in one response; the operators' bounds
-determine how long it may pause.
+A watch returns at the first change. An instance that sends the next watch at once therefore makes a
+call for each change, and all instances together make as many calls for each change as there are
+instances. An instance that pauses after a change gets all changes made meanwhile in one response;
+the operators' bounds determine how long it may pause.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 from collections import deque
 from dataclasses import dataclass
 
-# Fraction of the bound for which changes of the server list may be batched, so that one call
-# returns several. The rest is for the store's response, the network and the request that is on its
-# way.
+# Fraction of leave_s for which changes of the server list may be batched, so that one call returns
+# several. The rest is for the store's response, the network and the request that is on its way.
 LIST_BATCH_SHARE = 0.4
-# The same for the configuration: large configurations take seconds on the network, and changes are
-# rare except in bursts.
+# Fraction of apply_s for which changes of the configuration may be batched: large configurations
+# take seconds on the network, and changes are rare except in bursts.
 CONFIG_BATCH_SHARE = 0.1
-# Number of changes that are fetched immediately; only changes beyond them, within this many pauses,
-# are batched. So the crash of a server and the start of its replacement are both known at once.
+# Number of changes that are fetched immediately. Only changes beyond that number within
+# BURST_PAUSES pauses are batched. So the crash of a server and the start of its replacement are
+# both known at once.
 IMMEDIATE_CHANGES = 2
 BURST_PAUSES = 3
-# Seconds that a watch may take beyond its wait, including what follows until a new watch has
-# returned.
+# Seconds that a watch may take beyond its wait, plus the time until a new watch has returned after
+# it.
 WATCH_RECOVERY_S = 1.0
 # Longest wait of a watch, in seconds. It must be shorter than the 20 s for which the store keeps
 # changes, or each watch of a quiet store would end with a lost history.
 MAX_WATCH_WAIT_S = 10.0
 # Shortest wait of a watch, in seconds: with less, watching becomes polling.
 MIN_WATCH_WAIT_S = 0.5
-# Margin in seconds within the operators' bound on revoked keys: the response of a slow store (0.3)
-# and the resolution of the two clocks that measure wait and age.
+# Seconds by which this instance stays below the operators' bound on revoked keys: the response of a
+# slow store (0.3) and the resolution of the two clocks that measure wait and age.
 REVOKE_MARGIN_S = 0.2
 # Seconds that the response to a watch may take beyond its wait without making the data too old:
 # 0.32 for a slow store, and the network.
@@ -44,10 +44,10 @@
     """How old the data from the store may become, as the operators bound it.
 
     Attributes:
-        apply_s: seconds within which a changed configuration must be in force.
-        leave_s: seconds after which a leaving server must get no request.
-        contact_s: seconds after the end of a fault of an instance from which both bounds hold for
-            it again.
+        apply_s: seconds within which a changed configuration must be active.
+        leave_s: seconds after which a server that is leaving must get no request.
+        contact_s: seconds after the end of a fault within which an instance must meet apply_s and
+            leave_s again.
         revoke_s: seconds after which no request may be served with a revoked key, whatever faults
             there are; infinite without such a bound.
     """
@@ -65,10 +65,11 @@
     def config_watch_wait_s(self, age_s: float) -> float:
         """Return the longest wait of a watch of the configuration, in seconds.
 
-        A change may answer a watch at any time after the watch was sent, so the response proves the
-        state only for a time that may be as long ago as the wait. The next watch must end before
-        that is too old; with watches of one fixed length, requests were refused for a second after
-        each change of the keys.
+        The store responds to a watch at the first change or at the end of the wait, and this
+        instance cannot tell at which time it responded. So when the response arrives, the state
+        that it proves may already be as old as the wait. The next watch must end before that state
+        is too old; with watches of one fixed length, requests were refused for a second after each
+        change of the keys.
 
         Args:
             age_s: age of the last proven state, in seconds.
@@ -80,7 +81,7 @@
         """Longest wait of one watch, in seconds.
 
         A connection may become silent for good, and only a watch that does not end reveals it. With
-        this wait it is noticed before the bounds hold again.
+        this wait the silence is noticed before contact_s has passed.
         """
         return min(MAX_WATCH_WAIT_S, max(MIN_WATCH_WAIT_S, self.contact_s - WATCH_RECOVERY_S))
 
@@ -100,7 +101,7 @@
 
 
 class ChangeBatcher:
-    """Decides when to ask again after a change.
+    """Decides when to ask the store again after a change, so that bursts of changes are batched.
 
     Args:
         pause_s: seconds without a call while changes continue.
@@ -111,7 +112,7 @@
         self._change_times: deque[float] = deque(maxlen=IMMEDIATE_CHANGES)
 
     def record_change(self, now: float) -> float:
-        """Record a change; returns the seconds to wait before the next call."""
+        """Record a change; return the seconds to wait before the next call."""
         before = sum(now - at < BURST_PAUSES * self._pause_s for at in self._change_times)
         self._change_times.append(now)
         return self._pause_s if before == IMMEDIATE_CHANGES else 0.0
--- a/src/crankhinge/decisions/_mechanisms.py
+++ b/src/crankhinge/decisions/_mechanisms.py
@@ -1,7 +1,7 @@
-"""The mechanisms that can be switched off one by one, and the naive baseline without them.
+"""The mechanisms that can each be switched off, and a naive baseline without any of them.
 
-The name of a policy is a setting of entries and agents. It exists for experiments that measure the
-effect of each mechanism with otherwise identical programs.
+A policy is a named set of enabled mechanisms; its name is a setting of entries and agents. It
+exists for experiments that measure the effect of each mechanism with otherwise identical programs.
 """
 
 from __future__ import annotations
@@ -16,13 +16,14 @@
     """Which mechanisms are enabled.
 
     Attributes:
-        reserve: lease a decode slot before the prompt is processed.
-        ahead: lease a slot before it is free.
-        refuse_early: refuse requests that cannot be in time before they are queued.
+        reserve: lease a decode slot to a request before its prompt is processed.
+        ahead: lease a slot that is still in use, if it is free by the time the request needs it.
+        refuse_early: refuse requests that cannot be in time, before they are queued.
         load_aware: choose backend servers by load, not in turn.
         affinity: send prompts to servers that probably have their prefix cached.
-        fair: queue members and priority classes separately.
-        budget: bound retries by a budget.
+        fair: queue priority classes, partners and members (client accounts) separately, so that
+            each gets its share.
+        budget: bound the number of retries by a budget.
         resume: continue an answer on another engine after a failure.
     """
 
--- a/src/crankhinge/decisions/_member_limits.py
+++ b/src/crankhinge/decisions/_member_limits.py
@@ -1,7 +1,7 @@
-"""Limits per member at one entry: concurrent requests, and requests a second.
+"""Limits of one entry for each member (client account): concurrent requests, requests a second.
 
-The shares of members are enforced at the agents, where the queues are; these limits only bound what
-one entry does for one member. With *n* entries behind an even load balancer, an entry allows
+The fair shares of members are enforced by the agents, where the queues are; these limits only bound
+what one entry does for one member. With *n* entries behind an even load balancer, an entry allows
 ``limit / n`` plus a margin.
 """
 
@@ -12,6 +12,8 @@
 
 @dataclass
 class _Use:
+    """Requests in progress of a member, and its token bucket as last refilled at *at*."""
+
     running: int = 0
     tokens: float = 0.0
     at: float = 0.0
--- a/src/crankhinge/decisions/_membership.py
+++ b/src/crankhinge/decisions/_membership.py
@@ -11,8 +11,10 @@
 * while the records that it read are recent enough to include the instances that joined;
 * after the instances that it found when it started have acknowledged it. It writes its record,
   reads all records (not a stale read) and announces itself to the instances found; of two that
-  start together at least one finds the other. It waits until each of them has acknowledged, or is
-  gone, or has read its record, or no longer coordinates.
+  start together at least one finds the other. It waits until each instance found has acknowledged
+  the announcement or has no record any more. After a time limit it waits no longer: by then each of
+  them has either read the new record, or has not read the records for so long that it no longer
+  coordinates.
 
 An instance that restarts within its lease takes over its record by a conditional write. If its
 previous incarnation could coordinate, the other instances have counted the name all the time, and
@@ -34,22 +36,23 @@
 # each instance. That bounds the traffic of reads: about 300 bytes a record, 6 kB a second.
 MIN_READ_INTERVAL_S = 3.0
 READ_INTERVAL_S_PER_INSTANCE = 0.05
-# Read intervals vary randomly by up to this factor, and the records are trusted for this many
-# intervals without a read.
+# Read intervals are varied randomly by up to this factor, and the records that were read are
+# trusted for this many intervals.
 MAX_READ_JITTER = 1.2
 MAX_READ_AGE_INTERVALS = 2.5
 # A read may return data up to this many seconds old: stale reads cost a tenth.
 MAX_STALE_READ_S = 6.0
-# Seconds for which an instance that was seen is counted when equal shares are computed: it may be
-# cut off only from the store and still use its share. An instance that has not read the records for
-# that long, less the age of a stale read, stops using its own share.
+# Seconds after it was last seen for which an instance still counts when the limits that all
+# instances share equally are divided: it may be cut off from the store only, and still use its
+# share. An instance stops using its own share when its last read of the records is older than this
+# time minus MAX_STALE_READ_S.
 FLEET_RETENTION_S = 120.0
 # Seconds between join announcements to instances that have not acknowledged one.
 JOIN_ANNOUNCEMENT_INTERVAL_S = 0.5
 
 
 class Membership:
-    """The instances known to this one.
+    """The instances of the fleet that this one knows.
 
     Args:
         name: name of this instance.
@@ -102,17 +105,30 @@
         return MAX_READ_AGE_INTERVALS * self.read_interval_s
 
     def set_lease_end(self, until: float) -> None:
-        """Set the time until which this instance's record certainly lasts."""
+        """Set the time until which this instance's record certainly exists."""
         self._lease_until = until
 
     def join(self, addresses: Mapping[str, str], now: float, *, resumed: bool) -> None:
-        """Apply the records of a current read sent after this instance wrote its own record."""
+        """Apply a read of the records that was sent after this instance wrote its own record.
+
+        Args:
+            addresses: datagram address of each instance that has a record, by name; from a read
+                that is not stale.
+            now: when the read was sent, by the runtime's clock in seconds.
+            resumed: whether this instance took over the record of its previous incarnation, which
+                the other instances have counted all the time.
+        """
         self._joined_at = now
         self.apply_records(addresses, now)
         self._unacknowledged = set() if resumed else set(self._addresses) - {self._name}
 
     def apply_records(self, addresses: Mapping[str, str], now: float) -> None:
-        """Apply the records from a read; *now* is when the read was sent."""
+        """Apply a later read of the records.
+
+        Args:
+            addresses: as for :meth:`join`, from a read that may be stale.
+            now: when the read was sent, by the runtime's clock in seconds.
+        """
         # A stale read may lack instances that joined recently, so recently seen ones are kept.
         kept = {name for name, at in self._seen_at.items() if now - at <= MAX_STALE_READ_S}
         peers = {name: peer for name, peer in self._addresses.items() if name in kept}
@@ -134,7 +150,7 @@
         self._set_addresses({**self._addresses, name: address}, now)
 
     def record_acknowledged(self, name: str) -> None:
-        """Record that an instance counts this one."""
+        """Record that an instance has acknowledged the join announcement of this one."""
         self._unacknowledged.discard(name)
 
     def may_coordinate(self, now: float) -> bool:
@@ -149,7 +165,10 @@
         )
 
     def has_counted_instances(self, now: float) -> bool:
-        """Whether this instance has read the records often enough to count the instances."""
+        """Whether this instance knows how many instances there are.
+
+        That is so when it may coordinate, or wrote its record more than a read interval ago.
+        """
         if self._joined_at is None:
             return False
         return (
--- a/src/crankhinge/decisions/_permit_pool.py
+++ b/src/crankhinge/decisions/_permit_pool.py
@@ -10,18 +10,20 @@
 WINDOW_S = 4.0
 ALLOWED_OVERRUN = 0.5
 ALLOWED_SLACK = 5.0
-# Upper bound of the seconds between the time at which a request may be sent and its arrival at the
-# server: its prompt is processed elsewhere first, and a connection is made.
+# Upper bounds of the seconds for which a request may arrive at the server later than its permit
+# allows: its prompt is processed by another server first (PERMIT_TRANSIT_S), and a connection is
+# made (CONNECT_S).
 PERMIT_TRANSIT_S = 1.2
 CONNECT_S = 0.4
-# Minimum rate, in requests a second, for a server that advertises less. One request in four seconds
-# finds out when the limit has ended; the operators allow five.
+# Requests a second that may be sent to a server that advertises a lower rate. One request in four
+# seconds is enough to find out when the limit has ended; the operators allow five.
 MIN_RATE_PER_S = 0.25
 # Burst after a pause: this many seconds of the server's rate, or a minimum number of requests. With
 # a burst of one request, all capacity that accumulates before the next request would be lost.
 BURST_S = 1.0
 MIN_BURST = 2.0
-# Retry delay in seconds for instances while too few shares are leased to grant any permit.
+# Seconds until the next attempt to get a permit while the shares leased to this instance are too
+# few to grant any.
 NO_SHARE_RETRY_S = 0.5
 # Bounds of the retry delay in seconds. A caller that gets the maximum may find other callers ahead
 # of it when it retries.
@@ -31,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitDecision:
-    """The response to a request for a permit.
+    """The decision about a request for a permit.
 
     Attributes:
         granted: whether the request may be sent.
@@ -49,11 +51,12 @@
 
 
 def burst_limit(per_s: float, fraction: float) -> float:
-    """Return the maximum burst for an allocator that holds a fraction of a server's limit.
+    """Return the maximum burst for an allocator to which a fraction of a server's limit is leased.
 
-    The permits granted within a window, and in the time before it by which a request may arrive
-    late, are at most the rate times that duration plus this burst. Added over all fractions, that
-    is what the operators allow.
+    Requests that arrive within a window got their permits during the window or shortly before it,
+    since a request may arrive late by PERMIT_TRANSIT_S and CONNECT_S. In that whole time the
+    allocator grants at most its rate times the duration, plus this burst. Summed over all
+    fractions, that is what the operators allow.
     """
     rate = max(per_s, MIN_RATE_PER_S)
     spare = allowed_in_window(per_s) - rate * (WINDOW_S + PERMIT_TRANSIT_S + CONNECT_S)
@@ -61,14 +64,16 @@
 
 
 class PermitPool:
-    """Permits for one server; none at first, since earlier grants are unknown.
+    """Permits for one server.
+
+    A pool starts without permits, since grants before its creation are unknown.
 
     Args:
         per_s: requests a second that the server accepts from all instances together.
         now: time of the runtime's clock in seconds.
 
     Attributes:
-        per_s: the same, as last advertised by the server.
+        per_s: requests a second that the server accepts, as it last advertised.
     """
 
     def __init__(self, per_s: float, now: float) -> None:
@@ -77,9 +82,9 @@
         # Permits available now; negative when permits were granted for requests that are sent
         # later.
         self._available = 0.0
-        # Number of refused requests that are expected to come back; requests that are refused later
-        # get their turn after them. Callers and instances are counted separately: an instance asks
-        # again for all requests that it has by then.
+        # Number of refused requests that are expected to come back; requests that are refused after
+        # them get a later time to ask again. Callers and instances are counted separately: an
+        # instance asks again for all requests that it has by then.
         self._waiting_callers = self._waiting_instances = 0.0
         # End of the lease of each share, by the name of its lender, and a lower bound of these
         # ends.
@@ -122,15 +127,15 @@
     def take_permit(
         self, within_s: float, fleet_size: int, now: float, *, for_caller: bool = False
     ) -> PermitDecision:
-        """Grant one permit, or tell when to ask again.
+        """Grant one permit, or return when to ask again.
 
         Args:
             within_s: seconds within which the request is to be sent.
             fleet_size: number of instances that this instance counts.
             now: time of the runtime's clock in seconds.
-            for_caller: whether the time is passed on to a caller as its retry delay; each caller
-                gets a time of its own. Otherwise an instance asks again for all requests it has by
-                then.
+            for_caller: whether the time to ask again is passed on to a caller as its retry delay;
+                each caller gets a time of its own. Otherwise an instance asks again for all
+                requests that it has by then.
         """
         self._refill(fleet_size, now)
         fraction = self.leased_fraction(fleet_size)
--- a/src/crankhinge/decisions/_prefix.py
+++ b/src/crankhinge/decisions/_prefix.py
@@ -9,9 +9,9 @@
 class PrefixIndex:
     """The blocks that each prefill engine probably has in its prefix cache.
 
-    The index is built from the prompts that this entry sent to the engines, and receives no cache
-    events: a block that an engine has evicted costs one wrong estimate. The index is bounded and
-    drops the oldest blocks first.
+    The index follows from the prompts that this entry sent to the engines. The engines do not
+    report what they cache: a block that an engine has evicted costs one wrong estimate. The index
+    is bounded and drops the oldest blocks first.
     """
 
     def __init__(self, *, limit: int = 5_000) -> None:
--- a/src/crankhinge/decisions/_quarantine.py
+++ b/src/crankhinge/decisions/_quarantine.py
@@ -1,10 +1,10 @@
 """Requests that are kept away from servers because servers crashed while running them.
 
 A crash ends all requests that the server runs, and it is unknown which of them caused it. A request
-that was running when several servers crashed is refused for a while. Then one attempt is let
-through as a trial: a response ends the quarantine, another crash begins a longer one. So a request
-that happened to run on those servers is served again soon, and one that crashes servers reaches
-ever fewer of them.
+that was running on several servers when they crashed is refused for a while. Then one attempt is
+let through as a trial: a response ends the quarantine, another crash begins a longer one. So a
+request that happened to run on those servers is served again soon, and one that makes servers crash
+reaches fewer and fewer of them.
 
 Crashes are identified by the incarnation ids of the servers, so a crash that is reported twice, by
 two instances or by a late message, counts once.
@@ -17,7 +17,8 @@
 
 from crankhinge.decisions._bounded import keep_newest
 
-# Crashes under one request after which it is refused, as the operators bound it.
+# Number of crashed servers after which the request that they ran is refused, as the operators bound
+# it.
 MAX_CRASHES = 3
 # Seconds from that crash to the trial. A request that only happened to run on the crashed servers
 # is refused for that long; callers wait 14 s for a stream. Each further crash multiplies the time
@@ -32,18 +33,19 @@
 TRIAL_S = 5.0
 # Seconds for which crashes are remembered; the observed callers retried within 6 s.
 CRASH_RETENTION_S = 600.0
-# Number of requests that are remembered after a crash, and of requests in quarantine: 0.9 MB in
-# total when both tables are full (as measured by the interpreter). A server runs 64 requests at
-# once, so an entry is lost only when 16 servers crash within CRASH_RETENTION_S.
+# Maximum number of requests that are remembered after a crash, and of requests in quarantine: 0.9
+# MB in total when both tables are full (as measured by the interpreter). A server runs 64 requests
+# at once, so a request is dropped early only when 16 servers crash within CRASH_RETENTION_S.
 MAX_SUSPECTS = 1024
 MAX_QUARANTINED = 256
-# Crashes remembered for one request; with this many the quarantine has its maximum duration.
+# Maximum number of crashes remembered for one request; with this many, its quarantine has the
+# maximum duration.
 MAX_CRASHED_SERVERS = 8
 # Number of requests in quarantine that an instance publishes in its record in the store: 4 kB at
 # most.
 MAX_PUBLISHED = 16
-# Seconds for which instance records are ignored for a request that has completed: a record is
-# rewritten within seconds, and may be read seconds late.
+# Seconds after the completion of a request during which its quarantine in an instance record is
+# ignored: a record is rewritten within seconds, and may be read seconds late.
 COMPLETED_RETENTION_S = 40.0
 
 
@@ -60,7 +62,7 @@
     last_crash_at: float = 0.0
 
     def add(self, servers: Iterable[str], now: float) -> bool:
-        """Add crashes, of which the newest are kept; returns whether any is new."""
+        """Add crashed servers, and keep the newest; return whether any is new."""
         new = [server for server in servers if server not in self.servers]
         self.servers.update(dict.fromkeys(new))
         while len(self.servers) > MAX_CRASHED_SERVERS:
@@ -98,7 +100,7 @@
 
     Attributes:
         fingerprint: fingerprint of the request.
-        servers: incarnation ids of the servers that crashed under it.
+        servers: incarnation ids of the servers that crashed while running it.
         left_s: seconds until the trial.
     """
 
@@ -119,12 +121,12 @@
         return len(self._quarantined)
 
     def crash_count(self, fingerprint: str) -> int:
-        """Return how many servers are known to have crashed under a request."""
+        """Return how many servers are known to have crashed while running a request."""
         suspect = self._quarantined.get(fingerprint) or self._suspects.get(fingerprint)
         return len(suspect.servers) if suspect else 0
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether a request is in quarantine, either refused or due for a trial."""
+        """Whether a request is in quarantine: refused, or due for a trial."""
         return fingerprint in self._quarantined
 
     def refusal_left_s(self, fingerprint: str, now: float) -> float:
@@ -135,7 +137,8 @@
     def record_crash(self, fingerprint: str, server: str, now: float) -> QuarantineUpdate | None:
         """Record that a server crashed while it ran a request.
 
-        Returns the quarantine that this crash begins or extends; None if there is none.
+        Returns:
+            The quarantine that this crash begins or extends; None if it does neither.
         """
         quarantined = self._quarantined.get(fingerprint)
         if quarantined is not None:
@@ -155,18 +158,22 @@
         return self._extend(fingerprint, quarantined, now)
 
     def _extend(self, fingerprint: str, quarantined: _Quarantined, now: float) -> QuarantineUpdate:
+        """Refuse a request from now on for the time that its number of crashes requires."""
         quarantined.counted_here = True
         quarantined.trial_at = now + quarantined.quarantine_s
         return QuarantineUpdate(fingerprint, tuple(quarantined.servers), quarantined.quarantine_s)
 
     def begin_trial(self, fingerprint: str, now: float) -> QuarantineUpdate:
-        """Let one attempt through; all others are refused until the time of the trial is over."""
+        """Begin a trial of a request: the calling code lets one attempt through.
+
+        All other attempts are refused for the seconds that a trial has.
+        """
         quarantined = self._quarantined[fingerprint]
         quarantined.trial_at = now + TRIAL_S
         return QuarantineUpdate(fingerprint, tuple(quarantined.servers), TRIAL_S)
 
     def apply_update(self, update: QuarantineUpdate, now: float) -> bool:
-        """Apply an update from another instance; returns whether it changed anything."""
+        """Apply an update from another instance; return whether it reports a crash that is new."""
         fingerprint = update.fingerprint
         known = self._quarantined.get(fingerprint)
         quarantined = known or _Quarantined()
@@ -190,10 +197,10 @@
     def apply_instance_record(
         self, published: Mapping[str, Collection[str]], now: float, *, own: bool
     ) -> Iterator[QuarantineUpdate]:
-        """Apply the quarantines from an instance record; yields those that changed.
+        """Apply the quarantines from an instance record, and yield those that changed.
 
-        The age of the record is unknown. So only unknown crashes count, and the quarantine begins
-        when they are read.
+        The age of the record is unknown. So only crashes that this instance does not know yet
+        count, and the quarantine begins when the record is read.
 
         Args:
             published: as returned by :meth:`to_instance_record`.
@@ -212,7 +219,7 @@
                 yield update
 
     def record_completed(self, fingerprint: str, now: float) -> int:
-        """Record that a server completed a request; returns how many crashes this clears."""
+        """Record that a server completed a request; return how many crashes this clears."""
         crashes = self.crash_count(fingerprint)
         if crashes:
             self._suspects.pop(fingerprint, None)
--- a/src/crankhinge/decisions/_quota.py
+++ b/src/crankhinge/decisions/_quota.py
@@ -8,8 +8,9 @@
 reach each other, and no agreement between instances is needed. Below the limit no request is
 refused while the first or the second instance responds.
 
-A request counts if it was sent and ran within the same window. It gets its tokens between the two,
-so the tokens allocated in a window bound what counts in it.
+The operators count the tokens of a request in a window if the request was sent and ran within that
+window. The tokens are allocated after the request was sent and before it runs, so no more tokens
+count in a window than were allocated in it.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
     Attributes:
         window_s: seconds over which use is summed.
         overrun: allowed excess as a fraction of rate and burst.
-        slack: allowed excess in tokens.
+        slack: further allowed excess, in tokens.
     """
 
     window_s: float = 8.0
@@ -135,7 +136,13 @@
 
 
 class QuotaOutcome(enum.Enum):
-    """Result of a request for tokens."""
+    """Result of a request for tokens.
+
+    Attributes:
+        GRANTED: the tokens are allocated.
+        OVER_LIMIT: the bucket does not have them now.
+        NOT_ALLOCATOR: this instance may not allocate tokens of the account.
+    """
 
     GRANTED = "granted"
     OVER_LIMIT = "over-limit"
@@ -144,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecision:
-    """The response to a request for tokens.
+    """The decision about a request for tokens.
 
     Attributes:
         outcome: whether the tokens are granted.
@@ -170,14 +177,23 @@
 
 @dataclass
 class _AccountBuckets:
-    """The buckets of one account, by the role under which they were created."""
+    """The buckets of one account, by the role in which this instance takes tokens from them.
+
+    Attributes:
+        buckets: the buckets that were created.
+        role: the last role that this instance had as an allocator of the account; LOCAL before
+            that.
+    """
 
     buckets: dict[_Role, TokenBucket] = field(default_factory=dict)
     role: _Role = _Role.LOCAL
 
 
 class QuotaAllocator:
-    """Allocates tokens of the accounts assigned to this instance, and from its local buckets.
+    """Allocates tokens of accounts to requests.
+
+    This instance allocates to requests of all instances where it is the first or second instance of
+    an account, and from its local buckets to requests that arrived here.
 
     Args:
         name: name of this instance.
@@ -211,7 +227,14 @@
     def return_tokens(
         self, account: Account, tokens: float, now: float, *, local: bool = False
     ) -> None:
-        """Take back the tokens of a request that did not run."""
+        """Take back the tokens of a request that did not run.
+
+        Args:
+            account: the account of the request.
+            tokens: the tokens that were allocated.
+            now: time of the runtime's clock in seconds.
+            local: whether they were allocated by :meth:`allocate_local`.
+        """
         account_buckets = self._accounts.get(account.name)
         role = _Role.LOCAL if local else self._role_for(account.name, now)
         bucket = account_buckets.buckets.get(role) if account_buckets else None
@@ -240,7 +263,8 @@
     def _bucket(self, account: str, role: _Role, now: float) -> TokenBucket:
         account_buckets = self._accounts.setdefault(account, _AccountBuckets())
         if role is not _Role.LOCAL and role is not account_buckets.role:
-            # Another instance had this role until now, and its allocations are unknown here.
+            # Another instance had this role until now. What it allocated is unknown here, so the
+            # bucket starts empty.
             account_buckets.buckets.pop(role, None)
             account_buckets.role = role
         if role not in account_buckets.buckets:
@@ -267,7 +291,7 @@
         self._unresponsive = UnresponsivePeers(MAX_MISSES)
 
     def allocators(self, account: str, now: float) -> Sequence[str]:
-        """Return the instances to ask, one after the other until one grants or refuses."""
+        """Return the instances to ask for tokens, in this order until one grants or refuses."""
         return [
             name
             for name in self._membership.rank_instances(account)[:2]
--- a/src/crankhinge/decisions/_rendezvous.py
+++ b/src/crankhinge/decisions/_rendezvous.py
@@ -11,7 +11,7 @@
 
 
 def rank_by_key(key: bytes, names: Iterable[str]) -> list[str]:
-    """Return *names* in the order for *key*, best first."""
+    """Return *names* in the order that depends on *key*."""
     return sorted(names, key=lambda name: _score(key, name), reverse=True)
 
 
--- a/src/crankhinge/decisions/_requests.py
+++ b/src/crankhinge/decisions/_requests.py
@@ -1,9 +1,10 @@
-"""Requests to the queues, and their refusal."""
+"""Requests that wait in the fair queues of agents, and their refusal."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+# Weight of each priority class in the fair queues, the most urgent class first.
 PRIORITY_WEIGHTS = (16.0, 4.0, 1.0)
 
 
@@ -18,8 +19,8 @@
 
     Attributes:
         req: unique id of the request.
-        partner: partner that the member belongs to.
-        member: the member that sent the request.
+        partner: name of the partner that the member belongs to.
+        member: name of the member (client account) that sent the request.
         rank: priority class, 0 is the most urgent.
         deadline: time in seconds after which the answer is useless.
         weight: weight of the member within its partner.
@@ -36,7 +37,7 @@
 
     @property
     def flow(self) -> tuple[str, ...]:
-        """Name of its flow at each level."""
+        """Name of its flow at each level: priority class, partner, member."""
         return (str(self.rank), self.partner, self.member)
 
     @property
@@ -71,7 +72,13 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """The refusal of ``req``, which was not started."""
+    """The refusal of the request *req*, which was not started.
+
+    Attributes:
+        req: id of the request.
+        code: error code.
+        retry_after_s: seconds after which to retry.
+    """
 
     req: int
     code: str
--- a/src/crankhinge/decisions/_reservations.py
+++ b/src/crankhinge/decisions/_reservations.py
@@ -16,23 +16,23 @@
 from crankhinge.decisions._server_stats import ServerStats
 from crankhinge.decisions._servers import Server
 
-# The value of a served request to its caller and the cost of waiting, relative to the value of an
-# answer in time: a late answer; an answer to a retry (late, but the caller is not refused again);
-# and each second for which a caller waits in vain. A caller that is kept waiting in vain for three
-# quarters of 14 s has lost the whole value.
+# Value of a served request to its caller, and cost of waiting, as fractions of the value of an
+# answer in time: the value of a late answer; the value of an answer to a retry (it is late, but the
+# caller is not refused again); and the cost of each second for which a caller waits in vain. A
+# caller that is kept waiting in vain for three quarters of 14 s has lost the whole value.
 LATE_VALUE = 0.2
 RETRY_VALUE = 0.5
 WAIT_COST_PER_S = 0.1
-# Seconds for which requests that are already late skip an engine that refused a reservation, so
-# that requests that may still be in time find the memory that is freed first.
+# Additional seconds for which requests that are already late skip an engine that refused a
+# reservation, so that requests that may still be in time find the memory that is freed first.
 LATE_REFUSAL_PAUSE_S = 0.3
-# The caller of a stream gives up when it has received no event for the longest of these: a minimum
-# in seconds, a multiple of the route's target, and a multiple of the route's longest pause, as the
-# operators state it.
+# The caller of a stream gives up when it has received no event for the longest of these times: a
+# minimum in seconds, a multiple of the route's target, and a multiple of the route's longest pause,
+# as the operators state it.
 MIN_EVENT_TIMEOUT_S = 2.0
 EVENT_TIMEOUT_TARGETS = 4.0
 EVENT_TIMEOUT_PAUSES = 8.0
-# Seconds before that timeout at which the first event has to be on its way.
+# Seconds before that timeout by which the first event must have been sent.
 EVENT_TIMEOUT_MARGIN_S = 0.2
 # Assumed seconds from the reservation to the first event, until some were measured.
 DEFAULT_FIRST_EVENT_S = 0.25
@@ -41,19 +41,20 @@
 RETRY_OF_LONGEST_WAIT = 0.985
 # Number of waits kept for a route: enough to include a first attempt even when most are retries.
 MAX_KEPT_WAITS = 64
-# Number of certain first attempts needed to use their shortest wait, and the fraction of that wait
-# below which a request is a retry; callers round their waits, and a request is on its way for a few
-# milliseconds.
+# Number of certain first attempts on a route from which on their shortest wait is used to recognize
+# retries, and the fraction of that wait below which a request is a retry; callers round their
+# waits, and a request is on its way for a few milliseconds.
 MIN_FIRST_ATTEMPTS = 8
 RETRY_OF_SHORTEST_FIRST_WAIT = 0.99
 # Assumed seconds to process a prompt and decode its answer, until some were measured.
 DEFAULT_SERVICE_S = 3.0
-# Seconds left for the wait for memory when a refused caller comes back and is then served.
+# Seconds of a caller's remaining time that a retry must have left for its wait for memory, in
+# addition to its service time.
 RETRY_MARGIN_S = 0.5
 # Shortest retry delay, in seconds.
 MIN_RETRY_DELAY_S = 0.3
 # Retry delay in seconds when nothing is known about the memory. Decoding an answer takes two to
-# three seconds, so half of the memory is handed to other requests in this time.
+# three seconds, so half of the memory passes to other requests in this time.
 DEFAULT_RETRY_DELAY_S = 3.0
 # Predicted delays are multiplied by a random factor between these, so that callers that were
 # refused together do not come back together.
@@ -64,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservationRequest:
-    """What a request needs.
+    """The KV memory that a request needs, and how long it may wait for it.
 
     Attributes:
         tokens: KV memory, in tokens.
         target_s: seconds within which its first event is in time.
         remaining_s: seconds until its caller gives up.
         event_timeout_s: seconds that its caller waits for a first event.
-        is_retry: whether it was refused before and its caller came back.
+        is_retry: whether it was refused before and its caller has sent it again.
         service_s: estimated seconds to process its prompt and decode its answer.
         first_event_s: estimated seconds from the reservation to its first event.
     """
@@ -91,7 +92,9 @@
 
     @property
     def max_wait_s(self) -> float:
-        """Seconds that it may wait for memory; negative when its answer could not end in time.
+        """Seconds that the request may wait for memory.
+
+        Negative when its answer could not be complete before its caller gives up.
 
         A request that can only be answered late waits as long as the cost of waiting in vain stays
         below the value of the answer.
@@ -104,34 +107,39 @@
         )
 
     def is_late(self, waited_s: float) -> bool:
-        """Whether it can no longer be answered in time."""
+        """Whether the request can no longer be answered in time after it has waited *waited_s*."""
         return waited_s >= self.max_in_time_wait_s
 
     def should_keep_waiting(self, waited_s: float, free_s: float | None) -> bool:
-        """Whether to keep waiting when memory is predicted to be free in *free_s* seconds.
+        """Whether the request should keep waiting for memory.
 
         A request that is already late is refused as soon as memory is predicted for a time after
         its longest wait: of the retries with such a prediction 2 in 10 got memory, after two
         seconds, and the others were kept waiting for three. A request that may still be in time
         keeps waiting: of these 6 in 10 got memory in time whatever was predicted, since they go
         before all requests that are late.
+
+        Args:
+            waited_s: seconds that it has waited.
+            free_s: predicted seconds until memory for it is free; None without a prediction.
         """
         if free_s is None or not self.is_late(waited_s):
             return True
         return free_s <= self.max_wait_s - waited_s
 
     def refusal_pause_s(self, waited_s: float) -> float:
-        """Return the seconds for which the request skips an engine that refused it."""
+        """Return how many seconds longer the request skips an engine that refused it."""
         return LATE_REFUSAL_PAUSE_S if self.is_late(waited_s) else 0.0
 
 
 class CallerRetryDetector:
-    """Distinguishes caller retries from first attempts by how long their callers still wait.
+    """Distinguishes caller retries from first attempts by the time that their callers still wait.
 
-    Callers retry on a new connection, so a request on a connection that was used before is a first
-    attempt. A request whose caller waits less than the shortest wait of these is a retry. Where
-    first attempts wait 0.85 to 1.0 of the longest wait, a limit at a fixed fraction of the longest
-    wait took three of four first attempts for retries.
+    Callers retry on a new connection, so a request on a connection that was used before is
+    certainly a first attempt. Once enough of these were seen on a route, a request whose caller
+    waits less than the shortest wait among them is a retry; before that, a request whose caller
+    waits less than a fixed fraction of the longest wait. Where first attempts wait 0.85 to 1.0 of
+    the longest wait, such a fixed fraction took three of four first attempts for retries.
     """
 
     def __init__(self) -> None:
@@ -141,11 +149,11 @@
     def record_request(
         self, route: str, within_s: float, *, connection_reused: bool = False
     ) -> bool:
-        """Record a request; returns whether it is a caller retry.
+        """Record a request; return whether it is a caller retry.
 
         Args:
             route: name of its route.
-            within_s: seconds that its caller waits.
+            within_s: seconds that its caller still waits.
             connection_reused: whether earlier requests arrived on its connection.
         """
         waits = self._recent_waits.setdefault(route, deque(maxlen=MAX_KEPT_WAITS))
@@ -160,7 +168,7 @@
 
 
 class ReservationQueue:
-    """The order in which waiting requests of one service try to reserve memory.
+    """The requests of one service that wait to reserve memory, in the order in which they try.
 
     Requests that may still be in time come before those that are late; within each group the order
     is that of arrival.
@@ -174,17 +182,20 @@
         return len(self._waiting)
 
     def add(self, request: ReservationRequest, now: float) -> int:
-        """Add a request; returns a number, since callers may repeat a request id or send none."""
+        """Add a request; return its number in the queue.
+
+        The queue numbers requests itself, since callers may repeat a request id or send none.
+        """
         self._last_number += 1
         self._waiting[self._last_number] = (request, now)
         return self._last_number
 
     def remove(self, number: int) -> None:
-        """Remove a request."""
+        """Remove the request with this number."""
         del self._waiting[number]
 
     def requests_ahead(self, number: int, now: float) -> list[ReservationRequest]:
-        """Return the requests before this one."""
+        """Return the requests that try to reserve memory before this one."""
         own_rank = self._rank(number, now)
         return [
             request
@@ -201,8 +212,8 @@
     def may_try(self, number: int, now: float) -> bool:
         """Whether the request may ask an engine now.
 
-        Where no engine had capacity for a smaller request, none has it for this one. So it asks
-        only if it needs less memory than all requests before it.
+        Where no engine had capacity for a smaller request, none has it for this one. So a request
+        asks only if it needs less memory than each request before it.
         """
         tokens = self._waiting[number][0].tokens
         return all(other.tokens > tokens for other in self.requests_ahead(number, now))
@@ -256,7 +267,9 @@
     rng: random.Random,
     refusal_pause_s: float = 0.0,
 ) -> list[Server]:
-    """Return the engines that may have capacity, those with the most free memory first.
+    """Return the engines that may have capacity.
+
+    Those with the most free memory, as far as this instance knows, come first.
 
     Args:
         servers: the decode engines.
@@ -265,7 +278,7 @@
         kv_tokens: KV memory of an engine, in tokens.
         now: time of the runtime's clock in seconds.
         rng: breaks ties.
-        refusal_pause_s: additional seconds for which to skip an engine that refused.
+        refusal_pause_s: additional seconds for which to skip an engine that had no capacity.
     """
     candidates = [
         (
--- a/src/crankhinge/decisions/_rollout.py
+++ b/src/crankhinge/decisions/_rollout.py
@@ -1,8 +1,8 @@
-"""Leases that let a few agents of a pool at a time load adapter weights.
+"""Leases that let only a few agents of a pool load adapter weights at the same time.
 
-The record is one value in the key-value service, changed by compare-and-swap. Each entry in it is a
-lease that expires: when an agent crashes while loading, its place becomes free for the next one,
-and an agent that was paused beyond the end of its lease finds that its token is outdated. The
+The record of a pool is one value in the key-value service, changed by compare-and-swap. Each lease
+in it expires: when an agent crashes while loading, its lease ends and another agent can acquire
+one, and an agent that was paused beyond the end of its lease finds that its token is outdated. The
 leases only pace the rollout. With a wrong clock two agents may load at once, but an outdated order
 never takes effect, since orders carry the token and only the agent sends orders to its server.
 """
@@ -39,7 +39,12 @@
 
 
 class AcquiredRollout(msgspec.Struct, frozen=True):
-    """A lease that is acquired once *record* has been swapped in."""
+    """A new lease, which is acquired once *record* has been swapped in.
+
+    Attributes:
+        token: fencing token of the lease.
+        record: the record with the new lease.
+    """
 
     token: int
     record: RolloutRecord
@@ -48,7 +53,7 @@
 def try_acquire_rollout(
     record: RolloutRecord, me: str, width: int, wall_ms: int
 ) -> AcquiredRollout | None:
-    """Return a lease, or None while the maximum number of agents holds one.
+    """Return a new lease; None while the maximum number of agents hold one.
 
     Args:
         record: the record as last read.
--- a/src/crankhinge/decisions/_routes.py
+++ b/src/crankhinge/decisions/_routes.py
@@ -1,4 +1,4 @@
-"""The service for a request: routes by host and path prefix, with weighted splits."""
+"""Finds the service for a request: routes by host and path prefix, split by weight."""
 
 from __future__ import annotations
 
--- a/src/crankhinge/decisions/_routing.py
+++ b/src/crankhinge/decisions/_routing.py
@@ -18,11 +18,17 @@
 from crankhinge.decisions._prefix import PrefixIndex
 from crankhinge.decisions._rendezvous import rank_by_key
 
+# Number of servers that are compared for a request: chosen at random, and, for a prompt, by its
+# prefix.
 RANDOM_CANDIDATES = 3
 AFFINITY_CANDIDATES = 2
+# Number of report intervals after which a server's last report is too old.
 STALE_REPORT_INTERVALS = 3.0
+# A server whose time between tokens exceeds the median of all servers by this factor is slow, and
+# its cost is increased by this many seconds.
 SLOW_STEP_FACTOR = 2.0
 SLOW_PENALTY_S = 1.0
+# Assumed prompt tokens processed per second, until a server reports its rate.
 DEFAULT_TOKENS_PER_S = 10_000.0
 
 
@@ -49,7 +55,7 @@
 
     Attributes:
         zone: availability zone of this entry.
-        kv_bytes_per_token: size of the KV cache.
+        kv_bytes_per_token: size of the KV cache of one token.
         same_zone_bytes_per_s: bandwidth of the links within a zone; 0 when not limited.
         cross_zone_bytes_per_s: bandwidth of the links between zones; 0 when not limited.
         cross_zone_s: one-way latency between zones, in seconds.
@@ -113,7 +119,7 @@
         return self._rng.sample(items, min(count, len(items)))
 
     def choose_backends(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
-        """Return the decode or plain servers to try, best first."""
+        """Return the decode or plain servers to try, the one with the lowest cost first."""
         backends = self.usable_backends(pools, now, adapter)
         if not self._mech.load_aware:
             return self._round_robin(backends)
@@ -130,6 +136,7 @@
         return ordered[start:] + ordered[:start]
 
     def _expected_cost_s(self, backend: Backend, median_step_s: float, now: float) -> float:
+        """Return the cost of sending a request to a server: its wait, its distance, its speed."""
         cost = backend.expected_wait_s(now)
         if backend.zone != self.costs.zone:
             cost += 2 * self.costs.cross_zone_s
@@ -141,7 +148,14 @@
     def choose_prefill(
         self, pools: Iterable[str], request: RouteRequest, decode_zone: str, now: float
     ) -> list[Backend]:
-        """Return the prefill servers to try for a request that is decoded in *decode_zone*."""
+        """Return the prefill servers to try, the one with the lowest cost first.
+
+        Args:
+            pools: names of the pools of prefill servers.
+            request: the request.
+            decode_zone: availability zone in which the answer is decoded.
+            now: time in seconds.
+        """
         backends = self.usable_backends(pools, now, request.adapter)
         if not self._mech.load_aware:
             return self._round_robin(backends)
@@ -158,7 +172,7 @@
     def prefill_cost_s(
         self, backend: Backend, request: RouteRequest, decode_zone: str, now: float
     ) -> float:
-        """Return the seconds until the prompt's KV cache is computed there and transferred."""
+        """Return the seconds until a server has computed and transferred the prompt's KV cache."""
         return (
             backend.pending_work_s(now)
             + self.uncached_tokens(backend, request)
@@ -174,7 +188,7 @@
         return max(1, request.tokens - found)
 
     def idle_prefill_s(self, pools: Iterable[str], request: RouteRequest, now: float) -> float:
-        """Return the seconds that prefill takes on the fastest engine if it is idle."""
+        """Return the seconds that prefill would take on the fastest engine if it were idle."""
         rates = [b.tokens_per_s for b in self.usable_backends(pools, now) if b.tokens_per_s > 0]
         return request.tokens / max(rates, default=DEFAULT_TOKENS_PER_S)
 
@@ -198,7 +212,18 @@
         rate: float,
         draining: bool,
     ) -> None:
-        """Apply a load report of a backend server."""
+        """Apply a load report of a backend server.
+
+        Args:
+            name: name of the server.
+            now: time of the report in seconds.
+            free: number of free slots.
+            queued: number of waiting requests.
+            backlog_s: seconds of queued work.
+            step_s: seconds between tokens; 0 when unknown.
+            rate: prompt tokens processed per second; 0 when unknown.
+            draining: whether its agent accepts no new requests.
+        """
         backend = self.backends.get(name)
         if backend is None:
             return
--- a/src/crankhinge/decisions/_server_stats.py
+++ b/src/crankhinge/decisions/_server_stats.py
@@ -1,4 +1,4 @@
-"""Load, response time and failures of a server as one instance measured them; the choice."""
+"""What one instance measured of each backend server, and the choice of a server by that."""
 
 from __future__ import annotations
 
@@ -11,17 +11,20 @@
 
 # Weight of the newest sample in the moving averages: about ten requests determine them.
 EWMA_WEIGHT = 0.15
-# How strongly the failure share raises the cost of a server: a share of 1 adds this factor to it.
+# How strongly failures raise the cost of a server: the cost is multiplied by 1 plus this factor
+# times the failure share.
 FAILURE_FACTOR = 8.0
 # Assumed response time, in seconds, while no server of a choice has been measured.
 DEFAULT_RESPONSE_S = 0.05
-# Seconds until an engine that had no capacity for a reservation is tried again. With twelve answers
-# of three seconds in its memory, an answer ends only once in four times this interval.
+# Seconds until an engine that had no capacity for a reservation is tried again. An engine with
+# twelve answers of three seconds each in its memory completes one only about every four of these
+# intervals.
 NO_CAPACITY_PAUSE_S = 0.06
-# Seconds without requests after a refusal; doubled with each further refusal in a row, up to the
-# maximum. An engine that changes its role refuses requests for six seconds or more, and all
-# instances together may retry only a fifth of their requests. A plain server that refuses at once
-# looks least busy, and would get most of the next calls without this pause.
+# Seconds for which a server gets no requests after it refused one; doubled with each further
+# refusal in a row, up to the maximum. An engine that changes its role refuses requests for six
+# seconds or more, and all instances together may retry only a fifth of their requests. A plain
+# server that refuses at once looks least busy, and would get most of the next calls without this
+# pause.
 REFUSAL_PAUSE_S = 0.7
 MAX_REFUSAL_PAUSE_S = 6.0
 # Cost factor of a server in another availability zone: the network adds a few percent.
@@ -30,11 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleChange:
-    """An order to change its role that a server has accepted.
+    """An order to change its role, accepted by a server.
 
     Attributes:
         role: its next role.
-        until: when the change is complete at the latest; after that the order is void.
+        until: time by which the change is complete, or else the order is void; the role in the
+            server's entry counts again from then on.
     """
 
     role: EngineRole
@@ -50,13 +54,15 @@
         reserved_tokens: KV memory that those requests occupy, in tokens.
         mean_response_s: moving average of the response time; 0 before the first response.
         failure_share: moving average of the share of failed requests, from 0 to 1.
-        full_until: when to try again after the server had no capacity; an estimate. A backoff that
-            the server itself asks for is kept in :class:`ServerExclusions`.
-        limited_until: when a request may be sent to it under the limit that it advertises for all
-            instances together.
+        full_until: when to try the server again after it refused a request or had no capacity; an
+            estimate. A backoff that the server itself asks for is kept in
+            :class:`ServerExclusions`.
+        limited_until: time before which no request may be sent to it under the limit that it
+            advertises for all instances together.
         consecutive_refusals: refusals since the last success.
         is_replaced: whether another server has its address now.
-        role_change: the last order that it is known to have accepted.
+        role_change: the last order to change its role that it is known to have accepted.
+        breaker: its circuit breaker.
     """
 
     open_requests: int = 0
@@ -85,7 +91,7 @@
         return listed_role if change is None or now >= change.until else change.role
 
     def record_success(self, took_s: float) -> None:
-        """Record a response."""
+        """Record a successful response that took *took_s* seconds."""
         self.record_duration(took_s)
         self.failure_share *= 1 - EWMA_WEIGHT
         self.consecutive_refusals = 0
@@ -113,12 +119,18 @@
         self.consecutive_refusals = min(10, self.consecutive_refusals + 1)
 
     def record_no_capacity(self, now: float, rng: random.Random) -> None:
-        """Record that it had no capacity for a reservation; the pause is random per instance."""
+        """Record that it had no capacity for a reservation, and pause for a random time.
+
+        The random factor keeps instances from trying the engine again at the same moment.
+        """
         # The pause after a refusal is longer and must not be shortened here.
         self.full_until = max(self.full_until, now + NO_CAPACITY_PAUSE_S * rng.uniform(0.7, 1.3))
 
     def record_at_limit(self, now: float, after_s: float) -> None:
-        """Record that a request may be sent in *after_s*; the earliest of several times counts."""
+        """Record that a request may be sent in *after_s* seconds, under the advertised limit.
+
+        Of several times that have not passed yet the earliest counts.
+        """
         until = now + after_s
         known = self.limited_until
         self.limited_until = min(known, until) if known > now else until
@@ -159,6 +171,14 @@
     Servers that are at their advertised limit are never chosen. Servers whose breaker is open, or
     that refused a request a moment ago without naming a time to retry, are chosen only when there
     is no other.
+
+    Args:
+        servers: the servers that may be chosen.
+        stats_of: returns what this instance measured of a server, by incarnation id.
+        zone: availability zone of this instance.
+        now: time of the runtime's clock in seconds.
+        rng: varies the costs, so that instances with the same measurements choose differently.
+        avoid: incarnation ids of servers that must not be chosen.
     """
     candidates = [
         server
--- a/src/crankhinge/decisions/_servers.py
+++ b/src/crankhinge/decisions/_servers.py
@@ -46,10 +46,11 @@
         role: whether it is a prefill engine, a decode engine or a plain server.
         slots: number of requests that it runs at once.
         leaving: whether it announced its shutdown and takes no new requests.
-        heartbeat: counter that grows with each write of its entry.
+        heartbeat: counter that grows each time the server writes its entry.
         entry_created: revision of the store at which the entry was created; it stays the same as
             long as the entry does not lapse.
-        models: names of the models it serves; empty when its entry names none.
+        models: names of the models it serves; empty when its entry names none, and then it serves
+            any model.
         started_ms: start time in milliseconds since the Unix epoch; 0 when its entry has none.
         incarnation_id: identifies this incarnation. All state about a server is kept under this id,
             so that nothing learned about an earlier incarnation is applied to a later one.
@@ -135,7 +136,11 @@
         return list(self._suspects)
 
     def apply_entry(self, server: Server) -> bool:
-        """Apply one entry; returns whether it changed anything."""
+        """Apply one entry; return whether it changed anything.
+
+        An entry is ignored if a newer one of the same name was applied, or if its server is gone
+        and the entry is not newer than the last one.
+        """
         known = self.get_by_name(server.name)
         last = known.entry_version if known else self._last_versions.get(server.name, (-1, -1))
         if server.entry_version < last or (known is None and server.entry_version == last):
@@ -204,7 +209,7 @@
         )
 
     def _remove_unusable(self, unusable: Iterable[str]) -> tuple[str, ...]:
-        """Remove the servers whose entries cannot be used; returns their incarnation ids."""
+        """Remove the servers whose entries cannot be used; return their incarnation ids."""
         removed = tuple(
             self._incarnation_ids[name] for name in unusable if name in self._incarnation_ids
         )
@@ -244,6 +249,16 @@
         have_lapsed: bool,
         unusable_ids: tuple[str, ...],
     ) -> ServerListChange:
+        """Apply written entries; keep the missing servers as suspects, or remove them.
+
+        Args:
+            servers: entries that were written.
+            missing: incarnation ids of the servers that have no entry any more.
+            now: time of the runtime's clock in seconds.
+            have_lapsed: whether the missing entries lapsed although their servers may still run.
+                Their servers become suspects, apart from those that announced their shutdown.
+            unusable_ids: incarnation ids of servers already removed for an unusable entry.
+        """
         before = {server.name: self._incarnation_ids.get(server.name) for server in servers}
         changed = tuple(server for server in servers if self._apply_if_changed(server))
         removed = tuple(
@@ -267,7 +282,7 @@
         return ServerListChange(changed, unusable_ids + removed, suspected, restarted)
 
     def _apply_if_changed(self, server: Server) -> bool:
-        """Apply an entry; returns whether it changed more than the heartbeat."""
+        """Apply an entry; return whether the server is new, or its role or its leaving changed."""
         known = self._known.get(server.incarnation_id)
         return self.apply_entry(server) and (
             known is None or known.leaving != server.leaving or known.role != server.role
@@ -278,7 +293,7 @@
         return min(self._suspects.values(), default=None)
 
     def expire_suspects(self, now: float) -> list[str]:
-        """Remove the suspects whose time has expired; returns their incarnation ids."""
+        """Remove the suspects whose time has expired; return their incarnation ids."""
         expired = [
             incarnation_id for incarnation_id, until in self._suspects.items() if until <= now
         ]
--- a/src/crankhinge/decisions/_shared_limits.py
+++ b/src/crankhinge/decisions/_shared_limits.py
@@ -9,9 +9,9 @@
 fault splits the fleet, each part grants what its own instances leased. The store is not involved,
 so this also works while the store is unreachable.
 
-A lease begins when the lender sends it, and ends at a time of the allocator's clock: the lender
-returns the latest time of that clock that it has received, and the duration counts from there. So a
-message that was delayed by seconds leases nothing beyond its time, and clocks need not be
+A lease begins when the lender sends it, and ends at a time of the allocator's clock. The lender
+sends back the latest time of that clock that it has received, and the duration counts from that
+time. So a message that was delayed by seconds leases nothing beyond its end, and clocks need not be
 synchronized.
 """
 
@@ -26,10 +26,10 @@
 from crankhinge.decisions._permit_pool import PermitDecision, PermitPool, burst_limit
 from crankhinge.decisions._unresponsive import UnresponsivePeers
 
-# Seconds for which a share is leased: the minimum, and the amount for each instance. A lease is
-# renewed three times in its duration. When the allocator dies, the shares leased to it are unused
-# for that long. The duration grows with the number of instances so that the allocator does not
-# receive more renewals per second in a large fleet.
+# Duration of a lease in seconds: the minimum, and the amount for each instance of the fleet. A
+# lease is renewed three times in its duration. When the allocator crashes, the shares leased to it
+# stay unused until their leases end. The duration grows with the number of instances so that the
+# allocator does not receive more renewals per second in a large fleet.
 MIN_SHARE_LEASE_S = 2.4
 SHARE_LEASE_S_PER_INSTANCE = 0.08
 RENEWALS_PER_LEASE = 3
@@ -71,7 +71,7 @@
 
 
 class SharedLimits:
-    """The advertised limits as one instance knows them, its leases, and the permits it grants.
+    """The advertised limits as one instance knows them, its leases of shares, and its permits.
 
     Args:
         name: name of this instance.
@@ -119,7 +119,7 @@
         self._clock_stamps[name] = stamp
 
     def record_joined(self, name: str) -> None:
-        """Record that an instance has joined."""
+        """Record that an instance has joined, so that it is not skipped any longer."""
         self._unresponsive.record_response(name)
 
     # Leases of the local share.
@@ -135,9 +135,14 @@
         return self.lease_s / RENEWALS_PER_LEASE
 
     def lease_out(self, server: str, allocator: str, now: float) -> ShareLease | None:
-        """Lease the local share of a server's limit to an allocator; None if impossible."""
+        """Lease the local share of a server's limit to an allocator.
+
+        Returns:
+            The lease to send; None if the allocator does not respond, or the share is leased to
+            another instance or must not be used now.
+        """
         clock_stamp = self._clock_stamps.get(allocator)
-        # A share leased to an instance that is gone would be unused for the duration of the lease.
+        # A share leased to an instance that is gone would stay unused until the lease ends.
         if clock_stamp is None or self._unresponsive.missed_last(allocator):
             return None
         if not self._may_lease(server, allocator, now):
@@ -163,7 +168,10 @@
         return ClockStamp(self._incarnation, now)
 
     def accept_lease(self, server: str, lender: str, lease: ShareLease, now: float) -> None:
-        """Accept a share that another instance leases to this one."""
+        """Accept a share that another instance leases to this one.
+
+        A lease is ignored if its stamp is from another incarnation of this instance.
+        """
         if lease.stamp.incarnation != self._incarnation or lease.stamp.at > now:
             return
         pool = self._permit_pool(server, now)
@@ -176,13 +184,13 @@
     def take_permit(
         self, server: str, within_s: float, now: float, *, for_caller: bool = False
     ) -> PermitDecision:
-        """Grant a permit for a request to a server, or tell when to ask again.
+        """Grant a permit for a request to a server, or return when to ask again.
 
         Args:
             server: its incarnation id.
             within_s: seconds within which the request is to be sent.
             now: time of the runtime's clock in seconds.
-            for_caller: whether the time is passed on to a caller as its retry delay.
+            for_caller: whether the time to ask again is passed on to a caller as its retry delay.
         """
         pool = self._permit_pool(server, now)
         if pool is None:
@@ -191,7 +199,11 @@
         return pool.take_permit(within_s, self._membership.fleet_size, now, for_caller=for_caller)
 
     def use_local_share(self, server: str, now: float) -> None:
-        """Lease the local share to this instance itself, if that allows any request at all."""
+        """Lease the local share to this instance itself.
+
+        An instance that is not an allocator of the server does so only if the local share alone is
+        enough for a request.
+        """
         pool = self._permit_pool(server, now)
         if pool is None or not self._may_lease(server, self._name, now):
             return
--- a/src/crankhinge/decisions/_slots.py
+++ b/src/crankhinge/decisions/_slots.py
@@ -1,4 +1,4 @@
-"""The allocation of a decode engine's slots to requests.
+"""Which requests get the slots of a decode engine, and when.
 
 A slot is leased before the prompt is processed, so that no prompt is processed for which there is
 no slot. It is leased *ahead* of time: a request whose prompt is not processed yet may get the slot
@@ -13,7 +13,9 @@
 from crankhinge.decisions._mechanisms import FULL, Mechanisms
 from crankhinge.decisions._requests import Refusal, SlotRequest
 
+# Seconds that a lease lasts beyond the time at which its slot should be used.
 DEFAULT_LEASE_MARGIN_S = 2.0
+# Weight of the newest answer in the mean time for which an answer runs.
 EWMA_WEIGHT = 0.1
 
 
@@ -31,25 +33,36 @@
 
 @dataclass
 class _Lease:
+    """A lease of a slot that is not used yet; *ask* is the request that holds it."""
+
     ask: SlotRequest
     expires: float
 
 
 @dataclass
 class _Running:
+    """An answer that is being decoded; *ask* is its request, *produced* its tokens so far."""
+
     ask: SlotRequest
     started_at: float
     produced: int = 0
 
 
 class SlotTable:
-    """The slots of one engine: leased, running, and the requests that wait for one.
+    """The slots of one engine: those that are leased or in use, and the requests that wait for one.
 
     Args:
         capacity: number of requests that the engine holds in memory.
         step_s: assumed seconds between tokens, until measured.
         lease_margin_s: seconds that a lease lasts beyond the time at which its slot should be used.
         mech: the enabled mechanisms.
+
+    Attributes:
+        capacity: number of slots of the engine.
+        step_s: seconds between tokens, as last measured.
+        foreign_requests: number of slots that the engine still uses for requests of a previous
+            incarnation of the agent; they cannot be leased.
+        is_closed: whether new requests are refused.
     """
 
     def __init__(
@@ -73,7 +86,10 @@
 
     @property
     def free_slots(self) -> int:
-        """Slots that are neither running nor leased nor used by requests from elsewhere."""
+        """Number of slots that are not in use, leased, or taken by foreign requests.
+
+        It may be negative when slots are leased ahead of time.
+        """
         return self.capacity - len(self._running) - len(self._leases) - self.foreign_requests
 
     @property
@@ -103,18 +119,21 @@
         return max(0.0, ends[position] - now) + rounds * self._mean_run_s
 
     def _latest_end(self, run: _Running, now: float) -> float:
-        """Return the latest time at which the answer ends."""
+        """Return when a running answer ends if it has its maximum length."""
         return now + max(0, run.ask.max_tokens - run.produced) * self.step_s
 
     def _slot_ends(self, now: float) -> list[float]:
-        """Return the latest time at which each held slot becomes free, in no order."""
+        """Return the latest time at which each used or leased slot becomes free, in no order."""
         ends = [self._latest_end(run, now) for run in self._running.values()]
         for lease in self._leases.values():
             ends.append(now + lease.ask.lead_s + lease.ask.max_tokens * self.step_s)
         return ends
 
     def submit(self, request: SlotRequest, now: float) -> list[SlotDecision]:
-        """Queue a request; returns grants, or a refusal when its deadline cannot be met."""
+        """Queue a request; return the grants that are possible, or the request's refusal.
+
+        A request is refused when it is not expected to get a slot by its deadline.
+        """
         if self.is_closed:
             return [Refusal(request.req, "draining", 0.0)]
         wait = self._expected_wait(request, now)
@@ -145,10 +164,12 @@
         return own_wait_s + self._seconds_until_next_end(now, request.lead_s)
 
     def _seconds_until_next_end(self, now: float, lead_s: float) -> float:
+        """Return the seconds until the next slot becomes free, counted from *lead_s* after now."""
         ends = self._slot_ends(now)
         return max(0.0, min(ends) - now - lead_s) if ends else 0.0
 
     def _has_room_for(self, request: SlotRequest, now: float) -> bool:
+        """Whether a slot is free, or certain to be free when the request needs it."""
         if self.free_slots > 0:
             return True
         if not self._mech.ahead:
@@ -158,7 +179,7 @@
         return self.free_slots + ending > 0
 
     def tick(self, now: float) -> list[SlotDecision]:
-        """Expire leases and waiting requests, and grant slots as far as possible."""
+        """Expire leases and waiting requests, and grant as many slots as possible."""
         self._expire_leases(now)
         decisions: list[SlotDecision] = self._expire_queue(now)
         while (head := self._queue.peek()) is not None and self._has_room_for(head, now):
@@ -190,7 +211,7 @@
         return decisions
 
     def can_start(self, req: int) -> bool:
-        """Whether the leased slot is free in the engine now."""
+        """Whether *req* holds a lease and its slot is free in the engine now."""
         return req in self._leases and len(self._running) + self.foreign_requests < self.capacity
 
     def is_leased(self, req: int) -> bool:
@@ -202,7 +223,7 @@
         return req in self._leases or req in self._running or req in self._queue
 
     def start(self, req: int, now: float) -> bool:
-        """Turn the lease into a running answer; False without a lease or a free slot."""
+        """Turn the lease into a running answer; return False without a lease or a free slot."""
         if not self.can_start(req):
             return False
         lease = self._leases.pop(req)
@@ -216,7 +237,7 @@
             run.produced = produced
 
     def release(self, req: int, now: float) -> list[SlotDecision]:
-        """Release everything that *req* holds or waits for; returns the grants that this allows."""
+        """Release everything that *req* holds or waits for; return the grants that this allows."""
         self._queue.remove(req)
         self._leases.pop(req, None)
         run = self._running.pop(req, None)
--- a/src/crankhinge/decisions/_split.py
+++ b/src/crankhinge/decisions/_split.py
@@ -10,7 +10,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-# Weight of the newest sample: about fifty requests, a few seconds of traffic, determine an average.
+# Weight of the newest sample in a moving average: about fifty requests, a few seconds of traffic,
+# determine it. EWMA_SAMPLES is that number of requests.
 EWMA_WEIGHT = 0.02
 EWMA_SAMPLES = 50
 # Admitted requests and completed answers needed before any load is reported, and answers needed
@@ -23,46 +24,51 @@
 # of samples.
 LENGTH_CLASS_TOKENS = 1000
 MIN_CLASS_SAMPLES = 3
-# Newest prefills that are kept of a class. Their number divided by the second constant is the
-# number of the fastest ones that are skipped, because a prompt that was still cached by the engine
-# takes no time.
+# Number of newest prefills that are kept of a class. The number of prefills of a class divided by
+# FAST_QUANTILE_DIVISOR is the number of its fastest ones that are skipped, because a prompt that
+# was still cached by the engine takes no time.
 MAX_CLASS_SAMPLES = 20
 FAST_QUANTILE_DIVISOR = 4
-# Newest prefills that an instance publishes to the others, about 15 bytes each. A few of each
-# instance together show the cost of prefill; each instance by itself, with four prefills, would
-# take waiting time for work.
+# Number of newest prefills that an instance publishes to the others, about 15 bytes each. A few
+# prefills of each instance together show the cost of prefill; an instance that used only four
+# prefills of its own would count waiting time as work.
 MAX_PUBLISHED_PREFILLS = 12
 # Minimum share of the duration of a fast prefill that counts as work, whatever the slope says: a
 # short prefill that had to wait makes the slope look flat.
 MIN_WORK_SHARE = 0.6
 # Factor by which prefill engines are loaded less than decode engines. A caller waits for all
 # prompts that are queued before its own, while a full decode engine only refuses requests. A much
-# larger factor would take too much KV memory away from decoding.
+# larger factor would leave too little KV memory for decoding.
 PREFILL_HEADROOM = 1.3
 # Minimum number of engines in each pool while there are enough engines: a crash must not hit the
 # last one.
 MIN_POOL_ENGINES = 2
-# Fraction by which a change must lower the higher load: a change costs an engine's work for
-# seconds.
+# Fraction by which a change of the split must lower the higher of the two loads to be worth it: a
+# change costs an engine's work for seconds.
 MIN_GAIN = 0.12
-# One change moves at most a pool's engines divided by this: the measurements may be wrong.
+# One change moves at most the number of a pool's engines divided by this (rounded up), since the
+# measurements may be wrong.
 MAX_CHANGE_DIVISOR = 3
 
 
 @dataclass(frozen=True, slots=True)
 class PoolLoads:
-    """Work of an average request.
+    """The work that an average request causes in each of the two pools.
 
     Attributes:
-        prompt_s: seconds of a prefill engine.
-        answer_s: seconds of the whole KV memory of a decode engine.
+        prompt_s: seconds for which it keeps a prefill engine busy.
+        answer_s: seconds for which it would occupy the whole KV memory of a decode engine: the
+            seconds for which memory is reserved, times the fraction of the memory.
     """
 
     prompt_s: float
     answer_s: float
 
     def max_per_engine(self, prompt_engines: int, decode_engines: int) -> float:
-        """Return the higher load per engine of the two pools, that of prefill with its headroom."""
+        """Return the higher load per engine of the two pools.
+
+        The load of prefill engines is raised by PREFILL_HEADROOM.
+        """
         if prompt_engines < 1 or decode_engines < 1:
             return float("inf")
         return max(
@@ -112,7 +118,7 @@
         length_class.add(tokens, took_s)
 
     def token_s(self) -> float:
-        """Return the seconds of work per prompt token, rather too high than too low."""
+        """Return the estimated seconds of work per prompt token; it errs on the high side."""
         classes = list(self._classes.values())
         seen = [
             length_class for length_class in classes if len(length_class) >= MIN_CLASS_SAMPLES
@@ -130,19 +136,24 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkloadStats:
-    """What one instance measured of a service's requests; means over the newest ones.
+    """What one instance measured of a service's requests.
+
+    The instances publish it under these field names, in which "read" stands for prefill, "part" for
+    a fraction of the KV memory and "pace" for the seconds per token of an answer. The mean values
+    are moving averages over the newest requests.
 
     Attributes:
         admitted: number of admitted requests.
         answers: number of completed answers.
-        readings: number of processed prompts (prefills).
-        tokens: tokens of a prompt.
-        read_s: seconds of a prefill, including its wait.
+        readings: number of prefills (processed prompts).
+        tokens: mean number of tokens of a prompt.
+        read_s: mean duration of a prefill in seconds, including its wait.
         token_s: seconds of a prefill engine's work per prompt token.
-        part: fraction of an engine's KV memory that a request reserves.
-        part_tokens: that fraction times the estimated tokens of the answer.
-        pace_s: seconds per token of an answer.
-        newest: tokens and seconds of its newest prefills; empty from instances that publish none.
+        part: mean fraction of a decode engine's KV memory that a request reserves.
+        part_tokens: mean product of that fraction and the estimated tokens of the request's answer.
+        pace_s: mean seconds per token of an answer.
+        newest: prompt tokens and duration in seconds of its newest prefills; empty from instances
+            that publish none.
     """
 
     admitted: int
@@ -157,7 +168,7 @@
     newest: tuple[tuple[int, float], ...] = ()
 
     def loads(self) -> PoolLoads:
-        """Return the loads that follow from these measurements."""
+        """Return the load per request that follows from these measurements."""
         # The memory is reserved during the prefill, too.
         decode_s = self.part * self.read_s + self.part_tokens * self.pace_s
         return PoolLoads(self.token_s * self.tokens, decode_s)
@@ -234,13 +245,16 @@
         return self._mean_first_event_s if self._first_events >= MIN_ANSWERS else None
 
     def expected_service_s(self, answer_tokens: int) -> float | None:
-        """Return the seconds to process a prompt and decode an answer; None if rarely measured."""
+        """Return the expected seconds to process a prompt and decode an answer of *answer_tokens*.
+
+        None while too few answers have been measured.
+        """
         if self._answers < MIN_ANSWERS:
             return None
         return self._mean_prefill_s + answer_tokens * self._mean_token_s
 
     def stats(self) -> WorkloadStats | None:
-        """Return the measurements, or None while one of the three kinds is missing."""
+        """Return the measurements; None until there is an admission, an answer and a prefill."""
         if not self._admitted or not self._answers or not self._length_classes:
             return None
         return WorkloadStats(
@@ -298,13 +312,19 @@
 
 
 def _implied_prefills(stats: WorkloadStats) -> list[tuple[int, float]]:
-    """Return prefills that match the means of an instance that publishes none, one per sample."""
+    """Return prefills like the mean one of an instance that publishes no single prefills."""
     prefill = (round(stats.tokens), stats.token_s * stats.tokens)
     return [prefill] * min(stats.readings, MAX_PUBLISHED_PREFILLS)
 
 
 def _mean(rows: Iterable[tuple[float, int]]) -> float:
-    """Return the weighted mean of values with sample counts; a mean covers the newest samples."""
+    """Return the mean of values, each weighted by its number of samples.
+
+    The weight is bounded, since a moving average covers only about EWMA_SAMPLES samples.
+
+    Args:
+        rows: a value and its number of samples each.
+    """
     weighted = [(value, min(samples, EWMA_SAMPLES)) for value, samples in rows]
     return sum(value * samples for value, samples in weighted) / sum(row[1] for row in weighted)
 
@@ -312,13 +332,16 @@
 def wanted_prompt_engines(
     loads: PoolLoads, prompt_engines: int, decode_engines: int, answers: int
 ) -> int:
-    """Return how many engines should prefill; the present number unless a change pays off.
+    """Return how many engines should prefill.
+
+    That is the present number unless a change lowers the higher load enough.
 
     Args:
         loads: work of an average request.
         prompt_engines: number of prefill engines now.
         decode_engines: number of decode engines now.
-        answers: number of answers on which the loads are based.
+        answers: number of answers on which the loads are based; too few do not justify more prefill
+            engines.
     """
     total = prompt_engines + decode_engines
     if total < 2:
--- a/src/crankhinge/decisions/_unresponsive.py
+++ b/src/crankhinge/decisions/_unresponsive.py
@@ -1,9 +1,9 @@
-"""Instances that did not respond, and how long no requests are sent to them."""
+"""Peer instances that did not respond, and how long no requests are sent to them."""
 
 from __future__ import annotations
 
 # Seconds for which an unresponsive instance is skipped, doubled each time it does not respond
-# again. A request to an instance that is gone costs a tenth of a second.
+# again, up to the maximum. A request to an instance that is gone costs a tenth of a second.
 FIRST_SKIP_S = 1.0
 MAX_SKIP_S = 16.0
 
--- a/src/crankhinge/decisions/_work_queue.py
+++ b/src/crankhinge/decisions/_work_queue.py
@@ -1,4 +1,4 @@
-"""The order in which a backend server gets work, and which requests are refused before a start.
+"""The order in which a backend server gets its work, and the early refusal of late requests.
 
 Work of a prefill engine is measured in prompt tokens, work of a plain service in calls.
 """
@@ -9,6 +9,7 @@
 from crankhinge.decisions._mechanisms import FULL, Mechanisms
 from crankhinge.decisions._requests import Refusal, WorkRequest
 
+# Weight of the newest request in the moving average of units_per_s.
 RATE_EWMA_WEIGHT = 0.2
 
 
@@ -19,6 +20,11 @@
         width: maximum number of requests that the server runs at once.
         units_per_s: assumed units of work per second, until measured.
         mech: the enabled mechanisms.
+
+    Attributes:
+        width: maximum number of requests that the server runs at once.
+        units_per_s: measured units of work per second.
+        is_closed: whether new requests are refused.
     """
 
     def __init__(self, *, width: int, units_per_s: float, mech: Mechanisms = FULL) -> None:
@@ -72,7 +78,10 @@
         return None
 
     def take_next(self, now: float) -> tuple[list[WorkRequest], list[Refusal]]:
-        """Return the requests to start now, and refusals of those whose deadline cannot be met."""
+        """Take requests from the queue; return those to start now, and refusals of the others.
+
+        A request is refused when its deadline cannot be met any more.
+        """
         starts: list[WorkRequest] = []
         refusals: list[Refusal] = []
         while self.free_slots and (request := self._queue.pop()) is not None:
@@ -86,7 +95,7 @@
         return starts, refusals
 
     def record_end(self, req: int, now: float, *, done: int = 0) -> None:
-        """Record that a request is done, has failed or is not wanted any more.
+        """Record that a request is done, has failed, or is not needed any more.
 
         Args:
             req: id of the request.
