--- a/src/crankhinge/decisions/_breaker.py
+++ b/src/crankhinge/decisions/_breaker.py
@@ -30,14 +30,14 @@
     def __init__(self) -> None:
         self._failures = 0
         self._open_s = FIRST_OPEN_S
-        self._until = 0.0
+        self._open_until = 0.0
         self._trial_until = 0.0
 
     def state(self, now: float) -> BreakerState:
         """Return the state at time *now* (in seconds)."""
         if self._failures < FAILURES_TO_OPEN:
             return BreakerState.CLOSED
-        return BreakerState.OPEN if now < self._until else BreakerState.HALF_OPEN
+        return BreakerState.OPEN if now < self._open_until else BreakerState.HALF_OPEN
 
     def allows_request(self, now: float) -> bool:
         """Whether a request may be sent; does not change the state."""
@@ -69,4 +69,4 @@
         if self._trial_until:
             self._open_s = min(MAX_OPEN_S, self._open_s * 2)
         self._trial_until = 0.0
-        self._until = now + self._open_s
+        self._open_until = now + self._open_s
--- a/src/crankhinge/decisions/_forecast.py
+++ b/src/crankhinge/decisions/_forecast.py
@@ -25,12 +25,12 @@
     """An answer in progress: its memory in tokens, its start, and its expected duration."""
 
     tokens: int
-    since: float
+    started_at: float
     expected_s: float
 
     def left_s(self, now: float) -> float:
         """Return the seconds until it ends."""
-        return max(self.since + self.expected_s - now, OVERDUE_SHARE * self.expected_s)
+        return max(self.started_at + self.expected_s - now, OVERDUE_SHARE * self.expected_s)
 
 
 class MemoryForecast:
--- a/src/crankhinge/decisions/_member_limits.py
+++ b/src/crankhinge/decisions/_member_limits.py
@@ -12,11 +12,11 @@
 
 @dataclass
 class _Use:
-    """Requests in progress of a member, and its token bucket as last refilled at *at*."""
+    """Requests in progress of a member, and its token bucket refilled at that time."""
 
     running: int = 0
     tokens: float = 0.0
-    at: float = 0.0
+    refilled_at: float = 0.0
 
 
 class MemberLimits:
@@ -40,13 +40,13 @@
         Returns:
             None when admitted, else the seconds after which to retry.
         """
-        use = self._use.setdefault(member, _Use(tokens=max(1.0, max_per_s), at=now))
+        use = self._use.setdefault(member, _Use(tokens=max(1.0, max_per_s), refilled_at=now))
         if max_concurrent and use.running >= max_concurrent:
             return 1.0
         if max_per_s:
             burst = max(1.0, max_per_s)
-            use.tokens = min(burst, use.tokens + (now - use.at) * max_per_s)
-            use.at = now
+            use.tokens = min(burst, use.tokens + (now - use.refilled_at) * max_per_s)
+            use.refilled_at = now
             if use.tokens < 1.0:
                 return (1.0 - use.tokens) / max_per_s
             use.tokens -= 1.0
--- a/src/crankhinge/decisions/_slots.py
+++ b/src/crankhinge/decisions/_slots.py
@@ -136,9 +136,9 @@
         """
         if self.is_closed:
             return [Refusal(request.req, "draining", 0.0)]
-        wait = self._expected_wait(request, now)
-        if self._mech.refuse_early and now + wait > request.deadline:
-            return [Refusal(request.req, "overloaded", max(0.1, wait))]
+        wait_s = self._expected_wait_s(request, now)
+        if self._mech.refuse_early and now + wait_s > request.deadline:
+            return [Refusal(request.req, "overloaded", max(0.1, wait_s))]
         fair = self._mech.fair
         self._queue.push(
             request.req,
@@ -150,7 +150,7 @@
         )
         return self.tick(now)
 
-    def _expected_wait(self, request: SlotRequest, now: float) -> float:
+    def _expected_wait_s(self, request: SlotRequest, now: float) -> float:
         """Return the seconds until this request's flow would get a slot.
 
         The flow is served at its share of the engine, so the long queue of another member does not
@@ -188,10 +188,10 @@
         return decisions
 
     def _grant(self, request: SlotRequest, now: float) -> SlotGrant:
-        lease = request.lead_s + self._lease_margin_s
-        ready = 0.0 if self.free_slots > 0 else self._seconds_until_next_end(now, 0.0)
-        self._leases[request.req] = _Lease(request, now + lease)
-        return SlotGrant(request.req, ready, lease)
+        lease_s = request.lead_s + self._lease_margin_s
+        ready_in_s = 0.0 if self.free_slots > 0 else self._seconds_until_next_end(now, 0.0)
+        self._leases[request.req] = _Lease(request, now + lease_s)
+        return SlotGrant(request.req, ready_in_s, lease_s)
 
     def _expire_leases(self, now: float) -> None:
         expired = [req for req, lease in self._leases.items() if lease.expires <= now]
--- a/src/crankhinge/decisions/_work_queue.py
+++ b/src/crankhinge/decisions/_work_queue.py
@@ -62,9 +62,9 @@
         """Queue a request, or refuse it when it cannot be done by its deadline."""
         if self.is_closed:
             return Refusal(request.req, "draining", 0.0)
-        wait = self.backlog_s(now) + request.units / self.units_per_s
-        if self._mech.refuse_early and now + wait > request.deadline:
-            return Refusal(request.req, "overloaded", max(0.1, wait))
+        wait_s = self.backlog_s(now) + request.units / self.units_per_s
+        if self._mech.refuse_early and now + wait_s > request.deadline:
+            return Refusal(request.req, "overloaded", max(0.1, wait_s))
         fair = self._mech.fair
         self._queue.push(
             request.req,
@@ -86,8 +86,8 @@
         refusals: list[Refusal] = []
         while self.free_slots and (request := self._queue.pop()) is not None:
             self._waiting_units -= request.units
-            late_by = now + request.units / self.units_per_s - request.deadline
-            if self._mech.refuse_early and late_by > 0:
+            late_s = now + request.units / self.units_per_s - request.deadline
+            if self._mech.refuse_early and late_s > 0:
                 refusals.append(Refusal(request.req, "overloaded", self.backlog_s(now)))
                 continue
             self._running[request.req] = (request, now)
@@ -107,6 +107,6 @@
             self._waiting_units -= waiting.units
         running = self._running.pop(req, None)
         if running is not None and done > 0:
-            took = max(1e-4, now - running[1])
-            measured_per_s = done / took * max(1, len(self._running) + 1)
+            took_s = max(1e-4, now - running[1])
+            measured_per_s = done / took_s * max(1, len(self._running) + 1)
             self.units_per_s += RATE_EWMA_WEIGHT * (measured_per_s - self.units_per_s)
