--- a/src/crankhinge/decisions/_fence.py
+++ b/src/crankhinge/decisions/_fence.py
@@ -63,7 +63,7 @@
         sync_id: identifies this copy.
         rows: the keys received so far.
         complete: whether the last part has been received.
-        acknowledged: whether the sender was told so.
+        acknowledged: whether the sender was notified of that.
     """
 
     epoch: int
@@ -186,6 +186,7 @@
         return [Reply(known.nonce, None) for _, known in unconsented]
 
     def _announce_state(self) -> Send:
+        """Return the message that announces this replica's role and epoch."""
         return Send(FenceState(self.range_id, self.role.value, self.epoch))
 
     def on_claim(self, msg: FenceClaim, now: float) -> list[FenceAction]:
@@ -360,7 +361,7 @@
             return [Send(FenceJoined(self.range_id, copy.epoch, copy.sync_id))]
         paired_since = head.epoch == copy.epoch + 1 and self._other_state == "paired"
         if head.holder or not (head.epoch == copy.epoch or paired_since):
-            # The copy is outdated. The announcement tells its sender the newer epoch.
+            # The copy is outdated. The announcement informs its sender of the newer epoch.
             self._copy = None
             self.epoch = max(self.epoch, head.epoch)
             return [self._announce_state()] if self._linked else []
--- a/src/crankhinge/decisions/_forecast.py
+++ b/src/crankhinge/decisions/_forecast.py
@@ -103,5 +103,5 @@
         )
 
     def record_promised_retry(self, tokens: int, at: float) -> None:
-        """Record that the caller of a refused request was told to retry at the time *at*."""
+        """Record that the caller of a refused request was asked to retry at the time *at*."""
         self._promised_retries.append((at, tokens))
--- a/src/crankhinge/decisions/_member_limits.py
+++ b/src/crankhinge/decisions/_member_limits.py
@@ -12,7 +12,7 @@
 
 @dataclass
 class _Use:
-    """Requests in progress of a member, and its token bucket refilled at that time."""
+    """A member's number of requests in progress, and the state of its token bucket."""
 
     running: int = 0
     tokens: float = 0.0
--- a/src/crankhinge/decisions/_membership.py
+++ b/src/crankhinge/decisions/_membership.py
@@ -167,7 +167,7 @@
     def has_counted_instances(self, now: float) -> bool:
         """Whether this instance knows how many instances there are.
 
-        That is so when it may coordinate, or wrote its record more than a read interval ago.
+        That is so when it may coordinate, or joined more than a read interval ago.
         """
         if self._joined_at is None:
             return False
@@ -206,6 +206,7 @@
         return {*self._addresses, self._name}
 
     def _set_addresses(self, peers: dict[str, str], now: float) -> None:
+        """Set the known instances; their orders change if the set of names does."""
         if set(peers) != set(self._addresses):
             self._rankings.clear()
             self.changed_at = now
--- a/src/crankhinge/decisions/_permit_pool.py
+++ b/src/crankhinge/decisions/_permit_pool.py
@@ -82,8 +82,8 @@
         # Permits available now; negative when permits were granted for requests that are sent
         # later.
         self._available = 0.0
-        # Number of refused requests that are expected to come back; requests that are refused after
-        # them get a later time to ask again. Callers and instances are counted separately: an
+        # Number of refused requests that are expected to be repeated; requests that are refused
+        # after them get a later time to ask again. Callers and instances are counted separately: an
         # instance asks again for all requests that it has by then.
         self._waiting_callers = self._waiting_instances = 0.0
         # End of the lease of each share, by the name of its lender, and a lower bound of these
@@ -189,6 +189,7 @@
             self._max_lender_fleet_size = 1
 
     def _clamp(self, fleet_size: int) -> None:
+        """Limit the available permits to the burst."""
         self._available = min(
             self._available, burst_limit(self.per_s, self.leased_fraction(fleet_size))
         )
--- a/src/crankhinge/decisions/_quota.py
+++ b/src/crankhinge/decisions/_quota.py
@@ -34,8 +34,8 @@
 BURST_SHARE = 0.5
 # Unanswered requests in a row after which an instance is skipped.
 MAX_MISSES = 1
-# Longest retry delay in seconds: refused callers get increasing delays, so that they come back one
-# after the other.
+# Longest retry delay in seconds. Refused callers get increasing delays up to this, so that they
+# retry one after the other.
 MAX_RETRY_AFTER_S = 5.0
 # Shortest retry delay in seconds.
 MIN_RETRY_AFTER_S = 0.05
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPools:
-    """The buckets among which an account's allowed tokens are divided.
+    """The rate and burst of each bucket among which an account's allowed tokens are divided.
 
     Attributes:
-        main: bucket of the first instance in the account's order.
-        standby: bucket of the second instance.
-        local: bucket of each instance for its own requests.
+        main: for the first instance in the account's order.
+        standby: for the second instance.
+        local: for the local bucket of each instance.
     """
 
     main: TokenLimit
@@ -108,7 +108,7 @@
         self._queue_until = now
 
     def take(self, tokens: float, limit: TokenLimit, now: float) -> float:
-        """Take *tokens*; returns 0, or the seconds after which they may be available.
+        """Take *tokens*; return 0, or the seconds after which to retry if they are not available.
 
         A request larger than the burst is admitted when the bucket is full, and leaves a negative
         level.
@@ -120,7 +120,7 @@
             return 0.0
         if limit.per_s <= 0 or limit.burst <= 0:
             return MAX_RETRY_AFTER_S
-        # Requests that were refused earlier come back before this one.
+        # Requests that were refused earlier are retried before this one.
         available_in_s = max(now + (needed - self.level) / limit.per_s, self._queue_until)
         self._queue_until = min(available_in_s + tokens / limit.per_s, now + MAX_RETRY_AFTER_S)
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, available_in_s - now))
@@ -130,6 +130,7 @@
         self.level = min(limit.burst, self.level + tokens)
 
     def _refill(self, limit: TokenLimit, now: float) -> None:
+        """Add the tokens that the rate yielded since the last refill, up to the burst."""
         passed = max(0.0, now - self._refilled_at)
         self.level = min(limit.burst, self.level + passed * limit.per_s)
         self._refilled_at = max(self._refilled_at, now)
@@ -249,22 +250,29 @@
         return QuotaDecision(outcome, after_s, bucket.level)
 
     def _limit_of(self, role: _Role, limit: TokenLimit) -> TokenLimit:
+        """Return the rate and burst of this instance's bucket for *role*."""
         pools = self._bounds.pools(limit, len(self._membership))
         return {_Role.MAIN: pools.main, _Role.STANDBY: pools.standby, _Role.LOCAL: pools.local}[
             role
         ]
 
     def _role_for(self, account: str, now: float) -> _Role:
+        """Return what this instance is for an account now."""
         ranked = self._membership.rank_instances(account)
         if not self._membership.may_coordinate(now) or self._name not in ranked[:2]:
             return _Role.LOCAL
         return _Role.MAIN if ranked[0] == self._name else _Role.STANDBY
 
     def _bucket(self, account: str, role: _Role, now: float) -> TokenBucket:
+        """Return the bucket for *role*.
+
+        A new bucket begins to fill at the earliest time at which this instance may have got the
+        role.
+        """
         account_buckets = self._accounts.setdefault(account, _AccountBuckets())
         if role is not _Role.LOCAL and role is not account_buckets.role:
-            # Another instance had this role until now. What it allocated is unknown here, so the
-            # bucket starts empty.
+            # Another instance had this role until now, and its allocations are unknown here, so a
+            # new bucket replaces the one of an earlier time in this role.
             account_buckets.buckets.pop(role, None)
             account_buckets.role = role
         if role not in account_buckets.buckets:
--- a/src/crankhinge/decisions/_reservations.py
+++ b/src/crankhinge/decisions/_reservations.py
@@ -56,8 +56,8 @@
 # Retry delay in seconds when nothing is known about the memory. Decoding an answer takes two to
 # three seconds, so half of the memory passes to other requests in this time.
 DEFAULT_RETRY_DELAY_S = 3.0
-# Predicted delays are multiplied by a random factor between these, so that callers that were
-# refused together do not come back together.
+# Retry delays are multiplied by a random factor between these, so that callers that were refused
+# together do not retry together.
 RETRY_DELAY_JITTER = (0.9, 1.3)
 # KV memory is allocated in blocks of this many tokens.
 BLOCK_TOKENS = 16
@@ -219,6 +219,7 @@
         return all(other.tokens > tokens for other in self.requests_ahead(number, now))
 
     def _rank(self, number: int, now: float) -> tuple[bool, float]:
+        """Return the sort key of a request; lower keys try first."""
         request, added_at = self._waiting[number]
         return request.is_late(now - added_at), added_at
 
--- a/src/crankhinge/decisions/_rollout.py
+++ b/src/crankhinge/decisions/_rollout.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+# Duration in seconds of the lease for loading adapter weights.
 ROLLOUT_LEASE_S = 60.0
 
 
--- a/src/crankhinge/decisions/_routing.py
+++ b/src/crankhinge/decisions/_routing.py
@@ -116,6 +116,7 @@
         return fresh or alive
 
     def _sample(self, items: list[Backend], count: int) -> list[Backend]:
+        """Return *count* random servers, or all in random order if there are fewer."""
         return self._rng.sample(items, min(count, len(items)))
 
     def choose_backends(self, pools: Iterable[str], now: float, adapter: str = "") -> list[Backend]:
@@ -239,4 +240,5 @@
 
 
 def _median(values: list[float]) -> float:
+    """Return the (upper) median; 0 without values."""
     return sorted(values)[len(values) // 2] if values else 0.0
--- a/src/crankhinge/decisions/_servers.py
+++ b/src/crankhinge/decisions/_servers.py
@@ -3,7 +3,7 @@
 Each server keeps its own entry in the platform's list alive. While the list's store is unreachable
 for all servers, entries lapse although their servers still run, and the servers write them again
 shortly after the store is back. When only one server is cut off from the store, the other entries
-stay unchanged. The state of the other entries therefore tells whether a missing entry lapsed, in
+stay unchanged. The state of the other entries therefore shows whether a missing entry lapsed, in
 which case its server is kept as a suspect for a while, or whether its server is gone.
 """
 
--- a/src/crankhinge/decisions/_shared_limits.py
+++ b/src/crankhinge/decisions/_shared_limits.py
@@ -4,10 +4,10 @@
 at a time, to the instance that is first for that server in an order that all instances compute
 alike (the allocator). The allocator grants permits for single requests, as many as the shares
 leased to it allow. An instance that reaches no allocator has only its local share, which is less
-than one request in a large fleet. No share is leased out twice at a time, so all instances together
-never send more than the server accepts, whichever instances can reach each other: when a network
-fault splits the fleet, each part grants what its own instances leased. The store is not involved,
-so this also works while the store is unreachable.
+than one request in a large fleet. A share is never leased to two instances at a time, so all
+instances together never send more than the server accepts, whichever instances can reach each
+other: when a network fault splits the fleet, each part grants what its own instances leased. The
+store is not involved, so this also works while the store is unreachable.
 
 A lease begins when the lender sends it, and ends at a time of the allocator's clock. The lender
 sends back the latest time of that clock that it has received, and the duration counts from that
@@ -152,7 +152,8 @@
         return ShareLease(clock_stamp, duration_s, self._membership.fleet_size)
 
     def _may_lease(self, server: str, allocator: str, now: float) -> bool:
-        # The previous incarnation of this instance may have leased the share out.
+        """Whether the local share may be leased to *allocator* now."""
+        # After a start, a lease from the previous incarnation of this instance may still hold.
         if not self._membership.may_use_equal_share(now) or now < self._started_at + self.lease_s:
             return False
         leased_to, until = self._leased_out.get(server, (allocator, 0.0))
--- a/src/crankhinge/decisions/_slots.py
+++ b/src/crankhinge/decisions/_slots.py
@@ -188,6 +188,7 @@
         return decisions
 
     def _grant(self, request: SlotRequest, now: float) -> SlotGrant:
+        """Lease a slot to a request."""
         lease_s = request.lead_s + self._lease_margin_s
         ready_in_s = 0.0 if self.free_slots > 0 else self._seconds_until_next_end(now, 0.0)
         self._leases[request.req] = _Lease(request, now + lease_s)
@@ -199,6 +200,7 @@
             del self._leases[req]
 
     def _expire_queue(self, now: float) -> list[SlotDecision]:
+        """Refuse the waiting requests whose deadline has passed."""
         decisions: list[SlotDecision] = []
         for request in self._queue.items():
             if now > request.deadline:
