--- a/src/crankhinge/decisions/_fence.py
+++ b/src/crankhinge/decisions/_fence.py
@@ -212,6 +212,7 @@
         return actions
 
     def _claim_reply(self, msg: FenceClaim, *, valid: bool, fresh: bool) -> Send:
+        """Return the reply to a claim."""
         return Send(FenceClaimReply(self.range_id, msg.key, msg.nonce, valid, fresh, self.epoch))
 
     def on_claim_reply(self, msg: FenceClaimReply) -> list[FenceAction]:
--- a/src/crankhinge/decisions/_permit_pool.py
+++ b/src/crankhinge/decisions/_permit_pool.py
@@ -16,7 +16,7 @@
 PERMIT_TRANSIT_S = 1.2
 CONNECT_S = 0.4
 # Requests a second that may be sent to a server that advertises a lower rate. One request in four
-# seconds is enough to find out when the limit has ended; the operators allow five.
+# seconds is enough to find out when the limit has ended; the operators allow five (ALLOWED_SLACK).
 MIN_RATE_PER_S = 0.25
 # Burst after a pause: this many seconds of the server's rate, or a minimum number of requests. With
 # a burst of one request, all capacity that accumulates before the next request would be lost.
--- a/src/crankhinge/decisions/_reservations.py
+++ b/src/crankhinge/decisions/_reservations.py
@@ -36,8 +36,8 @@
 EVENT_TIMEOUT_MARGIN_S = 0.2
 # Assumed seconds from the reservation to the first event, until some were measured.
 DEFAULT_FIRST_EVENT_S = 0.25
-# A request counts as a caller retry when its caller waits less than this fraction of the longest
-# wait seen on its route.
+# Until enough certain first attempts were seen on a route, a request counts as a caller retry when
+# its caller waits less than this fraction of the longest wait seen on the route.
 RETRY_OF_LONGEST_WAIT = 0.985
 # Number of waits kept for a route: enough to include a first attempt even when most are retries.
 MAX_KEPT_WAITS = 64
--- a/src/crankhinge/decisions/_server_stats.py
+++ b/src/crankhinge/decisions/_server_stats.py
@@ -20,11 +20,10 @@
 # twelve answers of three seconds each in its memory completes one only about every four of these
 # intervals.
 NO_CAPACITY_PAUSE_S = 0.06
-# Seconds for which a server gets no requests after it refused one; doubled with each further
-# refusal in a row, up to the maximum. An engine that changes its role refuses requests for six
-# seconds or more, and all instances together may retry only a fifth of their requests. A plain
-# server that refuses at once looks least busy, and would get most of the next calls without this
-# pause.
+# Seconds for which a server that refused a request is avoided; doubled with each further refusal in
+# a row, up to the maximum. An engine that changes its role refuses requests for six seconds or
+# more, and all instances together may retry only a fifth of their requests. A plain server that
+# refuses at once looks least busy, and would get most of the next calls without this pause.
 REFUSAL_PAUSE_S = 0.7
 MAX_REFUSAL_PAUSE_S = 6.0
 # Cost factor of a server in another availability zone: the network adds a few percent.
