--- a/src/crankhinge/decisions/_quota.py
+++ b/src/crankhinge/decisions/_quota.py
@@ -8,8 +8,9 @@
 reach each other, and no agreement between instances is needed. Below the limit no request is
 refused while the first or the second instance responds.
 
-A request counts if it was sent and ran within the same window. It gets its tokens between the two,
-so the tokens allocated in a window bound what counts in it.
+The operators count the tokens of a request in a window if the request was sent and ran within that
+window. The tokens are allocated after the request was sent and before it runs, so no more tokens
+count in a window than were allocated in it.
 """
 
 from __future__ import annotations
@@ -33,8 +34,8 @@
 BURST_SHARE = 0.5
 # Unanswered requests in a row after which an instance is skipped.
 MAX_MISSES = 1
-# Longest retry delay in seconds: refused callers get increasing delays, so that they come back one
-# after the other.
+# Longest retry delay in seconds. Refused callers get increasing delays up to this, so that they
+# retry one after the other.
 MAX_RETRY_AFTER_S = 5.0
 # Shortest retry delay in seconds.
 MIN_RETRY_AFTER_S = 0.05
@@ -47,7 +48,7 @@
     Attributes:
         window_s: seconds over which use is summed.
         overrun: allowed excess as a fraction of rate and burst.
-        slack: allowed excess in tokens.
+        slack: further allowed excess, in tokens.
     """
 
     window_s: float = 8.0
@@ -78,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPools:
-    """The buckets among which an account's allowed tokens are divided.
+    """The rate and burst of each bucket among which an account's allowed tokens are divided.
 
     Attributes:
-        main: bucket of the first instance in the account's order.
-        standby: bucket of the second instance.
-        local: bucket of each instance for its own requests.
+        main: for the first instance in the account's order.
+        standby: for the second instance.
+        local: for the local bucket of each instance.
     """
 
     main: TokenLimit
@@ -107,7 +108,7 @@
         self._queue_until = now
 
     def take(self, tokens: float, limit: TokenLimit, now: float) -> float:
-        """Take *tokens*; returns 0, or the seconds after which they may be available.
+        """Take *tokens*; return 0, or the seconds after which to retry if they are not available.
 
         A request larger than the burst is admitted when the bucket is full, and leaves a negative
         level.
@@ -119,7 +120,7 @@
             return 0.0
         if limit.per_s <= 0 or limit.burst <= 0:
             return MAX_RETRY_AFTER_S
-        # Requests that were refused earlier come back before this one.
+        # Requests that were refused earlier are retried before this one.
         available_in_s = max(now + (needed - self.level) / limit.per_s, self._queue_until)
         self._queue_until = min(available_in_s + tokens / limit.per_s, now + MAX_RETRY_AFTER_S)
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, available_in_s - now))
@@ -129,13 +130,20 @@
         self.level = min(limit.burst, self.level + tokens)
 
     def _refill(self, limit: TokenLimit, now: float) -> None:
+        """Add the tokens that the rate yielded since the last refill, up to the burst."""
         passed = max(0.0, now - self._refilled_at)
         self.level = min(limit.burst, self.level + passed * limit.per_s)
         self._refilled_at = max(self._refilled_at, now)
 
 
 class QuotaOutcome(enum.Enum):
-    """Result of a request for tokens."""
+    """Result of a request for tokens.
+
+    Attributes:
+        GRANTED: the tokens are allocated.
+        OVER_LIMIT: the bucket does not have them now.
+        NOT_ALLOCATOR: this instance may not allocate tokens of the account.
+    """
 
     GRANTED = "granted"
     OVER_LIMIT = "over-limit"
@@ -144,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecision:
-    """The response to a request for tokens.
+    """The decision about a request for tokens.
 
     Attributes:
         outcome: whether the tokens are granted.
@@ -170,14 +178,23 @@
 
 @dataclass
 class _AccountBuckets:
-    """The buckets of one account, by the role under which they were created."""
+    """The buckets of one account, by the role in which this instance takes tokens from them.
+
+    Attributes:
+        buckets: the buckets that were created.
+        role: the last role that this instance had as an allocator of the account; LOCAL before
+            that.
+    """
 
     buckets: dict[_Role, TokenBucket] = field(default_factory=dict)
     role: _Role = _Role.LOCAL
 
 
 class QuotaAllocator:
-    """Allocates tokens of the accounts assigned to this instance, and from its local buckets.
+    """Allocates tokens of accounts to requests.
+
+    This instance allocates to requests of all instances where it is the first or second instance of
+    an account, and from its local buckets to requests that arrived here.
 
     Args:
         name: name of this instance.
@@ -211,7 +228,14 @@
     def return_tokens(
         self, account: Account, tokens: float, now: float, *, local: bool = False
     ) -> None:
-        """Take back the tokens of a request that did not run."""
+        """Take back the tokens of a request that did not run.
+
+        Args:
+            account: the account of the request.
+            tokens: the tokens that were allocated.
+            now: time of the runtime's clock in seconds.
+            local: whether they were allocated by :meth:`allocate_local`.
+        """
         account_buckets = self._accounts.get(account.name)
         role = _Role.LOCAL if local else self._role_for(account.name, now)
         bucket = account_buckets.buckets.get(role) if account_buckets else None
@@ -226,21 +250,29 @@
         return QuotaDecision(outcome, after_s, bucket.level)
 
     def _limit_of(self, role: _Role, limit: TokenLimit) -> TokenLimit:
+        """Return the rate and burst of this instance's bucket for *role*."""
         pools = self._bounds.pools(limit, len(self._membership))
         return {_Role.MAIN: pools.main, _Role.STANDBY: pools.standby, _Role.LOCAL: pools.local}[
             role
         ]
 
     def _role_for(self, account: str, now: float) -> _Role:
+        """Return what this instance is for an account now."""
         ranked = self._membership.rank_instances(account)
         if not self._membership.may_coordinate(now) or self._name not in ranked[:2]:
             return _Role.LOCAL
         return _Role.MAIN if ranked[0] == self._name else _Role.STANDBY
 
     def _bucket(self, account: str, role: _Role, now: float) -> TokenBucket:
+        """Return the bucket for *role*.
+
+        A new bucket begins to fill at the earliest time at which this instance may have got the
+        role.
+        """
         account_buckets = self._accounts.setdefault(account, _AccountBuckets())
         if role is not _Role.LOCAL and role is not account_buckets.role:
-            # Another instance had this role until now, and its allocations are unknown here.
+            # Another instance had this role until now, and its allocations are unknown here, so a
+            # new bucket replaces the one of an earlier time in this role.
             account_buckets.buckets.pop(role, None)
             account_buckets.role = role
         if role not in account_buckets.buckets:
@@ -267,7 +299,7 @@
         self._unresponsive = UnresponsivePeers(MAX_MISSES)
 
     def allocators(self, account: str, now: float) -> Sequence[str]:
-        """Return the instances to ask, one after the other until one grants or refuses."""
+        """Return the instances to ask for tokens, in this order until one grants or refuses."""
         return [
             name
             for name in self._membership.rank_instances(account)[:2]
--- a/src/crankhinge/decisions/_rollout.py
+++ b/src/crankhinge/decisions/_rollout.py
@@ -1,8 +1,8 @@
-"""Leases that let a few agents of a pool at a time load adapter weights.
+"""Leases that let only a few agents of a pool load adapter weights at the same time.
 
-The record is one value in the key-value service, changed by compare-and-swap. Each entry in it is a
-lease that expires: when an agent crashes while loading, its place becomes free for the next one,
-and an agent that was paused beyond the end of its lease finds that its token is outdated. The
+The record of a pool is one value in the key-value service, changed by compare-and-swap. Each lease
+in it expires: when an agent crashes while loading, its lease ends and another agent can acquire
+one, and an agent that was paused beyond the end of its lease finds that its token is outdated. The
 leases only pace the rollout. With a wrong clock two agents may load at once, but an outdated order
 never takes effect, since orders carry the token and only the agent sends orders to its server.
 """
@@ -11,6 +11,7 @@
 
 import msgspec
 
+# Duration in seconds of the lease for loading adapter weights.
 ROLLOUT_LEASE_S = 60.0
 
 
@@ -31,15 +32,20 @@
 
     Attributes:
         token: grows with each lease; the fencing token of the lease's orders.
-        places: the leases, at most as many as agents may load at once.
+        leases: the leases, at most as many as agents may load at once.
     """
 
     token: int = 0
-    places: tuple[RolloutLease, ...] = ()
+    leases: tuple[RolloutLease, ...] = ()
 
 
 class AcquiredRollout(msgspec.Struct, frozen=True):
-    """A lease that is acquired once *record* has been swapped in."""
+    """A new lease, which is acquired once *record* has been swapped in.
+
+    Attributes:
+        token: fencing token of the lease.
+        record: the record with the new lease.
+    """
 
     token: int
     record: RolloutRecord
@@ -48,7 +54,7 @@
 def try_acquire_rollout(
     record: RolloutRecord, me: str, width: int, wall_ms: int
 ) -> AcquiredRollout | None:
-    """Return a lease, or None while the maximum number of agents holds one.
+    """Return a new lease; None while the maximum number of agents hold one.
 
     Args:
         record: the record as last read.
@@ -56,7 +62,7 @@
         width: maximum number of agents that may load at once.
         wall_ms: wall-clock time in milliseconds since the Unix epoch.
     """
-    others = tuple(p for p in record.places if p.name != me and p.until_ms > wall_ms)
+    others = tuple(p for p in record.leases if p.name != me and p.until_ms > wall_ms)
     if len(others) >= width:
         return None
     token = record.token + 1
@@ -66,7 +72,7 @@
 
 def release_rollout(record: RolloutRecord, me: str) -> RolloutRecord:
     """Return the record without the lease of *me*."""
-    return RolloutRecord(record.token, tuple(p for p in record.places if p.name != me))
+    return RolloutRecord(record.token, tuple(p for p in record.leases if p.name != me))
 
 
 def adapters_to_load(wanted: dict[str, int], loaded: dict[str, int]) -> list[str]:
