--- a/src/crankhinge/adapters/_dialect.py
+++ b/src/crankhinge/adapters/_dialect.py
@@ -19,9 +19,10 @@
     Attributes:
         request_id: id that the caller gave to this attempt; empty if it gave none.
         timeout_s: seconds that the caller waits for the response; None if it does not say.
-        prompt_tokens: length of the prompt; 0 if the caller does not say.
-        max_answer_tokens: maximum length of the answer; 0 if the caller does not say.
-        expected_answer_tokens: length of the answer as the caller estimates it; 0 if it does not.
+        prompt_tokens: number of tokens of the prompt; 0 if the caller does not say.
+        max_answer_tokens: maximum number of tokens of the answer; 0 if the caller does not say.
+        expected_answer_tokens: number of tokens that the caller expects in the answer; 0 if it does
+            not say.
         last_event_id: id of the last stream event that the caller received; empty if it received
             none.
         model: name of the requested model; empty if the caller names none.
@@ -39,7 +40,7 @@
 
     @property
     def max_total_tokens(self) -> int:
-        """Length of the prompt plus maximum length of the answer; 0 if both are missing."""
+        """Tokens of the prompt plus maximum tokens of the answer; 0 if both are missing."""
         return self.prompt_tokens + self.max_answer_tokens
 
 
@@ -121,7 +122,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """How an engine responds to an order.
+    """How an engine responds to an order. The values are logged.
 
     Attributes:
         ACCEPTED: the engine carries out the order, or already has the role.
--- a/src/crankhinge/adapters/_engine.py
+++ b/src/crankhinge/adapters/_engine.py
@@ -73,7 +73,7 @@
 
 
 class Engine(abc.ABC):
-    """A model engine. All methods raise EngineFailed."""
+    """A model engine. Every method raises EngineFailed if the engine refuses or fails."""
 
     @abc.abstractmethod
     async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
--- a/src/crankhinge/adapters/_instances.py
+++ b/src/crankhinge/adapters/_instances.py
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True)
 class Instance:
-    """An instance that runs an agent.
+    """An instance that runs an agent; it stands for that agent process.
 
     Attributes:
-        name: unique name within the fleet.
-        host: IP address.
+        name: name of the agent, unique within the fleet.
+        host: IP address that the agent listens on.
         port: port of the agent's internal listener.
         zone: availability zone.
         pool: pool of the agent's backend server.
--- a/src/crankhinge/adapters/_registry.py
+++ b/src/crankhinge/adapters/_registry.py
@@ -1,4 +1,7 @@
-"""Registry in which each instance publishes its address and its measurements for the others."""
+"""Registry in which each instance publishes a record of itself for the other instances.
+
+The record holds its address, its measurements, and the quarantines and server limits it knows of.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,9 @@
 
     Attributes:
         peer: ``host:port`` at which the instance receives peer messages; empty if it receives none.
-        sheets: cost of requests that the instance measured, by service.
-        settled: whether the instance was ready to coordinate when it wrote the record.
+        sheets: workload that the instance measured, by service.
+        settled: whether the instance was ready to coordinate when it wrote the record. If so, its
+            next incarnation that takes the record over need not wait for acknowledgements.
         quarantined: fingerprints of quarantined requests, each with the ids of the servers that
             crashed while they ran it.
         limited: advertised limits of servers in requests per second, by server id.
--- a/src/crankhinge/adapters/_service.py
+++ b/src/crankhinge/adapters/_service.py
@@ -25,7 +25,7 @@
 
 
 class PlainService(abc.ABC):
-    """A service that responds to each call as a whole."""
+    """A service without model engines, which returns one complete response to each call."""
 
     @abc.abstractmethod
     async def is_reachable(self) -> bool:
@@ -38,5 +38,6 @@
         """Forward the call to the service, without retries.
 
         Raises:
-            EngineFailed: the call failed; ``ran`` is False if it certainly did not arrive.
+            EngineFailed: the call failed; ``ran`` is False if it certainly did not arrive. The
+                exception is shared with engines, so that agents handle both kinds of failure alike.
         """
--- a/src/crankhinge/adapters/_source.py
+++ b/src/crankhinge/adapters/_source.py
@@ -27,7 +27,7 @@
     """Result of a read or a watch of the configuration.
 
     Attributes:
-        table: newest configuration; None if none was written.
+        table: routes, services and accounts of the newest configuration; None if there is none.
         revision: revision from which to watch for the next change.
         size_bytes: encoded size of the newest configuration; 0 if there is none.
     """
@@ -57,21 +57,21 @@
 class DiscoverySource(abc.ABC):
     """Reads and watches the operators' configuration and the list of backend servers.
 
-    Every method raises :class:`crankhinge.errors.KeyValueUnavailable` when the source does not
-    respond.
+    The source keeps both in a store. Every method raises
+    :class:`crankhinge.errors.KeyValueUnavailable` when the store does not respond.
     """
 
     @property
     @abc.abstractmethod
     def received_bytes(self) -> int:
-        """Bytes received from the source since the start, aborted responses included."""
+        """Bytes received from the store since the start, aborted responses included."""
 
     @property
     @abc.abstractmethod
     def call_counts(self) -> Mapping[str, int]:
-        """Calls of this instance to the service behind the source since the start, by kind.
+        """Number of calls of this instance to the store since the start, by kind of call.
 
-        Calls to that service for other purposes are included.
+        Calls for other purposes, such as those of the instance registry, are included.
         """
 
     @abc.abstractmethod
@@ -80,7 +80,9 @@
 
     @abc.abstractmethod
     async def watch_config(self, revision: int, wait_s: float, max_bytes: int) -> ConfigUpdate:
-        """Return the newest configuration after *revision*, without a table if none comes.
+        """Return the newest configuration written after *revision*.
+
+        The update has no route table if none is written within *wait_s* seconds.
 
         Args:
             revision: revision from which to watch.
--- a/src/crankhinge/adapters/consul.py
+++ b/src/crankhinge/adapters/consul.py
@@ -1,8 +1,9 @@
 """Adapters for the Consul HTTP API (v1): key-value store and service catalogue.
 
 Source: the published API pages "KV Store", "Blocking Queries" and "Health". A blocking query is
-used as a watch and ``?cas=`` as the compare-and-swap. The catalogue is the list of instances, which
-lags; in it an instance that is shutting down has the metadata ``state=leaving``.
+used as a watch and ``?cas=`` as the compare-and-swap. The service catalogue serves as the list of
+instances, which lags behind the real state. An instance that is shutting down is listed there with
+the metadata ``state=leaving``.
 """
 
 from __future__ import annotations
--- a/src/crankhinge/adapters/http_service.py
+++ b/src/crankhinge/adapters/http_service.py
@@ -47,5 +47,5 @@
             raise EngineFailed(exc.detail, ran=False) from exc
         except (HttpClosed, BadHttp) as exc:
             raise EngineFailed(exc.detail) from exc
-        rest_s = parse_retry_after(resp.headers) if resp.status == SERVICE_UNAVAILABLE else None
-        return ServiceResponse(resp.status, end_to_end_headers(resp.headers), resp.body, rest_s)
+        backoff_s = parse_retry_after(resp.headers) if resp.status == SERVICE_UNAVAILABLE else None
+        return ServiceResponse(resp.status, end_to_end_headers(resp.headers), resp.body, backoff_s)
--- a/src/crankhinge/adapters/openai_engine.py
+++ b/src/crankhinge/adapters/openai_engine.py
@@ -75,8 +75,8 @@
         )
         stream = await self._open(path, request_body, request_id)
         try:
-            data = await stream.read_all()
-            response = _prefill_decoder.decode(data)
+            response_body = await stream.read_all()
+            response = _prefill_decoder.decode(response_body)
         except (HttpClosed, BadHttp, msgspec.DecodeError) as exc:
             raise EngineFailed(str(exc)) from exc
         finally:
@@ -167,16 +167,16 @@
 
     def _parse_chunk(self, chunk: bytes) -> list[str]:
         pieces = []
-        for data in self._parser.feed(chunk):
-            if data == b"[DONE]":
+        for event_data in self._parser.feed(chunk):
+            if event_data == b"[DONE]":
                 self._done = True
                 break
-            pieces += self._parse_event(data)
+            pieces += self._parse_event(event_data)
         return pieces
 
-    def _parse_event(self, data: bytes) -> list[str]:
+    def _parse_event(self, event_data: bytes) -> list[str]:
         try:
-            event = _chunk_decoder.decode(data)
+            event = _chunk_decoder.decode(event_data)
         except msgspec.DecodeError as exc:
             raise EngineFailed(f"unreadable event: {exc}") from exc
         texts = []
@@ -194,9 +194,9 @@
 
 def _with_members(body: bytes, **more: object) -> bytes:
     """Return the JSON object *body* with the members *more* set."""
-    data = msgspec.json.decode(body)
-    data.update(more)
-    return msgspec.json.encode(data)
+    request_json = msgspec.json.decode(body)
+    request_json.update(more)
+    return msgspec.json.encode(request_json)
 
 
 async def _raise_for_status(stream: ClientStream) -> None:
--- a/src/crankhinge/errors.py
+++ b/src/crankhinge/errors.py
@@ -1,7 +1,9 @@
 """Exception classes shared by all parts of the project.
 
 Each class has a stable ``code`` for logs and error bodies, the HTTP ``status`` of the response, and
-an ``outcome``: what a caller may conclude about whether its request ran.
+an ``outcome``: what is known about whether the request ran. Two classes share the code ``bad-key``:
+:class:`KeyFileError`, which only command-line tools raise, and :class:`BadKey`, which is sent to
+callers.
 """
 
 from __future__ import annotations
@@ -10,7 +12,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about whether a request ran.
+    """What is known about whether a failed request ran; a caller may retry one that did not.
 
     Attributes:
         NOT_RUN: the request was not run.
@@ -31,7 +33,7 @@
     Attributes:
         code: stable identifier of the failure.
         status: HTTP status of a response that reports the failure.
-        outcome: whether the request is known not to have run.
+        outcome: what is known about whether the request ran.
         detail: free text for logs and error bodies.
         retry_after_s: seconds after which a retry may succeed, or None.
     """
@@ -144,7 +146,7 @@
 
 
 class UnknownRoute(RequestError):
-    """No service of the bundle accepts requests with this path."""
+    """No configured route or service matches the host and path of the request."""
 
     code = "unknown-route"
     status = 404
@@ -178,35 +180,35 @@
 
 
 class Overloaded(RequestError):
-    """The latency target cannot be met at the current load; nothing was run."""
+    """The request cannot be served in time at the current load; nothing was run."""
 
     code = "overloaded"
     status = 503
 
 
 class ServerBarred(RequestError):
-    """A backend server takes no requests now, as it announced; the request was not sent to it."""
+    """A backend server is excluded from requests now; the request was not sent to it."""
 
     code = "server-barred"
     status = 503
 
 
 class ServerAtLimit(ServerBarred):
-    """Backend servers are at their advertised limits; the request was not sent."""
+    """Backend servers have reached the limits that they advertise; the request was not sent."""
 
     code = "server-at-limit"
     status = 503
 
 
 class ServersRest(ServerBarred):
-    """All backend servers asked for no requests for some time; the request was not sent."""
+    """All backend servers are in backoff, which they asked for; the request was not sent."""
 
     code = "servers-rest"
     status = 503
 
 
 class LimitReached(RequestError):
-    """The client account is at its own limit; nothing was run."""
+    """The client account has reached its limit of requests or tokens; nothing was run."""
 
     code = "limit-reached"
     status = 429
--- a/src/crankhinge/peers/_heartbeats.py
+++ b/src/crankhinge/peers/_heartbeats.py
@@ -20,8 +20,9 @@
     """Sends one heartbeat per interval on each link and closes unresponsive links.
 
     A paused peer keeps its connections open but sends nothing. Closing its links frees the
-    resources that are held for it. After a pause of this process itself, the timers of all links
-    restart, because messages that peers sent during the pause have not been read yet.
+    resources that this process reserves for the peer's requests. After a pause of this process
+    itself, the timers of all links restart, because messages that peers sent during the pause have
+    not been read yet.
 
     Args:
         interval_s: seconds between heartbeats.
--- a/src/crankhinge/peers/_instance_list.py
+++ b/src/crankhinge/peers/_instance_list.py
@@ -68,5 +68,5 @@
         await curio.sleep(interval_s * self._rng.uniform(*REFRESH_JITTER))
 
     def find(self, name: str) -> Instance | None:
-        """Return the instance called *name*, or None if the list does not contain it."""
+        """Return the instance of the agent *name*, or None if the list does not contain it."""
         return next((instance for instance in self.instances if instance.name == name), None)
--- a/src/crankhinge/peers/_propagation.py
+++ b/src/crankhinge/peers/_propagation.py
@@ -31,7 +31,7 @@
     """Keeps the bundle of one process up to date.
 
     Args:
-        keeper: holds the bundle in force.
+        keeper: holds the active bundle.
         kv: client of the key-value service.
         log: logger for events.
         watch_s: seconds that one watch request stays open.
@@ -91,7 +91,7 @@
         return await self._kv.watch(BUNDLE_KEY, index, self._watch_s)
 
     async def receive_bundle(self, envelope: bytes, *, source: str) -> None:
-        """Put a bundle into force and send it to all peers if it is newer and fully signed.
+        """Make a received bundle active and send it to all peers, if it is newer and fully signed.
 
         A bundle that is malformed or lacks a valid signature is logged and dropped.
 
--- a/src/crankhinge/peers/_settings.py
+++ b/src/crankhinge/peers/_settings.py
@@ -40,17 +40,18 @@
         host: address to listen on.
         port: TCP port to listen on.
         key_value: ``host:port`` of the platform's key-value service.
-        instances: ``host:port`` of the service that has the platform's list of instances.
+        instances: ``host:port`` of the platform's service catalogue, which lists the instances that
+            run agents.
         seeds: ``host:port`` of agents from which an entry gets the list of instances at startup
             while the platform cannot provide it.
-        list_s: seconds between refreshes of the list of instances.
+        list_s: seconds between two refreshes of the list of instances.
         keys: public key of each partner, in hex; a bundle must be signed by all of them.
         statsd: ``host:port`` of the statsd server; empty to send no metrics.
-        beat_s: seconds between heartbeats.
-        watch_s: seconds that one watch request for a new bundle stays open.
+        beat_s: seconds between two heartbeats on a link.
+        watch_s: seconds that one watch request for a new bundle stays open without a change.
         drain_s: maximum duration of a planned stop, in seconds.
-        policy: the set of enabled routing mechanisms; values other than ``full`` are for
-            experiments.
+        policy: name of the set of enabled routing mechanisms; values other than ``full`` are for
+            experiments. It is unrelated to the ``policy`` of the bundle.
     """
 
     name: str
