--- a/src/crankhinge/adapters/_dialect.py
+++ b/src/crankhinge/adapters/_dialect.py
@@ -112,12 +112,12 @@
 
     Attributes:
         role: current role of the engine.
-        orders_taken: number of orders that the engine has accepted since its start.
+        accepted_orders: number of orders that the engine has accepted since its start.
         busy: whether the engine is still carrying out an order.
     """
 
     role: EngineRole
-    orders_taken: int
+    accepted_orders: int
     busy: bool
 
 
@@ -216,13 +216,15 @@
         """Return the state of an engine from a response body. Raises BadHttp if it is invalid."""
 
     @abc.abstractmethod
-    def role_order_call(self, role: EngineRole, lease: OrderLease, orders_taken: int) -> SideCall:
+    def role_order_call(
+        self, role: EngineRole, lease: OrderLease, accepted_orders: int
+    ) -> SideCall:
         """Return the call that orders an engine to change its role.
 
         Args:
             role: the new role.
             lease: order lease of this instance; the engine checks its fencing token.
-            orders_taken: number of accepted orders as the engine last reported it. The engine
+            accepted_orders: number of accepted orders as the engine last reported it. The engine
                 refuses the order if it has accepted another one since.
         """
 
--- a/src/crankhinge/agent/_decode.py
+++ b/src/crankhinge/agent/_decode.py
@@ -114,10 +114,10 @@
 
     def _drop_expired(self) -> None:
         """Remove the owners of leases that expired unused."""
-        for req in list(self._owners):
+        for req in list(self._request_links):
             if req not in self._tasks and not self._table.has_request(req):
                 self._waiting_decodes.pop(req, None)
-                self.remove_owner(req)
+                self.forget_link(req)
 
     async def handle(self, link: Link, msg: Message) -> None:
         """Handle ``ReserveSlot``, ``Decode`` and ``Cancel``."""
@@ -145,7 +145,7 @@
             weight=weights.member_weight,
             partner_weight=weights.partner_weight,
         )
-        self.set_owner(msg.req, link)
+        self.record_link(msg.req, link)
         await self._apply_decisions(self._table.submit(request, now))
         await self._wake.set()
 
@@ -154,20 +154,20 @@
             if isinstance(decision, SlotGrant):
                 req = decision.req
                 load = self.load(await curio.clock())
-                await self.send_to_owner(
+                await self.send_response(
                     req, SlotGranted(req, decision.ready_in_s, decision.lease_s, load)
                 )
             else:
                 await self._apply_refusal(decision)
 
     async def _apply_refusal(self, decision: Refusal) -> None:
-        link = self.find_owner(decision.req)
+        link = self.find_link(decision.req)
         if link is not None:
             await self.refuse(link, decision.req, decision.code, decision.retry_after_s)
-        self.remove_owner(decision.req)
+        self.forget_link(decision.req)
 
     async def _handle_decode(self, link: Link, msg: Decode) -> None:
-        if self.find_owner(msg.req) is not link or not self._table.is_leased(msg.req):
+        if self.find_link(msg.req) is not link or not self._table.is_leased(msg.req):
             self.metrics.count("lease_expired")
             await link.send(Failed(msg.req, "lease-expired", False))
             return
@@ -194,10 +194,10 @@
             if not exc.ran:
                 await self.record_health(await self.probe())
             self.metrics.count(f"decode_failed.{exc.code}")
-            await self.send_to_owner(req, Failed(req, exc.code, exc.ran))
+            await self.send_response(req, Failed(req, exc.code, exc.ran))
         finally:
             await self.release(req)
-            self.remove_owner(req)
+            self.forget_link(req)
 
     async def _open_stream(self, msg: Decode) -> DecodeStream:
         """Start a decode and return its stream, once the engine has the KV cache of the prompt.
@@ -218,7 +218,7 @@
         token_count = 0
         last = 0.0
         while texts := await stream.next_pieces():
-            await self.send_to_owner(req, Tokens(req, token_count, tuple(texts)))
+            await self.send_response(req, Tokens(req, token_count, tuple(texts)))
             token_count += len(texts)
             self._table.record_progress(req, token_count)
             now = await curio.clock()
@@ -226,7 +226,7 @@
                 self._record_step((now - last) / len(texts))
             last = now
         self.metrics.count("tokens", token_count)
-        await self.send_to_owner(req, DecodeDone(req, token_count, stream.finish_reason))
+        await self.send_response(req, DecodeDone(req, token_count, stream.finish_reason))
 
     def _record_step(self, step_s: float) -> None:
         weight = STEP_EWMA_WEIGHT if self._step_s else 1.0
--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -62,10 +62,10 @@
         """Return whether the service accepts connections."""
         return await self._service.is_reachable()
 
-    async def process(self, msg: Any) -> int:
+    async def execute(self, msg: Any) -> int:
         """Forward one call and send the response to its entry."""
         req = msg.req
-        link = self.find_owner(req)
+        link = self.find_link(req)
         if link is not None and await self._refuse_in_backoff(link, req):
             return 0
         try:
@@ -83,7 +83,7 @@
         if response.backoff_s is not None:
             await self._record_backoff(response.backoff_s)
         self.metrics.count("calls")
-        await self.send_to_owner(
+        await self.send_response(
             req, ServiceCallDone(req, response.status, dict(response.headers), response.body)
         )
         return CALL_UNITS
@@ -98,4 +98,4 @@
     async def _send_failure(self, req: int, code: str, *, ran: bool) -> None:
         self.log.warning("call_failed", req=f"{req:016x}", code=code, ran=ran)
         self.metrics.count(f"call_failed.{code}")
-        await self.send_to_owner(req, Failed(req, code, ran))
+        await self.send_response(req, Failed(req, code, ran))
--- a/src/crankhinge/agent/_prefill.py
+++ b/src/crankhinge/agent/_prefill.py
@@ -37,7 +37,7 @@
         """Return whether the engine responds."""
         return await probe_load(self._engine) is not None
 
-    async def process(self, msg: Any) -> int:
+    async def execute(self, msg: Any) -> int:
         """Run one prefill and return the number of prompt tokens that the engine computed."""
         req = msg.req
         started_at = await curio.clock()
@@ -48,14 +48,14 @@
             self.metrics.count(f"prefill_failed.{exc.code}")
             if not exc.ran:
                 await self.record_health(await self.probe())
-            await self.send_to_owner(req, Failed(req, exc.code, exc.ran))
+            await self.send_response(req, Failed(req, exc.code, exc.ran))
             return 0
         now = await curio.clock()
         duration_s = now - started_at
         self.metrics.count("prompt_tokens", result.prompt_tokens)
         self.metrics.count("prompt_tokens_cached", result.cached_tokens)
         load = self.load(now)
-        await self.send_to_owner(
+        await self.send_response(
             req,
             PrefillDone(
                 req, result.kv_handle, result.cached_tokens, result.prompt_tokens, duration_s, load
--- a/src/crankhinge/agent/_queued_role.py
+++ b/src/crankhinge/agent/_queued_role.py
@@ -27,7 +27,7 @@
         self._messages: dict[int, Any] = {}
 
     @abc.abstractmethod
-    async def process(self, msg: Any) -> int:
+    async def execute(self, msg: Any) -> int:
         """Run one request, send the response to its entry, and return the work that was done.
 
         The unit of the result is that of *units* in :meth:`enqueue`.
@@ -91,7 +91,7 @@
         if refusal is not None:
             await self.refuse(link, req, refusal.code, refusal.retry_after_s)
             return
-        self.set_owner(req, link)
+        self.record_link(req, link)
         self._messages[req] = msg
         await self._start_next()
 
@@ -103,19 +103,19 @@
             await self.start_task(request.req, self._run_request, self._messages.pop(request.req))
 
     async def _refuse_expired(self, refusal: Refusal) -> None:
-        link = self.find_owner(refusal.req)
+        link = self.find_link(refusal.req)
         self._messages.pop(refusal.req, None)
         if link is not None:
             await self.refuse(link, refusal.req, refusal.code, refusal.retry_after_s)
-        self.remove_owner(refusal.req)
+        self.forget_link(refusal.req)
 
     async def _run_request(self, msg: Any) -> None:
         units_done = 0
         try:
-            units_done = await self.process(msg)
+            units_done = await self.execute(msg)
         finally:
             self._queue.record_end(msg.req, await curio.clock(), done=units_done)
-            self.remove_owner(msg.req)
+            self.forget_link(msg.req)
             await self._start_next()
 
     async def release(self, req: int) -> None:
--- a/src/crankhinge/agent/_role.py
+++ b/src/crankhinge/agent/_role.py
@@ -36,9 +36,9 @@
         self.keeper = keeper
         self.log = log
         self.metrics = metrics
-        self._owners: dict[int, Link] = {}
+        self._request_links: dict[int, Link] = {}
         self._tasks: dict[int, curio.Task] = {}
-        self._requests_of: dict[Link, set[int]] = {}
+        self._requests_by_link: dict[Link, set[int]] = {}
         self.is_unreachable = False
         self.on_health_change: Callable[[], Awaitable[None]] | None = None
 
@@ -94,26 +94,26 @@
     @property
     def open_requests(self) -> int:
         """Number of requests that run, wait, or hold a lease at this agent."""
-        return len(self._owners)
+        return len(self._request_links)
 
     async def run(self) -> None:
         """Run periodic work until cancelled; the base class has none."""
         await curio.sleep(float("inf"))
 
-    def set_owner(self, req: int, link: Link) -> None:
+    def record_link(self, req: int, link: Link) -> None:
         """Record that the request *req* came over *link*."""
-        self._owners[req] = link
-        self._requests_of.setdefault(link, set()).add(req)
+        self._request_links[req] = link
+        self._requests_by_link.setdefault(link, set()).add(req)
 
-    def find_owner(self, req: int) -> Link | None:
+    def find_link(self, req: int) -> Link | None:
         """Return the link that the request *req* came over, or None if *req* is unknown."""
-        return self._owners.get(req)
+        return self._request_links.get(req)
 
-    def remove_owner(self, req: int) -> None:
+    def forget_link(self, req: int) -> None:
         """Remove the record of the link that *req* came over."""
-        link = self._owners.pop(req, None)
-        if link in self._requests_of:
-            self._requests_of[link].discard(req)
+        link = self._request_links.pop(req, None)
+        if link in self._requests_by_link:
+            self._requests_by_link[link].discard(req)
 
     async def start_task(self, req: int, run: Callable[..., Awaitable[Any]], *args: Any) -> None:
         """Start the task of a request, which :meth:`cancel` can end."""
@@ -124,7 +124,7 @@
             await run(*args)
         except Exception as exc:
             self.log.error("request_crashed", req=req, kind=type(exc).__name__, why=str(exc))
-            await self.send_to_owner(req, Failed(req, "internal", True))
+            await self.send_response(req, Failed(req, "internal", True))
         finally:
             self._tasks.pop(req, None)
 
@@ -134,21 +134,21 @@
         if task is not None:
             await task.cancel()
         await self.release(req)
-        self.remove_owner(req)
+        self.forget_link(req)
 
     async def cancel_requests_of(self, link: Link) -> None:
         """Cancel all requests that came over a link that has ended."""
-        reqs = list(self._requests_of.get(link, ()))
+        reqs = list(self._requests_by_link.get(link, ()))
         if reqs:
             self.log.info("entry_gone", entry=link.peer.name, requests=len(reqs))
             self.metrics.count("requests_orphaned", len(reqs))
         for req in reqs:
             await self.cancel(req)
-        self._requests_of.pop(link, None)
+        self._requests_by_link.pop(link, None)
 
-    async def send_to_owner(self, req: int, msg: Message) -> None:
+    async def send_response(self, req: int, msg: Message) -> None:
         """Send *msg* to the entry that sent the request, if its link is still open."""
-        link = self._owners.get(req)
+        link = self._request_links.get(req)
         if link is not None:
             await send_if_open(link, msg)
 
--- a/src/crankhinge/entry/_completion.py
+++ b/src/crankhinge/entry/_completion.py
@@ -223,7 +223,7 @@
             )
             prefill_done = early_prefill or await self._prefill(task, writer, progress)
             progress.may_have_run = True
-            progress.prompt_read_at = progress.prompt_read_at or await curio.clock()
+            progress.prompt_processed_at = progress.prompt_processed_at or await curio.clock()
             transfer_timeout_s = self._transfer_timeout_s(route_request.tokens, slot)
             await slot.link.send(
                 Decode(
--- a/src/crankhinge/entry/_entry.py
+++ b/src/crankhinge/entry/_entry.py
@@ -239,7 +239,7 @@
             **log_fields,
             tokens=writer.token_count,
             slot_ms=round((progress.slot_granted_at - started_at) * 1000, 1),
-            read_ms=round((progress.prompt_read_at - started_at) * 1000, 1),
+            read_ms=round((progress.prompt_processed_at - started_at) * 1000, 1),
             first_ms=round(first_token_s * 1000, 1),
             gap_ms=round((progress.last_token_at - progress.first_token_at) / gap_count * 1000, 1),
             read_tokens=progress.computed_tokens,
--- a/src/crankhinge/entry/_plain_calls.py
+++ b/src/crankhinge/entry/_plain_calls.py
@@ -33,7 +33,7 @@
 # Retry delay that callers are given if no agent suggests one.
 DEFAULT_RETRY_AFTER_S = 1.0
 # Headers for the entry itself, which are not forwarded to the service.
-PRIVATE_HEADERS = frozenset({"authorization", "x-deadline-ms", "x-priority", "x-repeatable"})
+UNFORWARDED_HEADERS = frozenset({"authorization", "x-deadline-ms", "x-priority", "x-repeatable"})
 
 
 class PlainCallRunner:
@@ -271,4 +271,4 @@
 
 def _forwarded_headers(req: HttpRequest) -> dict[str, str]:
     headers = end_to_end_headers(req.headers)
-    return {name: value for name, value in headers.items() if name not in PRIVATE_HEADERS}
+    return {name: value for name, value in headers.items() if name not in UNFORWARDED_HEADERS}
--- a/src/crankhinge/entry/_progress.py
+++ b/src/crankhinge/entry/_progress.py
@@ -51,7 +51,7 @@
         wasted_tokens: computed tokens of attempts that failed, as far as this entry knows.
         prefill_backend: the backend server that processed the prompt; None before that.
         slot_granted_at: time at which the first slot was leased.
-        prompt_read_at: time at which the prompt was first processed.
+        prompt_processed_at: time at which the prompt was first processed.
         first_token_at: time of the first token.
         last_token_at: time at which the last token arrived.
         earlier_may_have_run: whether an earlier request with the same idempotency key may have run.
@@ -66,14 +66,14 @@
     wasted_tokens: int = 0
     prefill_backend: Backend | None = None
     slot_granted_at: float = 0.0
-    prompt_read_at: float = 0.0
+    prompt_processed_at: float = 0.0
     first_token_at: float = 0.0
     last_token_at: float = 0.0
-    _steps: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
+    _step_numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     def new_step_id(self) -> int:
         """Return the id of a new step, which is a message to one agent and the responses to it."""
-        return self.request_id | (next(self._steps) & STEP_ID_MASK)
+        return self.request_id | (next(self._step_numbers) & STEP_ID_MASK)
 
     @property
     def outcome(self) -> Outcome:
--- a/src/crankhinge/gateway/_role_controller.py
+++ b/src/crankhinge/gateway/_role_controller.py
@@ -243,7 +243,7 @@
         if await curio.clock() > lease.expires_at - LEASE_END_MARGIN_S:
             self._log.info("tenure_over", fence=lease.token)
             return OrderOutcome.FENCED
-        call = self._backends.dialect.role_order_call(role, lease, state.orders_taken)
+        call = self._backends.dialect.role_order_call(role, lease, state.accepted_orders)
         resp = await self._backends.side_call(server, call)
         outcome = None if resp is None else self._backends.dialect.order_outcome(resp.status)
         self._log.info(
@@ -251,7 +251,7 @@
             server=server.incarnation_id,
             phase=role.value,
             fence=lease.token,
-            orders=state.orders_taken,
+            orders=state.accepted_orders,
             end=outcome.value if outcome else "unanswered",
         )
         if outcome is OrderOutcome.ACCEPTED:
--- a/src/crankhinge/runtime/_logs.py
+++ b/src/crankhinge/runtime/_logs.py
@@ -20,12 +20,12 @@
 
 Log = structlog.stdlib.BoundLogger
 
-_SECRET_KEYS = frozenset({"authorization", "credential", "private_key", "secret", "token"})
+_REDACTED_FIELDS = frozenset({"authorization", "credential", "private_key", "secret", "token"})
 
 
 def _redact(_: Any, __: str, event: Any) -> Any:
     """Replaces the value of every key that holds a secret (a structlog processor)."""
-    for key in _SECRET_KEYS & event.keys():
+    for key in _REDACTED_FIELDS & event.keys():
         event[key] = "[redacted]"
     return event
 
