--- a/src/crankhinge/_early.py
+++ b/src/crankhinge/_early.py
@@ -6,7 +6,7 @@
 
 
 def ignore_sighup() -> None:
-    """Ignores SIGHUP until the process can handle it; its default action ends the process.
+    """Ignore SIGHUP until the process can handle it; its default action ends the process.
 
     No change of the settings is lost: the process reads the settings file after this call, and
     later polls the file for changes.
--- a/src/crankhinge/_unused_modules.py
+++ b/src/crankhinge/_unused_modules.py
@@ -50,7 +50,7 @@
 
 
 def keep_out_unused_modules() -> list[str]:
-    """Replaces the modules in :data:`UNUSED_MODULES` that aren't loaded yet by empty ones.
+    """Replace the modules in :data:`UNUSED_MODULES` that aren't loaded yet by empty ones.
 
     Returns:
         The names of the replaced modules.
--- a/src/crankhinge/http/__init__.py
+++ b/src/crankhinge/http/__init__.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 client and server on curio sockets; h11 parses and encodes the messages."""
+"""HTTP/1.1 client and server on curio sockets; h11 parses and encodes the messages.
+
+In the client, "server" is the other end of a connection; in the server, it is the "caller".
+"""
 
 from crankhinge.http._client import (
     AnswerTooLong,
--- a/src/crankhinge/http/_client.py
+++ b/src/crankhinge/http/_client.py
@@ -49,7 +49,7 @@
 
 
 def _is_open_without_input(sock: Any) -> bool:
-    """Returns whether an idle connection is open and has nothing to read.
+    """Return whether an idle connection is open and has nothing to read.
 
     An end of file means that the server closed it, and unexpected bytes belong to no request; in
     both cases the connection must not be reused.
@@ -64,7 +64,7 @@
 
 
 def _keep_alive_s(headers: Mapping[str, str]) -> float:
-    """Returns for how many seconds a connection may stay idle after a response with *headers*."""
+    """Return how many seconds a connection may stay idle after a response with *headers*."""
     stated = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
     return float(stated.group(1)) - KEEP_ALIVE_MARGIN_S if stated else DEFAULT_KEEP_ALIVE_S
 
@@ -78,12 +78,13 @@
     body: bytes
 
 
-# What a request without a response ends with: its own timeouts, or a timeout around the call.
+# The exceptions with which a request that gets no response ends: HttpSilent after one of its own
+# timeouts, the others after a timeout that the calling code has set around the request.
 TIMEOUT_ERRORS = (HttpSilent, curio.TaskTimeout, curio.TimeoutCancellationError)
 
 
 class AnswerTooLong(CrankhingeError):
-    """The response body is longer than the caller accepts; it was not read."""
+    """The response body is longer than the calling code accepts; it was not read."""
 
     code = "answer-too-long"
 
@@ -145,7 +146,7 @@
         return sock
 
     async def _pop_idle_connection(self) -> Any:
-        """Returns the most recently used idle connection that can be reused, or None."""
+        """Return the most recently used idle connection that can be reused, or None."""
         while self._idle:
             conn = self._idle.pop()
             if conn.reusable_until > steady_s() and _is_open_without_input(conn.sock):
@@ -154,7 +155,7 @@
         return None
 
     async def is_reachable(self) -> bool:
-        """Returns whether the server accepts connections."""
+        """Return whether the server accepts connections."""
         try:
             sock = await self._connect()
         except ConnectFailed:
@@ -163,10 +164,10 @@
         return True
 
     async def is_listening(self) -> bool:
-        """Returns whether a process listens at the address; keeps the connection for reuse.
+        """Return whether a process listens at the address; keep the connection for reuse.
 
         Raises:
-            ConnectFailed: the attempt did not tell, for example because it timed out.
+            ConnectFailed: this cannot be determined, for example because connecting timed out.
         """
         try:
             sock = await self._connect()
@@ -176,14 +177,14 @@
         return True
 
     def record_received(self, size: int, *, reused: bool) -> None:
-        """Counts *size* received bytes, and one receive on a reused connection if *reused*."""
+        """Count *size* received bytes and, if *reused*, one receive on a reused connection."""
         self.received_bytes += size
         self.reused_receives += reused
 
     async def release_connection(
         self, sock: Any, *, reusable: bool, headers: Mapping[str, str]
     ) -> None:
-        """Returns *sock* to the pool if it can be reused and the pool has room, else closes it."""
+        """Keep *sock* in the pool if it can be reused and there is room for it, else close it."""
         keep_alive_s = _keep_alive_s(headers)
         if reusable and keep_alive_s > 0 and len(self._idle) < self.pool_size:
             now = steady_s()
@@ -201,7 +202,7 @@
         new_connection: bool = False,
         timeouts: ResponseTimeouts | None = None,
     ) -> ClientStream:
-        """Sends a request and returns the response after reading its head, but not its body.
+        """Send a request and return the response after reading its head, but not its body.
 
         Args:
             method: HTTP method.
@@ -239,7 +240,7 @@
         is_own_response: ResponseMatcher | None = None,
         timeouts: ResponseTimeouts | None = None,
     ) -> ClientStream:
-        """Sends a request with exactly the given header fields.
+        """Send a request with exactly the given header fields.
 
         Returns and raises the same as :meth:`open`.
 
@@ -272,7 +273,7 @@
                 await self.close()
             elif reused and isinstance(exc, TIMEOUT_ERRORS):
                 # Other reused connections received data during this request, so connections used
-                # since its start work. Those last used earlier are as doubtful as this one.
+                # since its start work. Those last used earlier may have failed like this one.
                 await self._close_last_used_before(started_at)
             raise
         return stream
@@ -288,7 +289,7 @@
         timeouts: ResponseTimeouts | None = None,
         max_body_bytes: int | None = None,
     ) -> Response:
-        """Sends a request and returns the complete response.
+        """Send a request and return the complete response.
 
         Args:
             method, target, headers, body, new_connection, timeouts: as for :meth:`open`.
@@ -318,13 +319,13 @@
         return Response(stream.status, stream.headers, data)
 
     async def _close_last_used_before(self, moment: float) -> None:
-        """Closes the idle connections last used before *moment*, a time on the steady clock."""
-        doubtful = [conn for conn in self._idle if conn.last_used_at < moment]
+        """Close the idle connections last used before *moment*, a time on the steady clock."""
+        suspect = [conn for conn in self._idle if conn.last_used_at < moment]
         self._idle = [conn for conn in self._idle if conn.last_used_at >= moment]
-        for conn in doubtful:
+        for conn in suspect:
             await conn.sock.close()
 
     async def close(self) -> None:
-        """Closes all idle connections."""
+        """Close all idle connections."""
         while self._idle:
             await self._idle.pop().sock.close()
--- a/src/crankhinge/http/_client_stream.py
+++ b/src/crankhinge/http/_client_stream.py
@@ -49,13 +49,13 @@
 
     @abc.abstractmethod
     def record_received(self, size: int, *, reused: bool) -> None:
-        """Records *size* bytes received on a connection, and whether the connection was reused."""
+        """Record *size* bytes received on a connection, and whether the connection was reused."""
 
     @abc.abstractmethod
     async def release_connection(
         self, sock: Any, *, reusable: bool, headers: Mapping[str, str]
     ) -> None:
-        """Keeps a connection for a later request, or closes it.
+        """Keep a connection for a later request, or close it.
 
         Args:
             sock: the connection.
@@ -73,7 +73,7 @@
         reused: whether the connection carried an earlier request.
         is_own_response: returns whether a response with the given headers belongs to this request;
             None accepts any. A server may send a late response to an earlier request first.
-        timeouts: limits on the wait for the response; None waits until the caller cancels.
+        timeouts: limits on the wait for the response; None waits until the task is cancelled.
 
     Attributes:
         reused: whether the connection carried an earlier request.
@@ -107,7 +107,7 @@
         self.fields: list[tuple[str, str]] = []
 
     async def send(self, method: str, target: str, headers: HeaderFields, body: bytes) -> None:
-        """Sends the request and reads the head of the response.
+        """Send the request and read the head of the response.
 
         Raises:
             HttpClosed: the connection ended before the head; the request may have arrived.
@@ -129,7 +129,7 @@
         return out + (self._h11.send(h11.EndOfMessage()) or b"")
 
     def _send_without_waiting(self, out: bytes) -> int:
-        """Returns how many bytes of *out* the kernel accepted at once."""
+        """Return how many bytes of *out* the kernel accepted at once."""
         try:
             return int(self._sock._socket.send(out))
         except BlockingIOError:
@@ -138,7 +138,7 @@
             raise HttpClosed(str(exc)) from exc
 
     async def _send_while_reading(self, rest: memoryview, request: Any, body: bytes) -> None:
-        """Sends the remaining bytes of a request while reading the head of the response.
+        """Send the remaining bytes of a request while reading the head of the response.
 
         A server may refuse a request before it has read all of it, and then stop reading; a client
         that sends everything first would wait forever. The connection is not reused unless the
@@ -174,7 +174,7 @@
             await self._skip_earlier_response(request, body)
 
     async def _skip_earlier_response(self, request: Any, body: bytes) -> None:
-        """Reads a response to an earlier request to its end and prepares to parse the next one."""
+        """Read a response to an earlier request to its end and prepare to parse the next one."""
         while not isinstance(await self._next_event(), h11.EndOfMessage):
             pass
         if self._h11.their_state is not h11.DONE:
@@ -225,7 +225,7 @@
         return data
 
     async def next_chunk(self) -> bytes:
-        """Returns the next chunk of the body, or empty bytes at its end.
+        """Return the next chunk of the body, or empty bytes at its end.
 
         Raises:
             HttpClosed: the connection ended before the body did.
@@ -239,18 +239,18 @@
         raise HttpClosed("connection closed before the end of the body")
 
     async def read_all(self) -> bytes:
-        """Returns the rest of the body."""
+        """Return the rest of the body."""
         body = bytearray()
         while chunk := await self.next_chunk():
             body += chunk
         return bytes(body)
 
     async def close(self) -> None:
-        """Releases the connection, which is closed unless it can be reused."""
+        """Return the connection to its owner, which closes it unless it can be reused."""
         done = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
         reusable = done and self._request_sent and not self._h11.trailing_data[0]
         await self._owner.release_connection(self._sock, reusable=reusable, headers=self.headers)
 
     async def abort(self) -> None:
-        """Closes the connection in any state."""
+        """Close the connection, whatever state the request and the response are in."""
         await self._owner.release_connection(self._sock, reusable=False, headers=self.headers)
--- a/src/crankhinge/http/_retry_after.py
+++ b/src/crankhinge/http/_retry_after.py
@@ -9,7 +9,7 @@
 
 
 def parse_retry_after(headers: Mapping[str, str]) -> float | None:
-    """Returns the delay in seconds after which the server asks for a retry.
+    """Return the delay in seconds after which the server asks for a retry.
 
     Returns None if the header is missing, is not a positive finite number, or is a date. Dates are
     ignored because the clocks of two machines may disagree.
--- a/src/crankhinge/http/_server.py
+++ b/src/crankhinge/http/_server.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class HttpLimits:
-    """Limits on a caller's requests, and on its time to send them and to read responses.
+    """Limits on the requests of a caller, and on its time to send them and to read responses.
 
     Attributes:
         max_body_bytes: largest request body.
@@ -92,7 +92,7 @@
     async def respond(
         self, status: int, body: bytes, headers: Mapping[str, str] | None = None
     ) -> None:
-        """Sends a complete response; its content type is JSON unless *headers* state another."""
+        """Send a complete response; its content type is JSON unless *headers* state another."""
         head = {"content-type": "application/json", **(headers or {})}
         head["content-length"] = str(len(body))
         self.response_started = True
@@ -102,7 +102,7 @@
         await self._conn.send(out)
 
     async def respond_with_fields(self, status: int, fields: HeaderFields, body: bytes) -> None:
-        """Sends a complete response with the given header fields and a ``content-length``."""
+        """Send a complete response with the given header fields and a ``content-length``."""
         self.response_started = True
         out = self._conn.encode_fields(status, [*fields, ("content-length", str(len(body)))])
         # A response to HEAD, or with one of these statuses, has no body.
@@ -112,26 +112,27 @@
         await self._conn.send(out)
 
     async def start(self, status: int, headers: Mapping[str, str]) -> None:
-        """Sends the head of a streamed response."""
+        """Send the head of a streamed response."""
         await self.start_with_fields(status, headers.items())
 
     async def start_with_fields(self, status: int, fields: HeaderFields) -> None:
-        """Sends the head of a streamed response with the given header fields."""
+        """Send the head of a streamed response with the given header fields."""
         self.response_started = True
         await self._conn.send(self._conn.encode_fields(status, fields))
 
     async def write(self, chunk: bytes) -> None:
-        """Sends one chunk of a streamed response."""
+        """Send one chunk of a streamed response."""
         await self._conn.send(self._conn.encode(h11.Data(data=chunk)))
 
     async def finish(self) -> None:
-        """Ends a streamed response."""
+        """End a streamed response."""
         await self._conn.send(self._conn.encode(h11.EndOfMessage()))
 
     async def wait_for_disconnect(self) -> None:
-        """Waits until the caller has closed its end of the connection.
+        """Wait until the caller has closed its end of the connection.
 
-        Never returns once the caller has sent :data:`MAX_PIPELINED_BYTES` meanwhile.
+        While it waits, it buffers what the caller sends. After :data:`MAX_PIPELINED_BYTES` it reads
+        no more, so that it cannot notice the close: it then waits until it is cancelled.
         """
         await self._conn.wait_for_disconnect()
 
@@ -160,7 +161,10 @@
         return self.encode_fields(status, headers.items())
 
     def encode_fields(self, status: int, fields: HeaderFields) -> bytes:
-        """Returns an encoded response head; asks the caller to close if the server is closing."""
+        """Return an encoded response head.
+
+        If the server is closing, the head contains ``connection: close``.
+        """
         head = list(fields)
         if self._is_closing():
             head.append(("connection", "close"))
@@ -191,8 +195,10 @@
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as exc:
-                kind = BodyTooLarge if exc.error_status_hint == 431 else BadHttp
-                raise kind(str(exc)) from exc
+                # h11 suggests status 431 for a header block that is too large. It is reported as
+                # 413 like a body that is too large.
+                error_class = BodyTooLarge if exc.error_status_hint == 431 else BadHttp
+                raise error_class(str(exc)) from exc
             if event is not h11.NEED_DATA:
                 return event
             await self._receive()
@@ -205,12 +211,12 @@
         self._h11.receive_data(data)
 
     async def wait_for_first_byte(self) -> None:
-        """Waits until a byte of the next request has arrived or the caller has closed."""
+        """Wait until a byte of the next request has arrived or the caller has closed."""
         if not self._h11.trailing_data[0]:
             await self._receive()
 
     async def read_request(self) -> HttpRequest | None:
-        """Returns the next request, or None if the caller has closed the connection."""
+        """Return the next request, or None if the caller has closed the connection."""
         head = await self._next_event()
         if isinstance(head, h11.ConnectionClosed):
             return None
@@ -220,8 +226,8 @@
         if int(declared) > self._limits.max_body_bytes:
             raise BodyTooLarge(f"request body is over {self._limits.max_body_bytes} bytes")
         if self._h11.they_are_waiting_for_100_continue:
-            proceed = h11.InformationalResponse(status_code=100, headers=[])
-            await self.send(self.encode(proceed))
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            await self.send(self.encode(continue_response))
         body = await self._read_body()
         fields = tuple((k.decode("latin-1"), v.decode("latin-1")) for k, v in head.headers)
         method = head.method.decode("ascii")
@@ -262,9 +268,10 @@
         await curio.Event().wait()
 
     async def drain_after_refusal(self) -> None:
-        """Reads and discards input for a while after a refusal, so that the caller can read it.
+        """Read and discard the rest of a refused request for a while before the connection closes.
 
-        Closing a connection with unread input resets it, and the caller may lose the response.
+        Closing a connection with unread input resets it, and the caller may lose the response that
+        reports the refusal.
         """
         try:
             await self._sock.shutdown(socket.SHUT_WR)
@@ -278,7 +285,7 @@
             remaining -= len(data)
 
     def start_next_cycle(self) -> bool:
-        """Prepares for another request; returns whether one may follow on this connection."""
+        """Prepare for another request and return whether one may follow on this connection."""
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
             return True
@@ -303,7 +310,7 @@
     is_closing: Callable[[], bool] = lambda: False,
     stop_accepting: curio.Event | None = None,
 ) -> None:
-    """Serves HTTP requests until cancelled.
+    """Serve HTTP requests until cancelled.
 
     Args:
         host: address to bind.
--- a/src/crankhinge/http/_sse.py
+++ b/src/crankhinge/http/_sse.py
@@ -4,7 +4,7 @@
 
 
 def encode_sse_event(data: bytes) -> bytes:
-    """Returns one encoded event; *data* must not contain line breaks."""
+    """Return one encoded event; *data* must not contain line breaks."""
     return b"data: " + data + b"\n\n"
 
 
@@ -15,13 +15,13 @@
         self._buffer = b""
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Returns the data of each event that *chunk* completes."""
+        """Return the data of each event that *chunk* completes."""
         self._buffer += chunk.replace(b"\r\n", b"\n")
         *complete, self._buffer = self._buffer.split(b"\n\n")
         return [data for event in complete if (data := _parse_event_data(event)) is not None]
 
 
 def _parse_event_data(event_text: bytes) -> bytes | None:
-    """Returns the joined ``data:`` lines of an event, or None if it has none."""
+    """Return the joined ``data:`` lines of an event, or None if it has none."""
     lines = [line[5:].lstrip(b" ") for line in event_text.split(b"\n") if line.startswith(b"data:")]
     return b"\n".join(lines) if lines else None
--- a/src/crankhinge/runtime/_clock.py
+++ b/src/crankhinge/runtime/_clock.py
@@ -16,7 +16,7 @@
 
 
 def steady_s() -> float:
-    """Returns seconds since the machine's boot, including time spent suspended."""
+    """Return seconds since the machine's boot, including time spent suspended."""
     return time.clock_gettime(_CLOCK_ID)
 
 
@@ -25,10 +25,10 @@
 
     @staticmethod
     def monotonic() -> float:
-        """Returns the time on the steady clock in seconds."""
+        """Return the time on the steady clock in seconds."""
         return steady_s()
 
 
 def use_steady_clock_in_curio() -> None:
-    """Makes curio's kernel, with its sleeps and timeouts, use the steady clock."""
+    """Make curio's kernel, with its sleeps and timeouts, use the steady clock."""
     curio.kernel.time = _SteadyTimeModule
--- a/src/crankhinge/runtime/_exposed.py
+++ b/src/crankhinge/runtime/_exposed.py
@@ -14,7 +14,7 @@
 
 
 class PrometheusMetrics(Metrics):
-    """Metrics that are also kept in a Prometheus registry of their own.
+    """Metrics that are sent to statsd and also kept in a Prometheus registry of their own.
 
     Args:
         prefix: first part of each statsd name.
@@ -39,24 +39,24 @@
         )
 
     def count(self, name: str, by: int = 1) -> None:
-        """Adds *by* to the counter *name*."""
+        """Add *by* to the counter *name*."""
         super().count(name, by)
         self._event_counter.labels(name).inc(by)
 
     def gauge(self, name: str, value: float) -> None:
-        """Sets the gauge *name* to *value*."""
+        """Set the gauge *name* to *value*."""
         super().gauge(name, value)
         self._value_gauge.labels(name).set(value)
 
     def timing(self, name: str, seconds: float) -> None:
-        """Records a duration in seconds."""
+        """Record a duration in seconds."""
         super().timing(name, seconds)
         self._duration_histogram.labels(name).observe(seconds)
 
     def set_gauge_function(self, name: str, value: Callable[[], float]) -> None:
-        """Makes the gauge *name* call *value* whenever the metrics are rendered."""
+        """Set a function that returns the value of the gauge *name* at each rendering."""
         self._value_gauge.labels(name).set_function(value)
 
     def render(self) -> bytes:
-        """Returns all metrics in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/src/crankhinge/runtime/_fields.py
+++ b/src/crankhinge/runtime/_fields.py
@@ -12,6 +12,6 @@
 
 
 def split_host_port(text: str) -> tuple[str, int]:
-    """Returns host and port of *text*, which must already match :data:`HostPort`."""
+    """Return host and port of *text*, which must already match :data:`HostPort`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/src/crankhinge/runtime/_files.py
+++ b/src/crankhinge/runtime/_files.py
@@ -1,4 +1,4 @@
-"""Writes result files."""
+"""Writes values to JSON files."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def write_json(path: str, value: Any) -> None:
-    """Writes *value* to *path* as indented JSON; does nothing if *path* is empty."""
+    """Write *value* to *path* as indented JSON; do nothing if *path* is empty."""
     if path:
         Path(path).write_bytes(msgspec.json.format(msgspec.json.encode(value), indent=1))
--- a/src/crankhinge/runtime/_logs.py
+++ b/src/crankhinge/runtime/_logs.py
@@ -12,10 +12,10 @@
     """Output for log lines: a text file, or a :class:`LineSink` that never blocks."""
 
     def write(self, text: str, /) -> int:
-        """Accepts text and returns the number of accepted characters."""
+        """Accept text and return the number of accepted characters."""
 
     def flush(self) -> None:
-        """Writes out accepted text."""
+        """Write out accepted text."""
 
 
 Log = structlog.stdlib.BoundLogger
@@ -24,14 +24,14 @@
 
 
 def _redact(_: Any, __: str, event: Any) -> Any:
-    """Replaces the value of every key that holds a secret (a structlog processor)."""
+    """Replace the value of every field that may hold a secret (a structlog processor)."""
     for key in _REDACTED_FIELDS & event.keys():
         event[key] = "[redacted]"
     return event
 
 
 def get_log(*, program: str, stream: LineStream | None = None, **fields: object) -> Any:
-    """Returns a logger that writes lines in logfmt.
+    """Return a new logger that writes lines in logfmt.
 
     Args:
         program: name of the program, added to each line.
--- a/src/crankhinge/runtime/_metrics.py
+++ b/src/crankhinge/runtime/_metrics.py
@@ -24,17 +24,17 @@
             self._client = statsd.StatsClient(host=host, port=int(port), prefix=prefix)
 
     def count(self, name: str, by: int = 1) -> None:
-        """Adds *by* to the counter *name*."""
+        """Add *by* to the counter *name*."""
         self.counts[name] = self.counts.get(name, 0) + by
         if self._client is not None:
             self._client.incr(name, by)
 
     def gauge(self, name: str, value: float) -> None:
-        """Sets the gauge *name* to *value*."""
+        """Set the gauge *name* to *value*."""
         if self._client is not None:
             self._client.gauge(name, value)
 
     def timing(self, name: str, seconds: float) -> None:
-        """Records a duration in seconds; statsd receives milliseconds."""
+        """Record a duration in seconds; statsd receives milliseconds."""
         if self._client is not None:
             self._client.timing(name, seconds * 1000.0)
--- a/src/crankhinge/runtime/_process.py
+++ b/src/crankhinge/runtime/_process.py
@@ -23,7 +23,8 @@
 from crankhinge.runtime._logs import get_log
 
 EXIT_BAD_INPUT = 2
-# How often the settings file is polled, for changes that no signal announces.
+# Seconds between two checks whether the settings file has changed. An operator may replace the file
+# without sending SIGHUP.
 SETTINGS_POLL_S = 1.0
 # How many signals, a byte each, one read of the wake-up descriptor returns at most.
 MAX_SIGNALS_PER_READ = 64
@@ -32,20 +33,20 @@
 
 
 def load_settings(path: str, settings_type: type[S]) -> S:
-    """Reads a TOML settings file and returns it as a validated *settings_type*.
+    """Read a TOML settings file and return it as a validated *settings_type*.
 
     Raises:
         SettingsError: the file cannot be read or is invalid; the detail states the file, the key
             and the reason.
     """
     try:
-        data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
+        raw_settings = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as exc:
         raise SettingsError(f"{path}: cannot be read: {exc.strerror}") from exc
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
         raise SettingsError(f"{path}: not TOML: {exc}") from exc
     try:
-        return msgspec.convert(data, settings_type)
+        return msgspec.convert(raw_settings, settings_type)
     except msgspec.ValidationError as exc:
         raise SettingsError(f"{path}: {exc}") from exc
 
@@ -60,7 +61,7 @@
     log: Any = None,
     on_reload: Callable[[S], None] | None = None,
 ) -> int:
-    """Parses the command line, reads the settings and runs *serve* until a signal ends it.
+    """Parse the command line, read the settings and run *serve* until a signal ends it.
 
     Args:
         program: name of the program.
@@ -70,8 +71,8 @@
             or SIGINT; it returns once the program has drained.
         argv: command-line arguments; those of the process by default.
         log: logger for events; by default it writes lines to standard error.
-        on_reload: called with the new settings after SIGHUP and after a change of the file; None
-            ignores both.
+        on_reload: called with the new settings after SIGHUP and after a change of the settings
+            file; None ignores both.
 
     Returns:
         The exit status: 0 after a normal stop, 1 after a :class:`CrankhingeError`, 2 for invalid
@@ -121,7 +122,7 @@
         self._last_stamp = self._read_stamp()
 
     def _read_stamp(self) -> tuple[int, int]:
-        """Returns the file's modification time in nanoseconds and its size in bytes."""
+        """Return the settings file's modification time in nanoseconds and its size in bytes."""
         try:
             stat = Path(self._path).stat()
         except OSError as exc:
@@ -130,7 +131,7 @@
         return stat.st_mtime_ns, stat.st_size
 
     def reload(self, *, cause: str) -> None:
-        """Reads the file and passes valid settings to the program; *cause* is logged."""
+        """Read the settings file and pass valid settings to the program; *cause* is logged."""
         self._last_stamp = self._read_stamp()
         try:
             settings = load_settings(self._path, self._settings_type)
@@ -141,7 +142,7 @@
         self._on_reload(settings)
 
     async def poll_file(self) -> None:
-        """Reloads the file whenever its modification time or size changes, until cancelled."""
+        """Reload the settings whenever the file's time or size changes, until cancelled."""
         while True:
             await curio.sleep(SETTINGS_POLL_S)
             if self._read_stamp() != self._last_stamp:
@@ -167,9 +168,9 @@
     log: Any,
     reloader: _SettingsReloader | None = None,
 ) -> None:
-    """Runs *serve* with an event that is set on SIGTERM or SIGINT."""
+    """Run *serve* with an event that is set on SIGTERM or SIGINT."""
     stopping = curio.Event()
-    # This comes before the program runs: SIGHUP is ignored until its handler is installed.
+    # The signal handlers are installed before the program runs: until then, SIGHUP is ignored.
     pipe = _open_signal_pipe()
     watchers = [await curio.spawn(_handle_signals, pipe, stopping, reloader, daemon=True)]
     if reloader is not None:
@@ -180,7 +181,7 @@
 
 
 def _open_signal_pipe() -> _SignalPipe:
-    """Installs handlers so that the interpreter writes signals to a socket pair."""
+    """Install handlers so that the interpreter writes signals to a socket pair."""
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
     sender.setblocking(False)
@@ -194,11 +195,11 @@
 async def _handle_signals(
     pipe: _SignalPipe, stopping: curio.Event, reloader: _SettingsReloader | None
 ) -> None:
-    """Sets *stopping* on SIGTERM or SIGINT and reloads the settings on SIGHUP."""
-    conn = curio.io.Socket(pipe.receiver)
+    """Set *stopping* on SIGTERM or SIGINT and reload the settings on SIGHUP."""
+    signal_socket = curio.io.Socket(pipe.receiver)
     try:
         while True:
-            for signum in await conn.recv(MAX_SIGNALS_PER_READ):
+            for signum in await signal_socket.recv(MAX_SIGNALS_PER_READ):
                 if signum != signal.SIGHUP:
                     await stopping.set()
                 elif reloader is not None:
@@ -206,4 +207,4 @@
     finally:
         signal.set_wakeup_fd(-1)
         pipe.sender.close()
-        await conn.close()
+        await signal_socket.close()
--- a/src/crankhinge/runtime/_sink.py
+++ b/src/crankhinge/runtime/_sink.py
@@ -40,7 +40,7 @@
         self._refilled_at = steady_s()
 
     def write(self, text: str) -> int:
-        """Buffers a line for the next :meth:`flush`, or drops it.
+        """Buffer a line for the next :meth:`flush`, or drop it.
 
         Returns:
             The number of accepted characters: the length of *text*, or 0 if it is dropped.
@@ -55,7 +55,7 @@
         return len(text)
 
     def _must_drop(self, text: str) -> bool:
-        """Returns whether a line must be dropped; counts an ordinary line against the rate."""
+        """Return whether a line must be dropped; count an ordinary line against the rate."""
         if len(self._pending) + len(text) > MAX_PENDING_BYTES:
             return True
         if not any(mark in text for mark in _ORDINARY_LEVELS):
@@ -72,7 +72,7 @@
         return False
 
     def flush(self) -> None:
-        """Writes buffered bytes until none are left or the reader accepts no more."""
+        """Write buffered bytes until none are left or the descriptor accepts no more."""
         try:
             while self._pending:
                 del self._pending[: os.write(self._fd, self._pending)]
--- a/src/crankhinge/runtime/_supervisor.py
+++ b/src/crankhinge/runtime/_supervisor.py
@@ -22,7 +22,7 @@
 
 
 async def run_until_first_ends(*starts: Callable[[], Awaitable[Any]]) -> None:
-    """Runs coroutines concurrently until one ends, then cancels the others.
+    """Run coroutines concurrently until one ends, then cancel the others.
 
     Args:
         starts: functions that each return a coroutine.
@@ -68,11 +68,11 @@
     children: list[Child] = field(default_factory=list)
 
     def add(self, name: str, start: Callable[[], Awaitable[Any]]) -> None:
-        """Adds a child task with default limits; call it before :meth:`run`."""
+        """Add a child task with default limits; call it before :meth:`run`."""
         self.children.append(Child(name, start))
 
     async def run(self) -> None:
-        """Runs all children until one of them ends or the supervisor is cancelled.
+        """Run all children until one of them ends or the supervisor is cancelled.
 
         Raises:
             RestartLimitReached: a child failed too often; the others were cancelled first.
--- a/src/crankhinge/runtime/_tcp.py
+++ b/src/crankhinge/runtime/_tcp.py
@@ -16,8 +16,8 @@
 ACCEPT_BACKLOG = 1024
 # If packets to a peer are lost silently, the kernel closes the connection after KEEPALIVE_IDLE_S +
 # KEEPALIVE_COUNT x KEEPALIVE_INTERVAL_S seconds when no sent data is unacknowledged, and after
-# MAX_UNACKNOWLEDGED_MS when some is. Both are within the three seconds after which an instance
-# counts as unresponsive.
+# MAX_UNACKNOWLEDGED_MS when some is. Both are at most three seconds, the time after which the other
+# parts of the project take an instance for unresponsive.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
@@ -34,7 +34,7 @@
     log: Any,
     stop_accepting: curio.Event | None = None,
 ) -> None:
-    """Accepts connections until cancelled, and handles each in a task of its own.
+    """Accept connections until cancelled, and handle each in a task of its own.
 
     Args:
         host: address to bind.
@@ -56,7 +56,8 @@
     await stop_accepting.wait()
     await accepting.cancel()
     await listener.close()
-    # The task group would end with its last task; this task keeps it open until it is cancelled.
+    # The task group ends when its last task does. This task waits forever, so that the group stays
+    # open until the server is cancelled.
     await curio.Event().wait()
 
 
@@ -83,7 +84,7 @@
 
 
 async def open_tcp(host: str, port: int, timeout_s: float) -> Any:
-    """Connects to an IP address and returns the socket.
+    """Connect to an IP address and return the socket.
 
     curio's own function resolves the host name on a thread for each connection, which is needless
     here because all addresses are numeric.
@@ -107,7 +108,7 @@
 
 
 async def send_all(sock: Any, data: memoryview, stall_timeout_s: float) -> None:
-    """Sends all of *data* as long as the peer keeps accepting parts of it.
+    """Send all of *data* as long as the peer keeps accepting parts of it.
 
     The total time is not limited, because it depends on the size of the data and on the link.
 
@@ -123,12 +124,12 @@
 
 
 def disable_nagle(sock: Any) -> None:
-    """Sends small segments at once, so that tokens don't wait for an acknowledgement."""
+    """Send small segments at once, so that tokens don't wait for an acknowledgement."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def enable_peer_timeouts(sock: Any) -> None:
-    """Makes the kernel close the connection of a peer that stops responding.
+    """Make the kernel close the connection of a peer that stops responding.
 
     Without these options a read on a connection whose packets are lost hangs for hours.
     """
--- a/src/crankhinge/runtime/_wall.py
+++ b/src/crankhinge/runtime/_wall.py
@@ -11,5 +11,5 @@
 
 
 def wall_ms() -> int:
-    """Returns milliseconds since the Unix epoch."""
+    """Return milliseconds since the Unix epoch."""
     return time.time_ns() // NS_PER_MS
