--- a/src/crankhinge/agent/main.py
+++ b/src/crankhinge/agent/main.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from crankhinge._early import ignore_sighup
+from crankhinge._startup_signals import ignore_sighup
 from crankhinge._unused_modules import keep_out_unused_modules
 
 
--- a/src/crankhinge/gateway/_gateway.py
+++ b/src/crankhinge/gateway/_gateway.py
@@ -29,7 +29,7 @@
 from crankhinge.gateway._stream import StreamRelay
 from crankhinge.http import Exchange, HttpLimits, serve_http
 from crankhinge.runtime import split_host_port
-from crankhinge.runtime._exposed import PrometheusMetrics
+from crankhinge.runtime._prometheus import PrometheusMetrics
 
 HTTP_OK = 200
 # Seconds after which a caller should retry if the error names no other delay.
--- a/src/crankhinge/gateway/_program.py
+++ b/src/crankhinge/gateway/_program.py
@@ -54,7 +54,7 @@
     run_until_first_ends,
     steady_s,
 )
-from crankhinge.runtime._exposed import PrometheusMetrics
+from crankhinge.runtime._prometheus import PrometheusMetrics
 
 PROGRAM = "crankhinge-gateway"
 STDOUT = 1
--- a/src/crankhinge/gateway/_status.py
+++ b/src/crankhinge/gateway/_status.py
@@ -12,7 +12,7 @@
 from crankhinge.gateway._settings import GatewaySettings
 from crankhinge.http import Exchange, serve_http
 from crankhinge.runtime import split_host_port
-from crankhinge.runtime._exposed import PrometheusMetrics
+from crankhinge.runtime._prometheus import PrometheusMetrics
 
 METRICS_PATH = "/metrics"
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -139,7 +139,7 @@
 TOLD_AT_ONCE = """
 import os, signal, sys
 import curio, msgspec
-from crankhinge._early import ignore_sighup
+from crankhinge._startup_signals import ignore_sighup
 from crankhinge.runtime import run_process
 
 class Settings(msgspec.Struct):
