--- a/src/crankhinge/agent/_adapter_loader.py
+++ b/src/crankhinge/agent/_adapter_loader.py
@@ -1,4 +1,9 @@
-"""Loads the adapters that the bundle requires into an engine, a few engines of a pool at a time."""
+"""Loads the adapters that the bundle requires into an engine.
+
+The engines of a pool load adapters in turns: at most ``rolling`` engines, a setting of the pool in
+the bundle, load at the same time. A record in the key-value service names the agents whose turn it
+is.
+"""
 
 from __future__ import annotations
 
@@ -103,10 +108,10 @@
             await self._on_change(self.loaded_names)
 
     async def _roll_out(self, missing: list[str]) -> bool:
-        """Load the missing adapters during one turn of the pool's rollout.
+        """Load the missing adapters during one turn of this agent.
 
         Returns:
-            False if too many engines of the pool are loading adapters now.
+            False if the agent gets no turn, since too many engines of the pool load adapters now.
         """
         acquired = await self._acquire_turn()
         if acquired is None:
@@ -144,6 +149,7 @@
             raise KeyValueUnavailable(f"invalid rollout record: {exc}") from exc
 
     async def _acquire_turn(self) -> AcquiredRollout | None:
+        """Add this agent to the pool's rollout record, or return None if it gets no turn now."""
         record, index = await self._read_record()
         acquired = try_acquire_rollout(record, self._agent_name, self._max_concurrent, wall_ms())
         if acquired is None:
--- a/src/crankhinge/agent/_agent.py
+++ b/src/crankhinge/agent/_agent.py
@@ -38,11 +38,11 @@
 
     Args:
         settings: settings of this agent.
-        role: sends requests to the backend server.
+        role: handles the requests of entries and sends them to the backend server.
         kv: client of the key-value service.
         instance_list: local copy of the platform's list of agents.
         propagator: exchanges bundles over the links.
-        keeper: holds the bundle in force.
+        keeper: holds the active bundle.
         incarnation: incarnation id of this agent. It increases each time the agent starts.
         log: logger for events.
         engine: the engine to load adapters into; None if the server is a plain service.
--- a/src/crankhinge/agent/_decode.py
+++ b/src/crankhinge/agent/_decode.py
@@ -96,11 +96,11 @@
             self._drop_expired()
 
     async def probe(self) -> bool:
-        """Return whether the engine responds, and exclude slots held by a previous incarnation.
+        """Return whether the engine responds, and keep slots of foreign requests from being leased.
 
-        The engine frees the slots of a dead agent once it notices the closed connections. Until
-        the engine reports no more requests than this agent has sent, the remaining requests count
-        as foreign, and their slots are not leased.
+        Foreign requests are those that a previous incarnation of this agent sent. The engine frees
+        their slots once it notices that the connections of that incarnation are closed. Until the
+        engine reports no more requests than this agent has sent, the surplus counts as foreign.
         """
         load = await probe_load(self._engine)
         if load is None:
@@ -113,7 +113,7 @@
         return True
 
     def _drop_expired(self) -> None:
-        """Remove the owners of leases that expired unused."""
+        """Remove the records of requests whose leases expired unused."""
         for req in list(self._request_links):
             if req not in self._tasks and not self._table.has_request(req):
                 self._waiting_decodes.pop(req, None)
--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -13,6 +13,7 @@
 # Work of one call in the units of the queue, and the priority class of all calls.
 CALL_UNITS = 1
 CALL_RANK = 0
+# Code of a refusal while the service is in backoff, which it asked for in an earlier response.
 BACKEND_IN_BACKOFF = "backend-rests"
 
 
@@ -91,6 +92,7 @@
     async def _record_backoff(self, backoff_s: float) -> None:
         backoff_until = await curio.clock() + backoff_s
         self._backoff_until = max(self._backoff_until, backoff_until)
+        # In the log line, `taken` is False if an earlier backoff lasts longer than this one.
         self.log.info(
             "backend_rests", for_s=round(backoff_s, 2), taken=backoff_until == self._backoff_until
         )
--- a/src/crankhinge/agent/_queued_role.py
+++ b/src/crankhinge/agent/_queued_role.py
@@ -65,7 +65,7 @@
 
         Args:
             link: link to the entry that sent the request.
-            req: id of the request.
+            req: id of the step.
             member: client account of the caller.
             rank: priority class; 0 is the most urgent.
             timeout_s: seconds within which the request must be complete.
--- a/src/crankhinge/agent/_role.py
+++ b/src/crankhinge/agent/_role.py
@@ -20,10 +20,13 @@
 
 
 class Role(abc.ABC):
-    """Handles the requests that entries send to this agent.
+    """Handles the requests that entries send to this agent, and sends them to the backend server.
+
+    Requests are known by the ``req`` of their messages: the entry sends each step of a caller's
+    request under an id of its own.
 
     Args:
-        keeper: holds the bundle in force.
+        keeper: holds the active bundle.
         log: logger for events.
         metrics: counters of this agent.
 
@@ -110,7 +113,7 @@
         return self._request_links.get(req)
 
     def forget_link(self, req: int) -> None:
-        """Remove the record of the link that *req* came over."""
+        """Remove the record of the link that the request *req* came over."""
         link = self._request_links.pop(req, None)
         if link in self._requests_by_link:
             self._requests_by_link[link].discard(req)
--- a/src/crankhinge/agent/_settings.py
+++ b/src/crankhinge/agent/_settings.py
@@ -21,7 +21,7 @@
             the bundle sets another number.
         step_s: assumed seconds between two tokens of an answer, until the agent has measured them.
         rate: assumed prompt tokens per second (for a plain service, calls per second), until the
-            agent has measured them.
+            agent has measured the actual rate; greater than 0.
         lease_s: seconds for which a leased slot stays reserved after its expected first use.
     """
 
--- a/src/crankhinge/entry/_agent_links.py
+++ b/src/crankhinge/entry/_agent_links.py
@@ -32,7 +32,8 @@
 # Bounds of the delay before the next attempt to open a link. The delay doubles with each attempt.
 INITIAL_RECONNECT_DELAY_S = 0.1
 MAX_RECONNECT_DELAY_S = 5.0
-# Consecutive readings of the list without an agent after which the agent is removed.
+# An agent is removed after it has been missing from the list of agents in this many consecutive
+# reads of the list.
 MISSES_BEFORE_REMOVAL = 3
 # Time that one seed has to send the list and the bundle.
 SEED_TIMEOUT_S = 2.0
@@ -47,7 +48,7 @@
         router: router whose backend servers are updated.
         mailboxes: receives the responses of agents.
         propagator: exchanges bundles over the links.
-        keeper: holds the bundle in force.
+        keeper: holds the active bundle.
         incarnation: incarnation id of this entry.
         log: logger for events.
         rng: source of the jitter of the reconnect delays.
@@ -123,7 +124,7 @@
         return link
 
     async def run(self) -> None:
-        """Follow changes of the platform's list until cancelled.
+        """Read the list of agents repeatedly and adapt the links to it, until cancelled.
 
         While the list is unavailable, the known agents stay. If none are known, the list is
         requested from the seeds.
@@ -192,10 +193,10 @@
             self._link_tasks[name] = await curio.spawn(self._keep_linked, name, daemon=True)
 
     async def _count_miss(self, name: str) -> None:
-        """Count a reading of the list without an agent.
+        """Count a read of the list in which the agent *name* is missing.
 
-        After ``MISSES_BEFORE_REMOVAL`` consecutive readings, the agent is removed unless it is
-        still linked.
+        After ``MISSES_BEFORE_REMOVAL`` consecutive reads without it, the agent is removed, unless
+        this entry still has a link to it.
         """
         self._miss_counts[name] = self._miss_counts.get(name, 0) + 1
         if self._miss_counts[name] >= MISSES_BEFORE_REMOVAL and name not in self._links:
--- a/src/crankhinge/entry/_completion.py
+++ b/src/crankhinge/entry/_completion.py
@@ -93,7 +93,8 @@
         fence.
 
         Raises:
-            AlreadyTaken: an earlier request with the same key was answered or may have run.
+            AlreadyTaken: an earlier request with the same idempotency key was accepted. It was
+                answered or may have run.
             Overloaded: no engine can meet the target now; nothing was run.
             NoBackend: no engine is known to be alive; nothing was run.
             BackendFailed: every attempt failed.
@@ -119,6 +120,8 @@
         progress.earlier_may_have_run = False
         try:
             await self._run_attempts(request, policy, writer, progress)
+            # The answer itself is not recorded: `cut` marks a response whose body is missing. A
+            # later request with the same key is refused.
             await self._fence_client.record_response(permit, RecordedResponse(200, cut=True))
         finally:
             if not progress.may_have_run:
@@ -248,10 +251,13 @@
         return prefill_done
 
     def _transfer_timeout_s(self, tokens: int, slot: LeasedSlot) -> float:
-        """Return the seconds without a first token after which a KV transfer has stalled."""
+        """Return how long the decode engine may take until its first token, in seconds.
+
+        After that, the transfer of the KV cache counts as stalled, and the attempt fails.
+        """
         zone = slot.backend.zone
-        expected_s = self._router.transfer_s(tokens, zone, zone) + slot.backend.step_s
-        return max(MIN_TRANSFER_TIMEOUT_S, TRANSFER_TIMEOUT_FACTOR * expected_s)
+        expected_first_token_s = self._router.transfer_s(tokens, zone, zone) + slot.backend.step_s
+        return max(MIN_TRANSFER_TIMEOUT_S, TRANSFER_TIMEOUT_FACTOR * expected_first_token_s)
 
     def _record_waste(self, progress: RequestProgress) -> None:
         if progress.unused_tokens:
--- a/src/crankhinge/entry/_entry.py
+++ b/src/crankhinge/entry/_entry.py
@@ -45,7 +45,7 @@
 
     Args:
         settings: settings of this entry.
-        keeper: holds the bundle in force.
+        keeper: holds the active bundle.
         agent_links: links to the agents.
         completions: runs completions.
         plain_calls: runs calls to plain services.
--- a/src/crankhinge/entry/_estimates.py
+++ b/src/crankhinge/entry/_estimates.py
@@ -6,7 +6,8 @@
 from crankhinge.decisions import FULL, Mechanisms, Router, RouteRequest
 from crankhinge.entry._requests import PREFIX_BLOCK_CHARS, CompletionRequest
 
-# Used for a model until an engine has counted the tokens of a prompt.
+# Characters per token that are assumed for a model until an engine has counted the tokens of one of
+# its prompts.
 DEFAULT_CHARS_PER_TOKEN = 4.0
 # Weight of the newest prompt in the moving average of characters per token.
 CHARS_EWMA_WEIGHT = 0.05
@@ -14,7 +15,8 @@
 FIXED_TIMEOUT_S = 60.0
 # A long prompt gets at least this multiple of the time that an idle engine needs for it.
 LONG_PROMPT_FACTOR = 1.5
-# Share of the target that is kept as a margin, and the share that the waste weight adds to it.
+# The timeout to the first token is shorter than the target time by this fraction of the target, and
+# by the second fraction multiplied by the bundle's `waste_weight`.
 TARGET_MARGIN = 0.05
 TARGET_MARGIN_PER_WASTE_WEIGHT = 0.1
 
--- a/src/crankhinge/entry/_fence_client.py
+++ b/src/crankhinge/entry/_fence_client.py
@@ -47,10 +47,10 @@
 
 @dataclass
 class FencePermit:
-    """A permit to run a request once.
+    """A permit to run a non-repeatable request once.
 
     Attributes:
-        req: id of the step that requested the permit.
+        req: id of the step with which the permit was requested.
         range_id: id of the range of keys that the record belongs to.
         key: name of the member and idempotency key of the request.
         replicas: names of the two agents that keep the record.
@@ -63,7 +63,7 @@
 
 
 class FenceClient:
-    """Requests permits and reports the outcome of permitted requests.
+    """Requests permits to run non-repeatable requests, and reports how these requests ended.
 
     Args:
         agent_links: links to the agents.
@@ -86,7 +86,7 @@
             member: name of the caller's client account.
             key: idempotency key of the request.
             digest: result of :func:`digest_request`.
-            req: id of this step.
+            req: id of the step with which the permit is requested.
 
         Raises:
             AlreadyTaken: an earlier request has the permit, and its response is not recorded.
--- a/src/crankhinge/entry/_mailboxes.py
+++ b/src/crankhinge/entry/_mailboxes.py
@@ -102,9 +102,9 @@
         self._mailboxes.pop(mailbox.req, None)
 
     async def deliver(self, link: Link, msg: Any) -> None:
-        """Put *msg* into the mailbox of its request, or drop and count it.
+        """Put *msg* into the mailbox of the step that it responds to, or drop and count it.
 
-        A message is dropped if the request has no open mailbox or was sent over another link.
+        A message is dropped if the step has no open mailbox or was sent over another link.
         """
         found = self._mailboxes.get(getattr(msg, "req", 0))
         if found is None or found[0] is not link:
--- a/src/crankhinge/entry/_plain_calls.py
+++ b/src/crankhinge/entry/_plain_calls.py
@@ -198,7 +198,7 @@
     ) -> ServiceCallDone | Refused | Failed | None:
         """Send the call to one agent and return its response, or None if there is none.
 
-        Sets ``progress.may_have_run`` unless the call certainly did not run.
+        Sets ``progress.may_have_run`` to True unless this attempt certainly did not run the call.
         """
         now = await curio.clock()
         timeout_s = max(0.001, deadline - now)
--- a/src/crankhinge/entry/_progress.py
+++ b/src/crankhinge/entry/_progress.py
@@ -51,7 +51,7 @@
         wasted_tokens: computed tokens of attempts that failed, as far as this entry knows.
         prefill_backend: the backend server that processed the prompt; None before that.
         slot_granted_at: time at which the first slot was leased.
-        prompt_processed_at: time at which the prompt was first processed.
+        prompt_processed_at: time at which an engine had first processed the prompt.
         first_token_at: time of the first token.
         last_token_at: time at which the last token arrived.
         earlier_may_have_run: whether an earlier request with the same idempotency key may have run.
@@ -72,12 +72,16 @@
     _step_numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     def new_step_id(self) -> int:
-        """Return the id of a new step, which is a message to one agent and the responses to it."""
+        """Return the id of a new step.
+
+        A step is an exchange with one agent, such as a prefill, or the reservation of a slot
+        together with the decode in it. Its id is the ``req`` of all messages of the exchange.
+        """
         return self.request_id | (next(self._step_numbers) & STEP_ID_MASK)
 
     @property
     def outcome(self) -> Outcome:
-        """The outcome to report to the caller if the request fails now."""
+        """What to report to the caller about whether the request ran, if it fails now."""
         return (
             Outcome.UNKNOWN if self.may_have_run or self.earlier_may_have_run else Outcome.NOT_RUN
         )
--- a/src/crankhinge/entry/_responses.py
+++ b/src/crankhinge/entry/_responses.py
@@ -47,7 +47,7 @@
     Args:
         exchange: the HTTP exchange with the caller.
         exc: the error. Its ``retry_after_s`` is rounded up to whole seconds for ``Retry-After``.
-        outcome: whether the request may have run; by default, the outcome of *exc*.
+        outcome: what is known about whether the request ran; by default, the outcome of *exc*.
         request_id: id of the request for the ``x-request-id`` header; empty to omit the header.
     """
     known_outcome = outcome or exc.outcome
--- a/src/crankhinge/entry/_slot_client.py
+++ b/src/crankhinge/entry/_slot_client.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class SlotRequirements:
-    """The purpose of a slot.
+    """What a slot is needed for.
 
     Attributes:
         request: the completion request.
--- a/src/crankhinge/wire/_base.py
+++ b/src/crankhinge/wire/_base.py
@@ -20,7 +20,8 @@
             are free memory slots.
         queued: number of requests that wait at the agent.
         backlog_s: seconds of queued work before a new request would start.
-        step_s: seconds between two tokens of an answer at the current batch size; 0 if unknown.
+        step_s: duration of one decode step, that is the seconds between two tokens of an answer, at
+            the current batch size; 0 if unknown.
         draining: whether the agent accepts no new requests.
         tokens_per_s: prompt tokens that the engine processes per second; 0 if unknown.
     """
--- a/src/crankhinge/wire/_codec.py
+++ b/src/crankhinge/wire/_codec.py
@@ -13,7 +13,8 @@
 from crankhinge.errors import WireError
 from crankhinge.wire._messages import Message
 
-# Longest body of a frame. A longer one is rejected before memory is allocated for it.
+# Longest body of a frame, without the length prefix. A longer one is rejected before memory is
+# allocated for it.
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 _LENGTH_PREFIX = struct.Struct(">I")
 
@@ -49,7 +50,7 @@
         """Add the received bytes *chunk* and return the messages that are now complete.
 
         Raises:
-            WireError: a frame is longer than ``MAX_FRAME_BYTES`` or is not a valid message.
+            WireError: a body is longer than ``MAX_FRAME_BYTES`` or is not a valid message.
         """
         buf = self._buf
         buf += chunk
--- a/src/crankhinge/wire/_control.py
+++ b/src/crankhinge/wire/_control.py
@@ -16,11 +16,12 @@
     Attributes:
         version: ``WIRE_VERSION`` of the sender.
         name: name of the process, unique within the fleet.
-        role: ``entry``, ``prefill``, ``decode`` or ``plain``.
+        role: ``entry``, or for an agent ``prefill``, ``decode`` or ``plain``. The command line
+            ``crankhinge-ctl``, which sends new bundles to agents, has the role ``ctl``.
         zone: availability zone of the process.
         incarnation: incarnation id of the process. It increases each time the process starts.
         pool: pool of the agent's backend server; empty for an entry.
-        bundle_version: version of the bundle in force; 0 if the process has none.
+        bundle_version: version of the bundle that is active in the process; 0 if it has none.
     """
 
     version: int
@@ -36,7 +37,7 @@
     """A heartbeat, sent by both ends.
 
     Attributes:
-        bundle_version: version of the bundle in force.
+        bundle_version: version of the bundle that is active in the process; 0 if it has none.
         load: load of the agent's backend server; None from an entry.
     """
 
--- a/src/crankhinge/wire/_messages.py
+++ b/src/crankhinge/wire/_messages.py
@@ -1,4 +1,10 @@
-"""The messages between entries and agents.
+"""The messages between entries and agents, and those between two agents.
+
+Agents exchange messages with each other about bundles and fence records.
+
+The field ``req`` of a message is the id of a step, which is an exchange of an entry with one agent.
+One attempt of a completion consists of two steps: the prefill, and the reservation of a slot
+together with the decode in that slot.
 
 A message is encoded as a msgpack array of its tag and its fields in order. A new field may be added
 at the end with a default: an older process ignores it, and a newer process uses the default if it
@@ -39,11 +45,11 @@
     """Requests a memory slot from the agent of a decode engine.
 
     Attributes:
-        req: id of the request, unique per attempt.
+        req: id of the step; the decode that uses the slot has the same id.
         member: client account of the caller. Capacity is shared fairly between members.
         model: name of the model or adapter.
         rank: priority class; 0 is the most urgent.
-        timeout_s: seconds after which the request can no longer use the slot.
+        timeout_s: seconds within which the slot must be granted; 0 if it must be free now.
         lead_s: seconds from the grant until the slot is used, for the prefill and the transfer of
             the KV cache.
         max_tokens: largest number of tokens in the answer.
@@ -64,7 +70,7 @@
     """Grants a lease of a memory slot.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         ready_in_s: seconds until the slot is expected to be free.
         lease_s: seconds after which the lease ends if the slot has not been used.
         load: load of the agent's server after the grant.
@@ -80,7 +86,7 @@
     """Refuses a request. The backend server has not started it.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         code: reason of the refusal.
         retry_after_s: seconds after which the agent may accept the request; 0 if unknown.
         load: load of the agent's server after the refusal.
@@ -96,9 +102,11 @@
     """Requests the prefill of a prompt from the agent of a prefill engine.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         path: path of the engine's completion endpoint.
-        body: the caller's JSON body.
+        body: JSON body for the engine. The entry derives it from the caller's: it sets the maximum
+            number of tokens, removes options of the stream, and adds the part of the answer that
+            an earlier attempt has written.
         member: client account of the caller. Capacity is shared fairly between members.
         rank: priority class; 0 is the most urgent.
         timeout_s: seconds after which the result can no longer be used.
@@ -118,7 +126,7 @@
     """Reports a completed prefill.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         kv_handle: opaque handle of the KV cache of the prompt: the engine's transfer parameters,
             in JSON.
         cached_tokens: number of prompt tokens that were in the engine's prefix cache.
@@ -139,9 +147,9 @@
     """Requests the answer from a decode engine, in the slot that is leased to ``req``.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         path: path of the engine's completion endpoint.
-        body: the caller's JSON body.
+        body: JSON body for the engine, the same as in ``Prefill``.
         kv_handle: the handle from ``PrefillDone``.
         transfer_timeout_s: seconds without a first token after which the transfer of the KV cache
             counts as stalled.
@@ -158,7 +166,7 @@
     """Carries consecutive tokens of an answer.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         first_index: position of the first token in the answer, counted from 0.
         texts: the text of each token.
     """
@@ -172,9 +180,9 @@
     """Reports that the answer is complete.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         token_count: number of tokens in the whole answer.
-        finish_reason: the engine's finish reason.
+        finish_reason: why the engine ended the answer, such as ``stop`` or ``length``.
     """
 
     req: int
@@ -186,7 +194,7 @@
     """Reports that a request failed at the backend server.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         code: reason of the failure.
         may_have_run: False only if the server has certainly not executed any part of the request.
     """
@@ -206,7 +214,7 @@
     """Requests a call to a plain service.
 
     Attributes:
-        req: id of the request.
+        req: id of the step.
         method: HTTP method.
         target: HTTP request target.
         headers: HTTP headers to forward.
