--- a/src/crankhinge/burn/_budget.py
+++ b/src/crankhinge/burn/_budget.py
@@ -66,7 +66,7 @@
 
     Attributes:
         bundle: version of the bundle whose objectives apply.
-        seconds: time between the first and the last counted request, in seconds.
+        seconds: seconds between the ends of the first and the last counted request.
         requests: number of counted completion requests.
         in_time: number of requests that were answered within both latency targets.
         goodput: requests per second that were answered within both latency targets.
@@ -74,8 +74,8 @@
         wasted_tokens: number of these tokens whose prefill was not used.
         causes: number of failed and refused requests by cause.
         budgets: error budgets by client account, model and target.
-        series: for each second of the log, the number of requests that met all targets and the
-            number of requests that did not.
+        series: for each of these seconds in order, the number of requests that ended in it and met
+            all targets, and the number of those that did not.
     """
 
     bundle: int
@@ -104,13 +104,13 @@
 
 
 def _measure_window(
-    name: str, events: list[RequestEvent], model: Model, target: str, since: float
+    window: str, events: list[RequestEvent], model: Model, target: str, since: float
 ) -> BurnWindow:
     inside = [event for event in events if event.ended_at >= since]
     bad = sum(_misses_target(event, model, target) for event in inside)
     bad_fraction = bad / len(inside) if inside else 0.0
     burn = bad_fraction / (1.0 - model.objective)
-    return BurnWindow(name=name, requests=len(inside), bad=bad, burn=burn)
+    return BurnWindow(name=window, requests=len(inside), bad=bad, burn=burn)
 
 
 def _measure_budget(
@@ -119,8 +119,8 @@
     begin, end = events[0].ended_at, events[-1].ended_at
     whole = _measure_window(WHOLE_LOG, events, model, target, begin)
     windows = [
-        _measure_window(name, events, model, target, end - length)
-        for name, length in WINDOWS_S.items()
+        _measure_window(window, events, model, target, end - length)
+        for window, length in WINDOWS_S.items()
         if length < end - begin
     ]
     return ErrorBudget(
@@ -164,11 +164,11 @@
 
 
 def _count_by_cause(events: list[RequestEvent]) -> dict[str, int]:
-    causes: dict[str, int] = {}
+    requests_by_cause: dict[str, int] = {}
     for event in events:
         if event.cause:
-            causes[event.cause] = causes.get(event.cause, 0) + 1
-    return dict(sorted(causes.items()))
+            requests_by_cause[event.cause] = requests_by_cause.get(event.cause, 0) + 1
+    return dict(sorted(requests_by_cause.items()))
 
 
 def _count_per_second(
--- a/src/crankhinge/burn/_caller_value.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -6,13 +6,14 @@
 
 Only first attempts earn value:
 
-* answered in time: the value of the request, which depends on its size;
-* answered late: a fraction of that value;
-* anything else: nothing, even if a retry is answered later.
+* a complete response in time: the value of the request, which depends on its size;
+* a complete response that is late: a fraction of that value;
+* anything else: nothing, even if a retry gets a response later.
 
 These reduce the value, each in proportion to the value of the request and to its weight in
 :class:`CallerWeights`: each second that a request waited without being served afterwards, a retry
-that is not served, and a refusal without asking any server for capacity.
+that is not served, and a needless refusal. A refusal is needless if the gateway asked no server for
+capacity and no other requests waited ahead of the refused one.
 """
 
 from __future__ import annotations
@@ -50,6 +51,8 @@
 # counts as a failure. A caller that leaves earlier has cancelled its request.
 FULL_WAIT_FRACTION = 0.9
 
+# Events with which gateways log the end of a request. Entries, whose logs the error budgets are
+# computed from, have no `broken_off`.
 _END_EVENTS = frozenset({"answered", "request_failed", "broken_off", "caller_gone"})
 
 CostFraction = Annotated[float, msgspec.Meta(ge=0, le=10)]
@@ -59,10 +62,11 @@
     """Weights of the outcomes, as fractions of the value of the request.
 
     Attributes:
-        late: value of a late answer.
+        late: value of a late response.
         held_per_s: cost of each second that a request waited without being served afterwards.
-        failed_return: cost of a retry that is not served.
-        needless: cost of a refusal without asking any server for capacity.
+        failed_return: cost of a caller's retry that is not served.
+        needless: cost of a refusal although the gateway asked no server for capacity and no other
+            requests waited ahead of the refused one.
         kinds: value of a request of mean size, by kind of route; 1 for kinds that are not listed.
     """
 
@@ -74,7 +78,16 @@
 
 
 class CallerOutcome(enum.Enum):
-    """How a request ended for its caller; the values are column headings of the report."""
+    """How a request ended for its caller; the values are column headings of the report.
+
+    Attributes:
+        IN_TIME: the caller received the complete response within the route's target.
+        LATE: the caller received the complete response later.
+        REFUSED_IMMEDIATELY: refused within ``MAX_IMMEDIATE_REFUSAL_MS``.
+        REFUSED_AFTER_WAIT: refused later.
+        FAILED: the response failed or was incomplete, or the caller waited in vain.
+        ABANDONED: the caller cancelled the request; it counts neither for nor against the service.
+    """
 
     IN_TIME = "in time"
     LATE = "late"
@@ -85,7 +98,7 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether the caller received the complete answer."""
+        """Whether the caller received the complete response."""
         return self in (CallerOutcome.IN_TIME, CallerOutcome.LATE)
 
 
@@ -97,7 +110,7 @@
         started_at: time at which the gateway received the request, in seconds since the epoch.
         route: name of the route.
         route_kind: kind of the route.
-        max_wait_ms: how long the caller was willing to wait for the answer.
+        max_wait_ms: how long the caller was willing to wait for the response.
         duration_ms: time from the start of the request to its end in the gateway.
         size: number of prompt tokens plus the weighted maximum number of output tokens; 0 for a
             request that does not go to a model.
@@ -126,9 +139,9 @@
         first_attempts: number of first attempts by outcome.
         retries: number of retries by outcome.
         unserved_wait_s: total seconds that requests waited without being served afterwards.
-        potential_value: value if all first attempts had been answered in time.
-        earned_value: value of the first attempts that were answered.
-        cost: total cost of waits in vain, failed retries and refusals without a query.
+        potential_value: value if all first attempts had been served in time.
+        earned_value: value of the first attempts that were served.
+        cost: total cost of waits in vain, failed retries and needless refusals.
     """
 
     first_attempts: dict[CallerOutcome, int] = field(
@@ -144,7 +157,7 @@
 
     @property
     def relative_value(self) -> float:
-        """Return the earned value minus the cost, as a fraction of the potential value."""
+        """Earned value minus cost, as a fraction of the potential value."""
         return (
             (self.earned_value - self.cost) / self.potential_value if self.potential_value else 0.0
         )
@@ -179,17 +192,21 @@
 
 
 def _read_file(path: Path) -> Iterator[CallerAttempt]:
-    queried: dict[str, bool] = {}
+    # For each refused request, whether the gateway asked a server for capacity (`asked`) or other
+    # requests waited ahead of it (`ahead`).
+    had_query_by_request: dict[str, bool] = {}
     try:
         with path.open(encoding="utf-8", errors="replace") as file:
             for line in file:
                 pairs = parse_line(line)
                 event, request = pairs.get("event"), pairs.get("request", "")
                 if event == "place_refused":
-                    queried[request] = pairs.get("asked") != "0" or pairs.get("ahead", "0") != "0"
+                    had_query_by_request[request] = (
+                        pairs.get("asked") != "0" or pairs.get("ahead", "0") != "0"
+                    )
                 if event in _END_EVENTS and "within_ms" in pairs:
                     yield from _parse_attempt(
-                        pairs, refused_without_query=not queried.pop(request, True)
+                        pairs, refused_without_query=not had_query_by_request.pop(request, True)
                     )
     except OSError as exc:
         raise SettingsError(f"{path}: cannot be read: {exc.strerror}") from exc
@@ -198,7 +215,11 @@
 def _parse_attempt(
     pairs: dict[str, str], *, refused_without_query: bool
 ) -> Iterator[CallerAttempt]:
-    """Yield the request that a log line describes, or nothing if a field is missing or invalid."""
+    """Yield the request that a log line describes, or nothing if a field is missing or invalid.
+
+    The line has the caller's maximum wait as `within_ms`, the maximum number of output tokens as
+    `most`, and as `kept` whether the connection had carried an earlier request.
+    """
     try:
         duration_ms = float(pairs["took_ms"])
         yield CallerAttempt(
--- a/src/crankhinge/burn/_log_events.py
+++ b/src/crankhinge/burn/_log_events.py
@@ -1,4 +1,4 @@
-"""Reads the programs' logs, which have one line of key=value pairs per event."""
+"""Parses log lines, one of key=value pairs per event, and reads the entries' logs of requests."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from crankhinge.errors import SettingsError
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+# Events with which entries log the end of a request.
 _END_EVENTS = frozenset({"answered", "request_failed", "caller_gone"})
 
 
--- a/src/crankhinge/config/__init__.py
+++ b/src/crankhinge/config/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration bundle: its model, signatures, publication, and the version in force."""
+"""The configuration bundle: its model, signatures, publication, and the active one of a process."""
 
 from crankhinge.config._bundle import (
     Adapter,
--- a/src/crankhinge/config/_bundle.py
+++ b/src/crankhinge/config/_bundle.py
@@ -27,7 +27,8 @@
     Attributes:
         waste_weight: 0 maximizes goodput alone, 1 minimizes wasted prefill.
         retry_ratio: maximum number of retries per first attempt.
-        patience: a request is given up after this multiple of the first-token target.
+        patience: a request is refused if its first token cannot arrive within this multiple of the
+            model's ``first_token_s``, less a margin.
     """
 
     waste_weight: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.5
@@ -57,8 +58,8 @@
         weight: weight in the fair queues, relative to the other accounts of the same partner.
         max_concurrent: maximum number of requests in progress at one entry; 0 for no limit.
         max_per_s: maximum number of requests per second at one entry; 0 for no limit.
-        max_rank: the most urgent priority class that the account may request; 0 is the most
-            urgent class of all, 2 the least urgent.
+        max_rank: number of the most urgent priority class that the account may request. Class 0
+            is the most urgent, class 2 the least urgent.
     """
 
     name: Name
@@ -121,9 +122,11 @@
         slots: maximum number of requests that a decode engine holds in memory, of prompts that a
             prefill engine processes concurrently, or of calls that a plain service handles
             concurrently.
-        rolling: maximum number of the pool's engines that may load weights at the same time.
+        rolling: maximum number of the pool's engines that may load the weights of adapters at the
+            same time.
         fence: pairs of agents, in different availability zones, that keep the fence records of
-            the pool's non-repeatable requests; the request keys are distributed over the pairs.
+            the pool. A fence record lets a non-repeatable request with an idempotency key run at
+            most once; the keys are distributed over the pairs.
     """
 
     name: Name
@@ -134,7 +137,7 @@
 
 
 class Service(_BundleStruct, frozen=True):
-    """A service whose backend servers answer plain HTTP calls instead of running a model.
+    """A service whose backend servers handle plain HTTP calls instead of running a model.
 
     Attributes:
         name: name of the service.
@@ -208,7 +211,7 @@
 
 
 def fence_range_id(pool: str, pair_number: int, replicas: tuple[str, str]) -> str:
-    """Return the id of the range of request keys whose fence records a pair of agents keeps.
+    """Return the id of the range of idempotency keys whose fence records a pair of agents keeps.
 
     Args:
         pool: name of the pool.
--- a/src/crankhinge/config/_keeper.py
+++ b/src/crankhinge/config/_keeper.py
@@ -1,4 +1,4 @@
-"""The bundle in force in one process."""
+"""The active bundle of one process."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 class FairShareWeights:
     """The weights that determine the share of a client account in the fair queues.
 
+    An unknown account, and any account while there is no bundle, has weights of 1.
+
     Attributes:
         partner: name of the account's partner; empty for an unknown account.
         member_weight: weight of the account among the accounts of its partner.
@@ -28,7 +30,7 @@
 
 
 class BundleView:
-    """A bundle with indexes of its client accounts."""
+    """A bundle with indexes to look up its client accounts by credential and by name."""
 
     def __init__(self, bundle: Bundle) -> None:
         self.bundle = bundle
@@ -41,7 +43,7 @@
         return self._by_credential_hash.get(hash_credential(credential))
 
     def fair_share_weights(self, member: str) -> FairShareWeights:
-        """Return the fair-queue weights of a client account; 1 for an unknown account."""
+        """Return the fair-queue weights of the client account *member*."""
         known = self._by_name.get(member)
         if known is None:
             return FairShareWeights("", 1.0, 1.0)
@@ -49,16 +51,18 @@
 
 
 class BundleKeeper:
-    """Holds the bundle in force, which is the newest one received; versions never decrease.
+    """Holds the active bundle of a process: the newest one that the process has received.
+
+    A bundle with a lower version never replaces one with a higher version.
 
     Args:
         keys: public key of each partner, in hex.
 
     Attributes:
-        view: the bundle in force with its indexes; None before the first bundle.
-        envelope: the encoded envelope of the bundle in force, to send to peers; empty before the
+        view: the active bundle with its indexes; None before the first bundle.
+        envelope: the encoded envelope of the active bundle, to send to peers; empty before the
             first bundle.
-        listeners: functions that are called with each bundle that comes into force.
+        listeners: functions that are called with each bundle that becomes active.
     """
 
     def __init__(self, keys: TrustedKeys) -> None:
@@ -69,11 +73,11 @@
 
     @property
     def version(self) -> int:
-        """Version of the bundle in force; 0 before the first bundle."""
+        """Version of the active bundle; 0 before the first bundle."""
         return self.view.bundle.version if self.view else 0
 
     def install_if_newer(self, envelope: bytes) -> bool:
-        """Put the bundle into force if it is newer than the current one; return whether it was.
+        """Make the bundle active if it is newer than the current one, and return whether it was.
 
         Raises:
             BundleError: the bundle is malformed or not signed by every partner.
@@ -90,15 +94,15 @@
         return True
 
     def fair_share_weights(self, member: str) -> FairShareWeights:
-        """Return the fair-queue weights of a client account; 1 without a bundle."""
+        """Return the fair-queue weights of the client account *member* in the active bundle."""
         return self.view.fair_share_weights(member) if self.view else FairShareWeights("", 1.0, 1.0)
 
     def require_view(self) -> BundleView:
-        """Return the bundle in force with its indexes.
+        """Return the active bundle with its indexes.
 
         Raises:
-            NotReady: no bundle is in force yet.
+            NotReady: the process has not received a bundle yet.
         """
         if self.view is None:
-            raise NotReady("no bundle is in force", retry_after_s=1.0)
+            raise NotReady("this process has no bundle yet", retry_after_s=1.0)
         return self.view
--- a/src/crankhinge/config/_publish.py
+++ b/src/crankhinge/config/_publish.py
@@ -41,7 +41,7 @@
 
 
 async def read_current_envelope(kv: KeyValueStore) -> StoredValue | None:
-    """Return the envelope that is published now, or None before the first publication.
+    """Return the envelope of the published bundle, or None before the first publication.
 
     Raises:
         KeyValueUnavailable: the key-value service did not respond.
@@ -50,11 +50,12 @@
 
 
 async def publish(kv: KeyValueStore, envelope: bytes, keys: TrustedKeys) -> PublishResult:
-    """Publish *envelope* if its version directly follows that of the current bundle.
+    """Publish *envelope* if its version directly follows that of the published bundle.
 
     Raises:
         BundleError: the bundle is invalid, lacks a signature or skips a version.
-        PublishConflict: another bundle was published first; nothing was written.
+        PublishConflict: a different bundle with this version or a higher one is already published;
+            nothing was written.
         KeyValueUnavailable: it is unknown whether the bundle was published. Publishing the same
             file again is safe and resolves the uncertainty.
     """
@@ -65,7 +66,7 @@
     current_version = verify_envelope(current.data, keys).version if current else 0
     if bundle.version <= current_version:
         raise PublishConflict(
-            f"version {current_version} is in force, but this file has version {bundle.version}"
+            f"version {current_version} is published, but this file has version {bundle.version}"
         )
     if bundle.version != current_version + 1:
         raise BundleError(
@@ -93,7 +94,7 @@
     current = await read_current_envelope(kv)
     if current is not None and current.data == envelope:
         return PublishResult(version, confirmed_by_read=True)
-    raise PublishConflict("another bundle was accepted first; compare it with `bundle diff`")
+    raise PublishConflict("another bundle was published first; compare it with `bundle diff`")
 
 
 async def read_history(kv: KeyValueStore) -> list[HistoryRow]:
--- a/src/crankhinge/ctl/_bundle.py
+++ b/src/crankhinge/ctl/_bundle.py
@@ -34,9 +34,9 @@
     Attributes:
         key_value: ``host:port`` of the platform's key-value service.
         keys: public key of each partner, in hex.
-        seeds: ``host:port`` of agents that ``bundle publish`` sends an accepted bundle to, so
-            that the bundle propagates even if the key-value service fails right after accepting
-            it.
+        seeds: ``host:port`` of agents that ``bundle publish`` sends a published bundle to, so
+            that the bundle propagates even if the key-value service fails right after it was
+            published.
     """
 
     key_value: HostPort
@@ -114,27 +114,27 @@
 
 
 def diff_bundle(args: argparse.Namespace) -> str:
-    """Compare a bundle file with the bundle in force."""
+    """Compare a bundle file with the published bundle."""
     envelope = read_envelope_file(args.file)
     current = curio.run(_read_current, open_key_value(read_settings(args)))
     old = decode_envelope(current.data).text if current else ""
-    diff = diff_texts(old, envelope.text, "in force", args.file)
+    diff = diff_texts(old, envelope.text, "published", args.file)
     return diff or "no difference"
 
 
 def show_status(args: argparse.Namespace) -> str:
-    """Verify the bundle in force and return its version and signers."""
+    """Verify the published bundle and return its version and signers."""
     settings = read_settings(args)
     current = curio.run(_read_current, open_key_value(settings))
     if current is None:
-        return "no bundle was accepted yet"
+        return "no bundle was published yet"
     bundle = verify_envelope(current.data, settings.keys)
     return f"version {bundle.version}, signed by {', '.join(sorted(settings.keys))}"
 
 
 def show_history(args: argparse.Namespace) -> str:
-    """List the history of accepted bundles, newest last."""
+    """List the history of published bundles, newest last."""
     settings = read_settings(args)
     rows = curio.run(read_history, open_key_value(settings))
     lines = [f"version {row.version}  sha256 {row.sha256[:16]}" for row in rows]
-    return "\n".join(lines) or "no bundle was accepted yet"
+    return "\n".join(lines) or "no bundle was published yet"
--- a/src/crankhinge/ctl/_explain.py
+++ b/src/crankhinge/ctl/_explain.py
@@ -15,10 +15,11 @@
 from crankhinge.burn import parse_line
 from crankhinge.errors import RequestNotFound, SettingsError
 
-# Keys that identify the origin or the type of a line; they are left out of the printed pairs.
+# Keys that identify the origin or the type of a line. They are left out of the printed pairs.
 _SOURCE_KEYS = frozenset({"ts", "level", "program", "event", "request", "name"})
-# Events about the state of an instance. The last one of each kind before the request is
-# shown, because it determines how the instance handled the request.
+# Events about the state of an instance. The last one of each kind before the request is shown,
+# because it determines how the instance handled the request. The members in two of these names are
+# the instances of the fleet, not client accounts; `note_gone` is about an instance record.
 _STATE_EVENTS = frozenset(
     {
         "config_in_force",
@@ -39,8 +40,9 @@
         "note_gone",
     }
 )
-# Events that change an instance's state of a server, and the aspect of the state that they change.
-# The aspects are shown in this order.
+# Events that change what an instance knows of a server, and the aspect that they change: its entry
+# in the store, its advertised limit, that it is leaving, or its backoff. The aspects are shown in
+# this order.
 _SERVER_STATE_EVENTS = {
     "server_seen": "entry",
     "server_gone": "entry",
@@ -58,7 +60,8 @@
 
     Attributes:
         state: the last line of each kind of state event before the request.
-        server_state: the last state line before the request, by server and aspect of its state.
+        server_state: the last line about each server and aspect before the request, by server id
+            and aspect (see ``_SERVER_STATE_EVENTS``).
         quarantines: the last line about a quarantine before the request, by request fingerprint.
         lines: the lines about the request, and later lines about the servers that it involves.
     """
@@ -119,11 +122,17 @@
 
 
 def _involved_servers(log: _RequestLog) -> set[str]:
+    # Under `reader`, gateways log the prefill engine of a request.
     keys = ("server", "reader")
     return {pairs[key] for pairs in log.lines for key in keys if key in pairs}
 
 
 def _render_log(name: str, log: _RequestLog) -> Iterator[str]:
+    """Yield the lines of the report on one log.
+
+    They are labelled `believed` for the state before the request, which may have been outdated, and
+    `happened` for the events of the request.
+    """
     yield f"{name}:"
     start_s = _line_time(log.lines[0])
     for pairs in log.state.values():
--- a/src/crankhinge/ctl/_publish.py
+++ b/src/crankhinge/ctl/_publish.py
@@ -21,17 +21,18 @@
     connect_link,
 )
 
-# Maximum time to wait for one agent to confirm that the bundle is in force there.
+# Maximum time to wait for one agent to confirm that the bundle is active there.
 AGENT_CONFIRMATION_TIMEOUT_S = 3.0
 
 
 def publish_bundle(args: argparse.Namespace) -> str:
     """Publish a signed bundle and send it to the agents that the settings name as seeds.
 
-    The bundle file is never changed, whether or not the bundle is accepted.
+    The bundle file is never changed, whether or not the bundle is published.
 
     Raises:
-        PublishConflict: another bundle was accepted first; the message contains the differences.
+        PublishConflict: a different bundle with the same or a higher version is published; the
+            message contains the differences.
     """
     settings = read_settings(args)
     envelope = read_envelope_file(args.file)
@@ -42,19 +43,21 @@
         raise PublishConflict(
             _describe_conflict(exc, envelope.text, open_key_value(settings))
         ) from exc
-    sent = curio.run(_send_to_agents, settings.seeds, encode_envelope(envelope), result.version)
+    agent_count = curio.run(
+        _send_to_agents, settings.seeds, encode_envelope(envelope), result.version
+    )
     suffix = " (confirmed by reading it back)" if result.confirmed_by_read else ""
-    text = f"version {result.version} is accepted{suffix}"
-    return f"{text}, sent to {sent} agents" if settings.seeds else text
+    text = f"version {result.version} is published{suffix}"
+    return f"{text}, sent to {agent_count} agents" if settings.seeds else text
 
 
 async def _send_to_agents(seeds: tuple[str, ...], envelope: bytes, version: int) -> int:
-    """Send an accepted bundle to agents and return how many it was sent to.
+    """Send a published bundle to agents and return the number of agents that it was sent to.
 
-    The command waits for each agent to confirm that the bundle is in force, but an agent that does
-    not confirm it in time is counted as well.
+    The command waits for each agent to confirm that the bundle is active there, but an agent that
+    does not confirm it in time is counted as well.
     """
-    sent = 0
+    agent_count = 0
     for seed in seeds:
         hello = Hello(WIRE_VERSION, "ctl", "ctl", "", 0, bundle_version=version)
         try:
@@ -63,10 +66,10 @@
             await curio.ignore_after(
                 AGENT_CONFIRMATION_TIMEOUT_S, link.run, _close_when_installed(version)
             )
-            sent += 1
+            agent_count += 1
         except (LinkClosed, WireError):
             continue
-    return sent
+    return agent_count
 
 
 def _close_when_installed(version: int) -> Callable[[Link, Message], Awaitable[None]]:
@@ -80,12 +83,12 @@
 
 
 def _describe_conflict(exc: PublishConflict, text: str, kv: object) -> str:
-    """Return the message for an operator whose publication lost to another one.
+    """Return the message for an operator whose bundle was not published.
 
-    It contains the differences from the bundle in force, so that the operator can merge them into
+    It contains the differences from the published bundle, so that the operator can merge them into
     the unchanged bundle file and publish it again.
     """
     current = curio.run(read_current_envelope, kv)
     current_text = decode_envelope(current.data).text if current else ""
-    diff = diff_texts(current_text, text, "in force", "yours")
-    return f"{exc.detail}\nnothing was written; yours differs from the bundle in force by:\n{diff}"
+    diff = diff_texts(current_text, text, "published", "yours")
+    return f"{exc.detail}\nnothing was written; yours differs from the published bundle by:\n{diff}"
--- a/src/crankhinge/ctl/_reference.py
+++ b/src/crankhinge/ctl/_reference.py
@@ -52,14 +52,14 @@
     """Return the description of each attribute in the docstring of a model."""
     text = inspect.getdoc(model) or ""
     descriptions: dict[str, str] = {}
-    name = ""
+    attribute = ""
     for line in text.partition("Attributes:\n")[2].splitlines():
         match = _ATTRIBUTE_LINE.match(line)
         if match:
-            name = match[1]
-            descriptions[name] = match[2]
-        elif name and line.strip():
-            descriptions[name] += " " + line.strip()
+            attribute = match[1]
+            descriptions[attribute] = match[2]
+        elif attribute and line.strip():
+            descriptions[attribute] += " " + line.strip()
     return descriptions
 
 
@@ -77,15 +77,15 @@
     descriptions = _attribute_descriptions(model)
     fields = {field.name: field for field in msgspec.structs.fields(model)}
     lines = ["| key | default | meaning |", "|---|---|---|"]
-    for name, meaning in descriptions.items():
-        lines.append(f"| `{name}` | {_format_default(fields[name])} | {meaning} |")
+    for attribute, meaning in descriptions.items():
+        lines.append(f"| `{attribute}` | {_format_default(fields[attribute])} | {meaning} |")
     return lines
 
 
 def _render_section(title: str, models: dict[str, type[msgspec.Struct]]) -> list[str]:
     lines = [f"# {title}", ""]
-    for name, model in models.items():
-        lines += [f"## {name}", "", *_render_table(model), ""]
+    for heading, model in models.items():
+        lines += [f"## {heading}", "", *_render_table(model), ""]
     return lines
 
 
--- a/src/crankhinge/ctl/main.py
+++ b/src/crankhinge/ctl/main.py
@@ -27,12 +27,12 @@
 EXIT_CONFLICT = 3
 EXIT_OUTCOME_UNKNOWN = 4
 
-# Default length of a time window of ``callers``. It is short because a burst of traffic lasts only
-# some seconds.
+# Default length of a time window in the report of ``crankhinge-ctl callers``. It is short because a
+# burst of traffic lasts only some seconds.
 DEFAULT_WINDOW_S = 2.0
 
 EPILOG = (
-    "exit status: 0 done, 2 bad input, 3 another bundle was accepted first (nothing was written), "
+    "exit status: 0 done, 2 bad input, 3 another bundle was published first (nothing was written), "
     "4 the key-value service did not respond (running the same command again is safe)"
 )
 
@@ -48,14 +48,14 @@
     description: str,
     run: Callable[[argparse.Namespace], str],
     *,
-    file: bool = True,
-    service: bool = False,
+    takes_file: bool = True,
+    takes_settings: bool = False,
 ) -> argparse.ArgumentParser:
     parser = commands.add_parser(name, help=description, description=description)
     parser.set_defaults(run=run)
-    if file:
+    if takes_file:
         parser.add_argument("file", help="bundle file")
-    if service:
+    if takes_settings:
         parser.add_argument(
             "--settings", required=True, help="TOML file with the settings of this command"
         )
@@ -73,41 +73,53 @@
     _add_bundle_command(
         commands,
         "diff",
-        "compare a bundle file with the bundle in force",
+        "compare a bundle file with the published bundle",
         diff_bundle,
-        service=True,
+        takes_settings=True,
     )
-    sign = _add_bundle_command(commands, "sign", "add a partner's signature", sign_bundle)
-    sign.add_argument("--partner", required=True)
-    sign.add_argument("--key", required=True, help="private key file")
-    sign.add_argument("--out", required=True, help="signed bundle to write")
+    sign_parser = _add_bundle_command(commands, "sign", "add a partner's signature", sign_bundle)
+    sign_parser.add_argument("--partner", required=True)
+    sign_parser.add_argument("--key", required=True, help="private key file")
+    sign_parser.add_argument("--out", required=True, help="signed bundle to write")
     _add_bundle_command(
-        commands, "publish", "publish a signed bundle", publish_bundle, service=True
+        commands, "publish", "publish a signed bundle", publish_bundle, takes_settings=True
     )
     _add_bundle_command(
-        commands, "status", "show the bundle in force", show_status, file=False, service=True
+        commands,
+        "status",
+        "show the published bundle",
+        show_status,
+        takes_file=False,
+        takes_settings=True,
     )
     _add_bundle_command(
-        commands, "history", "list the accepted bundles", show_history, file=False, service=True
+        commands,
+        "history",
+        "list the published bundles",
+        show_history,
+        takes_file=False,
+        takes_settings=True,
     )
-    key = groups.add_parser("key", help="signing keys")
-    key_commands = key.add_subparsers(dest="verb", required=True)
-    new_key = key_commands.add_parser("new", help="create a key pair")
-    new_key.add_argument("file", help="private key file to write")
-    new_key.set_defaults(run=_create_key)
-    explain = groups.add_parser("explain", help="show what logs contain about one request")
-    explain.add_argument("request", help="id of the request, as the caller sent it")
-    explain.add_argument("logs", nargs="+", help="log files of the programs")
-    explain.set_defaults(run=explain_request)
-    callers = groups.add_parser(
+    key_parser = groups.add_parser("key", help="signing keys")
+    key_commands = key_parser.add_subparsers(dest="verb", required=True)
+    new_key_parser = key_commands.add_parser("new", help="create a key pair")
+    new_key_parser.add_argument("file", help="private key file to write")
+    new_key_parser.set_defaults(run=_create_key)
+    explain_parser = groups.add_parser("explain", help="show what logs contain about one request")
+    explain_parser.add_argument("request", help="id of the request, as the caller sent it")
+    explain_parser.add_argument("logs", nargs="+", help="log files of the programs")
+    explain_parser.set_defaults(run=explain_request)
+    callers_parser = groups.add_parser(
         "callers", help="report the value of the service to callers, from logs"
     )
-    callers.add_argument("logs", nargs="+", help="log files of gateways")
-    callers.add_argument("--weights", help="TOML file with weights; without it, the defaults apply")
-    callers.add_argument(
+    callers_parser.add_argument("logs", nargs="+", help="log files of gateways")
+    callers_parser.add_argument(
+        "--weights", help="TOML file with weights; without it, the defaults apply"
+    )
+    callers_parser.add_argument(
         "--window", type=float, default=DEFAULT_WINDOW_S, help="length of a time window, in seconds"
     )
-    callers.set_defaults(run=report_caller_value)
+    callers_parser.set_defaults(run=report_caller_value)
     groups.add_parser("reference", help="print the reference of settings and bundles").set_defaults(
         run=render_reference
     )
--- a/src/crankhinge/errors.py
+++ b/src/crankhinge/errors.py
@@ -73,7 +73,7 @@
 
 
 class PublishConflict(CrankhingeError):
-    """Another operator's bundle was published first; nothing was written."""
+    """A different bundle with the same or a higher version is published; nothing was written."""
 
     code = "publish-conflict"
 
