--- a/src/crankhinge_soak/_check.py
+++ b/src/crankhinge_soak/_check.py
@@ -82,7 +82,7 @@
     cases += [
         f"{seen.ident} by {seen.gateway}: 200 without a server's signature"
         for seen in answered
-        if seen.status == 200 and seen.from_instance
+        if seen.status == 200 and seen.made_by_gateway
     ]
     return len(answered), cases
 
@@ -102,7 +102,7 @@
     denials = [
         seen
         for seen in history.seen
-        if seen.from_instance
+        if seen.made_by_gateway
         and seen.status in NOT_RUN_STATUSES
         and seen.path in (ONCE_PATH, STREAM_PATH)
     ]
@@ -161,7 +161,7 @@
 
 def _describe_cut(history: History, seen: ObservedRequest, stop: InjectedFault) -> str:
     """Return how a planned stop cut a request, or an empty string if it did not."""
-    answered = seen.complete and not (seen.from_instance and seen.status == 502)
+    answered = seen.complete and not (seen.made_by_gateway and seen.status == 502)
     if answered or seen.caller_left or seen.failure.startswith("connect-failed"):
         return ""
     raced_close = seen.ended - seen.sent < CLOSE_RACE_S and seen.ident not in history.arrivals
--- a/src/crankhinge_soak/_faults.py
+++ b/src/crankhinge_soak/_faults.py
@@ -98,7 +98,7 @@
     """
 
     def __init__(self, fleet: Fleet, seed: int, kinds: tuple[str, ...] = ()) -> None:
-        self.played: list[InjectedFault] = []
+        self.injected: list[InjectedFault] = []
         self.exits: list[str] = []
         self._fleet = fleet
         self._seed = seed
@@ -140,7 +140,7 @@
 
     def _record_fault(self, kind: str, target: str, *, planned: bool = False) -> InjectedFault:
         record = InjectedFault(kind, target, time.time(), planned=planned)
-        self.played.append(record)
+        self.injected.append(record)
         return record
 
     def _try_claim(self, name: str) -> bool:
--- a/src/crankhinge_soak/_fleet.py
+++ b/src/crankhinge_soak/_fleet.py
@@ -58,7 +58,7 @@
 REVOKE_S = 5.0
 LIMIT_TOKENS_PER_S, LIMIT_BURST_TOKENS, PLAIN_REQUEST_TOKENS = 1000, 3000, 200
 QUOTA_WINDOW_S, QUOTA_OVERRUN_SHARE, QUOTA_SLACK_TOKENS = 8, 0.1, 4000
-ENGINE_CAPACITY = operator.engine(slots=8, kv_tokens=12000)
+ENGINE_CAPACITY = operator.engine_capacity(slots=8, kv_tokens=12000)
 
 
 def version_path(version: int) -> str:
--- a/src/crankhinge_soak/_load.py
+++ b/src/crankhinge_soak/_load.py
@@ -64,7 +64,7 @@
         status: status of the response; 0 for none.
         complete: whether the response came to its regular end.
         body_correct: whether all bytes received belong to the response to this request.
-        from_instance: whether the instance itself, and no server, made the response.
+        made_by_gateway: whether the instance itself, and no server, made the response.
         caller_left: whether the caller disconnected before the end.
         failure: error code and detail, or "no end in time", when no complete response came.
         account: client account of the request.
@@ -83,7 +83,7 @@
     status: int = 0
     complete: bool = False
     body_correct: bool = True
-    from_instance: bool = False
+    made_by_gateway: bool = False
     caller_left: bool = False
     failure: str = ""
 
@@ -238,7 +238,7 @@
         ended = False
         try:
             seen.status = stream.status
-            seen.from_instance = "x-server-seal" not in stream.headers
+            seen.made_by_gateway = "x-server-seal" not in stream.headers
             received = bytearray()
             expected = _make_expected_body(seen)
             while chunk := await stream.next_chunk():
--- a/src/crankhinge_soak/_signals_check.py
+++ b/src/crankhinge_soak/_signals_check.py
@@ -28,7 +28,7 @@
     relayed: dict[tuple[str, str], float] = {}
     for row in _select_signal_rows(history):
         seen = history.by_ident.get(row["request"])
-        if row["leaving"] and seen is not None and seen.complete and not seen.from_instance:
+        if row["leaving"] and seen is not None and seen.complete and not seen.made_by_gateway:
             relayed.setdefault((row["server"], seen.gateway), seen.ended)
     cases = []
     all_sent = _group_sent_requests(history)
--- a/src/crankhinge_soak/_verdict.py
+++ b/src/crankhinge_soak/_verdict.py
@@ -56,7 +56,7 @@
     return Verdict(promise=invariant, tested=tested, broken=len(cases), detail=cases[:MAX_EXAMPLES])
 
 
-def render(report: Report) -> str:
+def render_report(report: Report) -> str:
     """Return a report as text."""
     faults = ", ".join(f"{kind} {count}" for kind, count in report.faults.items())
     lines = [f"seed {report.seed}, {report.seconds:g} s: {faults}"]
--- a/src/crankhinge_soak/main.py
+++ b/src/crankhinge_soak/main.py
@@ -21,7 +21,7 @@
 from crankhinge_soak._fleet import Fleet
 from crankhinge_soak._history import History
 from crankhinge_soak._load import LoadGenerator
-from crankhinge_soak._verdict import Report, render
+from crankhinge_soak._verdict import Report, render_report
 
 PROGRAM = "crankhinge-soak"
 # Seconds: load without faults at the start; time for recovery after the last fault (by its end a
@@ -49,7 +49,7 @@
     finally:
         fleet.stop()
     counts: dict[str, int] = {}
-    for fault in faults.played:
+    for fault in faults.injected:
         counts[fault.kind] = counts.get(fault.kind, 0) + 1
     return Report(
         seed=seed,
@@ -92,7 +92,7 @@
         seen=load.seen,
         probes=load.probes,
         rows=rows,
-        troubles=faults.played,
+        troubles=faults.injected,
         acknowledged=fleet.acknowledged,
         places={row["server"]: row["place"] for row in rows if row["kind"] == "born"},
         held={place.name: _read_held_tokens(place.port) for place in engines},
@@ -158,7 +158,7 @@
             reports.append(run_entries(seed, seconds, logs))
         else:
             reports.append(run_seed(seed, seconds, logs, kinds))
-        print(render(reports[-1]), flush=True)
+        print(render_report(reports[-1]), flush=True)
     if args.json:
         write_json(args.json, reports)
     broken = [report.seed for report in reports if report.broken]
--- a/src/crankhinge_standins/engine.py
+++ b/src/crankhinge_standins/engine.py
@@ -72,13 +72,13 @@
     """A request in the batch.
 
     Attributes:
-        state: state of the model after the last token.
+        model_state: state of the model after the last token.
         tokens_left: number of tokens still to generate.
         client_gone: whether the client closed its connection.
         tokens: tokens generated so far.
     """
 
-    state: int
+    model_state: int
     tokens_left: int
     client_gone: bool = False
     tokens: list[str] = field(default_factory=list)
@@ -162,7 +162,7 @@
             await curio.sleep(step_s * self.faults.slow)
             for run in self._running:
                 if run.tokens_left > 0 and not run.client_gone:
-                    token, run.state = next_token(run.state)
+                    token, run.model_state = next_token(run.model_state)
                     run.tokens.append(token)
                     run.tokens_left -= 1
                     self.stats.decoded_tokens += 1
--- a/src/crankhinge_standins/operator.py
+++ b/src/crankhinge_standins/operator.py
@@ -33,7 +33,7 @@
     return {**defaults, **overrides}
 
 
-def engine(*, slots: int, kv_tokens: int) -> ConfigRow:
+def engine_capacity(*, slots: int, kv_tokens: int) -> ConfigRow:
     """Return the capacity of each engine of a service."""
     return {
         "slots": slots,
@@ -44,10 +44,10 @@
     }
 
 
-def service(name: str, engine_row: ConfigRow | None = None) -> ConfigRow:
-    """Return a service; one of engines if *engine_row* is given."""
+def service(name: str, capacity: ConfigRow | None = None) -> ConfigRow:
+    """Return a service; one of engines if *capacity* is given."""
     row: ConfigRow = {"name": name, "max_connections": 100}
-    return row if engine_row is None else {**row, "engine": engine_row}
+    return row if capacity is None else {**row, "engine": capacity}
 
 
 def account(name: str, *keys: str, **overrides: Any) -> ConfigRow:
--- a/src/crankhinge_standins/replica.py
+++ b/src/crankhinge_standins/replica.py
@@ -42,7 +42,7 @@
 # Seconds between checks of whether SIGTERM has arrived.
 SIGTERM_POLL_S = 0.05
 # Status of a refusal for lack of capacity.
-FULL_STATUS = 503
+NO_CAPACITY_STATUS = 503
 ORDER_FIELDS = ("opcode", "holder", "fencing_token")
 
 
@@ -207,7 +207,7 @@
             self._running >= SLOTS or self._switching_role or self._by_chance(self.faults.refuses)
         )
         if not role_fits or full:
-            await self._refuse(exchange, FULL_STATUS if role_fits else 421)
+            await self._refuse(exchange, NO_CAPACITY_STATUS if role_fits else 421)
             return
         self._running += 1
         try:
@@ -258,7 +258,7 @@
     async def _refuse(self, exchange: Exchange, status: int) -> None:
         ident = exchange.req.headers["x-request-id"]
         head = [("x-request-id", ident), ("x-not-executed", "1"), ("x-instance-id", self.ident)]
-        rest_s = self.faults.rest_s if status == FULL_STATUS else 0.0
+        rest_s = self.faults.rest_s if status == NO_CAPACITY_STATUS else 0.0
         await exchange.respond_with_fields(
             status, head + self._make_signal_fields(ident, rest_s), b""
         )
@@ -304,12 +304,12 @@
         run = f"r{next(self._id_numbers)}"
         held = self._memory.holds.pop(req.headers.get("hold", ""), 0)
         if self._memory.used + max(tokens, held) > MAX_KV_TOKENS:
-            await self._refuse(exchange, FULL_STATUS)
+            await self._refuse(exchange, NO_CAPACITY_STATUS)
             return
         self._memory.runs[run] = max(tokens, held)
         try:
             if "kv-from" in req.headers and not await self._fetch_kv_cache(req.headers["kv-from"]):
-                await self._refuse(exchange, FULL_STATUS)
+                await self._refuse(exchange, NO_CAPACITY_STATUS)
                 return
             if "kv-from" not in req.headers:
                 await curio.sleep(int(prompt) * PREFILL_TOKEN_S * 2 * self.faults.slow)
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -41,7 +41,7 @@
     operator.service("plain"),
     operator.service("fragile"),
     operator.service("needy"),
-    operator.service("llm", operator.engine(slots=64, kv_tokens=10000)),
+    operator.service("llm", operator.engine_capacity(slots=64, kv_tokens=10000)),
 )
 route = operator.route
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -82,7 +82,7 @@
     ),
     "a success that no server gave": (
         "whole answer to its own request",
-        {"seen": [seen("q1", from_instance=True)]},
+        {"seen": [seen("q1", made_by_gateway=True)]},
     ),
     "two runs of what may run once": (
         "no request runs more often than allowed",
@@ -90,7 +90,7 @@
     ),
     "a refused request that ran": (
         "not run is true",
-        {"seen": [seen("q1", status=503, from_instance=True)], "calm_from": T0 + 9},
+        {"seen": [seen("q1", status=503, made_by_gateway=True)], "calm_from": T0 + 9},
     ),
     "a run without a request": (
         "servers run only what callers sent",
@@ -166,7 +166,7 @@
         "a server that wants rest gets it",
         {
             "seen": [
-                seen("q1", status=503, from_instance=True),
+                seen("q1", status=503, made_by_gateway=True),
                 *(seen(f"q{n}") for n in range(2, 5)),
             ],
             "rows": [
@@ -201,7 +201,7 @@
     ),
     "no success after all faults have ended": (
         "served again once all is whole",
-        {"seen": [seen("q1", status=503, from_instance=True)], "rows": []},
+        {"seen": [seen("q1", status=503, made_by_gateway=True)], "rows": []},
     ),
     "an exit": ("no process ends by itself", {"exits": ["gateway-1"]}),
 }
@@ -221,7 +221,7 @@
     faults._with_own_rng(1)._rng.random()
     assert faults._with_own_rng(2)._rng.random() == first
     assert faults._with_own_rng(3)._rng.random() != first
-    assert faults._with_own_rng(2).played is faults.played
+    assert faults._with_own_rng(2).injected is faults.injected
 
 
 class TestExcuses:
