--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -329,7 +329,7 @@
         A publication whose outcome is unknown is repeated, as an operator would do.
 
         Returns:
-            Whether one of the bundles was accepted.
+            Whether one of the bundles was published.
         """
         procs = []
         for name, patience in (("one", 1.5), ("two", 2.0)):
--- a/src/crankhinge_bench/_spec.py
+++ b/src/crankhinge_bench/_spec.py
@@ -36,14 +36,15 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Replicas of a plain service.
+    """Backend servers of a plain service.
 
     Attributes:
         pool: name of the pool and of the service.
         path: path prefix of the service's requests.
-        count: number of replicas; the first two keep the fence records if there are several.
-        slots: requests that a replica runs at the same time.
-        work_s: seconds that a replica takes for a request.
+        count: number of backend servers; if there are several, the agents of the first two keep the
+            fence records.
+        slots: requests that a backend server runs at the same time.
+        work_s: seconds that a backend server takes for a request.
     """
 
     pool: str
@@ -57,11 +58,12 @@
     """Programs and configuration of a cluster.
 
     Attributes:
-        entries: number of entry instances.
+        entries: number of entries.
         engines: pools of engines, which all serve the model ``m1``.
         services: plain services.
         members: name and weight of each member.
-        zones: availability zones; the instances of a pool are assigned to them in turn.
+        zones: availability zones; the agents and backend servers of a pool are assigned to them in
+            turn.
         first_token_s: latency target for the first token in seconds.
         between_tokens_s: latency target for the mean gap between tokens in seconds.
         policy: keys of the bundle's ``[policy]`` table.
--- a/src/crankhinge_soak/_check.py
+++ b/src/crankhinge_soak/_check.py
@@ -1,7 +1,8 @@
 """Checks the invariants of gateways against what callers saw and what backend servers recorded.
 
-An invariant with a time bound applies to an instance only if no fault hit the instance or its path
-to the store within the last ``FAULT_RECOVERY_S``. An invariant without a time bound always applies.
+An instance is one gateway process under test. An invariant with a time bound applies to an instance
+only if no fault hit the instance, its path to the store or the store itself within the last
+``FAULT_RECOVERY_S``. An invariant without a time bound always applies.
 """
 
 from __future__ import annotations
@@ -29,14 +30,15 @@
 from crankhinge_soak._signals_check import check_backoffs, check_leaving_signals
 from crankhinge_soak._verdict import Verdict, make_verdict
 
-# Seconds after which a server that is leaving gets no new request, and after which a published
-# configuration is in force.
+# Seconds after which a server that is leaving gets no new request.
 LEAVING_GRACE_S = 2.0
+# Seconds after which a published configuration is active on every instance.
 CONFIG_PROPAGATION_S = 2.0
 # Seconds that a busy machine may add to a time bound.
 BUSY_MACHINE_SLACK_S = 1.0
-# A request that its caller sends while the instance closes the connection gets no response, and
-# fails less than this many seconds after it was sent. One that takes longer counts as cut.
+# A request that arrives just as the instance closes the connection gets no response, which is no
+# violation. It fails less than this many seconds after it was sent; one that fails later counts as
+# cut.
 CLOSE_RACE_S = 0.3
 # A server that advertises a limit may get more than the limit in any window of LIMIT_WINDOW_S
 # seconds: LIMIT_OVERRUN_SHARE of the limit, plus LIMIT_SLACK_REQUESTS requests.
@@ -48,7 +50,11 @@
 
 
 def check(history: History) -> list[Verdict]:
-    """Return a verdict for each invariant."""
+    """Return a verdict for each invariant.
+
+    The names of the invariants appear in reports and never change, so that reports of different
+    versions can be compared. The docstring of each check says what the invariant demands.
+    """
     checks: dict[str, Callable[[History], tuple[int, list[str]]]] = {
         "whole answer to its own request": _check_responses,
         "no request runs more often than allowed": _check_run_counts,
@@ -98,7 +104,7 @@
 
 
 def _check_not_run_responses(history: History) -> tuple[int, list[str]]:
-    """Check that a request that an instance reported as not run did not run."""
+    """Check that a request did not run if an instance reported that it had not run."""
     denials = [
         seen
         for seen in history.seen
@@ -177,7 +183,7 @@
 
 
 def _check_config_versions(history: History) -> tuple[int, list[str]]:
-    """Check that each version is in force in time, and that no incarnation loses it again."""
+    """Check that each version becomes active in time, and that no incarnation loses it again."""
     acknowledged = {version: at for at, version, _ in history.acknowledged}
     highest: dict[tuple[str, int], int] = defaultdict(int)
     cases = []
@@ -200,7 +206,7 @@
 
 
 def _check_routing(history: History) -> tuple[int, list[str]]:
-    """Check that plain calls run at a service that a configuration in force names."""
+    """Check that plain calls run at a service that an active configuration names."""
     cases = []
     tested = 0
     for ident, rows in history.runs.items():
@@ -226,7 +232,7 @@
     for number, (at, _, service) in enumerate(history.acknowledged):
         following = history.acknowledged[number + 1 :]
         replaced_at = following[0][0] if following else float("inf")
-        # A configuration may be in force before its publisher has received the store's response.
+        # A configuration may be active before its publisher has received the store's response.
         if at - BUSY_MACHINE_SLACK_S <= end and replaced_at >= begin:
             allowed.add(service)
     return allowed
@@ -291,7 +297,7 @@
 
 
 def _check_accounts(history: History) -> tuple[int, list[str]]:
-    """Check that servers get the account of each request, and never its API key."""
+    """Check that servers receive the account of each request, and never its API key."""
     cases = []
     tested = 0
     for ident, rows in history.arrivals.items():
@@ -309,9 +315,9 @@
 
 
 def _check_revoked_keys(history: History) -> tuple[int, list[str]]:
-    """Check that a revoked key runs nothing more once ``REVOKE_S`` has passed.
+    """Check that no request with a revoked key runs once ``REVOKE_S`` has passed.
 
-    No fault excuses an instance: the bound also holds while the instance is cut off or paused, or
+    The bound holds even for an instance that is hit by a fault: while it is cut off or paused, or
     while the store sends it nothing.
     """
     late = [
@@ -356,8 +362,9 @@
 def _check_server_limits(history: History) -> tuple[int, list[str]]:
     """Check the number of requests to a server with an advertised limit, summed over all instances.
 
-    No fault excuses an instance. The bound holds for each window that begins at least
-    ``FAULT_RECOVERY_S`` after the first request at which the server advertised its limit.
+    The bound holds even for an instance that is hit by a fault. It applies to each window that
+    begins at least ``FAULT_RECOVERY_S`` after the first request at which the server advertised its
+    limit.
     """
     cases = []
     tested = 0
@@ -374,7 +381,10 @@
 
 
 def _group_by_advertised_limit(history: History) -> list[tuple[str, float, list[float]]]:
-    """Return servers, their advertised limits, and the arrival times of requests meanwhile."""
+    """Return each limit that a server advertised: the server, the limit, and arrival times.
+
+    The arrival times are those of the requests that the server got while it advertised the limit.
+    """
     rows = [row for row in history.rows if row["kind"] == "arrival"]
     spans = []
     for server in sorted({row["server"] for row in rows}):
--- a/src/crankhinge_soak/_entries.py
+++ b/src/crankhinge_soak/_entries.py
@@ -25,11 +25,13 @@
 )
 from crankhinge_soak._verdict import Report
 
-# Seconds: time for recovery after the last fault, and maximum duration of a planned stop.
+# Time for recovery after the last fault.
 SETTLE_S = 12.0
+# Maximum duration of a planned stop.
 DRAIN_TIMEOUT_S = 40.0
-# Seconds: range of a pause, and range between the starts of two faults.
+# Minimum and maximum duration of a pause.
 PAUSE_DURATION_S = (0.5, 6.0)
+# Minimum and maximum time between the starts of two faults.
 FAULT_GAP_S = (0.5, 2.5)
 
 
@@ -101,7 +103,10 @@
             self.counts[kind] = self.counts.get(kind, 0) + 1
 
     def _claim(self, names: list[str]) -> str | None:
-        """Claim one of *names* that no other fault uses; None if this left none unclaimed."""
+        """Claim one of *names* that no other fault uses.
+
+        Returns None if fewer than two are unclaimed, since one must keep running.
+        """
         with self._lock:
             free = [name for name in names if name not in self._claimed]
             if len(free) < 2:
@@ -125,7 +130,7 @@
         return groups
 
     def _claim_any(self, *, backends: bool = True) -> str | None:
-        """Claim a process of a random group; None if the group has no process to spare."""
+        """Claim a process of a random group, or return None if fewer than two are unclaimed."""
         groups = [g for g in self._group_processes() if backends or not g[0].startswith("backend-")]
         with self._lock:
             group = self._rng.choice(groups)
--- a/src/crankhinge_soak/_entries_check.py
+++ b/src/crankhinge_soak/_entries_check.py
@@ -24,7 +24,8 @@
         at: wall clock of SIGTERM.
         until: wall clock of the exit.
         status: exit status.
-        backend: name of the place whose backend server the agent runs beside; empty for an entry.
+        backend: name of the agent, under which its backend server records its rows; empty for an
+            entry.
         cut: number of requests in progress at the exit, from the last line that the process logged
             about it; None when it logged no such line, which counts as a violation.
     """
@@ -38,7 +39,7 @@
 
 
 class BundleSeen(msgspec.Struct, kw_only=True):
-    """The bundles that one run of a process had in force.
+    """The bundles that were active in one incarnation of a process.
 
     Attributes:
         process: name of the process.
@@ -60,9 +61,9 @@
         work: requests that engines recorded.
         held: number of requests still in each engine after all requests had ended.
         drains: planned stops.
-        bundles: bundles that processes had in force.
-        published: wall clock and version of each accepted bundle.
-        ended: how often an entry or agent was killed, paused or cut off.
+        bundles: bundles that were active in each incarnation of a process.
+        published: wall clock and version of each published bundle.
+        ended: number of times that an entry, an agent or a backend server was killed or paused.
     """
 
     outcomes: list[RequestResult]
@@ -75,10 +76,11 @@
     ended: int
 
 
-# Seconds after which a leaving server gets no new request, after which the memory of a request is
-# freed whose caller has left, and after which a published bundle is in force.
+# Seconds after which a leaving server gets no new request.
 LEAVING_GRACE_S = 3.0
+# Seconds after a caller has left until engines have freed the memory of its request.
 MEMORY_RELEASE_S = 8.0
+# Seconds after which a published bundle is active in every process.
 BUNDLE_PROPAGATION_S = 5.0
 
 
@@ -111,11 +113,11 @@
 
 
 def _check_answered_once(history: History) -> Verdict:
-    """Check that a repeated call is answered from one run: no key has more than one."""
-    repeated = [seen for seen in history.outcomes if seen.arrival.path and seen.attempts > 1]
+    """Check that a call that its caller sent several times ran at most once."""
+    repeated_calls = [seen for seen in history.outcomes if seen.arrival.path and seen.attempts > 1]
     runs = Counter(run["key"] for run in history.runs if run["key"])
-    cases = [seen.key for seen in repeated if runs[seen.key] > 1]
-    return make_verdict("no request is answered twice", len(repeated), cases)
+    cases = [seen.key for seen in repeated_calls if runs[seen.key] > 1]
+    return make_verdict("no request is answered twice", len(repeated_calls), cases)
 
 
 def _check_responses(history: History) -> Verdict:
@@ -126,7 +128,7 @@
 
 
 def _check_not_run_responses(history: History) -> Verdict:
-    """Check that a request that was reported as not run did not run."""
+    """Check that a request did not run if its caller was told that it had not run."""
     denials = [s for s in history.outcomes if not s.complete and s.outcome == NOT_RUN]
     keys = {run["key"] for run in history.runs}
     prompts = {row["prompt"] for row in history.work if row["kind"] != "end"}
@@ -175,10 +177,11 @@
 
 
 def _check_bundle_versions(history: History) -> Verdict:
-    """Check the versions that processes had in force.
+    """Check the versions of the bundles that were active in processes.
 
-    No process returns to an earlier version, a version has the same text everywhere, and a process
-    that runs throughout the time bound has each bundle in force by its end.
+    No process returns to an earlier version, and a version has the same text everywhere. Each
+    published bundle becomes active within ``BUNDLE_PROPAGATION_S`` in every process that was
+    running when it was published.
     """
     cases = []
     for seen in history.bundles:
@@ -189,14 +192,12 @@
         digests = {s.digests[version] for s in history.bundles if version in s.digests}
         if len(digests) > 1:
             cases.append(f"version {version} has {len(digests)} different texts")
-    cases += [
-        f"{p}: version {v} in force after {s:.1f} s" for p, v, s in find_late_bundles(history)
-    ]
+    cases += [f"{p}: version {v} active after {s:.1f} s" for p, v, s in find_late_bundles(history)]
     return make_verdict("a bundle is in force and never reverts", len(history.published), cases)
 
 
 def find_late_bundles(history: History) -> list[tuple[str, int, float]]:
-    """Return process, version and delay in seconds of each bundle that was in force too late."""
+    """Return process, version and delay in seconds of each bundle that became active too late."""
     late = []
     for at, version in history.published:
         for seen in history.bundles:
--- a/src/crankhinge_soak/_entries_evidence.py
+++ b/src/crankhinge_soak/_entries_evidence.py
@@ -11,7 +11,7 @@
 from crankhinge_bench._procs import http_json
 from crankhinge_soak._entries_check import BundleSeen
 
-# Seconds for which engines may take to end their last requests.
+# Seconds that engines may take to end their last requests.
 MEMORY_RELEASE_TIMEOUT_S = 15.0
 BUNDLE_IN_FORCE_LINE = re.compile(r"ts=(\S+) .*event=bundle_in_force .*version=(\d+) digest=(\w+)")
 
@@ -19,14 +19,14 @@
 def read_drained_count(log: Path) -> int | None:
     """Return how many requests a program had in progress at its last planned stop, from its log.
 
-    None when the log has no ``drained`` event.
+    Returns None if the log has no ``drained`` event.
     """
     found = re.findall(r"event=drained .*open=(\d+)", log.read_text())
     return int(found[-1]) if found else None
 
 
 def read_bundles_seen(cluster: Cluster) -> list[BundleSeen]:
-    """Return the bundle versions that each run of each process had in force, from the logs."""
+    """Return the bundles that were active in each incarnation of each process, from the logs."""
     seen = []
     names = [f"entry-{n}" for n in range(cluster.spec.entries)]
     for name in names + [place.name for place in cluster.agents]:
--- a/src/crankhinge_soak/_faults.py
+++ b/src/crankhinge_soak/_faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a seed: single ones and series, which may overlap."""
+"""Injects the faults of a seed, single ones and series of the same kind, which may overlap."""
 
 from __future__ import annotations
 
@@ -17,26 +17,30 @@
 from crankhinge_soak._fleet import Fleet, Gateway, Place
 from crankhinge_soak._proxy import PathFault, Proxy
 
-# Seconds between the starts of two episodes; how often one episode runs in a series at most; and
-# seconds between the episodes of a series.
+# An episode injects one fault, or several that belong together. Minimum and maximum time between
+# the starts of two episodes.
 EPISODE_GAP_S = (0.2, 1.6)
+# Maximum number of episodes in a series, and minimum and maximum time between two of them.
 MAX_SERIES_LENGTH = 4
 SERIES_GAP_S = (0.1, 1.0)
-# Seconds that a fault lasts.
+# Minimum and maximum duration of a fault.
 FAULT_DURATION_S = (0.3, 4.0)
-# Seconds that a process stays down, and the maximum duration of a planned stop.
+# Minimum and maximum time that a killed process stays down.
 DOWNTIME_S = (0.1, 1.5)
+# Maximum duration of a planned stop.
 STOP_TIMEOUT_S = 12.0
 # Faults of a server: shares of its runs and responses, and a factor on its durations.
 SERVER_FAULTS = {"errors": 0.5, "resets": 0.5, "garbles": 0.4, "refuses": 0.6, "slow": 8.0}
 NO_SERVER_FAULTS = {"errors": 0.0, "resets": 0.0, "garbles": 0.0, "refuses": 0.0, "slow": 1.0}
-# Limits in requests a second that a server advertises, and seconds for which it does. The checker
-# applies a limit from 3 seconds after the first request on, over windows of 4 seconds, so it has to
-# last longer than that.
+# Limits, in requests per second, that a server advertises.
 ADVERTISED_LIMITS = ("0.5", "2", "5")
+# Minimum and maximum time for which a server advertises a limit or asks for backoff. The checker
+# tests a limit from 3 seconds after the first request on, over windows of 4 seconds, so the limit
+# has to last longer than that.
 SIGNAL_DURATION_S = (8.0, 12.0)
-# Share of requests refused by a server that asks for backoff, and the backoffs in seconds.
+# Share of requests that a server refuses while it asks for backoff.
 BACKOFF_REFUSAL_SHARE = 0.7
+# The backoffs that a server asks for.
 BACKOFFS_S = (1.0, 3.0, 6.0)
 # Number of configuration changes in quick succession.
 CONFIG_STORM_LENGTH = 6
@@ -74,7 +78,7 @@
         target: name of the process; ``store`` affects what every instance knows.
         began: wall clock of the start.
         ended: wall clock of the end; infinite while the fault lasts.
-        planned: whether it is an operator's act that must cut nothing: a stop or a reload.
+        planned: whether it is an operation, a stop or a reload, during which no request may be cut.
     """
 
     kind: str
@@ -169,7 +173,7 @@
         if not self._try_claim(name):
             yield False
             return
-        # An exit of its own could not be found after the process is replaced.
+        # Once the process is replaced, it can't be seen any more that it had exited by itself.
         self.exits += [other for other in self._fleet.ended_gateways() if other == name]
         record = self._record_fault(kind, name, planned=planned)
         yield True
@@ -233,9 +237,9 @@
     async def _reload_gateway(self) -> None:
         """Send SIGHUP, in a share of cases with settings that can't be parsed.
 
-        Only an instance that has started gets it. Settings that can't be parsed end an instance at
-        its start, as they should, and a signal that arrives before the interpreter runs the
-        program's code ends the process.
+        Only an instance that has started gets the signal. Settings that can't be parsed end an
+        instance at its start, as they should, and a signal that arrives before the interpreter runs
+        the program's code ends the process.
         """
         gateway = self._pick_gateway()
         if not self._fleet.is_listening(gateway) or not self._try_claim(gateway.name):
@@ -273,9 +277,9 @@
     async def _limit_server(self) -> None:
         """Let a server, or all servers of its service, advertise a limit."""
         places = self._expand_to_service(self._pick_place())
-        limit = self._rng.choice(ADVERTISED_LIMITS)
+        advertised_limit = self._rng.choice(ADVERTISED_LIMITS)
         for each in places:
-            await self._fleet.set_faults(each.port, limit=limit)
+            await self._fleet.set_faults(each.port, limit=advertised_limit)
         await curio.sleep(self._rng.uniform(*SIGNAL_DURATION_S))
         for each in places:
             await self._fleet.set_faults(each.port, limit="")
@@ -317,7 +321,8 @@
 
     async def _fail_caller_path(self) -> None:
         gateway = self._pick_gateway()
-        # This path is never muted: no instance would get what a caller sends on a muted connection.
+        # This path is never muted: a request that a caller sends on a muted connection would never
+        # reach the instance.
         await self._fail_path(gateway.caller_proxy, "callers-path", gateway.name, mutes=False)
 
     async def _fail_server_path(self) -> None:
@@ -368,7 +373,7 @@
 
 Episode = Callable[[FaultInjector], Awaitable[None]]
 
-# The kinds of faults that a seed draws from.
+# The kinds of episodes that a seed draws from, by the name that ``--kinds`` uses.
 EPISODES: dict[str, Episode] = {
     "kill-gateway": FaultInjector._kill_gateway,
     "stop-gateway": FaultInjector._stop_gateway,
--- a/src/crankhinge_soak/_fleet.py
+++ b/src/crankhinge_soak/_fleet.py
@@ -27,14 +27,15 @@
     ("llm", "prefill", 2),
     ("llm", "decode", 3),
 )
-# Seconds between heartbeats of a backend server, and for which a gateway drains at SIGTERM.
+# Seconds between two heartbeats of a backend server.
 HEARTBEAT_S = 0.4
+# Maximum number of seconds for which a gateway drains after SIGTERM.
 DRAIN_S = 8
 # Seconds for which the store remembers changes; the store of the users' platform remembers 20.
 STORE_HISTORY_S = 6.0
 # The path from the store to the last instance carries this many bytes a second (5 Mbit/s). The
 # extra routes make a configuration large: 0.83 MB as the store sends it, which takes 1.33 s on that
-# path. A configuration that is published while the previous one is read is in force after two
+# path. A configuration that is published while the previous one is read becomes active after two
 # reads: 2.7 s of the 3 s that are allowed.
 SLOW_PATH_BYTES_PER_S = 625_000
 LARGE_CONFIG_EXTRA_ROUTES = 2770
@@ -49,14 +50,18 @@
     (RESUMED_PATH, "streaming", 2, True),
 )
 STREAM_PATHS = (STREAM_PATH, RESUMED_PATH)
-# The other routes show which version is in force; probes request them without a key.
+# The other routes show which version is active; probes request them without a key.
 KEYED_PATHS = (ONCE_PATH, SAFE_PATH, STREAM_PATH, RESUMED_PATH)
 ROUTE_TIMEOUT_S = 6.0
 # The client accounts: one without a limit, whose keys are revoked, and one that requests more than
-# its limit allows. Then the seconds after which a revoked key runs nothing, and the limit.
+# its limit allows.
 UNLIMITED_ACCOUNT, LIMITED_ACCOUNT = "free", "limited"
+# Seconds after its revocation from which no request with a key may run.
 REVOKE_S = 5.0
+# Rate and burst of the limited account, and the tokens that a plain request counts.
 LIMIT_TOKENS_PER_S, LIMIT_BURST_TOKENS, PLAIN_REQUEST_TOKENS = 1000, 3000, 200
+# How far the use of the account may exceed the limit in any window of QUOTA_WINDOW_S seconds: by a
+# share of rate and burst, plus a number of tokens.
 QUOTA_WINDOW_S, QUOTA_OVERRUN_SHARE, QUOTA_SLACK_TOKENS = 8, 0.1, 4000
 ENGINE_CAPACITY = operator.engine_capacity(slots=8, kv_tokens=12000)
 
@@ -68,7 +73,7 @@
 
 @dataclass
 class Gateway:
-    """One instance under test.
+    """One instance under test, that is, a gateway process.
 
     Attributes:
         name: name of the process.
@@ -117,8 +122,8 @@
         version: newest configuration version.
         extra_routes: number of routes that only make the configuration large.
         plain_service: service that plain calls go to.
-        acknowledged: wall clock, version and service of plain calls of each configuration that the
-            store took.
+        acknowledged: for each configuration, the time at which the store confirmed its write, its
+            version, and the service that plain calls go to.
         keys: keys of the account without a limit; all but the last are revoked.
         revoked: wall clock at which each key was revoked.
     """
@@ -235,11 +240,12 @@
         self.extra_routes = 0 if self.extra_routes else LARGE_CONFIG_EXTRA_ROUTES
 
     async def publish(self, *, switch_service: bool = False, revoke_key: bool = False) -> None:
-        """Publish the next configuration and wait until the store has taken it.
+        """Publish the next configuration and wait until the store has confirmed its write.
 
         Args:
-            switch_service: whether plain calls go to the other service.
-            revoke_key: whether to replace the newest key of the account without a limit.
+            switch_service: whether plain calls change to the other service.
+            revoke_key: whether the newest key of the account without a limit is revoked and
+                replaced.
         """
         self.version += 1
         revoked = self.keys[-1] if revoke_key else ""
--- a/src/crankhinge_soak/_history.py
+++ b/src/crankhinge_soak/_history.py
@@ -12,8 +12,8 @@
 
 # Seconds without a fault after which time bounds apply again.
 FAULT_RECOVERY_S = 3.0
-# Prefixes of the names of places that serve streams and plain calls, and the part of a name that
-# marks prefill engines.
+# Prefixes of the names of places whose servers handle streams and plain calls, and the part of a
+# name that marks prefill engines.
 ENGINE_PREFIX, PLAIN_PREFIX, PREFILL_MARK = "llm", "plain", "prefill"
 
 
@@ -25,11 +25,11 @@
 
     Attributes:
         seen: what callers saw of each request.
-        probes: which configuration versions instances had in force.
+        probes: which configuration versions were active on instances.
         rows: what backend servers recorded.
         troubles: the faults that were injected.
-        acknowledged: for each configuration, the time at which the store took it, its version, and
-            the service that plain calls go to.
+        acknowledged: for each configuration, the time at which the store confirmed its write, its
+            version, and the service that plain calls go to.
         places: name of the place where each server ran, by the server's id.
         held: tokens of KV memory still in use at each engine after all requests had ended.
         calm_from: time from which no fault was active.
@@ -72,7 +72,7 @@
         return any(not fault.planned for fault in self.find_faults(targets, begin, end))
 
     def time_bounds_apply(self, gateway: str, begin: float, end: float) -> bool:
-        """Whether the time bounds apply to an instance between two times."""
+        """Whether the time bounds apply to the instance *gateway* between two times."""
         targets = (gateway, f"{gateway}/store", "store")
         begin -= FAULT_RECOVERY_S
         stopped = any(
--- a/src/crankhinge_soak/_load.py
+++ b/src/crankhinge_soak/_load.py
@@ -1,4 +1,4 @@
-"""Generates the load: callers behind a load balancer, and probes for the configuration in force."""
+"""Generates the load: callers behind a load balancer, and probes for the active configuration."""
 
 from __future__ import annotations
 
@@ -28,17 +28,19 @@
 from crankhinge_standins.replica import make_body, make_events
 
 CALLER_COUNT = 12
-# Share of streams among the requests, and share of callers that disconnect before the response
-# ends.
+# Share of streams among the requests.
 STREAM_SHARE = 0.4
+# Share of requests whose callers disconnect before the response ends.
 EARLY_LEAVE_SHARE = 0.06
-# Seconds: maximum pause of a caller between requests; how long a caller waits for a response; and
-# the maximum after which a caller that disconnects early does so.
+# Maximum pause of a caller between two requests.
 MAX_CALLER_PAUSE_S = 0.15
+# How long a caller waits for a response.
 CALLER_DEADLINE_S = 5.0
+# Maximum time after which a caller that disconnects early does so.
 MAX_EARLY_LEAVE_S = 0.25
-# Share of requests of the account with a limit, and share of the others whose key may be revoked.
+# Share of requests that belong to the account with a limit.
 LIMITED_ACCOUNT_SHARE = 0.1
+# Share of the other requests whose key is drawn from all keys, including revoked ones.
 OLD_KEY_SHARE = 0.15
 # Seconds after its deadline for which a caller still waits before it counts the response as
 # missing.
@@ -64,7 +66,7 @@
         status: status of the response; 0 for none.
         complete: whether the response came to its regular end.
         body_correct: whether all bytes received belong to the response to this request.
-        made_by_gateway: whether the instance itself, and no server, made the response.
+        made_by_gateway: whether the response came from the instance itself and not from a server.
         caller_left: whether the caller disconnected before the end.
         failure: error code and detail, or "no end in time", when no complete response came.
         account: client account of the request.
@@ -90,14 +92,15 @@
 
 @dataclass(frozen=True)
 class Probe:
-    """Whether an instance had a configuration version in force.
+    """Whether a configuration version was active on an instance.
 
     Attributes:
         gateway: name of the instance.
         incarnation: number of the instance's start.
         version: version whose route was requested.
-        sent: wall clock.
-        known: False for status 404; None when there was no response or no configuration yet.
+        sent: wall clock of the request.
+        known: whether the version was active; None if there was no response or the instance had no
+            configuration yet.
     """
 
     gateway: str
--- a/src/crankhinge_soak/_proxy.py
+++ b/src/crankhinge_soak/_proxy.py
@@ -22,7 +22,15 @@
 
 
 class PathFault(enum.Enum):
-    """What a path does to the bytes on it."""
+    """What a path does to the bytes on it.
+
+    Attributes:
+        NONE: forwards them.
+        SLOW: delays each chunk.
+        SILENT: forwards nothing in either direction.
+        CUT_TO_TARGET: forwards nothing to the target.
+        CUT_TO_CALLER: forwards nothing to the caller.
+    """
 
     NONE = "none"
     SLOW = "slow"
@@ -34,9 +42,9 @@
 class Proxy:
     """The path to one listening port.
 
-    A cut holds bytes back and delivers them when it ends, as a real partition does. A reset closes
-    every connection with RST. Muted connections stay open and acknowledge data, but never forward
-    any.
+    A path that is silent or cut holds bytes back and delivers them when the fault ends, as a real
+    partition does. A reset closes every connection with RST. Muted connections stay open and
+    acknowledge data, but never forward any.
 
     Args:
         port: port for callers.
@@ -90,7 +98,10 @@
             self._muted -= {caller, target}
 
     async def _forward_bytes(self, source: Any, sink: Any, cut: PathFault) -> None:
-        """Forward one direction until its end; *cut* is the path fault that holds it up."""
+        """Forward bytes from *source* to *sink* until *source* ends.
+
+        *cut* is the fault that blocks only this direction.
+        """
         while True:
             try:
                 data = await source.recv(RECV_BYTES)
@@ -120,7 +131,11 @@
                 return
 
     async def _end_muted(self, sink: Any, cut: PathFault) -> None:
-        """Close a muted connection to the target when its caller does; send the caller nothing."""
+        """End a muted direction whose source has ended.
+
+        The end of the caller is passed on to the target, which can free its resources. The end of
+        the target is not passed on: a muted connection sends its caller nothing.
+        """
         if cut is PathFault.CUT_TO_TARGET:
             with contextlib.suppress(OSError):
                 await sink.shutdown(socket.SHUT_WR)
--- a/src/crankhinge_soak/_signals_check.py
+++ b/src/crankhinge_soak/_signals_check.py
@@ -1,7 +1,8 @@
 """Checks that instances obey the signals in servers' responses: leaving and backoff.
 
-Both invariants bind the instance that received the signal, whatever faults hit other instances. It
-is excused only by a fault of its own and, for a backoff, by one of the server or of the path to it.
+Both invariants apply to the instance that received the signal, whatever faults hit other instances.
+They don't apply while a fault hits that instance; the one about backoff doesn't apply while a fault
+hits the server or the path to it, either.
 """
 
 from __future__ import annotations
--- a/src/crankhinge_soak/_verdict.py
+++ b/src/crankhinge_soak/_verdict.py
@@ -12,7 +12,7 @@
     """The checker's result for one invariant.
 
     Attributes:
-        promise: name of the invariant.
+        promise: name of the invariant, which reports call a promise.
         tested: number of times it was tested.
         broken: number of violations.
         detail: descriptions of the first violations.
@@ -34,7 +34,7 @@
         verdicts: the checker's verdicts.
         requests: number of requests that callers sent.
         answered: number of requests that got a complete response.
-        note: further figures of the load, appended to the report's last line.
+        note: further figures of the load as text, appended to the report's last line.
     """
 
     seed: int
--- a/src/crankhinge_soak/main.py
+++ b/src/crankhinge_soak/main.py
@@ -24,13 +24,15 @@
 from crankhinge_soak._verdict import Report, render_report
 
 PROGRAM = "crankhinge-soak"
-# Seconds: load without faults at the start; time for recovery after the last fault (by its end a
-# paused instance's lease has expired, servers whose entries lapsed are no longer kept as suspect,
-# and an engine that was ordered to another role has it); time without faults that the checker
-# judges; and time for engines to free their memory at the end.
+# Time under load without faults at the start.
 WARM_UP_S = 1.5
+# Time for recovery after the last fault. By its end, the lease of a paused instance has expired,
+# servers whose entries lapsed are no longer kept as suspect, and an engine that was ordered to
+# change its role has done so.
 SETTLE_S = 6.0
+# Time without faults, after the recovery, in which the checker demands that requests succeed.
 FAULT_FREE_S = 4.0
+# Time for engines to free their memory at the end.
 MEMORY_RELEASE_S = 4.0
 
 
--- a/src/crankhinge_standins/_model.py
+++ b/src/crankhinge_standins/_model.py
@@ -19,7 +19,7 @@
 
 
 def next_token(state: int) -> tuple[str, int]:
-    """Return the token that follows *state*, and the state after it."""
+    """Return the token that follows the checksum *state*, and the checksum after that token."""
     token = f" w{state % VOCABULARY_SIZE}"
     return token, zlib.crc32(token.encode(), state)
 
--- a/src/crankhinge_standins/_replica_state.py
+++ b/src/crankhinge_standins/_replica_state.py
@@ -18,7 +18,7 @@
         refuses: share of requests that the server refuses before they run.
         slow: factor on every duration.
         rest_s: backoff in seconds that refusals ask for; 0 for none.
-        limit: requests a second that the server advertises as its limit; empty for none.
+        limit: limit in requests per second that the server advertises, as text; empty for none.
     """
 
     errors: float = 0.0
--- a/src/crankhinge_standins/_web.py
+++ b/src/crankhinge_standins/_web.py
@@ -39,13 +39,14 @@
     """Faults of the stand-ins for the model engine, the plain service and the platform.
 
     Attributes:
-        down: connections are closed without a response.
+        down: whether connections are closed without a response.
         delay_s: seconds of delay before each response.
-        lose_answers: requests take effect, but the connection is closed without a response.
+        lose_answers: whether connections are closed without a response although the requests take
+            effect.
         slow: factor on every duration.
-        stall: transfers of KV caches never end.
-        refuse: requests get status 503 before they run.
-        down_after_write: the next write takes effect and is confirmed, then an outage begins.
+        stall: whether transfers of KV caches wait until the fault ends.
+        refuse: whether requests get status 503 before they run.
+        down_after_write: whether the next write takes effect, gets a response, and sets ``down``.
     """
 
     down: bool = False
--- a/src/crankhinge_standins/engine.py
+++ b/src/crankhinge_standins/engine.py
@@ -72,7 +72,7 @@
     """A request in the batch.
 
     Attributes:
-        model_state: state of the model after the last token.
+        model_state: checksum from which the model derives the next token.
         tokens_left: number of tokens still to generate.
         client_gone: whether the client closed its connection.
         tokens: tokens generated so far.
@@ -86,6 +86,15 @@
 
 @dataclass
 class _KvCache:
+    """The KV cache of a prompt, kept until another engine fetches it or it expires.
+
+    Attributes:
+        tokens: number of tokens of the prompt.
+        computed_tokens: number of these tokens that were not in the prefix cache. They are counted
+            as wasted if no token of an answer is generated from the KV cache.
+        expires_at: time at which it expires, in seconds of the runtime's clock.
+    """
+
     tokens: int
     computed_tokens: int
     expires_at: float
@@ -93,7 +102,12 @@
 
 @dataclass
 class Stats:
-    """Counts of what the engine did, from which the bench's checker takes the true figures."""
+    """Counts of what the engine did, which ``GET /stats`` returns.
+
+    ``crankhinge-bench`` computes the wasted prefill from them. ``finished`` and ``cancelled`` count
+    decodes; ``running``, ``waiting`` and ``kv_held`` are the current numbers of requests in the
+    batch, of requests that wait, and of KV caches.
+    """
 
     prefill_tokens: int = 0
     cached_tokens: int = 0
--- a/src/crankhinge_standins/operator.py
+++ b/src/crankhinge_standins/operator.py
@@ -45,7 +45,7 @@
 
 
 def service(name: str, capacity: ConfigRow | None = None) -> ConfigRow:
-    """Return a service; one of engines if *capacity* is given."""
+    """Return a service; its servers are engines with *capacity* if that is given."""
     row: ConfigRow = {"name": name, "max_connections": 100}
     return row if capacity is None else {**row, "engine": capacity}
 
--- a/src/crankhinge_standins/platform.py
+++ b/src/crankhinge_standins/platform.py
@@ -1,6 +1,7 @@
 """A stand-in platform: key-value store, lagging service list (Consul API), and weight store.
 
-The platform counts calls, a blocking watch as one, and refuses those over its budget.
+The platform refuses calls over its budgets of reads and writes per second. A watch counts as one
+read, however long it waits.
 """
 
 from __future__ import annotations
@@ -20,9 +21,10 @@
 from crankhinge_standins._web import Faults, reply, serve
 
 SERVICE_PATH = "/v1/health/service/crankhinge-agent"
-# Budgets of calls, and seconds that the weight store needs for one set of weights.
+# Budgets of calls to the key-value store and the service list.
 MAX_READS_PER_S = 2000
 MAX_WRITES_PER_S = 300
+# Seconds that the weight store needs to send one set of weights.
 WEIGHTS_LOAD_S = 0.2
 
 
--- a/src/crankhinge_standins/replica.py
+++ b/src/crankhinge_standins/replica.py
@@ -25,17 +25,18 @@
 # KV memory of an engine in tokens, and maximum number of requests in progress on any server.
 MAX_KV_TOKENS = 12000
 SLOTS = 8
-# Seconds: maximum duration of a plain call, prefill of one token, and interval between two events
-# of a stream.
+# Maximum duration of a plain call.
 MAX_WORK_S = 0.05
+# Time to prefill one token.
 PREFILL_TOKEN_S = 0.00003
+# Interval between two events of a stream.
 EVENT_INTERVAL_S = 0.02
 # Seconds for which the KV cache of a prompt is kept until another engine fetches it.
 KV_HANDLE_TTL_S = 0.5
 # Seconds that an engine needs to switch its role once its requests have ended.
 ROLE_SWITCH_S = 1.0
-# Seconds for which a server still serves after the store has taken its announcement that it leaves,
-# and the maximum random addition to them.
+# Seconds for which a server still serves after the store has confirmed the announcement of its
+# shutdown, and the maximum random addition to them.
 DRAIN_S = 2.0
 MAX_EXTRA_DRAIN_S = 1.5
 SIDE_CALL_TIMEOUT_S = 1.0
@@ -64,10 +65,15 @@
 class StandinReplica:
     """One incarnation of a backend server.
 
+    Each row in the file of records has one of these kinds: ``born`` (start of the server),
+    ``arrival`` (of a request), ``run`` (start of a run), ``told`` (response with a leaving or
+    backoff signal), ``order`` (to change the role), ``leaves`` (shutdown announced) and ``left``
+    (drain over).
+
     Args:
         host: address to listen on.
         port: TCP port to listen on.
-        shown: ``host:port`` at which others reach the server.
+        shown: ``host:port`` that the server's entry in the store shows, at which others reach it.
         service: name of the service.
         phase: initial engine role, ``prefill`` or ``decode``; empty for a plain service.
         store: ``host:port`` of the store.
@@ -130,7 +136,7 @@
             await curio.sleep(self._heartbeat_s * self._rng.uniform(0.9, 1.1))
 
     async def _write_entry(self) -> bool:
-        """Write the server's entry to the store; return whether the store has taken it."""
+        """Write the server's entry to the store; return whether the store confirmed the write."""
         entry: dict[str, Any] = {
             "service": self._service,
             "address": self._advertised_address,
@@ -237,7 +243,11 @@
         return [("x-request-id", ident), seal, *self._make_signal_fields(ident)]
 
     def _make_signal_fields(self, ident: str, rest_s: float = 0.0) -> list[tuple[str, str]]:
-        """Return and record the response fields for the limit, leaving and backoff."""
+        """Return the header fields with the server's signals to its callers.
+
+        They advertise a limit, announce the shutdown and ask for a backoff of *rest_s* seconds. The
+        latter two are also recorded.
+        """
         fields = []
         if self.faults.limit:
             fields.append(("server-limit", self.faults.limit))
@@ -323,8 +333,7 @@
             del self._memory.runs[run]
 
     async def _fetch_kv_cache(self, at: str) -> bool:
-        """Fetch a prompt's KV cache from the prefill engine at *at*; return whether it was
-        there."""
+        """Fetch the KV cache of a prompt from the location *at*; return whether it existed."""
         where, _, handle = at.partition("/")
         host, _, port = where.rpartition(":")
         client = HttpClient(host, int(port))
@@ -342,8 +351,8 @@
     async def _stream_events(self, exchange: Exchange, ident: str) -> bool:
         """Send the events that the caller does not have yet; return whether it got all of them.
 
-        A caller that closed its connection is a result and not an exception, because curio logs
-        every task that raises.
+        Returns False instead of raising an exception if the caller closed its connection, because
+        curio logs every task that raises.
         """
         try:
             return await self._send_events(exchange, ident)
--- a/src/crankhinge_standins/store.py
+++ b/src/crankhinge_standins/store.py
@@ -40,10 +40,11 @@
         down: ``silent``, ``busy`` (status 503) or ``reset``; empty for none.
         lapse: whether entries and leases expire while the store is down.
         delay_s: seconds of delay before each response.
-        lose_writes: calls with POST (transactions, leases) take effect, but get no response.
+        lose_writes: whether calls with POST (transactions, leases) get no response, although they
+            take effect.
         forget: whether the history of changes is dropped continuously.
         bytes_per_s: rate of each response, as on a slow link; 0 for no limit.
-        break_off: every response ends in the middle.
+        break_off: whether every response ends in the middle.
     """
 
     down: str = ""
@@ -61,8 +62,9 @@
     Args:
         host: address to listen on.
         port: TCP port to listen on.
-        beat_s: seconds between heartbeats of servers; 0 if neither entries nor leases expire, as
-            tests with their own clock need it.
+        beat_s: seconds between heartbeats of servers, which determines when the store removes an
+            entry. With 0, neither entries nor leases expire; tests that set the clock themselves
+            use this.
         history_s: seconds for which changes are remembered; 0 for ever.
     """
 
@@ -292,7 +294,8 @@
                 if matching or remaining_s <= 0:
                     break
                 await curio.ignore_after(remaining_s, self._changed.wait)
-            # A watch that waits learns that history was lost only when it would get a response.
+            # The loss of history does not end the wait of a watch. It is checked again here, when
+            # there is a change or the wait is over.
             if await self._is_forgotten(after):
                 return 410, {}
             return 200, {"events": matching, "at": self.revision}
