--- a/src/crankhinge/agent/_plain.py
+++ b/src/crankhinge/agent/_plain.py
@@ -13,6 +13,7 @@
 # Work of one call in the units of the queue, and the priority class of all calls.
 CALL_UNITS = 1
 CALL_RANK = 0
+# Code of a refusal while the service is in backoff, which it asked for in an earlier response.
 BACKEND_IN_BACKOFF = "backend-rests"
 
 
@@ -62,10 +63,10 @@
         """Return whether the service accepts connections."""
         return await self._service.is_reachable()
 
-    async def process(self, msg: Any) -> int:
+    async def execute(self, msg: Any) -> int:
         """Forward one call and send the response to its entry."""
         req = msg.req
-        link = self.find_owner(req)
+        link = self.find_link(req)
         if link is not None and await self._refuse_in_backoff(link, req):
             return 0
         try:
@@ -83,7 +84,7 @@
         if response.backoff_s is not None:
             await self._record_backoff(response.backoff_s)
         self.metrics.count("calls")
-        await self.send_to_owner(
+        await self.send_response(
             req, ServiceCallDone(req, response.status, dict(response.headers), response.body)
         )
         return CALL_UNITS
@@ -91,6 +92,7 @@
     async def _record_backoff(self, backoff_s: float) -> None:
         backoff_until = await curio.clock() + backoff_s
         self._backoff_until = max(self._backoff_until, backoff_until)
+        # In the log line, `taken` is False if an earlier backoff lasts longer than this one.
         self.log.info(
             "backend_rests", for_s=round(backoff_s, 2), taken=backoff_until == self._backoff_until
         )
@@ -98,4 +100,4 @@
     async def _send_failure(self, req: int, code: str, *, ran: bool) -> None:
         self.log.warning("call_failed", req=f"{req:016x}", code=code, ran=ran)
         self.metrics.count(f"call_failed.{code}")
-        await self.send_to_owner(req, Failed(req, code, ran))
+        await self.send_response(req, Failed(req, code, ran))
--- a/src/crankhinge/entry/_plain_calls.py
+++ b/src/crankhinge/entry/_plain_calls.py
@@ -33,7 +33,7 @@
 # Retry delay that callers are given if no agent suggests one.
 DEFAULT_RETRY_AFTER_S = 1.0
 # Headers for the entry itself, which are not forwarded to the service.
-PRIVATE_HEADERS = frozenset({"authorization", "x-deadline-ms", "x-priority", "x-repeatable"})
+UNFORWARDED_HEADERS = frozenset({"authorization", "x-deadline-ms", "x-priority", "x-repeatable"})
 
 
 class PlainCallRunner:
@@ -198,7 +198,7 @@
     ) -> ServiceCallDone | Refused | Failed | None:
         """Send the call to one agent and return its response, or None if there is none.
 
-        Sets ``progress.may_have_run`` unless the call certainly did not run.
+        Sets ``progress.may_have_run`` to True unless this attempt certainly did not run the call.
         """
         now = await curio.clock()
         timeout_s = max(0.001, deadline - now)
@@ -271,4 +271,4 @@
 
 def _forwarded_headers(req: HttpRequest) -> dict[str, str]:
     headers = end_to_end_headers(req.headers)
-    return {name: value for name, value in headers.items() if name not in PRIVATE_HEADERS}
+    return {name: value for name, value in headers.items() if name not in UNFORWARDED_HEADERS}
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -143,7 +143,7 @@
 SELF_SIGNALLING_PROGRAM = """
 import os, signal, sys
 import curio, msgspec
-from crankhinge._early import ignore_sighup
+from crankhinge._startup_signals import ignore_sighup
 from crankhinge.runtime import run_process
 
 class Settings(msgspec.Struct):
