--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -43,7 +43,7 @@
 
 
 def request_succeeds(cluster: Cluster) -> bool:
-    """Return whether the cluster still answers a valid request."""
+    """Return whether the cluster answers a valid request."""
     body = json.dumps({"model": "m1", "prompt": "still there", "max_tokens": 2}).encode()
     req = urllib.request.Request(
         f"http://{HOST}:{cluster.entry_ports[0]}/v1/completions",
@@ -55,7 +55,7 @@
 
 
 class TestHttp:
-    """Bad input to the port for callers."""
+    """Bad input to the port on which an entry serves callers."""
 
     @pytest.mark.parametrize(
         ("data", "status"),
@@ -71,15 +71,17 @@
             (b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: x\r\n\r\n", b"400"),
         ],
     )
-    def test_malformed_requests(self, cluster: Cluster, data: bytes, status: bytes) -> None:
-        """The response has the right status and outcome "not-run", and the entry keeps running."""
+    def test_malformed_request_gets_its_status(
+        self, cluster: Cluster, data: bytes, status: bytes
+    ) -> None:
+        """The response has outcome "not-run", and the entry serves a valid request afterwards."""
         out = send_and_receive(cluster.entry_ports[0], data, keep_open=True)
         assert out.startswith(b"HTTP/1.1 " + status)
         assert b"x-request-outcome: not-run" in out
         assert request_succeeds(cluster)
 
     def test_unfinished_requests_do_not_block_others(self, cluster: Cluster) -> None:
-        """Connections with an unfinished request do not block other callers."""
+        """Other callers are served while some connections wait for the rest of a request."""
         socks = [socket.create_connection((HOST, cluster.entry_ports[0])) for _ in range(50)]
         for sock in socks:
             sock.sendall(b"POST /v1/comp")
@@ -89,7 +91,7 @@
 
 
 class TestEveryPort:
-    """Random bytes to every listening port."""
+    """Random bytes sent to every listening port of the cluster."""
 
     @given(st.binary(min_size=1, max_size=400))
     @settings(
@@ -100,7 +102,7 @@
         suppress_health_check=[HealthCheck.function_scoped_fixture],
     )
     def test_random_bytes_stop_no_process(self, cluster: Cluster, data: bytes) -> None:
-        """Random bytes to any port end no process, and valid requests still succeed."""
+        """After random bytes, every process still runs and valid requests still succeed."""
         for port in [*cluster.entry_ports, *(place.port for place in cluster.agents)]:
             send_and_receive(port, data)
         assert all(proc.poll() is None for proc in cluster.procs.values())
@@ -108,7 +110,7 @@
 
 
 class TestSettings:
-    """Bad settings files and command lines."""
+    """Invalid settings files, scenario files and command lines."""
 
     @pytest.mark.parametrize("main", [entry_main, agent_main], ids=["entry", "agent"])
     @pytest.mark.parametrize("text", ["[[", "surprise = 1", 'name = "a"\nport = 99999'])
@@ -120,14 +122,16 @@
         capsys: pytest.CaptureFixture[str],
         snapshot: SnapshotAssertion,
     ) -> None:
-        """The exit status is 2 and the message names the file, the key and the reason."""
+        """The exit status is 2, and the message names the file, the invalid key and the reason."""
         path = tmp_path / "settings.toml"
         path.write_text(text)
         assert main(["--check", str(path)]) == 2  # type: ignore[operator]
         assert capsys.readouterr().err.replace(str(tmp_path), "DIR") == snapshot
 
-    def test_bad_scenario(self, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-        """The error for an unknown key of a scenario names the key."""
+    def test_unknown_scenario_key_is_named(
+        self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    ) -> None:
+        """A misspelled key in a scenario file must not be ignored; the exit status is 2."""
         path = tmp_path / "scenario.toml"
         path.write_text('name = "x"\nsurprise = 1\n')
         assert bench_main(["run", str(path)]) == 2
@@ -149,7 +153,7 @@
         capsys: pytest.CaptureFixture[str],
         snapshot: SnapshotAssertion,
     ) -> None:
-        """The output and exit status of ``crankhinge-ctl`` stay as recorded."""
+        """Output and exit status of ``crankhinge-ctl`` for bad and good bundles are recorded."""
         (tmp_path / "bad.toml").write_text("version = 0\n[[partners]]\nname='p'\n")
         (tmp_path / "good.toml").write_text("version = 1\n[[partners]]\nname='p'\n")
         status = ctl_main([arg.replace("DIR", str(tmp_path)) for arg in args])
@@ -161,8 +165,8 @@
 class TestCancelledStream:
     """Engine memory after a caller cancelled its stream."""
 
-    def test_a_cancelled_stream_frees_its_slot(self, cluster: Cluster) -> None:
-        """When a caller disconnects during the answer, the engine frees its slot."""
+    def test_cancelled_stream_frees_its_slot(self, cluster: Cluster) -> None:
+        """After a caller disconnects, the engine must not decode the rest of the answer."""
         body = json.dumps({"model": "m1", "prompt": "x", "max_tokens": 500, "stream": True})
         head = (
             "POST /v1/completions HTTP/1.1\r\nhost: x\r\n"
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -16,10 +16,10 @@
 
 
 class TestConfig:
-    """Which configuration a gateway applies."""
+    """Which version of the configuration a gateway applies, and when."""
 
     def test_older_version_is_never_applied(self) -> None:
-        """Version numbers may skip; a lower one is not applied."""
+        """Version numbers may have gaps, so only a lower number shows that a version is old."""
         world = World()
         world.add("i-1", "plain")
 
@@ -36,7 +36,7 @@
         run_scenario(world, scenario)
 
     def test_requests_are_served_while_the_store_is_unreachable(self) -> None:
-        """The known state stays in force; a recovered store is noticed within a second."""
+        """The last configuration stays active; one written meanwhile is read within a second."""
         world = World()
         world.add("i-1", "plain")
 
@@ -55,7 +55,7 @@
         run_scenario(world, scenario)
 
     def test_recovered_store_is_noticed_without_a_change(self) -> None:
-        """The first watch after an outage asks for a response without a wait."""
+        """The first watch after an outage must not wait for a change, which may never come."""
         world = World()
         world.add("i-1", "plain")
 
@@ -71,13 +71,13 @@
         run_scenario(world, scenario)
 
     def test_watch_starts_at_the_revision_of_the_read(self) -> None:
-        """A store that dropped its history before the first read does not cause endless reads."""
+        """A watch from an earlier revision, dropped by the store, would cause endless reads."""
         world = World()
         world.add("i-1", "plain")
         world.store.revision = 1000
 
         def watch_calls() -> int:
-            """Return the number of calls for configuration and list, without those for records."""
+            """Return the number of calls for configuration and server list, without others."""
             return sum(call in ("/v1/kv-watch", "/v1/kv-key") for call in world.store.calls)
 
         async def scenario() -> None:
@@ -92,7 +92,7 @@
         run_scenario(world, scenario)
 
     def test_lost_history_is_retried_with_growing_delays(self) -> None:
-        """A store that answers every watch with 'history gone' is called with growing delays."""
+        """The store answers every watch with 'history gone', so each must be followed by a read."""
         world = World()
         world.add("i-1", "plain")
 
@@ -125,7 +125,7 @@
     """
 
     def test_large_configuration_is_applied_over_a_slow_link(self) -> None:
-        """A read continues as long as bytes arrive."""
+        """The timeout of a read applies to gaps between bytes, not to the whole transfer."""
         world = World()
         world.add("i-1", "plain")
         more = [route(f"r-{n}", f"/more-{n:05}/", "unsafe", "plain") for n in range(4200)]
@@ -145,7 +145,7 @@
         run_scenario(world, scenario)
 
     def test_configuration_is_not_read_again_after_a_connection_ends(self) -> None:
-        """The watch continues from its last revision, so the value is not transferred again."""
+        """The next watch continues at the last revision, so the value is not transferred again."""
         world = World()
         world.add("i-1", "plain")
 
@@ -167,9 +167,9 @@
     def test_versions_in_quick_succession_are_skipped(self) -> None:
         """Of the versions written during a transfer, only the newest is read.
 
-        The response to a watch carries every version since its revision. Six large versions take a
-        slow link six times as long as the time in which a version must be applied, and further ones
-        are written in the meantime.
+        The response to a watch carries every version since its revision. Six large versions
+        take a slow link six times as long as the time in which a version must be applied,
+        and further ones are written in the meantime.
         """
         world = World()
         world.add("i-1", "plain")
@@ -205,7 +205,7 @@
     """
 
     def test_unchanged_list_does_not_count_as_an_outage(self) -> None:
-        """A server missing from a list that is read again after an idle time is dropped at once."""
+        """The list is read again after an idle time; a server missing from it is gone at once."""
         world = World(HISTORY_S)
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -225,11 +225,11 @@
         run_scenario(world, scenario)
 
     def test_disconnected_instance_drops_a_server_missing_from_the_list(self) -> None:
-        """If the other entries still exist, the store was reachable for the servers.
+        """All other entries still exist, so the missing one was removed and did not expire.
 
-        Then a missing entry was removed and did not expire. Guards against this failure: nine
-        instances were disconnected for twelve seconds, a server left after three of them, and a
-        request reached it 13 s later, 4 s after the connections were back and the list was read.
+        Guards against this failure: nine instances were disconnected for twelve seconds, a
+        server left after three of them, and a request reached it 13 s later, 4 s after the
+        connections were back and the list was read.
         """
         world = World()
         leaving = world.add("i-1", "plain")
@@ -265,7 +265,7 @@
     """
 
     def test_unresponsive_connection_is_noticed_in_time(self) -> None:
-        """Configuration and list are read again on another connection."""
+        """Both watches wait on the failed connection when the configuration and the list change."""
         world = World()
         world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -286,8 +286,8 @@
     def test_unresponsive_connection_is_noticed_between_batched_watches(self) -> None:
         """The connection fails between two watches, while the gateway waits to batch changes.
 
-        The next watch is sent on it up to 0.8 s later. With the full wait of a watch, a leaving
-        server would be noticed only after 3.6 s.
+        The next watch is sent on this connection up to 0.8 s later. With the full wait of a
+        watch, a leaving server would be noticed only after 3.6 s.
         """
         world = World()
         world.add("i-1", "plain")
@@ -307,7 +307,7 @@
         run_scenario(world, scenario)
 
     def test_watch_ends_before_the_store_drops_its_history(self) -> None:
-        """A watch that waits longer than the store keeps its history would cause a full read."""
+        """A longer wait would end with "history gone" and a read of the whole list."""
         world = World(HISTORY_S)
         world.add("i-1", "plain")
 
@@ -329,7 +329,7 @@
     """
 
     def test_changes_are_batched(self) -> None:
-        """Ten changes per second for ten seconds take fewer than two calls per second."""
+        """Ten changes per second for ten seconds must take fewer than two calls per second."""
         world = World()
         world.add("i-1", "plain")
         other = world.add("i-2", "plain")
@@ -347,7 +347,7 @@
         run_scenario(world, scenario)
 
     def test_leaving_server_gets_no_request_after_the_bound(self) -> None:
-        """It leaves at the worst moment, right after the response to a watch."""
+        """The server leaves right after the response to a watch, which is the worst moment."""
         world = World()
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -372,7 +372,7 @@
         run_scenario(world, scenario)
 
     def test_first_change_after_an_idle_time_is_seen_at_once(self) -> None:
-        """Batching does not delay a change that follows an idle time."""
+        """The pause that batches changes begins only after several changes in a row."""
         world = World()
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -386,7 +386,7 @@
         run_scenario(world, scenario)
 
     def test_many_configurations_in_succession_are_applied(self) -> None:
-        """The last of forty versions in ten seconds is applied within half a second."""
+        """The last of forty versions in ten seconds is active half a second after its write."""
         world = World()
         world.add("i-1", "plain")
 
@@ -412,7 +412,7 @@
     """
 
     def test_servers_that_vanish_together_are_kept_until_the_grace_ends(self) -> None:
-        """The servers get requests meanwhile; one whose entry does not return is then dropped."""
+        """Meanwhile the servers get requests; one whose entry does not return is then dropped."""
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in (1, 2, 3)]
 
@@ -438,7 +438,7 @@
         run_scenario(world, scenario)
 
     def test_server_whose_entry_returns_late_is_kept(self) -> None:
-        """Entries return over two seconds; batching the first ones does not drop the later ones."""
+        """Entries return over two seconds; the first ones must not end the wait for the others."""
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in range(5)]
 
@@ -461,7 +461,7 @@
         run_scenario(world, scenario)
 
     def test_recreated_entries_make_the_missing_ones_suspect(self) -> None:
-        """Two of the expired entries are back when the list is read; the third is waited for."""
+        """Two of three expired entries are written again when the list is read; one is missing."""
         world = World()
         replicas = [world.add(f"i-{number}", "plain") for number in (1, 2, 3, 4)]
 
@@ -483,10 +483,10 @@
 
 
 class TestLogs:
-    """Log lines about a source that does not respond."""
+    """Log lines about a store that does not respond."""
 
     def test_unresponsive_store_differs_from_one_that_aborts_responses(self) -> None:
-        """During an outage, lines report the number of failures and the bytes received."""
+        """The lines of an outage give the numbers of failures and of received bytes."""
         world = World()
         world.add("i-1", "plain")
 
@@ -506,7 +506,7 @@
         run_scenario(world, scenario)
 
     def test_repeated_read_of_the_list_logs_suspect_servers(self) -> None:
-        """The lines say how long ago the last response about the list came."""
+        """The lines say how many seconds ago the last response about the list came."""
         world = World()
         world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -533,7 +533,7 @@
     """A store whose responses take more than a second."""
 
     def test_changes_are_applied_despite_slow_responses(self) -> None:
-        """A watch without a wait has the same timeout for its first byte as any call."""
+        """A watch without a wait must not have a shorter timeout than other calls."""
         world = World()
         world.add("i-1", "plain")
 
@@ -548,10 +548,10 @@
 
 
 class TestServers:
-    """The list of servers."""
+    """Which servers of the list get requests."""
 
     def test_leaving_server_gets_no_new_request(self) -> None:
-        """It gets none from the moment its entry says so."""
+        """Requests stop as soon as the server's entry says that it is leaving."""
         world = World()
         leaving = world.add("i-1", "plain")
         world.add("i-2", "plain")
@@ -565,7 +565,7 @@
         run_scenario(world, scenario)
 
     def test_servers_whose_entries_expired_in_an_outage_are_kept_for_a_while(self) -> None:
-        """An empty list is ignored right after an outage and applied if it persists."""
+        """An empty list is ignored right after an outage and applied if the list stays empty."""
         world = World()
         world.add("i-1", "plain")
 
@@ -584,7 +584,7 @@
         run_scenario(world, scenario)
 
     def test_invalid_entry_affects_only_its_own_server(self) -> None:
-        """The other servers are used, and a log line names the key of the invalid entry."""
+        """The other servers get requests, and a log line names the key of the invalid entry."""
         world = World()
         world.add("i-1", "plain")
 
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -31,7 +31,7 @@
 
 
 def encode_response(request_id: str, body: bytes, *more: str) -> bytes:
-    """Returns an encoded 200 response with a request id, a body and *more* header lines."""
+    """Return an encoded 200 response with a request id, a body and *more* header lines."""
     lines = ["HTTP/1.1 200 OK", f"x-id: {request_id}", f"content-length: {len(body)}", *more]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
@@ -39,7 +39,7 @@
 def run_scenario(
     server: ConnectionHandler, scenario: Callable[[HttpClient], Awaitable[None]]
 ) -> None:
-    """Runs *scenario* with a client of a server whose connections *server* handles."""
+    """Run *scenario* with an HTTP client whose server handles each connection with *server*."""
     [port] = free_ports(1)
 
     async def handle(sock: Any, _: Any) -> None:
@@ -59,7 +59,7 @@
 async def send_request(
     client: HttpClient, request_id: str, body: bytes = b""
 ) -> tuple[bytes, bool]:
-    """Sends a request; returns the response body and whether an idle connection was reused."""
+    """Send a request; return the response body and whether an idle connection was reused."""
     fields = [("host", "h"), ("content-length", str(len(body)))]
     stream = await client.open_with_fields(
         "POST",
@@ -81,9 +81,9 @@
 
 
 def respond_in_pieces(number: int, pause_s: float) -> ConnectionHandler:
-    """Returns a server that sends a response head and *number* bytes of its body.
+    """Return a server that sends a response head and *number* bytes of its body.
 
-    It pauses before each of them and sends nothing afterwards.
+    The server pauses before each byte and sends nothing afterwards.
     """
 
     async def serve(sock: Any) -> None:
@@ -109,7 +109,7 @@
         ids=["nothing", "half a head", "half a body"],
     )
     def test_incomplete_response_is_reported_as_closed_connection(self, begun: bytes) -> None:
-        """This holds for any part of a response that arrives before the close."""
+        """The parameter is the part of the response that arrives before the connection closes."""
 
         async def server(sock: Any) -> None:
             await sock.recv(1000)
@@ -123,7 +123,7 @@
         run_scenario(server, scenario)
 
     def test_invalid_bytes_before_close_are_reported_as_malformed(self) -> None:
-        """Invalid bytes are malformed HTTP even if the connection ends after them."""
+        """The server sent invalid HTTP, and the closed connection must not hide this error."""
 
         async def server(sock: Any) -> None:
             await sock.recv(1000)
@@ -138,7 +138,7 @@
 
 
 class TestResponseTimeouts:
-    """Limits on the wait for a response."""
+    """Timeouts that end the wait for a response."""
 
     @pytest.mark.parametrize(
         ("number", "pause_s", "until", "came"),
@@ -153,7 +153,7 @@
     def test_only_gaps_and_total_time_end_the_wait(
         self, number: int, pause_s: float, until: float, came: int
     ) -> None:
-        """A long response succeeds; one that stops or takes longer than the total limit fails."""
+        """A response may take long, as long as no gap between its bytes exceeds the timeout."""
 
         async def scenario(client: HttpClient) -> None:
             started_at = await curio.clock()
@@ -175,7 +175,7 @@
     """Callers on slow links, to which a response takes longer than ``send_timeout_s``."""
 
     def test_response_is_sent_as_long_as_caller_reads(self) -> None:
-        """The server drops only a caller that accepts nothing for ``send_timeout_s``."""
+        """Only a caller that reads nothing for ``send_timeout_s`` is disconnected."""
         [port] = free_ports(1)
         body = b"b" * 24_000_000
         got = bytearray()
@@ -218,10 +218,10 @@
 
 
 class TestResponses:
-    """Which received bytes belong to which request."""
+    """How the client assigns the bytes that it receives to its requests."""
 
     def test_late_response_to_earlier_request_is_skipped(self) -> None:
-        """A response with the id of another request is skipped."""
+        """The client recognizes such a response by its request id."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
@@ -237,7 +237,7 @@
         run_scenario(server, scenario)
 
     def test_connection_with_surplus_bytes_is_not_reused(self) -> None:
-        """Bytes after a response belong to no request, so the next request opens a connection."""
+        """The next request would take the surplus bytes for the beginning of its response."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
@@ -252,7 +252,7 @@
         run_scenario(server, scenario)
 
     def test_response_without_length_ends_when_connection_closes(self) -> None:
-        """The response is complete if the connection closes in order."""
+        """Without a content length, only an orderly close shows that the body is complete."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
@@ -264,7 +264,7 @@
         run_scenario(server, scenario)
 
     def test_response_without_length_fails_when_connection_is_reset(self) -> None:
-        """A reset is a failure even if the complete body arrived before."""
+        """After a reset, nothing shows whether the body that arrived is complete."""
 
         async def server(sock: Any) -> None:
             # Closing a connection with unread bytes resets it.
@@ -279,7 +279,7 @@
         run_scenario(server, scenario)
 
     def test_bytes_that_are_not_http_raise_bad_http(self) -> None:
-        """The client raises the error class for malformed HTTP."""
+        """The calling code handles malformed HTTP differently from a closed connection."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
@@ -293,10 +293,13 @@
 
 
 class TestRequests:
-    """How the client sends requests and reuses connections."""
+    """How the client sends requests and when it reuses connections."""
 
     def test_early_refusal_of_long_body_is_received(self) -> None:
-        """The server responds and stops reading; the client does not reuse the connection."""
+        """The server refuses the request while the client still sends its body of 30 MB.
+
+        The server reads no more of the body, so the client does not reuse the connection.
+        """
         connections = []
 
         async def server(sock: Any) -> None:
@@ -314,7 +317,7 @@
         run_scenario(server, scenario)
 
     def test_idle_connection_closed_by_server_is_not_reused(self) -> None:
-        """The client checks an idle connection first, so that no request is lost on it."""
+        """A request sent on the closed connection would be lost."""
 
         async def server(sock: Any) -> None:
             await sock.recv(65536)
@@ -358,7 +361,7 @@
         run_scenario(record_and_serve, scenario)
 
     def test_slow_response_keeps_idle_connections_of_responsive_server(self) -> None:
-        """Other connections received responses meanwhile, so only this request timed out."""
+        """Another connection gets responses meanwhile, so only the slow request timed out."""
         opened: list[Any] = []
 
         async def server(sock: Any) -> None:
@@ -382,7 +385,7 @@
         run_scenario(server, scenario)
 
     def test_idle_connection_is_not_reused_shortly_before_server_closes_it(self) -> None:
-        """With a keep-alive timeout of one second no connection is kept at all."""
+        """The server announces a keep-alive timeout of 1 s, too short to reuse the connection."""
 
         async def server(sock: Any) -> None:
             while await sock.recv(65536):
@@ -395,7 +398,7 @@
         run_scenario(server, scenario)
 
     def test_closed_port_raises_connect_failed(self) -> None:
-        """The error differs from that of a request that may have arrived."""
+        """This error tells the calling code that the request cannot have reached the server."""
 
         async def scenario() -> None:
             with pytest.raises(ConnectFailed):
@@ -405,10 +408,10 @@
 
 
 class TestServing:
-    """The HTTP server."""
+    """The HTTP server and its connections to callers."""
 
     def test_idle_connection_is_closed_after_idle_timeout(self) -> None:
-        """The idle time counts from the last response."""
+        """The timeout counts from the last response, not from the start of the connection."""
         [port] = free_ports(1)
 
         async def handle(exchange: Exchange) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -23,23 +23,23 @@
 
 
 class TestKnownRed:
-    """Result of a test run with a list."""
+    """How KNOWN-RED.txt changes the result of a test run."""
 
     def test_unlisted_failure_fails_the_run(self, pytester: pytest.Pytester) -> None:
-        """With an empty list, a failing test fails the run."""
+        """With an empty list of known failures, a failing test fails the run."""
         assert run_pytest(pytester, "").ret == 1
 
     def test_listed_failure_is_tolerated_and_printed(self, pytester: pytest.Pytester) -> None:
-        """A listed failure doesn't fail the run; its line is printed at the end."""
+        """The run succeeds and prints the line of the failing test at its end."""
         result = run_pytest(pytester, "test_two.py::test_bad | a real fault | issue 9\n")
         assert result.ret == 0
         result.stdout.fnmatch_lines(["KNOWN RED test_two.py::test_bad: a real fault (issue 9)"])
 
     def test_listed_test_that_passes_fails_the_run(self, pytester: pytest.Pytester) -> None:
-        """A test that passes again must be removed from the list."""
+        """A test that passes again must leave the list; otherwise a new failure stays unseen."""
         listed = "test_two.py::test_bad | x | 9\ntest_two.py::test_good | x | 9\n"
         assert run_pytest(pytester, listed).ret == 1
 
     def test_line_without_cause_is_refused(self, pytester: pytest.Pytester) -> None:
-        """A line that lacks the cause or the issue is a usage error of pytest."""
+        """Pytest reports a usage error for a line that lacks the cause or the issue."""
         assert run_pytest(pytester, "test_two.py::test_bad\n").ret == 4
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -55,11 +55,11 @@
 
 
 class TestAdvertisedLimit:
-    """A server advertises a limit; callers send many times as many requests."""
+    """One server advertises a limit, and callers send many times as many requests."""
 
     @pytest.mark.parametrize("instances", [1, 3])
-    def test_limits_total_of_all_instances(self, instances: int) -> None:
-        """Excess requests go to the other servers, and every caller is served."""
+    def test_all_instances_together_keep_the_limit(self, instances: int) -> None:
+        """The other servers get the requests beyond the limit, so that every caller is served."""
         fleet = LimitedFleet(instances)
         limited = fleet.add("i-limited", limit="2")
         others = [fleet.add(f"i-{number}") for number in range(2)]
@@ -72,8 +72,8 @@
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
         assert all(len(server.arrivals) > len(limited.arrivals) for server in others)
 
-    def test_limits_retries(self) -> None:
-        """A call that failed on another server is not retried on this one beyond its limit."""
+    def test_retries_count_against_the_limit(self) -> None:
+        """Each call fails on the other server; a retry on this one must not exceed its limit."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-failing", behave=fail)
@@ -84,8 +84,8 @@
         fleet.run(scenario, SAFE_ROUTE)
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
 
-    def test_limits_streams(self) -> None:
-        """The limit holds at a decode engine."""
+    def test_streams_count_against_the_limit_of_a_decode_engine(self) -> None:
+        """The other decode engine gets the streams beyond the limit, so every caller is served."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
@@ -95,7 +95,7 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
 
-    def test_limits_prompts_at_prefill_engine(self) -> None:
+    def test_prompts_count_against_the_limit_of_a_prefill_engine(self) -> None:
         """The decode engine processes the prompts that exceed the prefill engine's limit."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", "llm", "prefill", limit="2")
@@ -105,8 +105,8 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * OFFERED_S)}
 
-    def test_applies_once_server_advertises_it(self) -> None:
-        """An instance observes the limit from half a second after it passed on such a response."""
+    def test_limit_applies_once_the_server_advertises_it(self) -> None:
+        """Instances keep the limit from half a second after the first response that carries it."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited")
         fleet.add("i-other")
@@ -130,10 +130,10 @@
 
 
 class TestAllSendPaths:
-    """Every way in which a request or a call for it reaches a server with a limit."""
+    """Every kind of request or call that an instance sends to a server with a limit."""
 
     def test_resumed_streams_are_limited(self) -> None:
-        """Streams break off at one engine and resume on another, which takes four a second."""
+        """Streams break off at one engine and resume on another, whose limit is four a second."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
@@ -148,7 +148,7 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(4.0)
 
     def test_second_prompt_attempts_are_limited(self) -> None:
-        """The first prefill engine refuses a prompt; the second one advertises a limit."""
+        """One prefill engine refuses all prompts, so each is sent to the limited engine instead."""
         fleet = LimitedFleet()
         fleet.add("i-refusing", "llm", "prefill", refuses_to_read=True)
         limited = fleet.add("i-limited", "llm", "prefill", limit="2")
@@ -159,7 +159,7 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(2.0)
 
     def test_kv_cache_fetches_are_limited(self) -> None:
-        """The request to a decode engine that makes it fetch the KV cache of a prompt counts."""
+        """A call that makes a decode engine fetch the KV cache of a prompt counts as a request."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="4", behave=stream, room=10_000)
@@ -169,7 +169,7 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(4.0)
 
     def test_reservation_calls_are_limited(self) -> None:
-        """An engine without capacity gets no more reservation calls than its limit allows."""
+        """A refused reservation of KV memory is a call, too, and needs a permit like any other."""
         fleet = LimitedFleet()
         fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=4)
@@ -181,7 +181,7 @@
         assert 4 < reservation_calls <= 2.0 * OFFERED_S + max_allowed_in_window(2.0)
 
     def test_earlier_reservations_are_used_within_limit_or_released(self) -> None:
-        """An engine advertises a limit while prompts of its reservations are processed elsewhere.
+        """The engine begins to advertise a limit after instances have reserved KV memory on it.
 
         Other engines then decode the requests that exceed its limit.
         """
@@ -214,7 +214,7 @@
         assert reserved == len(limited.arrivals) + released
 
     def test_release_calls_need_no_permit(self) -> None:
-        """Calls that release KV memory reduce the engine's load."""
+        """A call that releases KV memory reduces the engine's load, so it needs no permit."""
         fleet = LimitedFleet()
         prefill_engine = fleet.add("i-reader", "llm", "prefill")
         limited = fleet.add("i-limited", "llm", "decode", limit="2", behave=stream, room=10_000)
@@ -234,8 +234,8 @@
         assert [each for each in limited.side_calls if each.startswith("DELETE /v1/hold-drop")]
 
 
-async def answer_slow_body_late(replica: FakeReplica, exchange: Exchange) -> None:
-    """Respond, after 1 s to a request with a certain body, with the header as of its arrival."""
+async def respond_late_to_slow_body(replica: FakeReplica, exchange: Exchange) -> None:
+    """Respond with the limit as of the request's arrival; after 1 s if its body is "slow"."""
     head = replica.head(exchange)
     await curio.sleep(1.0 if exchange.req.body == b"slow" else 0.0)
     await exchange.respond_with_fields(200, head, b"whole")
@@ -244,8 +244,8 @@
 class TestLimitChanges:
     """A limit that ends, rises, falls or cannot be read."""
 
-    def test_ends_with_first_response_without_it(self) -> None:
-        """A server that no longer advertises a limit gets its share of all requests again."""
+    def test_limit_ends_with_the_first_response_without_it(self) -> None:
+        """The server then gets its share of all requests again, and every caller is served."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="1")
         withdrawn_at = 0.0
@@ -265,8 +265,8 @@
         for gateway in fleet.gateways:
             assert gateway.lines.having("server_limit ", "per_s=", "was=1.0")
 
-    def test_withdrawal_is_sent_to_all_instances(self) -> None:
-        """An instance that sends the server nothing at the time gets no response of its own."""
+    def test_end_of_limit_is_sent_to_all_instances(self) -> None:
+        """An instance that sends the server no request gets no response that shows the end."""
         fleet = LimitedFleet(2)
         limited = fleet.add("i-limited", limit="8")
         other_gateway = fleet.gateways[1]
@@ -286,7 +286,7 @@
 
     @pytest.mark.parametrize(("first", "second"), [("1", "8"), ("8", "1")])
     def test_new_limit_applies_at_once(self, first: str, second: str) -> None:
-        """Permits that were saved under the old limit are not used under the new one."""
+        """Permits that were saved under the old limit must not be used under the new one."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit=first)
         fleet.add("i-other")
@@ -307,7 +307,7 @@
 
     @pytest.mark.parametrize("limit", ["0", "0.25"])
     def test_limit_below_one_per_second_is_probed(self, limit: str) -> None:
-        """The server gets a request now and then, so that the end of its limit is noticed."""
+        """Even with a limit of 0, occasional requests must show whether the limit has ended."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit=limit)
         fleet.add("i-other")
@@ -320,8 +320,8 @@
         assert max_arrivals_in_window(limited) <= max_allowed_in_window(float(limit))
         assert fleet.count_statuses() == {200: 200}
 
-    def test_unreadable_value_changes_nothing(self) -> None:
-        """The last readable limit stays; without one the server has no limit."""
+    def test_unreadable_limit_changes_nothing(self) -> None:
+        """A server keeps its last readable limit; one that never had such a limit has none."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="lots")
         fleet.add("i-other")
@@ -341,10 +341,10 @@
             2.0
         )
 
-    def test_response_to_earlier_request_does_not_end_it(self) -> None:
+    def test_response_to_earlier_request_does_not_end_the_limit(self) -> None:
         """A late response may have been begun before the server had the limit."""
         fleet = LimitedFleet(1)
-        limited = fleet.add("i-limited", behave=answer_slow_body_late)
+        limited = fleet.add("i-limited", behave=respond_late_to_slow_body)
 
         async def scenario() -> None:
             async with curio.TaskGroup(wait=all) as group:
@@ -357,7 +357,7 @@
         assert fleet.count_statuses() == {200: 2}
         assert len(fleet.world.lines.having("event=server_limit ")) == 1
 
-    def test_refusal_does_not_end_it(self) -> None:
+    def test_refusal_without_limit_does_not_end_the_limit(self) -> None:
         """A refusal may come from a proxy in front of the server that advertises the limit."""
         fleet = LimitedFleet(1)
         limited = fleet.add("i-limited", limit="2")
@@ -372,8 +372,8 @@
         assert fleet.count_statuses() == {200: 1, 503: 1}
         assert len(fleet.world.lines.having("event=server_limit ")) == 1
 
-    def test_does_not_apply_to_next_incarnation(self) -> None:
-        """A server that restarts under its name has advertised nothing yet."""
+    def test_limit_does_not_apply_to_next_incarnation(self) -> None:
+        """A server that restarts under the same name has not advertised any limit yet."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="0.25", born=1000)
         restarted_at = 0.0
@@ -392,7 +392,7 @@
         assert [each.status for each in later] == [200] * len(later)
 
     def test_limit_survives_missing_entry(self) -> None:
-        """Entries lapse while the store is unreachable; a server's limit does not end with them."""
+        """An outage of the store removes the server's entry, but the server still has its limit."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-other")
@@ -417,7 +417,7 @@
     """All servers of a service advertise a limit."""
 
     def test_excess_requests_are_refused_at_once(self) -> None:
-        """A request is served within its target or refused at once; none waits in vain."""
+        """A request that cannot be served within its target latency must not wait for nothing."""
         fleet = LimitedFleet()
         servers = [fleet.add(f"i-{number}", limit="2") for number in range(3)]
 
@@ -436,7 +436,7 @@
             assert max_arrivals_in_window(server) <= max_allowed_in_window(2.0)
 
     def test_stream_is_refused_at_once_if_no_engine_may_take_it(self) -> None:
-        """The stream does not use up its maximum wait first."""
+        """All decode engines have a limit of 0, so waiting cannot help the stream."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         for number in range(2):
@@ -453,7 +453,7 @@
         assert fleet.world.lines.having("request_failed", "code=server-at-limit")
 
     def test_permit_of_disconnected_caller_goes_to_next_caller(self) -> None:
-        """The permit was granted for half a second later, and its caller disconnects before."""
+        """The third caller gets a permit for half a second later and disconnects after 0.1 s."""
         fleet = LimitedFleet(1)
         fleet.add("i-limited", limit="2")
 
@@ -495,10 +495,10 @@
 
 
 class TestLimitPropagation:
-    """Instances that restarted, or that got no response with the limit."""
+    """How an instance learns of a limit after a restart, or without a response that has it."""
 
     def test_restarted_instance_knows_limit(self) -> None:
-        """The allocators of a server keep its limit in their instance records."""
+        """The instances that allocate a server's requests keep its limit in their records."""
         fleet = LimitedFleet()
         limited = fleet.add("i-limited", limit="2")
         fleet.add("i-other")
@@ -517,7 +517,7 @@
             assert gateway.lines.having("server_limit ", "per_s=2.0", "told_by=note:")
 
     def test_instance_without_responses_is_notified_by_others(self) -> None:
-        """No response is read for callers that disconnect before it comes."""
+        """An instance that sent the server nothing learns of the limit by a peer message."""
         fleet = LimitedFleet(2)
         fleet.add("i-limited", limit="2")
         other_gateway = fleet.gateways[1]
@@ -539,18 +539,20 @@
 
 
 async def refuse_with_retry_after(replica: FakeReplica, exchange: Exchange) -> None:
-    """Refuse a request and name the time for a retry."""
+    """Refuse a request and ask for a retry after two seconds."""
     await refuse(replica, exchange, ("retry-after", "2"))
 
 
 class TestRefusingServer:
-    """A server that refuses requests at once, and so looks least busy."""
+    """A server that refuses requests at once, so that it looks less busy than the others."""
 
     @pytest.mark.parametrize(
         ("behave", "max_requests"), [(refuse_with_retry_after, 3), (refuse, 5)]
     )
-    def test_gets_pause_after_refusal(self, behave: Behave, max_requests: int) -> None:
-        """It gets none until its Retry-After, or for ever longer pauses; others serve meanwhile."""
+    def test_refusing_server_is_skipped_for_its_pause(
+        self, behave: Behave, max_requests: int
+    ) -> None:
+        """The pause is the Retry-After of the refusal, or grows with each refusal without one."""
         fleet = LimitedFleet(1)
         refusing = fleet.add("i-shedding", behave=behave)
         fleet.add("i-other")
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -52,7 +52,7 @@
     """Log lines about servers' limits."""
 
     def test_limit_is_logged_when_it_starts_changes_and_ends(self) -> None:
-        """Each change is logged once, however many responses carry the limit."""
+        """Each change of a limit is logged once, however many responses carry the limit."""
         world = World()
         replica = world.add("i-1", "plain")
 
@@ -74,7 +74,7 @@
         assert len(world.lines.having("server_limit_unreadable", "was=6.5")) == 1
 
     def test_requests_to_limited_server_are_logged(self) -> None:
-        """The requests to a limited server are logged, and the servers tried per request."""
+        """The log counts the requests to the server, and the servers tried for each request."""
         world = World()
         world.add("i-1", "plain", limit="8")
 
@@ -93,7 +93,7 @@
 
 
 class LoneInstance:
-    """The only instance of a fleet, in front of a server that takes two requests a second."""
+    """The only instance of a fleet, in front of a server with a limit of two requests a second."""
 
     def __init__(self) -> None:
         log = get_log(program="t", stream=Lines())
@@ -119,8 +119,8 @@
 
         run_virtual(run_when_ready)
 
-    async def take_all_permits(self) -> int:
-        """Take all permits that are available now and return their number."""
+    async def get_all_permits(self) -> int:
+        """Get every permit that is available now and return how many there were."""
         count = 0
         while await self.permits.try_get_permit(self._new_relay(), SERVER):
             count += 1
@@ -134,26 +134,26 @@
 
 
 class TestPermits:
-    """Permits that a request holds."""
+    """Permits that one request has obtained for sending to a server with a limit."""
 
     def test_unused_permit_is_returned(self) -> None:
-        """A permit is returned if its caller disconnects or its prompt cannot be processed."""
+        """Another request can use the permit if the caller disconnects or the prompt fails."""
         instance = LoneInstance()
 
         async def scenario() -> None:
             assert not await instance.permits.try_get_permit(instance.relay, SERVER)
             await curio.sleep(TWO_PERMITS_S)
             assert await instance.permits.try_get_permit(instance.relay, SERVER)
-            assert await instance.take_all_permits() == 1
+            assert await instance.get_all_permits() == 1
             instance.backends.stats("i-1").limited_until = 0.0
             await instance.permits.return_unused(instance.relay)
             assert not instance.relay.permits
-            assert await instance.take_all_permits() == 1
+            assert await instance.get_all_permits() == 1
 
         instance.run(scenario)
 
     def test_permit_is_used_once(self) -> None:
-        """A second attempt needs a permit of its own."""
+        """A second attempt of the same request at the same server needs another permit."""
         instance = LoneInstance()
 
         async def scenario() -> None:
@@ -162,32 +162,32 @@
             assert await instance.permits.try_get_permit(instance.relay, SERVER)
             assert await instance.permits.try_get_permit(instance.relay, SERVER)
             assert await instance.permits.use_permit(instance.relay, SERVER) is not None
-            assert await instance.take_all_permits() == 1
+            assert await instance.get_all_permits() == 1
             with pytest.raises(ServerAtLimit):
                 await instance.permits.use_permit(instance.relay, SERVER)
 
         instance.run(scenario)
 
     def test_permit_expires(self) -> None:
-        """A permit that was granted in one window must not be used in the next."""
+        """A permit that was granted for one window must not be used in a later window."""
         instance = LoneInstance()
 
         async def scenario() -> None:
             await instance.permits.try_get_permit(instance.relay, SERVER)
             await curio.sleep(TWO_PERMITS_S)
             assert await instance.permits.try_get_permit(instance.relay, SERVER)
-            assert await instance.take_all_permits() == 1
+            assert await instance.get_all_permits() == 1
             await curio.sleep(PERMIT_TRANSIT_S + 0.1)
             instance.backends.stats("i-1").limited_until = 0.0
             before = instance.relay.permits["i-1"]
             assert await instance.permits.try_get_permit(instance.relay, SERVER)
             assert instance.relay.permits["i-1"] != before
-            assert await instance.take_all_permits() == 1
+            assert await instance.get_all_permits() == 1
 
         instance.run(scenario)
 
     def test_changed_limit_ends_pause(self) -> None:
-        """A refusal under the old limit does not hold under the new one."""
+        """An instance that was refused permits asks again when the server changes its limit."""
         instance = LoneInstance()
 
         async def scenario() -> None:
@@ -201,7 +201,7 @@
         instance.run(scenario)
 
     def test_permit_is_kept_if_server_is_unreachable(self) -> None:
-        """No request was sent, so the permit was not used."""
+        """Nothing was sent to the server, so the permit still allows one request to it."""
         instance = LoneInstance()
         server = dataclasses.replace(SERVER, port=free_port())
         log = get_log(program="t", stream=Lines())
@@ -232,7 +232,7 @@
     """Sizes of the messages between instances about one server with a limit."""
 
     def test_share_leases_of_300_instances_fit_control_traffic_budget(self) -> None:
-        """The allocator's traffic fits the 10 kB a second that all control messages may use."""
+        """The allocator receives a lease from each instance and responds, within 10 kB a second."""
         membership = Membership("n0", 0.0)
         membership.join({f"n{number}": "" for number in range(300)}, 0.0, resumed=True)
         shared = SharedLimits(name="n0", membership=membership, incarnation=2**62, now=0.0)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def two_allocators() -> Iterator[tuple[PortAllocator, PortAllocator]]:
-    """Return two allocators that start at the same block, as those of two processes might."""
+    """Return two allocators that begin their search at the same block of ports."""
     both = PortAllocator(), PortAllocator()
     yield both
     for ports in both:
@@ -25,12 +25,12 @@
 
 
 class TestPorts:
-    """Ports that two allocators return."""
+    """Ports that two allocators hand out, each as in a process of its own."""
 
     def test_two_allocators_never_return_the_same_port(
         self, two_allocators: tuple[PortAllocator, PortAllocator]
     ) -> None:
-        """Each allocator takes 4000 ports, more than its blocks have, one after the other."""
+        """Each allocator in turn takes 4000 ports, more than the 3000 that one process may hold."""
         first, second = (
             {port for _ in range(200) for port in ports.take(20)} for ports in two_allocators
         )
@@ -40,7 +40,7 @@
     def test_alternating_allocators_never_return_the_same_port(
         self, two_allocators: tuple[PortAllocator, PortAllocator]
     ) -> None:
-        """Both allocators take ports in turn, as two concurrent test runs do."""
+        """The allocators take ports in turn, each twice as many as one process may hold."""
         taken: tuple[set[int], set[int]] = (set(), set())
         for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK // 10):
             for ports, mine in zip(two_allocators, taken, strict=True):
@@ -51,7 +51,7 @@
     def test_bound_port_is_skipped(
         self, two_allocators: tuple[PortAllocator, PortAllocator], kind: socket.SocketKind
     ) -> None:
-        """A port with a TCP or UDP socket is skipped, also when all ports were returned once."""
+        """An allocator skips a port that a TCP or UDP socket has bound, also in its second pass."""
         ports, _ = two_allocators
         [taken] = ports.take(1)
         with socket.socket(socket.AF_INET, kind) as sock:
@@ -63,6 +63,6 @@
     def test_too_many_ports_raise_an_error(
         self, two_allocators: tuple[PortAllocator, PortAllocator]
     ) -> None:
-        """A request for more ports than one process may lock doesn't search forever."""
+        """An allocator that cannot lock enough ports must not search for them forever."""
         with pytest.raises(RuntimeError):
             two_allocators[0].take(MAX_BLOCKS * PORTS_PER_BLOCK + 1)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -48,13 +48,16 @@
 
 
 async def crash_if_crashing_body(replica: FakeReplica, exchange: Exchange) -> None:
-    """End the server process if the request has the crashing body; else serve it."""
+    """End the server process if the request has the crashing body; otherwise serve it."""
     behave = crash if exchange.req.body == CRASHING_BODY else sealed
     await behave(replica, exchange)
 
 
 async def crash_in_stream(replica: FakeReplica, exchange: Exchange) -> None:
-    """End the server process in mid-stream if the request has the crashing body; else serve it."""
+    """End the process in the middle of the stream if the request has the crashing body.
+
+    Other requests are served.
+    """
     if exchange.req.body != CRASHING_BODY:
         await stream(replica, exchange)
         return
@@ -92,7 +95,7 @@
         return sum(replica.lives - 1 + replica.crashed.is_set() for replica in self.replicas)
 
     async def send(self, number: int, path: str, **options: Any) -> int:
-        """Send a request to the instance of this number; return its status, 0 for no response."""
+        """Send a request to one instance; return its status, or 0 if there was no response."""
         gateway = self.gateways[number % len(self.gateways)]
         try:
             status, self.headers, self.body = await gateway.call(f"q{number}", path, **options)
@@ -102,7 +105,7 @@
         return status
 
     async def send_crashing_request(self, count: int, path: str, **options: Any) -> None:
-        """Send the crashing request *count* times, with pauses as of a caller that retries."""
+        """Send the crashing request *count* times, with the pauses of a caller that retries."""
         for _ in range(count):
             await self.send(len(self.statuses), path, body=CRASHING_BODY, **options)
             await curio.sleep(CALLER_RETRY_S)
@@ -136,8 +139,8 @@
     """A request crashes each server that begins to run it, and its caller retries."""
 
     @pytest.mark.parametrize("fresh", [False, True])
-    def test_reaches_no_server_after_third_crash(self, fresh: bool) -> None:
-        """It is refused at both of two instances, and on new connections too."""
+    def test_crashing_request_reaches_no_server_after_third_crash(self, fresh: bool) -> None:
+        """The two instances refuse the request, on reused connections and on new ones."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -148,10 +151,11 @@
         assert fleet.statuses == [502] * MAX_CRASHES + [503] * 5
 
     def test_retryable_request_is_not_retried_after_third_crash(self) -> None:
-        """The caller's first attempt crashes two servers, its second one more without a retry.
+        """The first attempt of the caller crashes two servers, the second one a third.
 
-        The instance that retries learns of the third crash before it has chosen the fourth server.
-        If both retries run at the same time, one more server crashes, and none after that.
+        The instance that retries learns of the third crash before it has chosen the fourth
+        server. If both retries run at the same time, one more server crashes, and none
+        after that.
         """
         fleet = plain_fleet()
 
@@ -166,7 +170,7 @@
     def test_stream_reaches_no_decode_engine_after_third_crash(
         self, path: str, max_crashes: int
     ) -> None:
-        """This holds for streams, and for streams that resume on another engine."""
+        """A stream that resumes on another engine may crash one more than one that does not."""
         fleet = engine_fleet()
 
         async def scenario() -> None:
@@ -177,7 +181,7 @@
         assert fleet.statuses[MAX_CRASHES:] == [503] * 5
 
     def test_prompt_reaches_no_prefill_engine_after_third_crash(self) -> None:
-        """The decode engine processes a prompt that crashes prefill engines."""
+        """The decode engines process the prompt that crashes prefill engines, so it is served."""
         fleet = Fleet()
         fleet.add(6, "llm", "prefill", crashes_on_reading=CRASHING_BODY)
         fleet.add(2, "llm", "decode", behave=stream)
@@ -189,8 +193,8 @@
         assert MAX_CRASHES <= fleet.crash_count <= MAX_CRASHES + 1
         assert fleet.statuses == [200] * 8
 
-    def test_same_request_of_another_account_is_served(self) -> None:
-        """Equal requests of two accounts are different; two keys of one account are not."""
+    def test_crashes_are_counted_per_account(self) -> None:
+        """Requests with two keys of one account count together, those of another account do not."""
         tenants = [
             {"name": "one", "api_keys": ["k1", "k2"]},
             {"name": "two", "api_keys": ["k3"]},
@@ -208,7 +212,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_instances_that_saw_no_crash_refuse_the_request(self) -> None:
-        """All instances get a peer message at once, before they read the instance records."""
+        """A peer message reaches all instances before they read the instance records."""
         fleet = plain_fleet(instances=6)
 
         async def scenario() -> None:
@@ -222,7 +226,7 @@
         assert fleet.crash_count == MAX_CRASHES
 
     def test_instance_without_peer_messages_learns_from_store(self) -> None:
-        """The instance records in the store make up for lost peer messages."""
+        """One instance gets no datagrams and reads of the quarantine in the instance records."""
         fleet = plain_fleet()
         without_messages = fleet.world.beside("deaf")
         without_messages.peer_port = 1
@@ -241,7 +245,7 @@
     """The response to a quarantined request."""
 
     def test_refusal_is_immediate_and_states_reason_and_retry_time(self) -> None:
-        """It says that the request did not run, why, and when a retry may run."""
+        """The refusal also says that the request did not run, so that the caller may retry."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -257,7 +261,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_refusal_does_not_wait_for_reservation(self) -> None:
-        """Other requests wait for a reservation; a quarantined request is refused at once."""
+        """No engine has free memory; the request would wait if it were not quarantined."""
         fleet = engine_fleet()
 
         async def scenario() -> None:
@@ -271,8 +275,8 @@
 
         fleet.run(scenario, STREAM_ROUTE)
 
-    def test_other_requests_are_served(self) -> None:
-        """Requests with another body are served at the same path."""
+    def test_requests_with_another_body_are_served(self) -> None:
+        """A quarantine holds for one path and body, not for all requests of the path."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -282,8 +286,8 @@
 
         fleet.run(scenario, UNSAFE_ROUTE)
 
-    def test_request_in_progress_is_refused(self) -> None:
-        """If the third crash happens while its prompt is processed, its answer is not begun."""
+    def test_request_in_progress_is_refused_once_quarantined(self) -> None:
+        """The third crash happens while the prompt is processed, so no answer is decoded."""
         fleet = engine_fleet(read_s=0.6)
         send = partial(fleet.send, path="/stream/a", body=CRASHING_BODY, **TOKEN_HEADERS)
 
@@ -301,7 +305,7 @@
 
 
 class TestCoincidentalCrashes:
-    """A request ran on servers that crashed for another reason."""
+    """A request that ran on servers that crashed for another reason."""
 
     async def _crash_servers_by_chance(self, fleet: Fleet, path: str) -> None:
         """Have three servers crash while they run the request, then have all serve it."""
@@ -312,7 +316,7 @@
             replica.behave = sealed
 
     def test_successful_trial_ends_quarantine_on_all_instances(self) -> None:
-        """One attempt is let through after ten seconds; its response ends the quarantine."""
+        """After ten seconds one attempt is sent as a trial; its response ends the quarantine."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -327,7 +331,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_only_one_trial_runs_at_a_time(self) -> None:
-        """While a trial runs, all instances refuse other attempts."""
+        """Without this bound, each instance could crash a server with a trial of its own."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -340,7 +344,7 @@
         assert fleet.crash_count == MAX_CRASHES + 1
 
     def test_trial_is_not_retried_on_second_server(self) -> None:
-        """The outcome of the first attempt decides the trial, also for a retryable request."""
+        """A retry of the trial would crash a second server; the route allows retries."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -354,7 +358,7 @@
         fleet.run(scenario, SAFE_ROUTE)
 
     def test_quarantine_grows_with_each_failed_trial(self) -> None:
-        """In the 100 s after the third crash, the request reaches only two more servers."""
+        """In the 100 s after the third crash, trials of the request crash only two more servers."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -364,7 +368,7 @@
         assert fleet.crash_count == MAX_CRASHES + 2
 
     def test_completed_request_resets_crash_count(self) -> None:
-        """Only crashes since the last completed request count."""
+        """A request that crashes two servers and is completed then three times is not refused."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -383,10 +387,10 @@
     def test_identical_requests_are_served_despite_simultaneous_crash_of_three_servers(
         self,
     ) -> None:
-        """Three of four servers crash at once under equal requests, which the fourth completes.
+        """Three of four servers crash while each runs the request, and the fourth completes it.
 
-        Its response ends the quarantine. Otherwise all callers that send this request would be
-        refused for ten seconds.
+        Its response ends the quarantine. Otherwise all callers that send this request would
+        be refused for ten seconds.
         """
 
         async def serve_slowly(replica: FakeReplica, exchange: Exchange) -> None:
@@ -414,7 +418,7 @@
         fleet.run(scenario, UNSAFE_ROUTE)
 
     def test_reset_connection_does_not_count_as_crash(self) -> None:
-        """The request may reach servers again that reset its connection but go on running."""
+        """The servers reset the connections of the request but go on running."""
 
         async def reset_connection(_: FakeReplica, exchange: Exchange) -> None:
             raise HttpClosed("reset")
@@ -430,10 +434,10 @@
 
 
 class TestInstanceRestart:
-    """Instances restart and lose what they had in memory."""
+    """Instances that restart and lose the quarantines that they had in memory."""
 
     def test_restarted_instance_reads_quarantine_from_peer_records(self) -> None:
-        """The other instances publish the quarantine in their instance records."""
+        """The other instances have published the quarantine in their instance records."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
@@ -446,7 +450,7 @@
         assert fleet.crash_count == MAX_CRASHES
 
     def test_quarantine_survives_restart_of_all_instances(self) -> None:
-        """Each instance takes over its own record and reads those of the others."""
+        """Each instance takes over its own record and reads those of the other instances."""
         fleet = plain_fleet()
 
         async def scenario() -> None:
--- a/tests/test_quarantine_decisions.py
+++ b/tests/test_quarantine_decisions.py
@@ -29,7 +29,7 @@
 REQUEST = "f00d"
 
 
-def quarantined_request(now: float = 0.0) -> Quarantine:
+def quarantine_after_three_crashes(now: float = 0.0) -> Quarantine:
     """Return the quarantine of an instance that counted three crashes under one request."""
     quarantine = Quarantine()
     for number in range(MAX_CRASHES):
@@ -38,10 +38,10 @@
 
 
 class TestCrashes:
-    """Crashes of servers under one request."""
+    """When crashes of servers that ran a request begin or lengthen its quarantine."""
 
     def test_crashes_of_three_servers_begin_a_quarantine(self) -> None:
-        """Two crashes do not."""
+        """Two crashes may be a coincidence, so after two the request is still sent to servers."""
         quarantine = Quarantine()
         assert quarantine.record_crash(REQUEST, "i-0", 0.0) is None
         assert quarantine.record_crash(REQUEST, "i-1", 0.0) is None
@@ -51,21 +51,21 @@
         assert quarantine.refusal_left_s(REQUEST, 1.0) == FIRST_QUARANTINE_S - 1.0
 
     def test_repeated_report_of_a_crash_counts_once(self) -> None:
-        """Two instances may report one crash, or a message may arrive late."""
+        """Two instances may report the same crash, and a message about it may arrive late."""
         quarantine = Quarantine()
         for _ in range(5):
             assert quarantine.record_crash(REQUEST, "i-0", 0.0) is None
         assert quarantine.crash_count(REQUEST) == 1
 
     def test_each_incarnation_of_a_server_counts(self) -> None:
-        """Incarnation ids tell the runs of one server name apart."""
+        """A request that crashes the same restarted server three times is quarantined as well."""
         quarantine = Quarantine()
         for started_ms in range(MAX_CRASHES):
             quarantine.record_crash(REQUEST, f"i-0@{started_ms}", 0.0)
         assert quarantine.is_quarantined(REQUEST)
 
     def test_old_crashes_do_not_count(self) -> None:
-        """Three crashes in a day may be chance."""
+        """Single crashes far apart are more likely to have other causes than the request."""
         quarantine = Quarantine()
         for number in range(5):
             assert (
@@ -74,8 +74,8 @@
             )
 
     def test_each_further_crash_lengthens_the_quarantine(self) -> None:
-        """The longer quarantine limits how many servers are lost to trials."""
-        quarantine = quarantined_request()
+        """Each trial may cost a server, so trials of a request become rarer with every crash."""
+        quarantine = quarantine_after_three_crashes()
         for number in range(MAX_CRASHES, 6):
             update = quarantine.record_crash(REQUEST, f"i-{number}", 0.0)
             assert update is not None
@@ -84,8 +84,8 @@
             )
 
     def test_crash_beyond_the_tracked_ones_renews_the_quarantine(self) -> None:
-        """Without a longer quarantine, a trial would follow every few seconds."""
-        quarantine = quarantined_request()
+        """Otherwise trials of a request with many crashes would follow every few seconds."""
+        quarantine = quarantine_after_three_crashes()
         for number in range(MAX_CRASHES, 3 * MAX_CRASHED_SERVERS):
             quarantine.begin_trial(REQUEST, 0.0)
             assert quarantine.record_crash(REQUEST, f"i-{number}", 0.0) is not None
@@ -93,34 +93,34 @@
 
 
 class TestTrial:
-    """One attempt is let through to see whether it crashes a server."""
+    """After a quarantine, one attempt is sent to see whether it crashes its server, too."""
 
     def test_trial_is_due_after_the_quarantine(self) -> None:
-        """Other attempts are refused while the trial runs."""
-        quarantine = quarantined_request()
+        """Once a trial has begun, other attempts are refused until its result must be known."""
+        quarantine = quarantine_after_three_crashes()
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S) == 0.0
         quarantine.begin_trial(REQUEST, FIRST_QUARANTINE_S)
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S) == TRIAL_S
 
     def test_another_trial_is_due_without_a_result(self) -> None:
-        """The caller of the trial left, or no server had capacity for it."""
-        quarantine = quarantined_request()
+        """A trial has no result if its caller disconnects or no server has capacity for it."""
+        quarantine = quarantine_after_three_crashes()
         quarantine.begin_trial(REQUEST, FIRST_QUARANTINE_S)
         assert quarantine.refusal_left_s(REQUEST, FIRST_QUARANTINE_S + TRIAL_S) == 0.0
 
     def test_completed_request_ends_the_quarantine(self) -> None:
-        """The crashes are forgotten, and the count starts from zero."""
-        quarantine = quarantined_request()
+        """The earlier crashes are forgotten, so a single new one begins no quarantine."""
+        quarantine = quarantine_after_three_crashes()
         assert quarantine.record_completed(REQUEST, FIRST_QUARANTINE_S) == MAX_CRASHES
         assert not quarantine.is_quarantined(REQUEST)
         assert quarantine.record_crash(REQUEST, "i-9", FIRST_QUARANTINE_S) is None
 
 
 class TestUpdatesFromPeers:
-    """Quarantines that other instances send in datagrams or publish in their records."""
+    """Quarantines that other instances send in datagrams or publish in instance records."""
 
     def test_update_is_applied_once(self) -> None:
-        """A repeated update changes nothing."""
+        """A repeated update must not start the time of the quarantine again."""
         quarantine = Quarantine()
         update = QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), 7.0)
         assert quarantine.apply_update(update, 0.0)
@@ -128,23 +128,23 @@
         assert quarantine.refusal_left_s(REQUEST, 0.0) == 7.0
 
     def test_update_cannot_prolong_beyond_the_time_for_its_crashes(self) -> None:
-        """The bound limits the effect of a false message."""
+        """A wrong message could otherwise refuse a request for ever."""
         quarantine = Quarantine()
         quarantine.apply_update(QuarantineUpdate(REQUEST, ("i-0", "i-1", "i-2"), 1e9), 0.0)
         assert quarantine.refusal_left_s(REQUEST, 0.0) == FIRST_QUARANTINE_S
 
     def test_repeated_reads_of_a_record_prolong_nothing(self) -> None:
-        """Records are read every few seconds and may be unchanged."""
+        """An instance reads the same unchanged record every few seconds."""
         quarantine = Quarantine()
-        published = quarantined_request().to_instance_record()
+        published = quarantine_after_three_crashes().to_instance_record()
         assert list(quarantine.apply_instance_record(published, 0.0, own=False))
         for now in range(1, 30):
             assert not list(quarantine.apply_instance_record(published, float(now), own=False))
         assert quarantine.refusal_left_s(REQUEST, 30.0) == 0.0
 
     def test_record_from_before_a_completed_request_is_ignored(self) -> None:
-        """The record is ignored until it has surely been written again."""
-        quarantine = quarantined_request()
+        """For some time after the completion, reads may return the record as it was before."""
+        quarantine = quarantine_after_three_crashes()
         published = quarantine.to_instance_record()
         quarantine.record_completed(REQUEST, 20.0)
         assert not list(
@@ -154,28 +154,31 @@
         )
 
     def test_only_the_counting_instance_publishes_a_quarantine(self) -> None:
-        """Copies of each other's records would never let the quarantine end."""
+        """Instances that copied each other's records would keep the quarantine for ever."""
         quarantine = Quarantine()
         list(
             quarantine.apply_instance_record(
-                quarantined_request().to_instance_record(), 0.0, own=False
+                quarantine_after_three_crashes().to_instance_record(), 0.0, own=False
             )
         )
         assert quarantine.to_instance_record() == {}
         later_incarnation = Quarantine()
         list(
             later_incarnation.apply_instance_record(
-                quarantined_request().to_instance_record(), 0.0, own=True
+                quarantine_after_three_crashes().to_instance_record(), 0.0, own=True
             )
         )
-        assert later_incarnation.to_instance_record() == quarantined_request().to_instance_record()
+        assert (
+            later_incarnation.to_instance_record()
+            == quarantine_after_three_crashes().to_instance_record()
+        )
 
 
 class TestBounds:
-    """Bounds on what is stored, whatever crashes."""
+    """Bounds on the memory that crashes can take, however many requests cause them."""
 
-    def test_suspects_and_quarantines_are_bounded(self) -> None:
-        """The oldest are forgotten first."""
+    def test_tracked_and_published_requests_are_bounded(self) -> None:
+        """The requests whose crashes were counted first are forgotten first."""
         quarantine = Quarantine()
         for request in range(2 * MAX_SUSPECTS):
             quarantine.record_crash(f"s{request}", "i-0", 0.0)
@@ -188,15 +191,15 @@
         assert len(quarantine.to_instance_record()) == MAX_PUBLISHED
 
     def test_flood_of_suspects_frees_no_request_from_quarantine(self) -> None:
-        """Suspects and quarantined requests are stored apart."""
-        quarantine = quarantined_request()
+        """Requests with a single crash must not take the memory of quarantined requests."""
+        quarantine = quarantine_after_three_crashes()
         for request in range(2 * MAX_SUSPECTS):
             quarantine.record_crash(f"s{request}", "i-0", 0.0)
         assert quarantine.is_quarantined(REQUEST)
 
 
 class CountingMessenger(PeerMessenger):
-    """Counts datagrams instead of sending them."""
+    """A messenger that counts datagrams instead of sending them."""
 
     def __init__(self, peer_addresses: list[str], log: Any) -> None:
         super().__init__(address="", peer_addresses=lambda: peer_addresses, log=log)
@@ -208,9 +211,10 @@
 
 
 class TestFleet:
-    """The messages that a crash costs a fleet of 300 instances.
+    """The number of messages that a crash costs a fleet of 300 instances.
 
-    A server runs 64 requests at once; sent to every instance, a crash would take 19,136 datagrams.
+    A server runs 64 requests at once; sent to every instance, a crash would take 19,136
+    datagrams.
     """
 
     @pytest.mark.parametrize("instances", [30, 300])
@@ -220,7 +224,7 @@
         assert sent <= 64 * COUNTING_INSTANCES
 
     def test_quarantine_is_sent_to_each_instance_once(self) -> None:
-        """The instance that counted all three crashes sends the quarantine."""
+        """Only the instance that counted all three crashes sends the quarantine to the others."""
         sent = self._count_datagrams(300, requests=1, crashes=MAX_CRASHES)
         assert sent <= MAX_CRASHES * COUNTING_INSTANCES + 299
 
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -100,7 +100,7 @@
         await crash(replica, exchange)
 
     def run(self) -> None:
-        """Run the seed."""
+        """Run the requests and faults of the seed in virtual time."""
         send = PeerMessenger.send
 
         async def lossy_send(messenger: PeerMessenger, address: str, message: Any) -> None:
@@ -189,7 +189,7 @@
         await self._rng.choice(self._replicas).crashed.set()
 
     def violations(self) -> list[str]:
-        """Return a text for each invariant that did not hold."""
+        """Return a description of each invariant that did not hold."""
         violations = []
         for body, crashes in self.crashes.items():
             third = (
@@ -213,13 +213,13 @@
 
 
 class TestFaultSeries:
-    """Invariants that hold in any order of events."""
+    """Invariants that hold for any order of requests, crashes and other faults."""
 
     @pytest.mark.parametrize("seed", range(3))
     def test_crashing_requests_reach_few_servers_and_harmless_ones_are_served(
         self, seed: int
     ) -> None:
-        """From 3 s after the third crash on, a request crashes at most three more servers."""
+        """From 3 s after its third crash on, a request crashes at most three more servers."""
         series = FaultSeries(seed)
         series.run()
         assert any(len(crashes) >= QUARANTINE_CRASHES for crashes in series.crashes.values())
@@ -227,7 +227,7 @@
 
 
 def main(first: int, last: int) -> int:
-    """Run the seeds and print the result of each; return the exit status."""
+    """Run the seeds *first* to *last* and print their results; return the exit status."""
     failed = 0
     for seed in range(first, last + 1):
         series = FaultSeries(seed)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -28,40 +28,40 @@
 
 
 class TestPools:
-    """How the allowed tokens are divided between the instances."""
+    """How the tokens that an account may use are divided between the instances."""
 
     @given(limits, bounds, st.integers(1, 1000))
     def test_pools_stay_within_the_allowed_total(
         self, limit: TokenLimit, bounds: QuotaBounds, instances: int
     ) -> None:
-        """The main, the standby and all local pools together stay within the allowed use."""
+        """In one window, the main, the standby and all local pools may all be used up."""
         pools = bounds.pools(limit, instances)
         each = [pools.main, pools.standby, *([pools.local] * instances)]
         total = sum(pool.per_s * bounds.window_s + pool.burst for pool in each)
         assert total <= bounds.allowed_in_window(limit) * 1.000001
 
     def test_main_pool_has_the_full_rate_where_there_is_slack(self) -> None:
-        """No request within the account's limit is refused."""
+        """The standby and local pools use only what operators allow beyond the limit."""
         assert BOUNDS.pools(LIMIT, 31).main == LIMIT
 
 
 class TestTokenBucket:
-    """An account's tokens at the instance that allocates them."""
+    """The tokens of an account at the instance that allocates them."""
 
     def test_bucket_starts_empty(self) -> None:
-        """The tokens that an earlier incarnation of the instance allocated are not known."""
+        """A restarted instance does not know which tokens its earlier incarnation allocated."""
         bucket = TokenBucket(10.0)
         assert bucket.take(100.0, LIMIT, 10.0) > 0.0
         assert bucket.take(100.0, LIMIT, 10.2) == 0.0
 
     def test_refused_requests_get_consecutive_retry_times(self) -> None:
-        """Each refused request is told to retry when its own tokens are there."""
+        """Each refused request gets the time at which tokens for this very request are free."""
         bucket = TokenBucket(0.0)
         assert bucket.take(1000.0, LIMIT, 5.0) == 0.0
         assert [round(bucket.take(500.0, LIMIT, 5.0), 3) for _ in range(3)] == [0.5, 1.0, 1.5]
 
     def test_full_bucket_admits_request_larger_than_its_burst(self) -> None:
-        """The bucket goes into debt; otherwise such a request would never run."""
+        """Such a request puts the bucket into debt; otherwise it would never be admitted."""
         bucket = TokenBucket(0.0)
         assert bucket.take(1500.0, LIMIT, 5.0) == 0.0
         assert bucket.take(100.0, LIMIT, 5.4) > 0.0
@@ -80,7 +80,7 @@
 
 
 class TestBelowTheLimit:
-    """Callers request less than the account's limit."""
+    """Callers use fewer tokens than the account's limit allows."""
 
     def test_requests_are_not_refused(self) -> None:
         """An equal share for each of 31 instances would be less than one request in ten seconds."""
@@ -93,7 +93,7 @@
         assert len(fleet.completed) == 62
 
     def test_few_requests_are_refused_when_the_allocator_dies(self) -> None:
-        """The standby allocates a part of what is allowed beyond the rate, here a ninth of it."""
+        """The standby allocates a part of the tokens allowed beyond the rate, here a ninth."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         send_evenly(fleet, per_s=100.0, tokens=100, until=RUN_S)
@@ -106,7 +106,7 @@
         assert fleet.refused + fleet.unallocated <= 0.03 * total
 
     def test_requests_are_granted_soon_after_the_allocator_is_gone(self) -> None:
-        """The allocator's record outlives it by seconds; then the standby becomes the allocator."""
+        """The standby becomes the allocator seconds later, when the old one's record ends."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(8.0)
@@ -118,7 +118,7 @@
         assert (fleet.refused, fleet.unallocated) == (0, 0)
 
     def test_restarted_instance_may_coordinate_at_once(self) -> None:
-        """All other instances have acknowledged its join."""
+        """The restarted instance needs no wait, because all others have acknowledged its join."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(10.0)
@@ -131,10 +131,10 @@
 
 
 class TestTotalLoss:
-    """All instances are killed at once, and one of them never starts again."""
+    """All instances are killed at once, and one of them does not start again."""
 
     def test_other_instances_may_coordinate_at_once(self) -> None:
-        """The others need no acknowledgement of the lost instance, whose record outlives it."""
+        """The record of the lost instance still exists, but the others need not wait for it."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         fleet.run(10.0)
@@ -147,10 +147,10 @@
 
 
 class TestAboveTheLimit:
-    """Callers request many times the account's limit."""
+    """Callers use many times as many tokens as the account's limit allows."""
 
     def test_account_gets_its_full_limit(self) -> None:
-        """The account gets at least nine tenths of its rate, and no more than the window allows."""
+        """The account gets at least nine tenths of its rate, and no more than a window allows."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
         send_evenly(fleet, per_s=6_000.0, tokens=100, until=RUN_S)
@@ -182,7 +182,7 @@
 
 
 class TestLimitIsNeverExceeded:
-    """The use over all instances, in any window, under any faults between them."""
+    """Tokens that an account uses in any window, under any faults between the instances."""
 
     @SIMULATION_SETTINGS
     @given(
@@ -198,7 +198,7 @@
         loss: float,
         bounds_and_tokens: tuple[QuotaBounds, int],
     ) -> None:
-        """Callers request six times the limit all the time."""
+        """All the time, callers send six times as many requests as the limit allows."""
         bounds, tokens = bounds_and_tokens
         fleet = QuotaFleet(INSTANCES, ACCOUNT, bounds, seed=seed, loss=loss)
         fleet.start()
@@ -209,7 +209,7 @@
         assert fleet.max_tokens_in_window() <= bounds.allowed_in_window(LIMIT)
 
     def test_limit_holds_under_repeated_restarts(self) -> None:
-        """Tokens that an earlier incarnation allocated are not known, so buckets start empty."""
+        """If buckets started full, each restart would allocate the burst once more."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, STRICT_BOUNDS)
         fleet.start()
         for second in range(10, int(RUN_S), 3):
@@ -224,12 +224,12 @@
 class TestComparedWithEqualShares:
     """Allocation by one instance compared with an equal share for each, below the limit.
 
-    Both get the same requests; `pytest -rP -k Compared` prints the figures.
+    Both ways get the same requests; `pytest -rP -k Compared` prints the figures.
     """
 
     @pytest.mark.parametrize("instances", [31, 68, 300])
     def test_equal_shares_refuse_below_the_limit(self, instances: int) -> None:
-        """A share saves up less than one request; allocation by one instance refuses none."""
+        """An equal share is less than one request; allocation by one instance refuses none."""
         account = Account("red", limit=TokenLimit(90_000.0, 90_000.0))
         bounds = QuotaBounds(window_s=8.0, overrun=0.1, slack=140_000.0)
         fleet = QuotaFleet(instances, account, bounds)
@@ -262,7 +262,7 @@
     until: float,
     tokens: int,
 ) -> int:
-    """Return how many requests are refused where each instance has an equal share of the limit."""
+    """Return the number of refused requests if each instance enforces an equal share."""
     assert account.limit is not None
     allowed = bounds.allowed_in_window(account.limit) / instances
     per_s = account.limit.per_s / instances
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -49,7 +49,7 @@
     """How long a request waits for a reservation."""
 
     def test_first_attempt_waits_while_it_may_be_in_time(self) -> None:
-        """The longest wait is the target less the time from a reservation to the first event."""
+        """The wait may take the target time less the time from a reservation to the first event."""
         first_attempt = make_request()
         assert first_attempt.max_in_time_wait_s == pytest.approx(0.9 - first_attempt.first_event_s)
         assert not first_attempt.is_late(first_attempt.max_in_time_wait_s - 0.01)
@@ -58,7 +58,10 @@
         assert slow_engine.max_in_time_wait_s == 0.0
 
     def test_late_request_waits_no_longer_than_its_value(self) -> None:
-        """Waiting ends when it has cost as much as a late answer is worth, whatever the target."""
+        """A request stops waiting when the wait has cost as much as a late answer is worth.
+
+        The target time of the route has no influence on this.
+        """
         first_attempt = make_request()
         assert first_attempt.max_wait_s - first_attempt.max_in_time_wait_s == pytest.approx(
             LATE_VALUE / WAIT_COST_PER_S
@@ -69,7 +72,10 @@
         )
 
     def test_retry_waits_longer_than_a_late_first_attempt(self) -> None:
-        """A second refusal costs more than a first; a retry is late however short it has waited."""
+        """Refusing a caller a second time costs more than the first time, so a retry waits longer.
+
+        A retry counts as late from the start, however short it has waited.
+        """
         retry = ReservationRequest(3000, 0.9, 60.0, is_retry=True)
         assert retry.is_late(0.0)
         assert retry.max_wait_s == pytest.approx(RETRY_VALUE / WAIT_COST_PER_S)
@@ -79,7 +85,7 @@
     def test_wait_ends_before_the_caller_times_out(
         self, target_s: float, max_pause_s: float, is_retry: bool, first_event_s: float
     ) -> None:
-        """The first event is on its way before the caller's event timeout."""
+        """The wait ends early enough to send the first event before the caller's event timeout."""
         timeout_s = stream_event_timeout_s(target_s, max_pause_s)
         request = ReservationRequest(
             3000,
@@ -92,7 +98,7 @@
         assert request.max_wait_s + request.first_event_s < timeout_s
 
     def test_answer_that_cannot_end_in_time_is_not_started(self) -> None:
-        """Neither a short answer with two seconds left nor a long one with nine is started."""
+        """A short answer with 2 s until its deadline is not started, nor is a long one with 9 s."""
         assert make_request(2.0).max_wait_s < 0
         long_request = ReservationRequest(3000, 0.9, 9.0, service_s=11.0)
         assert long_request.max_wait_s < 0
@@ -100,31 +106,40 @@
 
 
 class TestPredictions:
-    """How a prediction of free memory changes the wait."""
+    """How the predicted time at which memory becomes free changes the maximum wait."""
 
     def test_late_request_is_refused_when_memory_frees_too_late(self) -> None:
-        """The refusal comes at once, not after the longest wait, also if the prediction worsens."""
+        """The request is refused at once instead of after its maximum wait.
+
+        It is also refused if the prediction becomes too late only while the request waits.
+        """
         retry = make_request(is_retry=True)
         assert retry.should_keep_waiting(0.0, retry.max_wait_s - 0.1)
         assert not retry.should_keep_waiting(0.0, retry.max_wait_s + 0.1)
         assert not retry.should_keep_waiting(1.0, retry.max_wait_s - 0.5)
 
     def test_request_that_may_be_in_time_ignores_the_prediction(self) -> None:
-        """Such a request goes before the late ones that delay the prediction, until it is late."""
+        """The predicted delay comes from late requests, which get memory only after this one.
+
+        Once the request is late itself, the prediction applies to it, too.
+        """
         first_attempt = make_request()
         assert first_attempt.should_keep_waiting(0.0, 60.0)
         assert not first_attempt.should_keep_waiting(first_attempt.max_in_time_wait_s, 60.0)
 
     def test_request_waits_without_a_prediction(self) -> None:
-        """An instance that has just started refuses no request for lack of a prediction."""
+        """An instance that has just started has no prediction and must not refuse requests."""
         assert make_request(is_retry=True).should_keep_waiting(1.0, None)
 
 
 class TestCallerRetryDetector:
-    """Which requests are caller retries."""
+    """Which requests are recognized as caller retries, by how long their callers would wait."""
 
     def test_shorter_wait_marks_a_retry(self) -> None:
-        """Each route has its own longest wait."""
+        """A request whose caller waits less than the longest known wait of the route is a retry.
+
+        The longest wait of one route does not apply to other routes.
+        """
         detector = CallerRetryDetector()
         assert [detector.record_request("a", wait) for wait in (14.0, 14.0, 11.0, 13.9)] == [
             False,
@@ -135,7 +150,7 @@
         assert not detector.record_request("b", 4.0)
 
     def test_one_long_wait_is_forgotten(self) -> None:
-        """One caller with a longer wait does not mark all other requests as retries for ever."""
+        """One caller with a long timeout must not make all first attempts look like retries."""
         detector = CallerRetryDetector()
         detector.record_request("a", 60.0)
         assert detector.record_request("a", 14.0)
@@ -143,7 +158,11 @@
         assert not last
 
     def test_reused_connections_show_the_waits_of_first_attempts(self) -> None:
-        """Waits of callers differ by 15 in 100, and retries come on new connections."""
+        """Callers open a new connection for a retry, so requests on reused ones are first attempts.
+
+        The waits of callers differ by 15 in 100; without reused connections, shorter ones
+        would look like retries.
+        """
         detector = CallerRetryDetector()
         for number in range(8):
             assert not detector.record_request("a", 12.2 + 0.25 * number, connection_reused=True)
@@ -157,7 +176,7 @@
     """The order in which waiting requests try to reserve memory."""
 
     def test_late_requests_are_behind_those_that_may_be_in_time(self) -> None:
-        """A retry is behind a newer first attempt, and so is a request that has waited too long."""
+        """A retry is served after a newer first attempt, as is a request that is late by now."""
         queue = ReservationQueue()
         old = queue.add(make_request(), 0.0)
         retry = queue.add(make_request(is_retry=True), 0.1)
@@ -172,10 +191,10 @@
         assert len(queue.requests_ahead(retry, late)) == 1
 
     @given(st.lists(st.tuples(st.integers(1, 9), st.booleans()), min_size=1, max_size=9))
-    def test_first_may_always_try_and_others_only_for_less(
+    def test_later_request_may_try_only_if_smaller_than_all_before_it(
         self, rows: list[tuple[int, bool]]
     ) -> None:
-        """An engine without capacity for a small reservation has none for a larger one."""
+        """An engine that refused a reservation because of its size refuses larger ones, too."""
         queue = ReservationQueue()
         requests = {
             queue.add(request, at / 100): request
@@ -205,12 +224,13 @@
 
 
 class TestStoppedAnswers:
-    """How many answers a simulated engine stops, by the reserved part of their estimates."""
+    """How many answers a simulated engine stops if it reserves only a part of the estimates."""
 
     def test_reserving_the_full_estimate_stops_fewer_answers(self) -> None:
         """A full engine stops 213 of 1,967 answers; with three quarters reserved, 266 of 2,027.
 
-        As many answers end whole, because an answer that is admitted earlier is stopped later.
+        The number of answers that end whole is the same, because an answer that is admitted
+        earlier is stopped later.
         """
         stopped, ended = simulate_full_engine(reserve_estimate)
         stopped_reduced, ended_reduced = simulate_full_engine(
@@ -231,11 +251,11 @@
 
 
 def simulate_full_engine(reserve: Callable[[int, int], int]) -> tuple[int, int]:
-    """Simulate an engine with requests always waiting for it.
+    """Simulate an engine for which requests always wait; return two numbers of answers.
 
-    It admits a request when its reservation fits beside the memory that is in use by then. Callers'
-    estimates are right in the median and off by half. Returns how many answers were stopped because
-    memory ran out, and how many ended whole.
+    The first number counts the answers that were stopped because memory ran out, the second one
+    those that ended whole. The engine admits a request when its reservation fits beside the
+    memory that is in use by then. Callers' estimates are right in the median and off by half.
     """
     rng = random.Random(4)
     running: list[list[int]] = []  # prompt tokens, produced tokens, answer tokens
@@ -264,10 +284,10 @@
 
 
 class TestEnginesToTry:
-    """Which engines are tried, and in which order."""
+    """Which decode engines an instance tries for a reservation, and in which order."""
 
     def test_emptiest_engine_is_tried_first(self) -> None:
-        """Engines are ordered by the tokens that this instance has reserved there."""
+        """Engines are ordered by the number of tokens that this instance has reserved on them."""
         stats = {
             "a": ServerStats(reserved_tokens=9000),
             "b": ServerStats(reserved_tokens=100),
@@ -284,7 +304,7 @@
         assert [server.incarnation_id for server in engines] == ["c", "b", "a"]
 
     def test_full_engine_is_skipped_for_a_while(self) -> None:
-        """Late requests skip it for longer than requests that may be in time."""
+        """Late requests skip a full engine for longer than requests that may be in time."""
         stats = {"a": ServerStats(full_until=1.0)}
 
         def count_tried(now: float, refusal_pause_s: float) -> int:
@@ -311,7 +331,7 @@
 
     @pytest.mark.parametrize("limited_until", [1.0, 9.0])
     def test_engine_at_its_limit_is_not_tried(self, limited_until: float) -> None:
-        """The limit holds for all instances, so the engine is not even picked as the only one."""
+        """An engine at its advertised limit is not picked even if it is the only one."""
         stats = {
             "a": ServerStats(limited_until=limited_until),
             "b": ServerStats(reserved_tokens=500),
@@ -326,7 +346,7 @@
         assert picked is None
 
     def test_engine_that_refused_is_the_last_choice(self) -> None:
-        """An engine that changes its role refuses requests for seconds."""
+        """An engine that changes its role refuses all requests for some seconds."""
         stats = {"a": ServerStats(full_until=5.0), "b": ServerStats(open_requests=50)}
         choice = {"zone": "z", "now": 1.0, "rng": RNG}
         both = pick_server(map(decode_engine, "ab"), stats.__getitem__, **choice)  # type: ignore[arg-type]
@@ -337,7 +357,7 @@
 
 
 def test_refused_requests_get_different_retry_delays() -> None:
-    """A refused burst must not be retried as one, with a prediction or without."""
+    """Requests refused together must not retry together, with or without a prediction."""
     for free_s in (None, 4.0):
         times = [retry_delay_s(RNG, None, free_s) for _ in range(50)]
         assert max(times) - min(times) > 1.0
@@ -345,14 +365,14 @@
 
 
 def test_retry_delay_follows_the_prediction() -> None:
-    """The delay stays within the jitter, and within the time in which the request can be served."""
+    """The delay has some jitter and never becomes too long to serve the retry in time."""
     request = ReservationRequest(3000, 0.9, 14.0, service_s=3.0)
     assert all(1.8 <= retry_delay_s(RNG, request, 2.0) <= 2.6 for _ in range(50))
     assert all(retry_delay_s(RNG, request, 30.0) == pytest.approx(10.5) for _ in range(5))
 
 
 def test_long_answer_is_retried_while_there_is_time() -> None:
-    """Eleven of fourteen seconds are needed, so the retry comes within the three that are left."""
+    """Serving takes 11 of the 14 s until the deadline, so the caller must retry within 3 s."""
     long_request = ReservationRequest(3000, 0.9, 14.0, service_s=11.0)
     assert all(0.3 <= retry_delay_s(RNG, long_request) <= 2.5 for _ in range(50))
     short_request = ReservationRequest(3000, 0.9, 14.0, service_s=2.0)
--- a/tests/test_server_signals.py
+++ b/tests/test_server_signals.py
@@ -58,14 +58,14 @@
 
 
 def arrivals_after(replica: FakeReplica, at: float) -> list[float]:
-    """Return when requests reached a server after a time, in seconds from that time."""
+    """Return when requests reached a server after *at*, in seconds from then."""
     return [round(each.at - at, 2) for each in replica.arrivals if each.at > at]
 
 
 async def send_while_server_leaves(
     fleet: LimitedFleet, leaving: FakeReplica, path: str, **options: str
 ) -> float:
-    """Send requests for 8 s, have the server announce after 2 s that it leaves; return when."""
+    """Send requests for 8 s; return when, after 2 s, the server announced that it is leaving."""
     send_requests = partial(
         fleet.send_at_rate, path, per_s=OFFERED_PER_S, duration_s=8.0, **options
     )
@@ -78,12 +78,12 @@
 
 
 class TestLeaving:
-    """A server says in its responses that it is leaving; its entry does not change."""
+    """A server announces in its responses that it is leaving, while its entry stays as it is."""
 
     @pytest.mark.parametrize("instances", [1, 3])
     @pytest.mark.parametrize("path", ["/once/a", "/safe/a"])
-    def test_gets_no_further_calls(self, path: str, instances: int) -> None:
-        """The other server serves every caller."""
+    def test_leaving_server_gets_no_further_calls(self, path: str, instances: int) -> None:
+        """The other server serves all callers, so that none notices the shutdown."""
         fleet = LimitedFleet(instances)
         leaving = fleet.add("i-leaving")
         fleet.add("i-other")
@@ -98,8 +98,8 @@
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 8)}
 
     @pytest.mark.parametrize("role", ["prefill", "decode"])
-    def test_gets_no_further_streams(self, role: str) -> None:
-        """A prefill engine gets no prompts, a decode engine no streams and no reservation calls."""
+    def test_leaving_engine_gets_no_further_streams(self, role: str) -> None:
+        """A leaving prefill engine gets no prompts, a decode engine no reservation calls either."""
         fleet = LimitedFleet()
         prefill_engine = fleet.add("i-reader", "llm", "prefill")
         decode_engine = fleet.add("i-writer", "llm", "decode", behave=stream, room=10_000)
@@ -124,8 +124,8 @@
         assert reserved == 0
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 9)}
 
-    def test_instance_notifies_the_others(self) -> None:
-        """Instances that got no such response send the server nothing either."""
+    def test_instance_notifies_the_others_of_a_leaving_server(self) -> None:
+        """The other instances learn it before they send a request to the leaving server."""
         fleet = LimitedFleet(2)
         leaving = fleet.add("i-leaving")
         fleet.add("i-other")
@@ -142,8 +142,8 @@
         fleet.run(scenario, UNSAFE_ROUTE)
         assert len(leaving.arrivals) == 1
 
-    def test_rewritten_entry_does_not_end_it(self) -> None:
-        """Entries are written late, and lapse and come back with the store."""
+    def test_rewritten_entry_does_not_make_a_leaving_server_available(self) -> None:
+        """An entry may be written late, or again after an outage of the store."""
         fleet = LimitedFleet(1)
         leaving = fleet.add("i-leaving")
         fleet.add("i-other")
@@ -162,8 +162,8 @@
         fleet.run(scenario, UNSAFE_ROUTE)
         assert arrivals_after(leaving, leaving_at + MAX_REACTION_S) == []
 
-    def test_next_incarnation_gets_requests(self) -> None:
-        """A restarted server under the same name gets requests at once."""
+    def test_next_incarnation_of_a_leaving_server_gets_requests(self) -> None:
+        """The server restarts under the same name, with a later start time in its entry."""
         fleet = LimitedFleet(1)
         leaving = fleet.add("i-leaving", born=1)
         other = fleet.add("i-other")
@@ -182,7 +182,7 @@
         assert other.arrivals
 
     def test_callers_are_refused_at_once_if_all_servers_leave(self) -> None:
-        """The refusal is the same as if there were no server."""
+        """Callers must not wait for servers that will accept no more requests."""
         fleet = LimitedFleet(1)
         servers = [fleet.add(f"i-{number}") for number in range(2)]
         leaving_at = 0.0
@@ -205,11 +205,11 @@
 
 
 class TestBackoff:
-    """A server refuses a request and asks the instance for backoff."""
+    """A server refuses a request and asks the instance to send none for some time."""
 
     @pytest.mark.parametrize("backoff_s", [0.9, REST_S, 12.0])
-    def test_gets_no_further_calls(self, backoff_s: float) -> None:
-        """The whole backoff is kept, also if it exceeds the pause that an instance would choose."""
+    def test_server_in_backoff_gets_no_further_calls(self, backoff_s: float) -> None:
+        """The backoff may be longer than the pause that an instance would choose by itself."""
         fleet = LimitedFleet(1)
         backoff = Resting(backoff_s)
         server = fleet.add("i-resting", behave=backoff)
@@ -224,8 +224,8 @@
         assert len(server.arrivals) >= 2
         assert fleet.count_statuses()[503] == len(server.arrivals)
 
-    def test_gets_few_further_calls_if_all_servers_back_off(self) -> None:
-        """Callers are told at once in how many seconds the first backoff ends."""
+    def test_servers_get_few_calls_if_all_are_in_backoff(self) -> None:
+        """Callers are refused at once, with the seconds until the first backoff ends."""
         fleet = LimitedFleet(1)
         backoffs = [Resting(REST_S), Resting(2 * REST_S)]
         servers = [
@@ -248,8 +248,8 @@
             0.0 <= each.sent_at + each.retry_after_s - first_end < 1.5 for each in both_known
         )
 
-    def test_waiting_caller_is_refused_at_once(self) -> None:
-        """Both servers back off while an earlier call occupies the service's window of one call."""
+    def test_waiting_caller_is_refused_once_all_servers_are_in_backoff(self) -> None:
+        """The last call waits because the refusals have reduced the window to one open call."""
         fleet = LimitedFleet(1)
         for number in range(2):
             fleet.add(f"i-{number}", behave=behave_as_body_says)
@@ -268,7 +268,7 @@
         assert (last.status, last.response_s < 0.1) == (503, True)
 
     def test_caller_waits_for_short_backoff(self) -> None:
-        """A request that can still be served in time waits instead of being refused."""
+        """The backoff ends in time to serve the caller, so a refusal would be needless."""
         fleet = LimitedFleet(1)
         backoff = Resting(0.4)
         fleet.add("i-resting", behave=backoff)
@@ -282,7 +282,7 @@
         assert [each.status for each in fleet.outcomes] == [503, 200]
 
     def test_refused_caller_may_retry_before_backoff_ends(self) -> None:
-        """Another server takes requests, so the caller need not wait for the end of the backoff."""
+        """Another server takes requests, so the Retry-After is shorter than the backoff."""
         fleet = LimitedFleet(1)
         backoff = Resting(12.0)
         fleet.add("i-resting", behave=backoff)
@@ -298,8 +298,8 @@
         [Resting(status=429), Resting(status=503), Resting(fields=(("x-server-seal", "s"),))],
         ids=["429", "503", "503-without-not-executed"],
     )
-    def test_each_kind_of_refusal_starts_it(self, backoff: Resting) -> None:
-        """A refusal that does not say that nothing ran counts too; it goes to the caller."""
+    def test_each_kind_of_refusal_starts_the_backoff(self, backoff: Resting) -> None:
+        """A refusal may lack the field that says that nothing was executed; it counts as well."""
         fleet = LimitedFleet(1)
         server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
@@ -307,8 +307,8 @@
         send_calls(fleet, "/safe/a", duration_s=6.0)
         assert backoff.most_in_rest(server) == 0
 
-    def test_gets_few_retries(self) -> None:
-        """A call that failed on the other server is not retried on this one."""
+    def test_server_in_backoff_gets_few_retries(self) -> None:
+        """Each call fails on the other server, but must not be retried on this one."""
         fleet = LimitedFleet(1)
         backoff = Resting()
         server = fleet.add("i-resting", behave=backoff)
@@ -318,8 +318,8 @@
         assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
 
     @pytest.mark.parametrize("others", [0, 5])
-    def test_gets_few_streams(self, others: int) -> None:
-        """A decode engine backs off; the others serve all callers but the few that it refused."""
+    def test_decode_engine_in_backoff_gets_few_streams(self, others: int) -> None:
+        """The other engines serve all callers except those that the engine in backoff refused."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         backoff = Resting()
@@ -346,8 +346,8 @@
                 <= 8.0 / REST_S + 1
             )
 
-    def test_gets_few_reservation_calls(self) -> None:
-        """An engine without capacity is asked no earlier than it said either."""
+    def test_engine_in_backoff_gets_few_reservation_calls(self) -> None:
+        """The engine has no capacity; checking for some must wait for the end of the backoff."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         backoff = Resting()
@@ -361,8 +361,8 @@
             <= 3 + 8.0 / REST_S * MAX_REQUESTS_IN_BACKOFF
         )
 
-    def test_prefill_engine_gets_no_prompts(self) -> None:
-        """The decode engine processes the prompts meanwhile."""
+    def test_prefill_engine_in_backoff_gets_no_prompts(self) -> None:
+        """The decode engine processes the prompts meanwhile, so that every caller is served."""
         fleet = LimitedFleet(1)
         backoff = Resting()
         server = fleet.add("i-resting", "llm", "prefill", read=backoff)
@@ -372,8 +372,8 @@
         assert backoff.most_in_rest(server) == 0
         assert fleet.count_statuses() == {200: int(OFFERED_PER_S * 8)}
 
-    def test_gets_few_resumed_streams(self) -> None:
-        """The streams broke off at the other engine."""
+    def test_engine_in_backoff_gets_few_resumed_streams(self) -> None:
+        """Streams that break off at the other engine must not resume on this one."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill")
         backoff = Resting()
@@ -384,8 +384,8 @@
         assert backoff.told
         assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
 
-    def test_earlier_reservations_are_not_used(self) -> None:
-        """The prompts are processed elsewhere meanwhile, and another engine decodes the answers."""
+    def test_earlier_reservations_on_an_engine_in_backoff_are_not_used(self) -> None:
+        """The backoff begins while prompts are processed; another engine decodes the answers."""
         fleet = LimitedFleet(1)
         fleet.add("i-reader", "llm", "prefill", read_s=0.8)
         backoff = Resting()
@@ -395,8 +395,8 @@
         send_streams(fleet)
         assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
 
-    def test_shorter_value_does_not_shorten_it(self) -> None:
-        """The last of several concurrent requests is refused with a shorter time."""
+    def test_shorter_backoff_does_not_replace_a_longer_one(self) -> None:
+        """Two concurrent requests are refused, the later one with a shorter backoff."""
         fleet = LimitedFleet(1)
         backoff = Resting(REST_S, after_s=0.2)
         server = fleet.add("i-resting", behave=backoff)
@@ -420,7 +420,7 @@
         assert backoff.most_in_rest(server) == 0
 
     def test_backoff_survives_missing_entry(self) -> None:
-        """An entry may lapse though its server runs."""
+        """An entry may lapse in an outage of the store although its server still runs."""
         fleet = LimitedFleet(1)
         backoff = Resting(8.0)
         server = fleet.add("i-resting", behave=backoff)
@@ -437,8 +437,8 @@
         fleet.run(scenario, UNSAFE_ROUTE)
         assert len(server.arrivals) == 1
 
-    def test_next_incarnation_gets_requests(self) -> None:
-        """A restarted server under the same name gets requests before the old backoff ends."""
+    def test_next_incarnation_of_a_server_in_backoff_gets_requests(self) -> None:
+        """The restarted server has asked for nothing, so it gets requests before the old end."""
         fleet = LimitedFleet(1)
         backoff = Resting(60.0)
         server = fleet.add("i-resting", behave=backoff, born=1)
@@ -458,8 +458,8 @@
         assert set(fleet.count_statuses()) == {200, 503}
         assert fleet.count_statuses()[503] == len(backoff.told)
 
-    def test_server_gets_its_share_afterwards(self) -> None:
-        """The server gets its share of the requests once its backoff is over."""
+    def test_server_gets_its_share_after_its_backoff(self) -> None:
+        """The server gets requests within a second, and soon as many as the other server."""
         fleet = LimitedFleet(1)
         backoff = Resting(REST_S, serve=slowly)
         server = fleet.add("i-resting", behave=backoff)
@@ -477,7 +477,11 @@
 
 
 async def behave_as_body_says(replica: FakeReplica, exchange: Exchange) -> None:
-    """Run a request, refuse it, or refuse it with backoff, after the delay in its body."""
+    """Wait as long as the body says, then run the request or refuse it.
+
+    The body is "run", "full" (a refusal) or "rest" (a refusal with a backoff of 3 s), and the
+    delay in seconds.
+    """
     action, _, after_s = exchange.req.body.decode().partition(" ")
     await curio.sleep(float(after_s or 0))
     if action == "run":
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -38,7 +38,7 @@
 
 
 def ready_s(instances: int) -> float:
-    """Return the seconds after which a fleet of this size is ready."""
+    """Return the seconds after which a fleet of this size has leased out all its shares."""
     return READY_S + 0.12 * instances
 
 
@@ -61,7 +61,7 @@
     duration_s: float = 20.0,
     **options: float,
 ) -> tuple[LimitFleet, float]:
-    """Return a fleet that callers sent requests to for some time, and when they began."""
+    """Return a fleet to which callers sent requests for some time, and when they began."""
     fleet = LimitFleet(instances, per_s)
     fleet.start()
     begin = ready_s(instances)
@@ -71,7 +71,7 @@
 
 
 class LoneMembership(Membership):
-    """Membership of an instance that counts only itself."""
+    """The membership of an instance that counts only itself."""
 
     @property
     def fleet_size(self) -> int:
@@ -80,7 +80,7 @@
 
 
 class TestAboveTheLimit:
-    """Callers request many times the server's limit."""
+    """Callers send many times as many requests as the server's limit allows."""
 
     @pytest.mark.parametrize(
         ("instances", "per_s"),
@@ -90,7 +90,7 @@
         ],
     )
     def test_server_gets_its_full_limit(self, instances: int, per_s: float) -> None:
-        """The server gets at least nine tenths of its limit, and never more than is allowed."""
+        """The server gets at least nine tenths of its limit and never more than is allowed."""
         duration_s = max(20.0, 8 / per_s)
         fleet, begin = run_fleet(instances, per_s, requests_per_s=5 * per_s, duration_s=duration_s)
         assert fleet.arrived(begin, begin + duration_s) >= 0.9 * per_s * duration_s - 1
@@ -104,7 +104,7 @@
         assert fleet.max_requests_in_window() <= max_allowed_in_window(per_s)
 
     def test_permits_are_granted_for_a_later_time_within_the_allowed_wait(self) -> None:
-        """A request that may wait gets a permit with its send time; another is refused at once."""
+        """A request that may wait gets a permit for a later time; another is refused at once."""
         fleet, begin = run_fleet(5, 10.0, requests_per_s=20.0, within_s=0.5)
         assert max(fleet.tally.waits) <= 0.5
         assert fleet.tally.refused >= 100
@@ -113,21 +113,21 @@
 
 
 class TestBelowTheLimit:
-    """Callers request less than the server's limit."""
+    """Callers send fewer requests than the server's limit allows."""
 
     @pytest.mark.parametrize("instances", [3, 31, 68])
     def test_few_requests_are_refused(self, instances: int) -> None:
-        """An equal share for each instance would be less than one request in seven seconds."""
+        """With an equal share, each instance could send less than one request in seven seconds."""
         fleet, _ = run_fleet(instances, PER_S, requests_per_s=0.8 * PER_S)
         total = len(fleet.tally.arrived) + fleet.tally.refused
         assert fleet.tally.refused <= 0.05 * total
 
 
 class TestPartitions:
-    """Instances that cannot reach each other, or the store."""
+    """Instances that are cut off from each other or from the store."""
 
     def test_each_half_allocates_the_shares_of_its_own_instances(self) -> None:
-        """Together the halves send most of what the server accepts, and no more."""
+        """Together the halves send most of the requests that the server allows, and no more."""
         fleet = LimitFleet(6, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -140,7 +140,7 @@
         assert fleet.arrived(READY_S + 5.0, READY_S + 30.0) >= 0.75 * PER_S * 25.0
 
     def test_isolated_instance_uses_its_local_share(self) -> None:
-        """An isolated instance of five sends a fifth of what the server accepts."""
+        """One isolated instance of five sends a fifth of the requests that the server allows."""
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -152,7 +152,7 @@
         assert 0.7 * PER_S / 5 * 35.0 <= arrived <= 1.1 * PER_S / 5 * 35.0 + 2
 
     def test_isolated_instances_of_a_large_fleet_stay_within_the_limit(self) -> None:
-        """One request of each of 31 instances at once would exceed the limit."""
+        """If 31 isolated instances each sent a request at once, the server would get too many."""
         fleet = LimitFleet(31, PER_S)
         fleet.start()
         fleet.run(ready_s(31))
@@ -166,7 +166,7 @@
         assert fleet.arrived(begin, begin + 1.0) <= max_allowed_in_window(PER_S)
 
     def test_permits_are_granted_while_the_store_is_unreachable(self) -> None:
-        """Permits and share leases need no call to the store."""
+        """Instances exchange permits and share leases directly and need no call to the store."""
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -178,7 +178,7 @@
         assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
 
     def test_standby_allocates_after_the_allocator_died(self) -> None:
-        """The second allocator grants permits as soon as the first is unresponsive."""
+        """The second allocator grants permits as soon as the first one stops responding."""
         fleet = LimitFleet(5, PER_S)
         fleet.start()
         fleet.run(READY_S)
@@ -204,10 +204,14 @@
 
 
 class TestShareLeases:
-    """A share that is leased out is used by no other instance during the lease."""
+    """While a share is leased out, only the instance that holds the lease uses it."""
 
     def test_lease_is_timed_by_the_borrowers_clock(self) -> None:
-        """The lender returns the latest time of that clock that it has received."""
+        """A lease carries the last time of the borrower's clock that its lender received.
+
+        The borrower counts the duration of the lease from that time, so a slow message
+        cannot extend it.
+        """
         borrower = make_shared_limits()
         lease = ShareLease(borrower.stamp(10.0), duration_s=2.4, fleet_size=5)
         borrower.accept_lease(SERVER, "there", lease, 11.0)
@@ -217,10 +221,10 @@
 
     @pytest.mark.parametrize("moment", [(2, 10.0), (1, 30.0), (1, 12.0)])
     def test_lease_with_invalid_or_old_stamp_is_ignored(self, moment: tuple[int, float]) -> None:
-        """The stamp is of another incarnation or from the future, or its lease has ended.
+        """Stamps of another incarnation, from the future or of an ended lease are invalid.
 
-        A lease message that was delayed by seconds arrives when its lender may have leased the
-        share to another instance.
+        A lease message that was delayed by seconds arrives when its lender may have leased
+        the share to another instance.
         """
         borrower = make_shared_limits()
         lease = ShareLease(ClockStamp(*moment), duration_s=2.4, fleet_size=5)
@@ -228,7 +232,7 @@
         assert borrower.leased_fraction(SERVER) == 0.0
 
     def test_share_is_leased_to_one_instance_at_a_time(self) -> None:
-        """Neither another instance nor the lender itself may use the share during the lease."""
+        """During a lease, the lender neither uses the share nor leases it to another instance."""
         lender = make_shared_limits()
         for borrower in ("n1", "n2"):
             lender.record_response(borrower, ClockStamp(7, 1.0))
@@ -240,7 +244,7 @@
         assert lender.lease_out(SERVER, "n2", 13.5) is not None
 
     def test_leases_start_after_those_of_the_earlier_incarnation(self) -> None:
-        """The borrower of the earlier incarnation's share is not known."""
+        """A restarted lender does not know to whom its earlier incarnation leased the share."""
         lender = make_shared_limits(now=100.0)
         lender.record_response("n1", ClockStamp(7, 1.0))
         assert lender.lease_out(SERVER, "n1", 102.3) is None
@@ -248,19 +252,19 @@
         assert lender.leased_fraction(SERVER) == 0.0
         assert lender.lease_out(SERVER, "n1", 102.5) is not None
 
-    def test_lease_needs_a_stamp(self) -> None:
-        """An instance that has not responded yet has sent no time of its clock."""
+    def test_share_is_leased_only_after_the_borrower_responded(self) -> None:
+        """A lease needs a time of the borrower's clock, which comes with its responses."""
         assert make_shared_limits().lease_out(SERVER, "n1", 10.0) is None
 
     def test_no_lease_after_the_records_are_too_old(self) -> None:
-        """Other instances may have dropped this one by then, and use larger shares."""
+        """Other instances may have dropped this one from the fleet and use larger shares."""
         lender = make_shared_limits()
         lender.record_response("n1", ClockStamp(7, 1.0))
         assert lender.lease_out(SERVER, "n1", FLEET_RETENTION_S - MAX_STALE_READ_S) is not None
         assert lender.lease_out(SERVER, "n1", FLEET_RETENTION_S) is None
 
     def test_lost_instance_is_counted_while_it_may_use_its_share(self) -> None:
-        """An instance whose record has ended is counted for two minutes; shares stay small."""
+        """An instance whose record ended counts for two minutes, so no share grows before."""
         membership = Membership("here", 0.0)
         membership.apply_records({each: f"{each}:1" for each in NAMES}, 0.0)
         membership.apply_records({"here": "here:1"}, 100.0)
@@ -270,17 +274,17 @@
 
 
 class TestPermitPool:
-    """The permits that one instance grants for one server."""
+    """The pool from which an instance grants permits for one server."""
 
     def test_pool_starts_empty(self) -> None:
-        """Requests that were sent before the pool existed are not known."""
+        """The server may have got requests that were sent before the pool existed."""
         pool = PermitPool(PER_S, 0.0)
         pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
         assert not pool.take_permit(0.0, 1, 0.0).granted
         assert pool.take_permit(0.0, 1, 1 / PER_S).granted
 
     def test_returned_permit_can_be_granted_again(self) -> None:
-        """Returned permits are available again, up to the burst limit."""
+        """A returned permit adds to the available ones, which never exceed the burst limit."""
         pool = PermitPool(PER_S, 0.0)
         pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
         assert pool.take_permit(0.0, 1, 1 / PER_S).granted
@@ -292,7 +296,10 @@
     def test_pools_together_stay_within_the_allowed_total(
         self, per_s: float, weights: list[float]
     ) -> None:
-        """The sum covers a window and the time before it by which a request may be late."""
+        """All pools together grant no more requests than the server allows in a window.
+
+        Requests that were granted before the window count, too, if they may arrive in it.
+        """
         total = sum(weights) or 1.0
         fractions = [weight / total for weight in weights]
         rate = max(per_s, MIN_RATE_PER_S)
@@ -304,10 +311,10 @@
 
 
 class TestFleet:
-    """Share leases in a simulated fleet."""
+    """Leases of shares in a simulated fleet of instances."""
 
     def test_delayed_lease_message_is_ignored(self) -> None:
-        """A frozen instance reads the message when its lender has leased the share elsewhere."""
+        """A frozen instance reads the message when the share is leased to another instance."""
         fleet = LimitFleet(5, 40.0)
         fleet.start()
         fleet.run(READY_S)
@@ -340,7 +347,7 @@
 
 
 class TestLimitIsNeverExceeded:
-    """The requests of all instances, in any window, under any faults between them."""
+    """The requests of all instances in any window, under any faults between the instances."""
 
     @SIMULATION_SETTINGS
     @given(
@@ -360,7 +367,7 @@
         per_s: float,
         within_s: float,
     ) -> None:
-        """Callers request many times the limit all the time."""
+        """All the time, callers send many times as many requests as the limit allows."""
         fleet = LimitFleet(instances, per_s, seed=seed, loss=loss, late=True)
         fleet.start()
         for kind, at, duration_s, one, other in faults:
@@ -373,7 +380,7 @@
 
     @pytest.mark.parametrize("instances", [68, 300])
     def test_limit_holds_in_large_fleets(self, instances: int) -> None:
-        """A third of the instances are cut off from the rest, a tenth freeze, a tenth restart."""
+        """A third of the instances is cut off from the rest, a tenth freezes, a tenth restarts."""
         fleet = LimitFleet(instances, PER_S, loss=0.03, late=True)
         fleet.start()
         begin = ready_s(instances)
@@ -395,12 +402,12 @@
 class TestComparedWithEqualShares:
     """Shares leased to one instance compared with shares that each instance uses alone.
 
-    Both get the same requests; `pytest -rP -k Compared` prints the figures.
+    Both ways get the same requests; `pytest -rP -k Compared` prints the figures.
     """
 
     @pytest.mark.parametrize("instances", [5, 31, 68])
     def test_equal_shares_exceed_the_limit_in_large_fleets(self, instances: int) -> None:
-        """Callers of all instances send at once every ten seconds, and evenly between."""
+        """Callers of all instances send requests at once every ten seconds, and evenly between."""
         fleet = LimitFleet(instances, PER_S)
         fleet.start()
         begin, duration_s = ready_s(instances), 40.0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -46,7 +46,7 @@
 
 
 def history(**more: Any) -> History:
-    """Return a history in which one request ran and was answered, and no invariant was violated."""
+    """Return a history in which one request ran and was answered; every invariant holds."""
     valid: dict[str, Any] = {
         "seen": [seen("q1")],
         "probes": [],
@@ -61,14 +61,14 @@
     return History(**{**valid, **more})
 
 
-def broken(found: History) -> list[str]:
+def violated_invariants(found: History) -> list[str]:
     """Return the invariants that the checker reports as violated."""
     return [verdict.promise for verdict in check(found) if verdict.broken]
 
 
 def test_history_without_faults_violates_no_invariant() -> None:
-    """The tests below rely on it: each changes this history in one way."""
-    assert broken(history()) == []
+    """Each test below changes this history in one way, so what it finds comes from the change."""
+    assert violated_invariants(history()) == []
 
 
 STOP = InjectedFault("stop", "gateway-0", T0 - 1, T0 + 5, planned=True)
@@ -209,13 +209,13 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_checker_reports_the_violated_invariant(fault: str) -> None:
-    """Each fault in the history is reported under the invariant that it violates."""
+    """The parameter names a fault; the checker must report the invariant that FAULTS lists."""
     invariant, differs = FAULTS[fault]
-    assert invariant in broken(history(**differs))
+    assert invariant in violated_invariants(history(**differs))
 
 
 def test_draws_of_an_episode_are_independent_of_others() -> None:
-    """The seed fixes the schedule: the draws of an episode don't depend on how many others made."""
+    """A seed fixes the schedule, so the draws of one episode must not shift those of the next."""
     faults = FaultInjector(cast(Fleet, None), 5)
     first = faults._with_own_rng(2)._rng.random()
     faults._with_own_rng(1)._rng.random()
@@ -225,34 +225,34 @@
 
 
 class TestExcuses:
-    """Faults that excuse an instance, and others that don't."""
+    """Injected faults that excuse an instance for a violated invariant, and others that don't."""
 
     def test_instance_cut_off_from_store_may_be_late(self) -> None:
-        """The path to the store was cut until a moment ago."""
+        """The path to the store was cut until 1 s before the instance still had the old version."""
         cut = InjectedFault("store-path-silent", "gateway-0/store", T0 - 20, T0 - 1)
         late = Probe("gateway-0", 1, 1, T0, False)
-        assert broken(history(probes=[late], troubles=[cut])) == []
+        assert violated_invariants(history(probes=[late], troubles=[cut])) == []
 
     def test_instance_cut_off_from_store_must_not_revert(self) -> None:
-        """The path to the store is cut, but the instance has had the version in force before."""
+        """Without the store, the instance must keep the version that it has applied already."""
         cut = InjectedFault("store-path-silent", "gateway-0/store", T0 - 20, T0 + 20)
         probes = [Probe("gateway-0", 1, 1, T0 + n, known) for n, known in ((0, True), (1, False))]
-        assert broken(history(probes=probes, troubles=[cut])) == [
+        assert violated_invariants(history(probes=probes, troubles=[cut])) == [
             "a configuration is in force and never reverts"
         ]
 
     def test_new_incarnation_may_know_fewer_versions(self) -> None:
-        """The instance was restarted."""
+        """A restarted instance lost the version that it had applied and reads it from the store."""
         probes = [Probe("gateway-0", 1, 1, T0 - 9, True), Probe("gateway-0", 2, 1, T0 - 8.9, False)]
         restart = InjectedFault("kill", "gateway-0", T0 - 9, T0 - 8.9)
-        assert broken(history(probes=probes, troubles=[restart])) == []
+        assert violated_invariants(history(probes=probes, troubles=[restart])) == []
 
     def test_planned_stop_may_lose_requests_of_a_killed_server(self) -> None:
-        """The server that had the request was killed."""
+        """The request was cut because its server was killed, not because the instance stopped."""
         killed = InjectedFault("kill", "plain-a-one-0", T0 + 0.5, T0 + 0.9)
         cut = dataclasses.replace(seen("q1"), **CUT)
         found = history(seen=[cut], troubles=[STOP, killed], calm_from=T0 + 9)
-        assert "a planned stop cuts nothing" not in broken(found)
+        assert "a planned stop cuts nothing" not in violated_invariants(found)
 
     @pytest.mark.parametrize(
         "fault", ["a request to a server that signals leaving", "requests during a backoff"]
@@ -261,10 +261,12 @@
     def test_ignored_signals_are_excused_only_by_own_faults(
         self, fault: str, target: str, excuses: bool
     ) -> None:
-        """A fault of another instance excuses nothing."""
+        """A paused instance may miss a server's signal; a pause of another one excuses nothing."""
         invariant, differs = FAULTS[fault]
         injected = InjectedFault("pause", target, T0 + 0.3, T0 + 0.6)
-        assert (invariant not in broken(history(**differs, troubles=[injected]))) is excuses
+        assert (
+            invariant not in violated_invariants(history(**differs, troubles=[injected]))
+        ) is excuses
 
     def test_planned_stop_may_lose_requests_that_a_killed_server_did_not_record(self) -> None:
         """The killed decode engine had the stream, but only the prefill engine recorded it."""
@@ -275,7 +277,7 @@
         case = {"seen": [stream], "calm_from": T0 + 9, "places": places}
         invariant = "a planned stop cuts nothing"
         found = history(**case, troubles=[STOP, killed], rows=[prefill])
-        assert invariant not in broken(found)
+        assert invariant not in violated_invariants(found)
         # Another server's record shows that the stream was not on the killed one; a kill before the
         # request, or of a server of another service, is no excuse either.
         elsewhere = row("arrival", "q1", server="i-w2")
@@ -286,7 +288,7 @@
         ):
             places["i-w2"] = "llm-decode-2"
             found = history(**case, troubles=[STOP, injected], rows=rows)
-            assert invariant in broken(found)
+            assert invariant in violated_invariants(found)
 
 
 async def _echo(exchange: Exchange) -> None:
@@ -298,10 +300,10 @@
 
 
 class TestProxy:
-    """Path faults of the proxy."""
+    """Faults that the proxy injects into the path to a server."""
 
     def run_with_proxy(self, scenario: Any) -> None:
-        """Run *scenario* with a proxied path to a server that echoes the request's path."""
+        """Run *scenario* with a proxy in front of a server that echoes the request's path."""
         port, target = free_ports(2)
         proxy, log = Proxy(port, target), get_log(program="t")
 
@@ -318,7 +320,7 @@
         "fault", [PathFault.SILENT, PathFault.CUT_TO_TARGET, PathFault.CUT_TO_CALLER]
     )
     def test_cut_holds_bytes_back_until_it_ends(self, fault: PathFault) -> None:
-        """Bytes that a cut holds back are delivered when it ends."""
+        """Like a network that loses packets, a cut delays bytes and does not drop them."""
 
         async def scenario(proxy: Proxy, client: HttpClient) -> None:
             assert (await client.call("GET", "/a")).body == b"/a"
@@ -332,7 +334,7 @@
         self.run_with_proxy(scenario)
 
     def test_reset_closes_open_connections(self) -> None:
-        """The call in progress fails, and new connections work."""
+        """A reset makes the call in progress fail, while later calls on new connections succeed."""
 
         async def scenario(proxy: Proxy, client: HttpClient) -> None:
             proxy.fault = PathFault.CUT_TO_CALLER
@@ -348,7 +350,7 @@
         self.run_with_proxy(scenario)
 
     def test_muted_connections_stay_open_and_new_ones_work(self) -> None:
-        """The call in progress neither ends nor fails: the caller notices only by a time-out."""
+        """A call on a muted connection neither ends nor fails; its caller needs a timeout."""
 
         async def scenario(proxy: Proxy, client: HttpClient) -> None:
             assert (await client.call("GET", "/a")).body == b"/a"
@@ -363,7 +365,7 @@
         self.run_with_proxy(scenario)
 
     def test_byte_rate_applies_to_responses(self) -> None:
-        """A response of 50,000 bytes takes at least 0.4 s at 100,000 bytes a second."""
+        """At 100,000 bytes a second, a response of 50,000 bytes takes at least 0.4 s."""
         port, target = free_ports(2)
 
         async def serve_long(exchange: Exchange) -> None:
@@ -380,7 +382,7 @@
         curio.run(run_until_first_ends, server, Proxy(port, target, 100_000).run, scenario)
 
     def test_connection_to_a_closed_port_is_reset(self) -> None:
-        """A proxied connection fails like a direct one."""
+        """The proxy accepts a connection before it finds the server's port closed."""
         port, target = free_ports(2)
 
         async def scenario() -> None:
@@ -392,10 +394,10 @@
 
 
 class TestRun:
-    """The command line, and real processes under faults."""
+    """The command line of the soak, and a run with real processes."""
 
     def test_seeds_come_from_cases_or_options(self, tmp_path: Path) -> None:
-        """Cases keep their order; the repository's own file, which is run by hand, is valid."""
+        """Cases run in the order of their file; docs/soak-cases.toml must be a valid one, too."""
         cases = tmp_path / "cases.toml"
         cases.write_text("[[case]]\nseed = 7\nseconds = 3\n[[case]]\nseed = 9\nseconds = 4\n")
         parser = make_parser()
@@ -407,14 +409,14 @@
         assert select_seeds(parser.parse_args(["--cases", str(CASES)]))
 
     def test_short_run_violates_no_invariant(self) -> None:
-        """Runs one seed for a few seconds; longer runs are started by hand (docs/FAULTS.md)."""
+        """One seed runs for six seconds; longer runs are started by hand (docs/FAULTS.md)."""
         report = run_seed(1, 6.0)
         assert [verdict for verdict in report.verdicts if verdict.broken] == []
         assert report.requests > 100
         assert report.faults
 
-    def test_unknown_kinds_are_rejected(self, capsys: pytest.CaptureFixture[str]) -> None:
-        """The exit status is 2, and the message lists the known kinds."""
+    def test_unknown_kind_of_fault_is_rejected(self, capsys: pytest.CaptureFixture[str]) -> None:
+        """The exit status is 2, and the message lists the kinds of faults that exist."""
         with pytest.raises(SystemExit) as caught:
             main(["--kinds", "meteor"])
         assert caught.value.code == 2
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -15,41 +15,41 @@
 
 
 class TestWantedPromptEngines:
-    """How many engines should prefill."""
+    """How many engines should have the prefill role."""
 
     def test_moves_engines_to_the_loaded_pool(self) -> None:
-        """Four prefill engines out of nine are too many for long answers."""
+        """Four prefill engines of nine are too many if answers are long, so two must decode."""
         assert wanted_prompt_engines(PoolLoads(0.1, 0.4), 4, 5, MANY_ANSWERS) == 2
 
     def test_small_gain_changes_nothing(self) -> None:
-        """The split stays unless a change lowers the load enough."""
+        """A role change takes an engine out of service, so the load must fall enough for it."""
         assert wanted_prompt_engines(PoolLoads(0.1, 0.2), 2, 4, MANY_ANSWERS) == 2
 
     def test_each_pool_keeps_two_engines(self) -> None:
-        """A crash must not empty a pool, as it could in a run with one prefill engine left."""
+        """With one engine left in a pool, a crash of that engine would leave none for its role."""
         assert wanted_prompt_engines(PoolLoads(0.001, 1.0), 3, 3, MANY_ANSWERS) == 2
         assert wanted_prompt_engines(PoolLoads(1.0, 0.001), 3, 3, MANY_ANSWERS) == 4
 
     def test_few_answers_add_no_prefill_engine(self) -> None:
-        """The first answers to end are short ones, which makes decoding look cheap."""
+        """Short answers end first, so the first measurements make decoding look cheap."""
         assert wanted_prompt_engines(PoolLoads(0.4, 0.1), 2, 7, 20) == 2
         assert wanted_prompt_engines(PoolLoads(0.4, 0.1), 2, 7, MANY_ANSWERS) == 5
 
     def test_one_change_moves_at_most_a_third_of_a_pool(self) -> None:
-        """The measurement may be wrong, and a pool that is left too small costs seconds."""
+        """If the measurement is wrong, requests wait seconds for a pool that became too small."""
         assert wanted_prompt_engines(PoolLoads(0.037, 0.435), 6, 22, MANY_ANSWERS) == 6
         assert wanted_prompt_engines(PoolLoads(0.037, 0.435), 12, 16, MANY_ANSWERS) == 8
         assert wanted_prompt_engines(PoolLoads(1.0, 0.1), 3, 25, MANY_ANSWERS) == 12
 
     def test_empty_pool_is_filled(self) -> None:
-        """Without a prefill engine, some engines get that role."""
+        """If no engine has the prefill role, some decode engines get it, whatever the loads are."""
         assert wanted_prompt_engines(PoolLoads(0.1, 0.4), 0, 6, MANY_ANSWERS) == 2
 
     @given(st.floats(0.01, 1.0), st.floats(0.01, 1.0), st.integers(0, 12), st.integers(0, 12))
     def test_choice_is_never_worse_than_the_present_split(
         self, prompt_s: float, answer_s: float, prompt_engines: int, decode_engines: int
     ) -> None:
-        """The choice is compared with every other allowed split and with the present one."""
+        """The test compares the choice with every other allowed split and with the present one."""
         loads = PoolLoads(prompt_s, answer_s)
         wanted = wanted_prompt_engines(loads, prompt_engines, decode_engines, MANY_ANSWERS)
         total = prompt_engines + decode_engines
@@ -67,10 +67,10 @@
 
 
 class TestWorkloadMeter:
-    """Measured work of requests."""
+    """The work that a request costs prefill and decode engines, as measured by the instances."""
 
     def test_waiting_time_does_not_count_as_prefill_work(self) -> None:
-        """Prompts take 0.06 s, 33 us a token and often a wait: the work is near 33 us a token."""
+        """A prefill takes 0.06 s and 33 us a token; waits must not increase the time per token."""
         rng = random.Random(5)
         meter = WorkloadMeter()
         for _ in range(200):
@@ -86,7 +86,7 @@
         assert 0.31 < loads.answer_s < 0.35
 
     def test_cached_prompts_do_not_hide_the_work(self) -> None:
-        """A repeated prompt is cached; one in ten must not make prefill look cheap."""
+        """One prompt in ten is cached; its 0.01 s must not make the others look cheap."""
         rng = random.Random(7)
         meter = WorkloadMeter()
         for number in range(200):
@@ -99,8 +99,12 @@
         assert loads is not None
         assert loads.prompt_s > 0.09
 
-    def test_short_prompt_that_waited_does_not_hide_the_work(self) -> None:
-        """A wait flattens the slope over length; a part of the fastest prefill counts as work."""
+    def test_work_is_not_underestimated_if_all_prefills_waited(self) -> None:
+        """If prefills waited, their duration hardly grows with the prompt's length.
+
+        The estimate from durations over lengths would then be near zero, so the meter uses
+        a share of the shortest duration instead.
+        """
         meter = WorkloadMeter()
         for _ in range(20):
             meter.record_prompt(1500, 0.19)
@@ -131,7 +135,7 @@
         assert abs(loads.answer_s - 0.12 * (0.2 + 3.0)) < 1e-6
 
     def test_stats_of_several_instances_suffice_together(self) -> None:
-        """None of five instances has measured enough by itself."""
+        """Each of five instances has measured too few requests for an estimate of its own."""
         all_stats = []
         for _ in range(5):
             meter = WorkloadMeter()
@@ -146,11 +150,11 @@
         assert combined_loads(all_stats) is not None
 
     def test_prefill_time_is_estimated_from_all_instances(self) -> None:
-        """Thirty instances have four prefills each, and two in three prefills waited.
+        """Thirty instances have measured four prefills each, two in three of which waited.
 
-        By themselves, half of the instances estimate a token at 1.2 times its real time or more,
-        and a quarter at 1.5 times. Because of this, a run with 68 instances ordered the split that
-        it needed only after 11 s.
+        By themselves, half of the instances estimate a token at 1.2 times its real time or
+        more, and a quarter at 1.5 times. Because of this, a run with 68 instances ordered
+        the split that it needed only after 11 s.
         """
         rng = random.Random(11)
         all_stats = []
@@ -174,7 +178,7 @@
         assert abs(loads.prompt_s / tokens - 33e-6) < 4e-6
 
     def test_instance_without_published_prefills_counts(self) -> None:
-        """An instance of an older version, during a rollout, publishes only its averages."""
+        """During a rollout, instances of an older version publish only averages of prefills."""
         old, new = WorkloadMeter(), WorkloadMeter()
         for meter in (old, new):
             for _ in range(20):
@@ -191,7 +195,7 @@
         assert loads.prompt_s > 0.25
 
     def test_few_samples_give_no_loads(self) -> None:
-        """One sample of each kind is too little."""
+        """One measured sample of each kind is too few for an estimate."""
         meter = WorkloadMeter()
         meter.record_prompt(3000, 0.2)
         meter.record_admission(0.1, 800)
@@ -199,7 +203,7 @@
         assert meter.loads() is None
 
     def test_short_answers_do_not_make_decoding_look_cheap(self) -> None:
-        """Of ten admitted requests, the three short ones have ended; the long ones count, too."""
+        """Of ten admitted requests only the three short ones ended; the long ones count, too."""
         meter = WorkloadMeter()
         for tokens in (100, 100, 100, 1000, 1000, 1000, 1000, 1000, 1000, 1000):
             meter.record_admission(0.1, tokens)
@@ -212,7 +216,7 @@
         assert abs(loads.answer_s - 0.1 * (730 * 0.004 + 0.2)) < 1e-6
 
     def test_expected_service_time_needs_some_answers(self) -> None:
-        """The time is that of prefill plus the answer's tokens at the measured pace."""
+        """The expected time is that of prefill plus the answer's tokens at the measured pace."""
         meter = WorkloadMeter()
         assert meter.expected_service_s(1000) is None
         for _ in range(5):
@@ -224,7 +228,7 @@
 
 
 def test_mean_first_event_time_needs_several_samples() -> None:
-    """A single sample may be an exception; with more, the mean of the newest ones counts."""
+    """A single sample may be an exception, so there is no mean before several were recorded."""
     meter = WorkloadMeter()
     meter.record_first_event(0.1)
     assert meter.mean_first_event_s is None
@@ -234,7 +238,7 @@
 
 
 def test_prefill_engines_keep_headroom() -> None:
-    """Four prefill engines of nineteen would be loaded like the decode engines; five are kept."""
+    """Four prefill engines of nineteen would balance the loads; five are chosen instead."""
     loads = PoolLoads(prompt_s=0.118, answer_s=0.43)
     assert loads.prompt_s / 4 < loads.answer_s / 14 < loads.prompt_s / 3
     assert wanted_prompt_engines(loads, 7, 12, 1000) == 5
