--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -7,7 +7,7 @@
 
 
 class TestChargedRetries:
-    """Retries that a server's refusal causes are charged without asking the budget."""
+    """Retries caused by a server's refusal, which are charged without asking the budget."""
 
     def test_charged_retries_reduce_allowed_retries(self) -> None:
         """After two charged retries, one of three saved retries is left."""
@@ -18,7 +18,7 @@
         assert not budget.try_retry()
 
     def test_debt_is_bounded(self) -> None:
-        """A hundred refusals do not forbid retries for ever."""
+        """After a hundred refusals, retries must be allowed again at some time."""
         budget = RetryBudget(ratio=1.0, burst=3.0)
         for _ in range(100):
             budget.charge_retry()
@@ -29,7 +29,7 @@
 
 
 def test_pause_grows_with_consecutive_refusals() -> None:
-    """The pause grows with each refusal up to a maximum, and a success resets it."""
+    """The pause has a maximum, and a success resets it to the first pause."""
     stats = ServerStats()
     pauses = []
     for _ in range(6):
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -42,17 +42,17 @@
 
 
 class TestReport:
-    """Contents of the report and its output formats."""
+    """The contents of the report and its output formats."""
 
     def test_text(
         self, files: list[str], capsys: pytest.CaptureFixture[str], snapshot: SnapshotAssertion
     ) -> None:
-        """Late and refused requests spend the budget; errors of the caller do not."""
+        """Late and refused requests spend the error budget; errors of the caller do not."""
         assert main(files) == 0
         assert capsys.readouterr().out == snapshot
 
     def test_page_and_json(self, files: list[str], tmp_path: Path) -> None:
-        """The HTML page embeds its plots and refers to no other files."""
+        """The HTML page embeds its plots, so that it can be sent as a single file."""
         page, data = tmp_path / "r.html", tmp_path / "r.json"
         assert main([*files, "--html", str(page), "--json", str(data)]) == 0
         text = page.read_text()
@@ -61,7 +61,7 @@
         assert '"wasted_tokens": 100' in data.read_text()
 
     def test_bad_input(self, files: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-        """A missing file is named in the error message, and the exit status is 2."""
+        """The error message names the missing file, and the exit status is 2."""
         assert main(["/nowhere.log", *files[1:]]) == 2
         assert "/nowhere.log: cannot be read" in capsys.readouterr().err
 
@@ -69,6 +69,6 @@
 class TestLines:
     """Parsing of log lines."""
 
-    def test_quoted_values(self) -> None:
-        """Quoted values lose their quotes and escapes."""
+    def test_quoted_values_lose_quotes_and_escapes(self) -> None:
+        """A log line quotes values that contain spaces or quotation marks."""
         assert parse_line(r'a=1 b="x \"y\" z" c=') == {"a": "1", "b": 'x "y" z', "c": ""}
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -46,7 +46,7 @@
 def caller_value_of(
     path: Path, *lines: str, weights: CallerWeights | None = None
 ) -> CallerValueReport:
-    """Return the value to callers according to a log with *lines*."""
+    """Return the value to callers that is computed from a log with *lines*."""
     path.write_text("".join(lines))
     return compute_caller_value(
         read_caller_attempts([path]), weights or CallerWeights(), window_s=2.0
@@ -54,7 +54,7 @@
 
 
 class TestCallerValue:
-    """Outcomes and their value."""
+    """Outcomes of requests, and their value to callers."""
 
     @pytest.mark.parametrize(
         ("event", "more", "outcome"),
@@ -74,7 +74,7 @@
     def test_outcome_is_derived_from_the_log_line(
         self, tmp_path: Path, event: str, more: dict[str, object], outcome: CallerOutcome
     ) -> None:
-        """The outcome depends on the event, the status and the times of the log line."""
+        """The outcome depends on the event, the status and the times of the line."""
         path = tmp_path / "log"
         path.write_text(log_line(event, "a", 1, **more))
         assert [attempt.outcome for attempt in read_caller_attempts([path])] == [outcome]
@@ -95,7 +95,7 @@
         assert again.total.relative_value == pytest.approx(-CallerWeights().failed_return)
 
     def test_cost_of_an_unserved_wait_is_linear(self, tmp_path: Path) -> None:
-        """An unserved wait of twice the length costs twice as much; a served wait costs nothing."""
+        """Twice the wait costs twice as much if the request fails; a served wait costs nothing."""
         costs = [
             caller_value_of(
                 tmp_path / "a", log_line("request_failed", "a", 9, **REFUSED, took_ms=took)
@@ -110,7 +110,7 @@
         assert late.total.relative_value == pytest.approx(CallerWeights().late)
 
     def test_refusal_without_a_query_costs_extra(self, tmp_path: Path) -> None:
-        """The refusal costs extra unless servers were asked or other requests waited ahead."""
+        """A refusal costs less if servers were asked for memory or other requests were ahead."""
         end = log_line("request_failed", "a", 1, **REFUSED, took_ms=0)
         for asked, ahead, needless in ((0, 0, 1), (0, 2, 0), (3, 0, 0)):
             place = f"event=place_refused request=a asked={asked} ahead={ahead}\n"
@@ -130,7 +130,7 @@
         assert report.total.potential_value == pytest.approx(61.0)
 
     def test_request_counts_in_the_window_of_its_start(self, tmp_path: Path) -> None:
-        """A request that starts in the first window and ends in a later one counts in the first."""
+        """A request that ends in a later window must not be counted there."""
         report = caller_value_of(
             tmp_path / "a",
             log_line("answered", "a", 5, **ANSWERED, took_ms=5000),
@@ -143,12 +143,12 @@
 
 
 class TestCommand:
-    """``crankhinge-ctl callers``."""
+    """The command ``crankhinge-ctl callers``."""
 
     def test_report_on_the_log_of_a_gateway(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """One stream is answered in time, and one is refused for lack of KV memory."""
+        """One stream is answered in time, and another one is refused for lack of KV memory."""
         world = World()
         world.add("i-reader", "llm", "prefill")
         writer = world.add("i-writer", "llm", "decode")
@@ -171,7 +171,7 @@
     def test_bad_input_exits_with_status_2(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """The inputs are a log without requests, a missing log, and invalid weights."""
+        """The bad inputs are a log without requests, a missing log and invalid weights."""
         empty = tmp_path / "log"
         empty.write_text("nothing\nevent=answered took_ms=x within_ms=1\n")
         weights = tmp_path / "weights.toml"
@@ -184,8 +184,8 @@
 class TestVaryingWaits:
     """Callers whose maximum waits are between 0.85 and 1.0 of the longest wait.
 
-    With a threshold at a fixed fraction of the longest wait, three of four first attempts counted
-    as retries.
+    With a threshold at a fixed fraction of the longest wait, three of four first attempts
+    counted as retries.
     """
 
     def test_reused_connections_set_the_retry_threshold(self, tmp_path: Path) -> None:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -38,16 +38,16 @@
     return History(**{**values, **changes})
 
 
-def broken(changed: History) -> list[str]:
+def violated_invariants(changed: History) -> list[str]:
     """Return the invariants that the checker reports as violated."""
     return [verdict.promise for verdict in check(changed) if verdict.broken]
 
 
 class TestChecker:
-    """The checker finds violations, and nothing else."""
+    """The checker reports each violation, and nothing else."""
 
     def test_valid_history_violates_no_invariant(self) -> None:
-        """No invariant is violated, and each counts as tested."""
+        """The history contains what each invariant needs in order to count as tested."""
         verdicts = check(history())
         assert [v.promise for v in verdicts if v.broken or not v.tested] == []
 
@@ -116,15 +116,15 @@
     def test_violation_is_reported_under_its_invariant(
         self, changes: dict[str, Any], invariant: str
     ) -> None:
-        """Each violation is reported under the name of its invariant."""
-        assert invariant in broken(history(**changes))
+        """The parameters change a valid history so that it violates one invariant."""
+        assert invariant in violated_invariants(history(**changes))
 
 
 class TestEvidence:
-    """What is read from logs."""
+    """Evidence that the checker reads from the logs of programs."""
 
     def test_drained_count_comes_from_the_last_event(self, tmp_path: Path) -> None:
-        """The number of cut requests is read in the format that the programs write."""
+        """The test writes the log in the same format as an agent does."""
         path = tmp_path / "a.log"
         assert read_drained_count(_log(path, 3)) == 3
         assert read_drained_count(_log(path, 0)) == 0
@@ -140,15 +140,15 @@
 
 
 class TestTrace:
-    """Traces of the load, and percentiles."""
+    """Random traces of the load, and percentiles of measurements."""
 
     def test_trace_depends_only_on_the_seed(self) -> None:
-        """The same seed makes the same trace; another seed makes another one."""
+        """The seed of a run is enough to generate the same load again."""
         load = Load(seconds=5.0, per_s=5.0)
         assert make_trace(load, 1) == make_trace(load, 1)
         assert make_trace(load, 1) != make_trace(load, 2)
 
-    def test_percentile(self) -> None:
-        """Returns the value below which the given share of the values lies."""
+    def test_percentile_is_the_value_below_which_a_share_lies(self) -> None:
+        """The percentile is one of the values; without any value it is 0."""
         assert percentile([1.0, 2.0, 3.0, 4.0], 0.5) == 3.0
         assert percentile([], 0.5) == 0.0
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -25,7 +25,7 @@
 
 @pytest.fixture(autouse=True)
 def handlers() -> Iterator[None]:
-    """Restores the signal handlers that a program replaces."""
+    """Restore the signal handlers that a program replaces."""
     signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     before = [signal.getsignal(signum) for signum in signals]
     yield
@@ -43,7 +43,7 @@
     def test_steady_clock_counts_suspended_time(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The clock of curio's kernel counts it, so leases and ages end as without it."""
+        """curio's kernel uses this clock, so leases and ages end in spite of a suspension."""
         path = tmp_path / "settings.toml"
         path.write_text("")
         suspended_s = 0.0
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -69,7 +69,7 @@
 
 
 class MemoryKeyValue(KeyValueStore):
-    """A key-value service in memory that can lose responses and be unavailable."""
+    """A key-value service in memory that can lose its responses and be unavailable."""
 
     def __init__(self) -> None:
         self.values: dict[str, StoredValue] = {}
@@ -88,7 +88,7 @@
         return await self.get(key)
 
     async def compare_and_swap(self, key: str, data: bytes, index: int) -> bool:
-        """Compare and swap, after the next competing write if one is planned."""
+        """Compare and swap, after a competing write if the test has set one."""
         if self.unavailable:
             raise KeyValueUnavailable("unavailable")
         if key == BUNDLE_KEY and self.competing_writes:
@@ -123,38 +123,38 @@
         ],
     )
     def test_invalid_bundle_is_rejected_with_a_reason(self, extra: str, reason: str) -> None:
-        """The error of an invalid bundle contains the reason."""
+        """The error contains the reason, so that an operator can correct the bundle."""
         with pytest.raises(BundleError, match=reason):
             parse_bundle(BUNDLE_TEMPLATE.format(version=1) + extra)
 
     @given(st.binary(max_size=200))
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
     def test_random_bytes_raise_a_bundle_error(self, data: bytes) -> None:
-        """Data that is not an envelope raises BundleError, whatever its content."""
+        """Data that is not an envelope must not raise an error of the decoder."""
         with pytest.raises(BundleError):
             verify_envelope(data, {"timbook": "0" * 64})
 
 
 class TestSignatures:
-    """Every partner must have signed a bundle."""
+    """A bundle is valid only if every partner has signed it."""
 
     def test_bundle_signed_by_all_partners_is_accepted(self, signers: Signers) -> None:
-        """A bundle that both partners signed is verified and parsed."""
+        """The signed bundle is parsed after its signatures have been verified."""
         assert verify_envelope(signers.envelope(3), signers.keys).version == 3
 
     def test_missing_signature_is_rejected(self, signers: Signers) -> None:
-        """A bundle that lacks the signature of one partner is rejected."""
+        """One partner must not be able to change the configuration without the other."""
         with pytest.raises(BundleError, match="not signed by timbook"):
             verify_envelope(signers.envelope(3, skip="timbook"), signers.keys)
 
     def test_text_changed_after_signing_is_rejected(self, signers: Signers) -> None:
-        """A bundle whose text was changed after signing is rejected."""
+        """Signatures cover the text, so they do not match a text that was changed."""
         changed = signers.envelope(3).replace(b"version = 3", b"version = 4")
         with pytest.raises(BundleError, match="is invalid"):
             verify_envelope(changed, signers.keys)
 
     def test_private_key_file_is_accessible_only_to_its_owner(self, signers: Signers) -> None:
-        """A key file is created with mode 0600; a file that others can read is rejected."""
+        """A key file is created with mode 0600, and one that others can read is rejected."""
         path = signers.path / "timbook.key"
         assert path.stat().st_mode & 0o777 == 0o600
         path.chmod(0o644)
@@ -163,10 +163,10 @@
 
 
 class TestBundleKeeper:
-    """Replacement of the bundle in force in one process."""
+    """How a process replaces its active bundle."""
 
     def test_version_in_force_never_decreases(self, signers: Signers) -> None:
-        """A bundle with an older or equal version is not put into force."""
+        """A bundle with an older version, or with the same, does not become active."""
         keeper = BundleKeeper(signers.keys)
         assert keeper.install_if_newer(signers.envelope(5))
         assert not keeper.install_if_newer(signers.envelope(4))
@@ -174,7 +174,7 @@
         assert keeper.version == 5
 
     def test_bundle_without_all_signatures_changes_nothing(self, signers: Signers) -> None:
-        """A newer bundle without all signatures is rejected and the old one stays in force."""
+        """The bundle is newer, but is rejected, and the old one stays active."""
         keeper = BundleKeeper(signers.keys)
         keeper.install_if_newer(signers.envelope(5))
         with pytest.raises(BundleError):
@@ -183,10 +183,10 @@
 
 
 class TestPublish:
-    """Publication by compare-and-swap."""
+    """Publication of a bundle in the key-value service by compare-and-swap."""
 
     def test_versions_must_be_consecutive(self, signers: Signers) -> None:
-        """The first version is 1, and no version may be skipped."""
+        """The first version is 1, and each later one is the published version plus one."""
         kv = MemoryKeyValue()
         assert curio.run(publish, kv, signers.envelope(1), signers.keys).version == 1
         with pytest.raises(BundleError, match="does not directly follow"):
@@ -202,21 +202,21 @@
         assert kv.values[BUNDLE_KEY].data == competing
 
     def test_success_is_confirmed_after_a_lost_response(self, signers: Signers) -> None:
-        """The publication succeeds if the swap took effect although its response was lost."""
+        """The swap took effect although its response was lost; a read shows that it did."""
         kv = MemoryKeyValue()
         kv.lose_responses = True
         result = curio.run(publish, kv, signers.envelope(1), signers.keys)
         assert result.confirmed_by_read
 
     def test_publishing_the_same_bundle_again_succeeds(self, signers: Signers) -> None:
-        """Publishing the same file a second time reports success and adds no history row."""
+        """The second publication of a file writes nothing and adds no history row."""
         kv = MemoryKeyValue()
         curio.run(publish, kv, signers.envelope(1), signers.keys)
         assert curio.run(publish, kv, signers.envelope(1), signers.keys).confirmed_by_read
         assert [row.version for row in curio.run(read_history, kv)] == [1]
 
     def test_outage_raises_key_value_unavailable(self, signers: Signers) -> None:
-        """While the service is unavailable, the outcome is unknown and an error says so."""
+        """The error says that the outcome is unknown, because the write may have taken effect."""
         kv = MemoryKeyValue()
         kv.unavailable = True
         with pytest.raises(KeyValueUnavailable):
--- a/tests/test_congestion.py
+++ b/tests/test_congestion.py
@@ -14,7 +14,7 @@
 def record_responses(
     *durations: float, congestion: CongestionWindow | None = None
 ) -> CongestionWindow:
-    """Record responses with these durations, one every tenth of a second."""
+    """Record responses with these durations in seconds, one every tenth of a second."""
     congestion = congestion or CongestionWindow()
     for number, response_s in enumerate(durations):
         congestion.record_response(response_s, TARGET_S, number / 10)
@@ -22,7 +22,10 @@
 
 
 def make_congested(open_requests: int = 4) -> CongestionWindow:
-    """Return the window of a service that slowed down from 0.06 s to 0.5 s under open requests."""
+    """Return the window of a service that became slow, with responses of 0.5 s after 0.06 s.
+
+    *open_requests* requests were sent before the service became slow.
+    """
     congestion = record_responses(*[0.06] * 30)
     for _ in range(open_requests):
         congestion.record_sent(3.0)
@@ -30,14 +33,14 @@
 
 
 class TestCongestionWindow:
-    """When the window limits the requests that are sent."""
+    """When the window limits the number of concurrent requests to a service."""
 
     def test_timely_responses_leave_requests_unbounded(self) -> None:
-        """A single slow response is no sign of a queue at the servers."""
+        """A single slow response does not show that requests queue at the servers."""
         assert record_responses(*[0.06] * 20, 0.45, 0.06, 0.06).window is None
 
     def test_late_responses_limit_concurrent_requests(self) -> None:
-        """Further requests wait, and requests that are already late get no place in the window."""
+        """Requests beyond the window wait; those that are late already must not fill the window."""
         congestion = make_congested(open_requests=4)
         assert congestion.window is not None
         assert congestion.window < 4
@@ -70,7 +73,7 @@
         assert congestion.may_send(3.0, late=True)
 
     def test_slow_service_is_not_congested(self) -> None:
-        """The service is late at any load, and a late response is worth more than none."""
+        """The service is slow at any load, so sending fewer requests would make none timely."""
         assert record_responses(*[0.5] * 40).window is None
 
     @given(st.lists(st.tuples(st.floats(0.001, 5), st.booleans()), max_size=80))
@@ -87,7 +90,7 @@
             assert congestion.may_send(now, late=False)
 
     def test_late_requests_alone_remove_the_bound(self) -> None:
-        """An occasional late request shows that responses are fast again."""
+        """If all requests are late, an occasional one must show that responses are fast again."""
         congestion = make_congested(open_requests=1)
         congestion.record_end()
         now, sent = 3.0, 0
@@ -102,7 +105,7 @@
         assert sent < 30
 
     def test_retry_delay_grows_with_duration_of_congestion(self) -> None:
-        """Congestion is expected to last as long again as it has lasted."""
+        """Congestion is expected to last as long again as it has lasted already."""
         congestion = make_congested()
         assert congestion.retry_after_s(0.3) == MIN_RETRY_AFTER_S
         assert congestion.retry_after_s(4.0) > 3.0
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -62,16 +62,16 @@
         ids=["heads", "bodies", "instances"],
     )
     def test_page_lists_each_decoded_name(self, names_of: Any) -> None:
-        """A new name needs a row that says whom it binds, until when, and which test checks it."""
+        """A row says whom the name binds, until when, and which test checks it."""
         assert len(names_of()) > 3
         assert sorted(name for name in names_of() if f"`{name}`" not in PAGE) == []
 
     def test_page_lists_each_setting(self) -> None:
-        """All settings of the gateway are on the page."""
+        """Settings are names that operators write, so the page must list them all."""
         assert sorted(name for name in GatewaySettings.__struct_fields__ if name not in PAGE) == []
 
     def test_page_names_only_existing_tests(self) -> None:
-        """Fails when a test that the page names was renamed or removed."""
+        """A renamed or removed test must be changed on the page, too."""
         references = set(TEST_REFERENCE.findall(PAGE))
         assert len(references) > 50
         assert sorted(row for row in references if not is_defined(*row)) == []
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -12,17 +12,17 @@
 
 
 class TestDays:
-    """Days that are generated from a site."""
+    """Day files that are generated from the description of a site."""
 
     def test_every_variant_gets_the_requested_number_of_days(self) -> None:
-        """With 3 days per variant, there are 3 times as many days as variants, and each occurs."""
+        """With 3 days per variant there are three times as many days as variants."""
         drawn = list(make_days(SITE, days_per_variant=3, mixed_days=0, seed=1))
         assert len(drawn) == 3 * len(list_variants())
         seen = {(row["kind"], row["how"]) for day in drawn for row in day.events}
         assert seen == set(list_variants())
 
     def test_same_seed_gives_the_same_days(self) -> None:
-        """A day that broke a rule can be generated and run again; another seed gives other days."""
+        """A day in which a rule broke can be generated again from its seed."""
         first, again = (
             list(make_days(SITE, days_per_variant=1, mixed_days=5, seed=7)) for _ in range(2)
         )
@@ -39,7 +39,7 @@
         assert {len(day.events) for day in drawn} == {2, 3, 4, 5}
 
     def test_day_files_can_be_parsed(self) -> None:
-        """Planned operations and faults are listed apart; every start lies within its bounds."""
+        """A file lists planned operations and faults apart; each start lies within its bounds."""
         for day in make_days(SITE, days_per_variant=1, mixed_days=20, seed=3):
             read = tomllib.loads(day.to_toml())
             assert read["name"] == day.name
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -55,7 +55,7 @@
     """Files that the platform reads to deploy the gateway."""
 
     def test_filled_template_is_valid_settings(self) -> None:
-        """All placeholders are filled in and the settings have no unknown key."""
+        """The gateway refuses settings with unknown keys or placeholders that were not filled."""
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         text = fill_template((ROOT / deploy["roles"]["gateway"]["template"]).read_text())
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
@@ -65,7 +65,7 @@
         assert (settings.apply_s, settings.leave_s, settings.contact_s) == (4.0, 2.5, 5.0)
 
     def test_missing_bounds_have_defaults(self) -> None:
-        """A deployment that states no optional bounds still starts."""
+        """A deployment that states no optional bounds must be able to start."""
         values = {**TEMPLATE_VALUES, "bounds": {"grace_s": 8}}
         text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text(), values)
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
@@ -87,7 +87,7 @@
         assert 20 <= spent <= 50
 
     def test_metrics_address_matches_the_settings(self) -> None:
-        """The deploy file states the metrics port and path of the template."""
+        """The platform reads metrics from the port and path that the deploy file states."""
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         port, _, path = deploy["roles"]["gateway"]["metrics"].partition("/")
         text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text())
@@ -95,7 +95,7 @@
         assert path == "metrics"
 
     def test_requirements_are_locked(self) -> None:
-        """The versions that are deployed are those that are tested."""
+        """The deployed versions of libraries must be those that the tests use."""
         locked = set((ROOT / "requirements.lock").read_text().split())
         wanted = (ROOT / "deploy" / "requirements.txt").read_text().split()
         assert set(wanted) <= locked
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -23,7 +23,7 @@
     """The unmodified OpenAI library as a caller."""
 
     def test_chat_completion_is_streamed(self, cluster: Cluster) -> None:
-        """The chunks of a streamed chat answer equal the tokens that the engine generates."""
+        """The chunks that the library receives equal the tokens that the engine generates."""
         messages = [{"role": "user", "content": "who approves the sheet"}]
         stream = make_client(cluster).chat.completions.create(
             model="m1", messages=messages, max_tokens=7, stream=True
@@ -32,7 +32,7 @@
         assert pieces == make_answer({"messages": messages, "max_tokens": 7})
 
     def test_completion_without_streaming_has_usage(self, cluster: Cluster) -> None:
-        """An answer that isn't streamed has the engine's text and states its token usage."""
+        """The answer has the engine's text and the numbers of prompt and answer tokens."""
         answer = make_client(cluster).completions.create(
             model="m1", prompt="one two three", max_tokens=4
         )
@@ -43,13 +43,13 @@
         assert answer.usage.completion_tokens == 4
 
     def test_wrong_credential_is_refused(self, cluster: Cluster) -> None:
-        """A wrong credential raises the library's typed error with the outcome "not run"."""
+        """The library raises its typed error, whose body has the outcome "not run"."""
         with pytest.raises(openai.AuthenticationError) as caught:
             make_client(cluster, "wrong").completions.create(model="m1", prompt="x")
         assert caught.value.response.headers["x-request-outcome"] == "not-run"
 
     def test_unknown_model_is_refused(self, cluster: Cluster) -> None:
-        """An unknown model raises the library's typed error with the code ``unknown-model``."""
+        """The library raises its typed error with the code ``unknown-model``."""
         with pytest.raises(openai.NotFoundError) as caught:
             make_client(cluster).completions.create(model="m9", prompt="x")
         assert caught.value.code == "unknown-model"
@@ -59,7 +59,7 @@
     """Concurrent streams."""
 
     def test_concurrent_streams_are_neither_mixed_nor_cut(self, cluster: Cluster) -> None:
-        """Each of 36 concurrent answers equals what the engine generates, token for token."""
+        """Each of 36 answers equals the one that the engine generates, token for token."""
         trace = [Arrival(0.0, "naas-office", f"prompt {n}", 30) for n in range(36)]
         runner = LoadGenerator(cluster.entry_ports, cluster.credentials)
         outcomes = curio.run(runner.run, trace)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -17,7 +17,7 @@
 
 
 def make_view() -> BundleView:
-    """Return a view of a bundle with one member."""
+    """Return a view of a bundle with one member and its credential."""
     digest = hash_credential("secret")
     member = f'[[members]]\nname = "m"\npartner = "timbook"\ncredential_sha256 = "{digest}"\n'
     return BundleView(parse_bundle(BUNDLE_TEMPLATE.format(version=1) + member + "max_rank = 1\n"))
@@ -31,7 +31,7 @@
 
 
 class TestRequests:
-    """Parsing and validation of requests."""
+    """How an entry parses and validates the requests of callers."""
 
     @pytest.mark.parametrize(
         ("body", "headers", "reason"),
@@ -48,26 +48,26 @@
     def test_invalid_request_error_names_the_field(
         self, body: object, headers: dict[str, str], reason: str
     ) -> None:
-        """Each invalid header or field raises a RequestError whose message names it."""
+        """The caller sees the message of the RequestError and can find the mistake by it."""
         view = make_view()
         req = make_req(body, **headers)
         with pytest.raises(RequestError, match=reason):
             parse_completion(view, req, authenticate(view, req.headers))
 
     def test_priority_is_limited_to_that_of_the_member(self) -> None:
-        """A request cannot have a more urgent priority class than its member allows."""
+        """A caller that asks for a more urgent priority class gets the one of its member."""
         view = make_view()
         req = make_req({"model": "m1", "prompt": "x"}, x_priority="0")
         assert parse_completion(view, req, authenticate(view, req.headers)).options.rank == 1
 
     def test_invalid_credentials_are_rejected(self) -> None:
-        """A missing or unknown credential and one of another scheme are rejected."""
+        """A missing or unknown credential is rejected, and so is one of another scheme."""
         for value in ("", "Bearer wrong", "Basic secret"):
             with pytest.raises(BadCredentials):
                 authenticate(make_view(), {"authorization": value})
 
     def test_chat_continuation_contains_the_written_text(self) -> None:
-        """The request for the rest of a chat answer contains the text that is already written."""
+        """An engine that resumes a chat answer needs the text that another engine has written."""
         view = make_view()
         messages = [{"role": "user", "content": "hi"}]
         req = make_req({"model": "m1", "messages": messages}, "/v1/chat/completions")
@@ -92,10 +92,10 @@
 
 
 class TestMailboxes:
-    """Delivery of messages to the requests that wait for them."""
+    """How messages from agents reach the requests that wait for them."""
 
     def test_messages_without_a_mailbox_are_dropped_and_counted(self) -> None:
-        """A message for an unknown or closed request, or from another link, is dropped."""
+        """The request of the message is unknown or closed, or waits on another link."""
 
         async def scenario() -> int:
             mailboxes = Mailboxes(100)
@@ -110,7 +110,7 @@
         assert run_virtual(scenario) == 3
 
     def test_lost_link_fails_its_requests(self) -> None:
-        """A request that waits for a message on a link that ends gets LinkLost."""
+        """A request that waits for a message of the link gets LinkLost instead of waiting on."""
 
         async def scenario() -> None:
             mailboxes = Mailboxes(100)
@@ -123,7 +123,7 @@
             run_virtual(scenario)
 
     def test_slow_caller_gets_an_error(self) -> None:
-        """More unread tokens than the limit raise SlowCaller instead of using more memory."""
+        """Tokens that the caller does not read must not use more memory than the limit allows."""
 
         async def scenario() -> None:
             mailboxes = Mailboxes(10)
@@ -137,7 +137,7 @@
             run_virtual(scenario)
 
     def test_mailbox_cannot_be_opened_on_a_closed_link(self) -> None:
-        """Opening a mailbox on a closed link raises LinkClosed."""
+        """No message would ever arrive in the mailbox, so opening it raises LinkClosed."""
         link = FakeLink()
         link.closed = True
         link.peer = type("Peer", (), {"name": "x"})  # type: ignore[attr-defined]
@@ -146,7 +146,7 @@
 
 
 class TestRequestIds:
-    """Ids of requests and their steps."""
+    """The ids of a request and of its steps, by which log lines are found."""
 
     def test_step_ids_differ_only_in_the_last_two_digits(self) -> None:
         """The first 14 hex digits are common to all steps of a request and to no other request."""
@@ -175,7 +175,7 @@
     """The breaker, which stops requests to a failing backend server."""
 
     def test_open_breaker_allows_one_trial_request(self) -> None:
-        """After three failures no request is allowed for one second, and then one trial request."""
+        """Three failures open the breaker; a trial request is allowed one second later."""
         breaker = Breaker()
         for _ in range(3):
             breaker.record_failure(0.0)
@@ -191,7 +191,7 @@
         assert breaker.allows_request(3.8)
 
     def test_trial_without_an_outcome_is_followed_by_another(self) -> None:
-        """After a trial that neither succeeds nor fails, such as a refusal, another is allowed."""
+        """A refused trial shows neither success nor failure and must not keep the breaker open."""
         breaker = Breaker()
         for _ in range(3):
             breaker.record_failure(0.0)
@@ -201,10 +201,10 @@
 
 
 class TestLimits:
-    """Limits of a member at one entry."""
+    """Limits of a member that each entry enforces."""
 
     def test_requests_over_a_limit_get_a_retry_delay(self) -> None:
-        """A request over the concurrency or rate limit is refused with a retry delay."""
+        """The member has a limit of concurrent requests and one of requests per second."""
         limits = MemberLimits()
         assert limits.admit("m", 0.0, max_concurrent=1, max_per_s=0) is None
         assert limits.admit("m", 0.0, max_concurrent=1, max_per_s=0) is not None
@@ -225,7 +225,7 @@
     """The queue of requests to one backend server."""
 
     def test_request_that_cannot_meet_its_deadline_is_refused(self) -> None:
-        """A prompt behind too much queued work is refused, and a short enough one is accepted."""
+        """Work that is queued ahead counts: a short prompt may fit where a long one does not."""
         queue = WorkQueue(width=1, units_per_s=1000.0)
         assert queue.submit(work(1, 1.0, 800), 0.0) is None
         starts, late = queue.take_next(0.0)
@@ -235,7 +235,7 @@
         assert queue.submit(work(3, 1.0, 100), 0.0) is None
 
     def test_request_that_has_waited_too_long_is_not_started(self) -> None:
-        """A prompt that can no longer meet its deadline is refused instead of started."""
+        """Work that took longer than expected has used up the time of the next request."""
         queue = WorkQueue(width=1, units_per_s=1000.0)
         queue.submit(work(1, 9.0, 100), 0.0)
         queue.take_next(0.0)
@@ -245,7 +245,7 @@
         assert starts == [] and [refusal.req for refusal in late] == [2]
 
     def test_rate_follows_measurements(self) -> None:
-        """The rate of the queue approaches the measured rate."""
+        """The queue's rate approaches the measured one, here twice the configured rate."""
         queue = WorkQueue(width=1, units_per_s=1000.0)
         for req in range(1, 30):
             queue.submit(work(req, 1e9, 100), float(req))
--- a/tests/test_exclusions.py
+++ b/tests/test_exclusions.py
@@ -11,18 +11,18 @@
 
 
 class TestBackoff:
-    """A server asks for no requests until a given time."""
+    """A server has asked for no requests until a given time."""
 
     @pytest.mark.parametrize("end_times", [(13.0, 10.5), (10.5, 13.0)])
     def test_longest_backoff_is_kept(self, end_times: tuple[float, float]) -> None:
-        """Refusals of concurrent requests may arrive in any order; the latest end time holds."""
+        """Refusals of concurrent requests may arrive in any order, so the latest end time holds."""
         exclusions = ServerExclusions()
         for until in end_times:
             exclusions.record_backoff("i-1", until)
         assert exclusions.backoff_until("i-1", 10.0) == 13.0
 
     def test_backoff_ends_at_its_time(self) -> None:
-        """The backoff holds until its end time, and for its own server only."""
+        """The backoff of one server does not exclude other servers."""
         exclusions = ServerExclusions()
         assert not exclusions.has_backoffs(0.0)
         exclusions.record_backoff("i-1", 13.0)
@@ -33,7 +33,7 @@
         assert not exclusions.has_backoffs(13.0)
 
     def test_no_capacity_pause_does_not_shorten_refusal_pause(self) -> None:
-        """An engine without capacity is tried again soon, unless it just refused a request."""
+        """An engine without capacity is tried again soon, unless it has just refused a request."""
         stats = ServerStats()
         stats.record_refusal(10.0)
         until = stats.full_until
@@ -42,10 +42,10 @@
 
 
 class TestLeaving:
-    """A server announces that it is leaving."""
+    """A server has announced that it is leaving."""
 
     def test_only_first_announcement_is_new(self) -> None:
-        """A repeated announcement is not new, and the time of the first one is kept."""
+        """Peers are notified of new announcements only, and the first one sets the time."""
         exclusions = ServerExclusions()
         assert exclusions.leaving_since("i-1") is None
         assert exclusions.record_leaving("i-1", 5.0)
@@ -54,7 +54,7 @@
 
 
 def test_number_of_tracked_servers_is_bounded() -> None:
-    """The servers recorded first are forgotten first."""
+    """Beyond the bound, the servers that were recorded first are forgotten first."""
     exclusions = ServerExclusions()
     for number in range(MAX_TRACKED_SERVERS + 1):
         exclusions.record_leaving(f"i-{number}", 1.0)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -67,7 +67,7 @@
 class TestExplain:
     """Output of the command for one request id."""
 
-    def test_shows_state_and_events(
+    def test_output_has_state_and_events_of_a_request(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         """The output has the configuration version, server entry, attempts and outcome."""
@@ -81,7 +81,7 @@
         assert re.search(r"happened .* request_failed .* outcome=unknown status=502", out)
 
     def test_unknown_request_exits_with_status_2(self, tmp_path: Path) -> None:
-        """The exit status is 2 for an unknown request id and for a missing log."""
+        """A log that does not exist has the same exit status as an unknown request id."""
         log = tmp_path / "gateway.log"
         log.write_text("")
         assert main(["explain", "nobody", str(log)]) == 2
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -67,7 +67,7 @@
         self.dead = False
 
     async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
-        """Not used here."""
+        """Raise an error; a decode role never asks its engine to prefill."""
         raise NotImplementedError
 
     async def decode(
@@ -92,7 +92,7 @@
 
 
 class FakeLink:
-    """A link to an entry that records sent messages."""
+    """A link to an entry that records the messages it is given."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
@@ -132,10 +132,10 @@
 
 
 class TestDecodeRole:
-    """Leases of slots and answers of a decode engine."""
+    """How a decode role leases the slots of its engine and streams answers."""
 
     def test_running_requests_never_exceed_the_capacity(self) -> None:
-        """Six requests for two slots are all answered, and at most two run at a time."""
+        """Six requests arrive at once for two slots; all are answered, each with five tokens."""
 
         async def scenario() -> tuple[int, int, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -151,7 +151,7 @@
         assert run_virtual(scenario) == (2, 6, 30)
 
     def test_cancelled_request_frees_its_slot_for_the_next(self) -> None:
-        """After a cancel, the engine has no running request and the waiting one gets the slot."""
+        """The engine must stop the cancelled request before the slot is granted again."""
 
         async def scenario() -> tuple[int, list[int]]:
             engine, link = FakeEngine(), FakeLink()
@@ -165,7 +165,7 @@
         assert run_virtual(scenario) == (0, [1, 2])
 
     def test_ended_link_frees_all_requests_of_its_entry(self) -> None:
-        """The running, leased and waiting requests of an entry end with its link."""
+        """The entry has two running requests and a waiting one when its link ends."""
 
         async def scenario() -> tuple[int, bool]:
             engine, link = FakeEngine(), FakeLink()
@@ -180,7 +180,7 @@
         assert run_virtual(scenario) == (0, False)
 
     def test_stalled_transfer_fails_the_request(self) -> None:
-        """If no token arrives in time, the request fails as transfer-stalled and frees its slot."""
+        """A transfer of the KV cache that never ends must not occupy the slot for ever."""
 
         async def scenario() -> tuple[list[str], bool]:
             engine, link = FakeEngine(), FakeLink()
@@ -193,7 +193,7 @@
         assert run_virtual(scenario) == (["transfer-stalled"], False)
 
     def test_slots_of_a_previous_incarnation_are_not_granted(self) -> None:
-        """No slot is granted while the engine is full of requests that this agent did not send."""
+        """After a restart of the agent, the engine still runs requests that it does not know."""
 
         async def scenario() -> tuple[int, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -212,7 +212,7 @@
         assert run_virtual(scenario) == (0, 1)
 
     def test_slots_of_an_unreachable_engine_are_not_granted(self) -> None:
-        """While the engine is unreachable, requests are refused and the load shows draining."""
+        """Requests are refused, and the reported load shows draining, until the engine is back."""
 
         async def scenario() -> tuple[list[str], bool, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -232,7 +232,7 @@
         assert run_virtual(scenario) == (["backend-down"], True, 1)
 
     def test_decode_after_the_lease_expired_fails(self) -> None:
-        """A Decode that arrives after its lease expired fails with ``may_have_run`` false."""
+        """The failure says that nothing has run, so that the entry may retry the request."""
 
         async def scenario() -> list[Failed]:
             engine, link = FakeEngine(), FakeLink()
@@ -247,7 +247,7 @@
         assert run_virtual(scenario) == [Failed(1, "lease-expired", False)]
 
     def test_draining_agent_refuses_new_requests(self) -> None:
-        """After stop_accepting, new requests are refused and the running one completes."""
+        """After ``stop_accepting``, the agent still completes the request that is running."""
 
         async def scenario() -> tuple[list[str], int]:
             engine, link = FakeEngine(), FakeLink()
@@ -305,13 +305,13 @@
 
 
 class TestPlainRole:
-    """Calls to a plain service."""
+    """How a plain role forwards calls to its service."""
 
     def test_service_in_backoff_gets_no_call(self) -> None:
         """Waiting and new calls are refused with the remaining time of the backoff.
 
-        Guards against a fault in which only the refused caller received the service's request for
-        a backoff, and the agent sent the next call to the service immediately.
+        Guards against a fault in which only the refused caller received the service's
+        request for a backoff, and the agent sent the next call to the service immediately.
         """
 
         async def scenario() -> tuple[int, list[float], int]:
@@ -332,9 +332,10 @@
         assert left == [3.0, 2.6, 1.9]
 
     def test_started_call_continues_after_its_link_ends(self) -> None:
-        """When an entry's link ends, its started call completes and its waiting call is dropped.
+        """The waiting call of the ended link is dropped, because nobody receives its response.
 
-        Calls of other entries are not affected.
+        The started call may have effects, so it completes. Calls of other entries are not
+        affected.
         """
 
         async def scenario() -> tuple[int, int, bool]:
