--- a/tests/limit_worlds.py
+++ b/tests/limit_worlds.py
@@ -41,7 +41,7 @@
 
 
 def max_in_window(times: Iterable[float]) -> int:
-    """Return the highest number of these times that lie within one window."""
+    """Return the highest number of these times that lie within one window of WINDOW_S."""
     ordered = sorted(times)
     highest = first = 0
     for last, at in enumerate(ordered):
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -17,8 +17,8 @@
 from platform_fakes import World, route
 from virtual_time import run_virtual
 
-STREAM = route("r-stream", "/stream/", "streaming", "llm")
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
+STREAM_ROUTE = route("r-stream", "/stream/", "streaming", "llm")
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
 
 
 def log_line(event: str, request_id: str, second: int, **more: object) -> str:
@@ -38,9 +38,9 @@
     return f"ts=2026-01-01T00:00:{second:02d}Z event={event} request={request_id} {pairs}\n"
 
 
-ANSWERED = {"status": 200, "first_ms": 500, "gap_ms": 50}
-REFUSED = {"status": 503}
-RETRY = {"within_ms": 11000}
+ANSWERED_FIELDS = {"status": 200, "first_ms": 500, "gap_ms": 50}
+REFUSED_FIELDS = {"status": 503}
+RETRY_FIELDS = {"within_ms": 11000}
 
 
 def caller_value_of(
@@ -59,12 +59,20 @@
     @pytest.mark.parametrize(
         ("event", "more", "outcome"),
         [
-            ("answered", ANSWERED, CallerOutcome.IN_TIME),
-            ("answered", {**ANSWERED, "first_ms": 901}, CallerOutcome.LATE),
-            ("answered", {**ANSWERED, "gap_ms": 301}, CallerOutcome.LATE),
+            ("answered", ANSWERED_FIELDS, CallerOutcome.IN_TIME),
+            ("answered", {**ANSWERED_FIELDS, "first_ms": 901}, CallerOutcome.LATE),
+            ("answered", {**ANSWERED_FIELDS, "gap_ms": 301}, CallerOutcome.LATE),
             ("answered", {"status": 500}, CallerOutcome.FAILED),
-            ("request_failed", {**REFUSED, "took_ms": 20}, CallerOutcome.REFUSED_IMMEDIATELY),
-            ("request_failed", {**REFUSED, "took_ms": 700}, CallerOutcome.REFUSED_AFTER_WAIT),
+            (
+                "request_failed",
+                {**REFUSED_FIELDS, "took_ms": 20},
+                CallerOutcome.REFUSED_IMMEDIATELY,
+            ),
+            (
+                "request_failed",
+                {**REFUSED_FIELDS, "took_ms": 700},
+                CallerOutcome.REFUSED_AFTER_WAIT,
+            ),
             ("request_failed", {"status": 502}, CallerOutcome.FAILED),
             ("broken_off", {}, CallerOutcome.FAILED),
             ("caller_gone", {"took_ms": 4000}, CallerOutcome.FAILED),
@@ -81,14 +89,14 @@
 
     def test_served_retry_earns_nothing(self, tmp_path: Path) -> None:
         """The refused first attempt still counts as refused; a failed retry costs extra."""
-        refused = log_line("request_failed", "a", 1, **REFUSED, took_ms=0)
+        refused = log_line("request_failed", "a", 1, **REFUSED_FIELDS, took_ms=0)
         served = caller_value_of(
-            tmp_path / "a", refused, log_line("answered", "b", 5, **ANSWERED, **RETRY)
+            tmp_path / "a", refused, log_line("answered", "b", 5, **ANSWERED_FIELDS, **RETRY_FIELDS)
         )
         again = caller_value_of(
             tmp_path / "b",
             refused,
-            log_line("request_failed", "b", 5, **REFUSED, **RETRY, took_ms=0),
+            log_line("request_failed", "b", 5, **REFUSED_FIELDS, **RETRY_FIELDS, took_ms=0),
         )
         assert served.total.relative_value == pytest.approx(0.0)
         assert served.total.retries[CallerOutcome.IN_TIME] == 1
@@ -98,7 +106,7 @@
         """Twice the wait costs twice as much if the request fails; a served wait costs nothing."""
         costs = [
             caller_value_of(
-                tmp_path / "a", log_line("request_failed", "a", 9, **REFUSED, took_ms=took)
+                tmp_path / "a", log_line("request_failed", "a", 9, **REFUSED_FIELDS, took_ms=took)
             ).total.cost
             for took in (0, 1500, 3000)
         ]
@@ -111,7 +119,7 @@
 
     def test_refusal_without_a_query_costs_extra(self, tmp_path: Path) -> None:
         """A refusal costs less if servers were asked for memory or other requests were ahead."""
-        end = log_line("request_failed", "a", 1, **REFUSED, took_ms=0)
+        end = log_line("request_failed", "a", 1, **REFUSED_FIELDS, took_ms=0)
         for asked, ahead, needless in ((0, 0, 1), (0, 2, 0), (3, 0, 0)):
             place = f"event=place_refused request=a asked={asked} ahead={ahead}\n"
             report = caller_value_of(tmp_path / "a", place, end)
@@ -119,10 +127,10 @@
 
     def test_value_depends_on_size_and_route_kind(self, tmp_path: Path) -> None:
         """One request has three times the size of another, and one kind 30 times the value."""
-        large = log_line("answered", "a", 1, **ANSWERED, prompt=500)
-        small = log_line("request_failed", "b", 1, **REFUSED, took_ms=0)
+        large = log_line("answered", "a", 1, **ANSWERED_FIELDS, prompt=500)
+        small = log_line("request_failed", "b", 1, **REFUSED_FIELDS, took_ms=0)
         plain = log_line(
-            "request_failed", "c", 1, **REFUSED, took_ms=0, kind="once", route="p", most=0
+            "request_failed", "c", 1, **REFUSED_FIELDS, took_ms=0, kind="once", route="p", most=0
         )
         weights = CallerWeights(kinds={"stream": 30.0})
         report = caller_value_of(tmp_path / "a", large, small, plain, weights=weights)
@@ -133,8 +141,8 @@
         """A request that ends in a later window must not be counted there."""
         report = caller_value_of(
             tmp_path / "a",
-            log_line("answered", "a", 5, **ANSWERED, took_ms=5000),
-            log_line("request_failed", "b", 4, **REFUSED, took_ms=0),
+            log_line("answered", "a", 5, **ANSWERED_FIELDS, took_ms=5000),
+            log_line("request_failed", "b", 4, **REFUSED_FIELDS, took_ms=0),
         )
         assert {number: value.relative_value for number, value in report.windows.items()} == {
             0: 1,
@@ -154,11 +162,11 @@
         writer = world.add("i-writer", "llm", "decode")
 
         async def scenario() -> None:
-            assert (await world.call("served", "/stream/a", **TOKENS))[0] == 200
+            assert (await world.call("served", "/stream/a", **TOKEN_HEADERS))[0] == 200
             writer.room = 0
-            assert (await world.call("refused", "/stream/a", **TOKENS))[0] == 503
+            assert (await world.call("refused", "/stream/a", **TOKEN_HEADERS))[0] == 503
 
-        run_virtual(world.play, scenario, STREAM, settle_s=0.003)
+        run_virtual(world.play, scenario, STREAM_ROUTE, settle_s=0.003)
         path = tmp_path / "log"
         path.write_text("".join(world.lines.text))
         assert main(["callers", str(path)]) == 0
@@ -191,11 +199,13 @@
     def test_reused_connections_set_the_retry_threshold(self, tmp_path: Path) -> None:
         """A request on a new connection with a shorter wait than these counts as a retry."""
         kept = [
-            log_line("answered", f"k{n}", n, **ANSWERED, within_ms=12000 + 250 * n, kept="true")
+            log_line(
+                "answered", f"k{n}", n, **ANSWERED_FIELDS, within_ms=12000 + 250 * n, kept="true"
+            )
             for n in range(8)
         ]
-        new = log_line("answered", "n", 9, **ANSWERED, within_ms=12100, kept="false")
-        back = log_line("answered", "b", 10, **ANSWERED, within_ms=9000, kept="false")
+        new = log_line("answered", "n", 9, **ANSWERED_FIELDS, within_ms=12100, kept="false")
+        back = log_line("answered", "b", 10, **ANSWERED_FIELDS, within_ms=9000, kept="false")
         report = caller_value_of(tmp_path / "log", *kept, new, back)
         assert report.total.first_attempts[CallerOutcome.IN_TIME] == 9
         assert report.total.retries[CallerOutcome.IN_TIME] == 1
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -13,24 +13,24 @@
 from crankhinge_soak._entries_check import BundleSeen, Drain, History, check
 from crankhinge_soak._entries_evidence import read_drained_count
 
-CRC = zlib.crc32(b"prompt")
-ASK = Arrival(0.0, "m", prompt="prompt", max_tokens=3)
-CALL = Arrival(0.0, "m", path="/ledger/x", repeatable=False)
-DRAIN = Drain(name="a", at=100.0, until=110.0, status=0, backend="a", cut=0)
+PROMPT_CRC = zlib.crc32(b"prompt")
+STREAM_ARRIVAL = Arrival(0.0, "m", prompt="prompt", max_tokens=3)
+CALL_ARRIVAL = Arrival(0.0, "m", path="/ledger/x", repeatable=False)
+CLEAN_DRAIN = Drain(name="a", at=100.0, until=110.0, status=0, backend="a", cut=0)
 
 
 def history(**changes: Any) -> History:
     """Return a history in which every invariant was tested and none was violated."""
     values: dict[str, Any] = {
         "outcomes": [
-            RequestResult(ASK, complete=True, tokens=3),
-            RequestResult(ASK, outcome="not-run", code="overloaded", attempts=1),
-            RequestResult(CALL, complete=True, key="k1", attempts=2),
+            RequestResult(STREAM_ARRIVAL, complete=True, tokens=3),
+            RequestResult(STREAM_ARRIVAL, outcome="not-run", code="overloaded", attempts=1),
+            RequestResult(CALL_ARRIVAL, complete=True, key="k1", attempts=2),
         ],
         "runs": [{"key": "k1", "place": "a", "at": 90.0}],
         "work": [],
         "held": {"write-0": 0},
-        "drains": [DRAIN],
+        "drains": [CLEAN_DRAIN],
         "bundles": [BundleSeen(process="a", versions=[(1.0, 1), (2.0, 2)], digests={1: "x"})],
         "published": [(1.5, 2)],
         "ended": 1,
@@ -57,8 +57,8 @@
             ({"held": {"write-0": 1}}, "no engine memory stays tied"),
             (
                 {
-                    "outcomes": [RequestResult(ASK, cancelled=True, cancelled_at=10.0)],
-                    "work": [{"kind": "end", "prompt": CRC, "at": 19.0, "place": "w"}],
+                    "outcomes": [RequestResult(STREAM_ARRIVAL, cancelled=True, cancelled_at=10.0)],
+                    "work": [{"kind": "end", "prompt": PROMPT_CRC, "at": 19.0, "place": "w"}],
                 },
                 "no engine memory stays tied",
             ),
@@ -67,15 +67,15 @@
                 "no request is answered twice",
             ),
             (
-                {"outcomes": [RequestResult(ASK, complete=True, wrong=True, tokens=3)]},
+                {"outcomes": [RequestResult(STREAM_ARRIVAL, complete=True, wrong=True, tokens=3)]},
                 "whole answer to its own request",
             ),
             (
-                {"work": [{"kind": "prefill", "prompt": CRC, "at": 1.0, "place": "r"}]},
+                {"work": [{"kind": "prefill", "prompt": PROMPT_CRC, "at": 1.0, "place": "r"}]},
                 "not run is true",
             ),
             (
-                {"outcomes": [RequestResult(CALL, outcome="not-run", key="k1")]},
+                {"outcomes": [RequestResult(CALL_ARRIVAL, outcome="not-run", key="k1")]},
                 "not run is true",
             ),
             (
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -7,12 +7,12 @@
 from platform_fakes import World, config, route
 from virtual_time import run_virtual
 
-ONCE = route("r-once", "/once/", "unsafe", "plain")
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
 
 
 def run_scenario(world: World, scenario: object) -> None:
     """Run *scenario* on virtual time."""
-    run_virtual(world.play, scenario, ONCE, settle_s=0.003)
+    run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
 
 
 class TestConfig:
@@ -24,11 +24,11 @@
         world.add("i-1", "plain")
 
         async def scenario() -> None:
-            moved = {**ONCE, "path_prefix": "/moved/"}
+            moved = {**UNSAFE_ROUTE, "path_prefix": "/moved/"}
             await world.store.put("op/config", config(7, moved))
             await curio.sleep(0.2)
             assert (await world.call("q1", "/moved/a"))[0] == 200
-            await world.store.put("op/config", config(5, ONCE))
+            await world.store.put("op/config", config(5, UNSAFE_ROUTE))
             await curio.sleep(0.2)
             assert (await world.call("q2", "/moved/a"))[0] == 200
             assert (await world.call("q3", "/once/a"))[0] == 404
@@ -43,7 +43,7 @@
         async def scenario() -> None:
             world.store.down = True
             world.store.forget_history()
-            await world.store.put("op/config", config(3, {**ONCE, "path_prefix": "/late/"}))
+            await world.store.put("op/config", config(3, {**UNSAFE_ROUTE, "path_prefix": "/late/"}))
             await curio.sleep(20.0)
             assert (await world.call("q1", "/once/a"))[0] == 200
             assert world.lines.having("event=source_lost", "what=config")
@@ -98,7 +98,7 @@
 
         async def scenario() -> None:
             world.store.oldest_revision = 10**9
-            await world.store.put("op/config", config(2, ONCE))
+            await world.store.put("op/config", config(2, UNSAFE_ROUTE))
             before = len(world.store.calls)
             await curio.sleep(10.0)
             assert len(world.store.calls) - before < 120
@@ -134,7 +134,9 @@
             await world.store.put("other/key", "x")
             world.store.forget_history()
             world.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S
-            await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}, *more))
+            await world.store.put(
+                "op/config", config(2, {**UNSAFE_ROUTE, "path_prefix": "/new/"}, *more)
+            )
             value = world.store.items["op/config"]["value"]
             carried_s = len(value) / SLOW_LINK_BYTES_PER_S
             assert carried_s > 1.5
@@ -156,7 +158,7 @@
             await world.store.put("other/key", "x")
             await curio.sleep(6.0)
             world.store.down = False
-            await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}))
+            await world.store.put("op/config", config(2, {**UNSAFE_ROUTE, "path_prefix": "/new/"}))
             await curio.sleep(1.0)
             assert (await world.call("q1", "/new/a"))[0] == 200
             assert world.lines.having("event=source_regained", "what=config")
@@ -178,7 +180,7 @@
         async def scenario() -> None:
             world.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S // 2
             for version in range(2, 14):
-                moved = {**ONCE, "path_prefix": f"/v{version}/"}
+                moved = {**UNSAFE_ROUTE, "path_prefix": f"/v{version}/"}
                 await world.store.put("op/config", config(version, moved, *more))
                 await curio.sleep(0.3)
             value = world.store.items["op/config"]["value"]
@@ -274,7 +276,7 @@
             # Both watches have just been sent again.
             await curio.sleep(10.0)
             world.store.mute_open_calls()
-            await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}))
+            await world.store.put("op/config", config(2, {**UNSAFE_ROUTE, "path_prefix": "/new/"}))
             await world.store.remove("servers/i-1")
             await curio.sleep(RECONNECTED_S)
             assert world.lines.having("event=server_gone", "server=i-1")
@@ -394,7 +396,7 @@
             await curio.sleep(1.0)
             for version in range(2, 42):
                 await world.store.put(
-                    "op/config", config(version, {**ONCE, "path_prefix": f"/v{version}/"})
+                    "op/config", config(version, {**UNSAFE_ROUTE, "path_prefix": f"/v{version}/"})
                 )
                 await curio.sleep(0.25)
             await curio.sleep(0.5)
@@ -540,7 +542,7 @@
         async def scenario() -> None:
             world.store.faults.delay_s = 1.2
             await curio.sleep(10.0)
-            await world.store.put("op/config", config(2, {**ONCE, "path_prefix": "/new/"}))
+            await world.store.put("op/config", config(2, {**UNSAFE_ROUTE, "path_prefix": "/new/"}))
             await curio.sleep(6.0)
             assert (await world.call("q1", "/new/a"))[0] == 200
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -16,11 +16,11 @@
 from virtual_time import run_virtual
 
 PAGE = Path(__file__).parent.parent / "docs" / "OPERATIONS.md"
-ONCE = route("r-once", "/once/", "unsafe", "plain")
-STREAM = route("r-stream", "/stream/", "streaming", "llm")
-CRASH = route("r-crash", "/crash/", "unsafe", "fragile")
-LIMITED = route("r-needy", "/needy/", "unsafe", "needy")
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
+STREAM_ROUTE = route("r-stream", "/stream/", "streaming", "llm")
+CRASH_ROUTE = route("r-crash", "/crash/", "unsafe", "fragile")
+LIMITED_ROUTE = route("r-needy", "/needy/", "unsafe", "needy")
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
 
 
 async def reset_connection(_: FakeReplica, exchange: Exchange) -> None:
@@ -47,12 +47,12 @@
 
     async def scenario() -> None:
         assert (await world.call("unknown", "/once/a"))[0] == 502
-        answer = await world.open("cut", "/stream/a", **TOKENS)
+        answer = await world.open("cut", "/stream/a", **TOKEN_HEADERS)
         with pytest.raises((BadHttp, HttpClosed)):
             await answer.read_all()
         await curio.sleep(5.0)
         writer.room = 0
-        assert (await world.call("refused", "/stream/a", **TOKENS))[0] == 503
+        assert (await world.call("refused", "/stream/a", **TOKEN_HEADERS))[0] == 503
         for number in range(3):
             assert (await world.call(f"crashed{number}", "/crash/a"))[0] == 502
             await curio.sleep(1.0)
@@ -60,7 +60,9 @@
         assert (await world.call("first", "/needy/a"))[0] == 200
         assert (await world.call("over", "/needy/a"))[0] == 503
 
-    run_virtual(world.play, scenario, ONCE, STREAM, CRASH, LIMITED, settle_s=0.003)
+    run_virtual(
+        world.play, scenario, UNSAFE_ROUTE, STREAM_ROUTE, CRASH_ROUTE, LIMITED_ROUTE, settle_s=0.003
+    )
     path.write_text("".join(world.lines.text))
 
 
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -41,7 +41,8 @@
 class FenceSimulation:
     """Two replicas, the link between them, the key-value service and a clock, all in memory.
 
-    It records which requests were permitted for each key; the random tests check nothing else.
+    The simulation records which requests were permitted for each key; the random tests check
+    nothing else.
     """
 
     now: float = 0.0
@@ -64,7 +65,7 @@
 
     @property
     def wall_ms(self) -> int:
-        """Milliseconds since the epoch."""
+        """The simulated time in milliseconds since the epoch."""
         return START_MS + int(self.now * 1000)
 
     def start(self, name: str) -> None:
@@ -75,7 +76,7 @@
         self.replicas[name] = FencePair(range_id="r", me=name, other=other, writer=self.start_count)
 
     def cut_link(self) -> None:
-        """Break the link and drop the messages in flight."""
+        """Break the link between the replicas and drop the messages in flight."""
         if self.linked:
             self.linked = False
             self.in_flight.clear()
@@ -83,14 +84,14 @@
                 self.perform(name, replica.on_unlinked(self.now))
 
     def restore_link(self) -> None:
-        """Restore the link."""
+        """Restore the link between the replicas."""
         if not self.linked:
             self.linked = True
             for name, replica in self.replicas.items():
                 self.perform(name, replica.on_linked())
 
     def perform(self, name: str, actions: list[Any]) -> None:
-        """Perform the actions that a replica decided on."""
+        """Perform the actions that a replica decided on: messages, replies, key-value calls."""
         for action in actions:
             if isinstance(action, Send):
                 if self.linked:
@@ -107,7 +108,7 @@
         self.pending_calls.append((name, self.replicas[name], action))
 
     def complete_kv_call(self, position: int) -> None:
-        """Complete one of the pending calls."""
+        """Complete one of the pending calls, or let it fail if the service is unavailable."""
         name, replica, action = self.pending_calls.pop(position)
         is_current = self.replicas[name] is replica
         if isinstance(action, ReadRecord):
@@ -135,7 +136,7 @@
         return True
 
     def deliver(self, name: str) -> None:
-        """Deliver the oldest message that *name* sent."""
+        """Deliver the oldest message in flight that *name* sent."""
         if not self.in_flight[name]:
             return
         msg = self.in_flight[name].popleft()
@@ -172,7 +173,7 @@
                 self.complete_kv_call(0)
 
     def request_permit(self, name: str, key: str, request_id: int) -> None:
-        """Request a permit for a key from a replica."""
+        """Request a permit to run a request with a key from one replica."""
         self.key_of_request[request_id] = key
         replica = self.replicas[name]
         self.perform(
@@ -193,7 +194,7 @@
 
 
 class TestPaired:
-    """Both replicas are alive."""
+    """Both replicas are alive and linked, so each permit needs the other replica."""
 
     def test_permit_needs_both_replicas(self) -> None:
         """A permit is granted only after the other replica has recorded the key."""
@@ -206,7 +207,7 @@
         assert len(simulation.replicas["b"]) == 1
 
     def test_other_replica_refuses_a_used_key(self) -> None:
-        """A key permitted by one replica is refused by the other, with the recorded response."""
+        """The refusal contains the response that the first request got, for the caller."""
         simulation = paired_simulation()
         key = make_key(simulation.wall_ms)
         simulation.request_permit("a", key, 1)
@@ -220,7 +221,7 @@
         assert reply.answer is not None and reply.answer.body == b"done"
 
     def test_concurrent_requests_get_one_permit(self) -> None:
-        """Of two requests for one key at the same moment, one is permitted."""
+        """Each replica gets a request for the same key before it hears of the other one."""
         simulation = paired_simulation()
         key = make_key(simulation.wall_ms)
         simulation.request_permit("a", key, 1)
@@ -245,7 +246,7 @@
         ("created_s", "cause"), [(-3600.0, TOO_OLD), (60.0, BAD_KEY), (None, BAD_KEY)]
     )
     def test_key_without_valid_time_is_refused(self, created_s: float | None, cause: str) -> None:
-        """A key that is too old, from the future or without a creation time is refused."""
+        """A replica cannot know whether a key was used that is too old or from the future."""
         simulation = paired_simulation()
         key = "m/x" if created_s is None else make_key(simulation.wall_ms + int(created_s * 1000))
         simulation.request_permit("a", key, 1)
@@ -253,10 +254,10 @@
 
 
 class TestFailures:
-    """A replica, the link or the key-value service fails."""
+    """One replica, the link or the key-value service fails."""
 
     def test_surviving_replica_continues_alone_after_a_swap(self) -> None:
-        """After one replica died, the other grants permits alone and still knows the old keys."""
+        """The surviving replica writes to the key-value service first and keeps the old keys."""
         simulation = paired_simulation()
         old = make_key(simulation.wall_ms)
         simulation.request_permit("a", old, 1)
@@ -270,7 +271,7 @@
         assert isinstance(simulation.replies[3], FencePermitted)
 
     def test_no_replica_continues_alone_without_the_key_value_service(self) -> None:
-        """With the link and the key-value service down, no permit is granted."""
+        """Without link and service, a replica cannot know whether the other one continues."""
         simulation = paired_simulation()
         simulation.kv_available = False
         simulation.cut_link()
@@ -280,7 +281,7 @@
         assert simulation.replies == {1: None, 2: None}
 
     def test_pair_works_during_key_value_service_outage(self) -> None:
-        """While both replicas live, they don't need the key-value service."""
+        """Two linked replicas need the service only when they pair or continue alone."""
         simulation = paired_simulation()
         simulation.kv_available = False
         simulation.run_for(3600.0)
@@ -289,7 +290,7 @@
         assert isinstance(simulation.replies[1], FencePermitted)
 
     def test_paused_replica_grants_no_permit_after_resuming(self) -> None:
-        """A replica that was paused while the other continued alone grants no permit on its own."""
+        """The other replica continued alone during the pause, so the paused one may not decide."""
         simulation = paired_simulation()
         key = make_key(simulation.wall_ms)
         simulation.linked = False
@@ -306,8 +307,8 @@
         simulation.run_for(5.0)
         assert simulation.permitted[key] == [1]
 
-    def test_restart_of_both_replicas(self) -> None:
-        """Keys created before the restarts are refused, and new keys are permitted."""
+    def test_keys_from_before_a_restart_of_both_replicas_are_refused(self) -> None:
+        """Both records are lost, so only keys created after the restarts are surely unused."""
         simulation = paired_simulation()
         key = make_key(simulation.wall_ms)
         simulation.request_permit("a", key, 1)
@@ -323,7 +324,7 @@
         assert isinstance(simulation.replies[3], FencePermitted)
 
     def test_restarted_replica_is_paired_again(self) -> None:
-        """A replica that restarts with an empty record receives a copy and knows the keys."""
+        """The restarted replica receives a copy of the record and refuses the keys in it."""
         simulation = paired_simulation()
         simulation.start("a")
         simulation.run_for(5.0)
@@ -337,7 +338,7 @@
 
 
 def request_from_both(simulation: FenceSimulation, rng: random.Random, keys: list[str]) -> None:
-    """Request a permit for one recent key from each replica, in a random order."""
+    """Request a permit for the same recent key from each replica, in a random order."""
     if rng.random() < 0.5 or not keys:
         keys.append(make_key(simulation.wall_ms, salt=len(keys)))
     key = rng.choice(keys[-3:])
@@ -371,7 +372,7 @@
 
 
 def random_step(simulation: FenceSimulation, rng: random.Random, keys: list[str]) -> None:
-    """Apply one random event."""
+    """Apply one random event to the simulation."""
     draw = rng.random()
     if draw < 0.08:
         cut_link_and_request_both(simulation, rng, keys)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -34,7 +34,7 @@
     *(("x_deadline_ms", text) for text in ("nan", "inf", "-inf", "1e309")),
     *(("x_token_count", text) for text in ("-5,7", "5,-7", "9" * 400 + ",1", "1," + "9" * 400)),
 ]
-ENTRY = {
+VALID_ENTRY = {
     "service": "plain",
     "address": "127.0.0.1:80",
     "zone": "z1",
@@ -42,19 +42,19 @@
     "state": "ready",
     "sequence": 1,
 }
-ONCE = route("once", "/once/", "unsafe", "plain")
+UNSAFE_ROUTE = route("once", "/once/", "unsafe", "plain")
 
 # Drawing the first example can be slow on a busy machine; these tests do not check speed.
 without_deadline = settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
-extremes = st.sampled_from(
+extreme_numbers = st.sampled_from(
     ["", "0", "-0", "-1", "nan", "-nan", "inf", "-inf", "1e309", "1e-309", "9" * 400, "9" * 5000]
 )
-texts = st.one_of(
-    extremes,
+header_texts = st.one_of(
+    extreme_numbers,
     st.floats().map(str),
     st.integers().map(str),
     st.text(max_size=20),
-    st.lists(extremes, max_size=3).map(",".join),
+    st.lists(extreme_numbers, max_size=3).map(",".join),
 )
 values: Any = st.recursive(
     st.one_of(st.none(), st.booleans(), st.integers(), st.floats(), st.text(max_size=8)),
@@ -66,11 +66,11 @@
 
 
 class TestCallers:
-    """Header fields of callers."""
+    """Header fields that callers send."""
 
     @pytest.mark.parametrize(("field", "text"), INVALID_NUMBERS)
     def test_invalid_number_is_a_bad_request(self, field: str, text: str) -> None:
-        """The request gets status 400 and is sent to no server; the next request is served."""
+        """The request gets status 400 and reaches no server, and the next request is served."""
         world = World()
         replica = world.add("i-1", "plain")
 
@@ -80,12 +80,12 @@
             status, _, _ = await world.call("q2", "/once/a")
             assert (status, len(replica.arrivals)) == (200, 1)
 
-        run_virtual(world.play, scenario, ONCE, settle_s=0.003)
+        run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
 
     @without_deadline
-    @given(st.dictionaries(st.sampled_from(NUMBER_FIELDS), texts))
+    @given(st.dictionaries(st.sampled_from(NUMBER_FIELDS), header_texts))
     def test_any_text_is_a_valid_number_or_a_bad_request(self, fields: dict[str, str]) -> None:
-        """Each decoded number is finite, and token counts are not negative."""
+        """Each number that is decoded is finite, and token counts are not negative."""
         try:
             parsed = PlatformDialect().parse_request(HttpRequest("POST", "/a", fields, b""))
         except BadHttp:
@@ -101,14 +101,14 @@
 
 
 class TestServers:
-    """Response heads and entries of servers."""
+    """Heads of responses and entries in the store that servers send."""
 
     @without_deadline
-    @given(st.integers(100, 599), st.dictionaries(st.sampled_from(RESPONSE_FIELDS), texts))
+    @given(st.integers(100, 599), st.dictionaries(st.sampled_from(RESPONSE_FIELDS), header_texts))
     def test_any_response_head_gives_valid_signals(
         self, status: int, fields: dict[str, str]
     ) -> None:
-        """Backoff, limit and leaving are set only by valid values of their fields."""
+        """Backoff, limit and leaving are set only by valid values of their header fields."""
         signals = PlatformDialect().parse_signals(status, fields)
         for number in (signals.backoff_s, signals.retry_after_s, signals.limit_per_s):
             assert number is None or (math.isfinite(number) and number >= 0)
@@ -118,16 +118,16 @@
 
     @pytest.mark.parametrize("port", ["0", "-1", "65536", "nan", "1e3", "", "9" * 5000])
     def test_address_with_an_invalid_port_is_rejected(self, port: str) -> None:
-        """The entry is invalid, so that no request is sent to the address."""
-        data = msgspec.json.encode({**ENTRY, "address": f"127.0.0.1:{port}"})
+        """The whole entry is invalid, so no request is ever sent to its address."""
+        data = msgspec.json.encode({**VALID_ENTRY, "address": f"127.0.0.1:{port}"})
         with pytest.raises((KeyValueUnavailable, ValueError)):
             decode_server(item_of(data))
 
     @without_deadline
-    @given(st.dictionaries(st.sampled_from([*ENTRY, "born", "models"]), values))
+    @given(st.dictionaries(st.sampled_from([*VALID_ENTRY, "born", "models"]), values))
     def test_any_entry_is_a_valid_server_or_is_rejected(self, fields: dict[str, Any]) -> None:
-        """Some fields of a valid entry are replaced by arbitrary values."""
-        data = msgspec.json.encode({**ENTRY, **fields})
+        """Arbitrary values replace some fields of a valid entry."""
+        data = msgspec.json.encode({**VALID_ENTRY, **fields})
         try:
             server = decode_server(item_of(data))
         except (KeyValueUnavailable, ValueError):
@@ -138,12 +138,12 @@
 
 
 class TestOperators:
-    """Configurations."""
+    """Configurations that operators write."""
 
     @without_deadline
     @given(st.dictionaries(st.sampled_from(["version", "routes", "services", "limits"]), values))
     def test_any_configuration_is_decoded_or_rejected(self, fields: dict[str, Any]) -> None:
-        """An invalid configuration raises KeyValueUnavailable, so that the previous one stays."""
+        """An invalid one raises KeyValueUnavailable, so that the previous one stays active."""
         valid: dict[str, Any] = {"version": 1, "routes": [], "services": []}
         try:
             table = decode_config(msgspec.json.encode({**valid, **fields}))
@@ -153,5 +153,5 @@
 
 
 def item_of(data: bytes) -> Item:
-    """Return the store item of a server's entry."""
+    """Return a store item that contains *data* as the entry of a server."""
     return Item("servers/i-1", value=base64.b64encode(data).decode())
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -21,10 +21,10 @@
 
 
 class TestFreeTime:
-    """When enough memory is free, predicted from the answers in progress."""
+    """When enough memory will be free, predicted from the answers in progress."""
 
     def test_answers_release_memory_in_order_of_their_end(self) -> None:
-        """Enough memory is free once the second answer has ended."""
+        """Two answers have to end before there is enough memory for the request."""
         forecast = forecast_with((4000, 3.0), (1000, 0.5), (3000, 1.0))
         assert forecast.free_in_s(900, 0.0) == 0.5
         assert forecast.free_in_s(3500, 0.0) == 1.0
@@ -41,7 +41,7 @@
         assert forecast_with((1000, 2.0)).free_in_s(500, 5.0) == pytest.approx(2.0 * OVERDUE_SHARE)
 
     def test_nothing_is_predicted_without_answers(self) -> None:
-        """An instance that has just started has no answers to predict from."""
+        """An instance that has just started knows no answers whose end it could predict."""
         assert MemoryForecast().free_in_s(1, 0.0) is None
         assert MemoryForecast().retry_in_s(1, 0, 0.0) is None
 
@@ -53,7 +53,7 @@
     def test_smaller_request_never_waits_longer(
         self, answers: list[tuple[int, float]], one: int, other: int
     ) -> None:
-        """A request for fewer tokens never gets a later time, whatever is in progress."""
+        """A request for fewer tokens must not be told a later time, whatever is in progress."""
         forecast = forecast_with(*answers)
         less = forecast.free_in_s(min(one, other), 0.0)
         more = forecast.free_in_s(max(one, other), 0.0)
@@ -63,10 +63,10 @@
 
 
 class TestRetryTime:
-    """When a refused request should be retried."""
+    """When the caller of a refused request should retry."""
 
     def test_requests_refused_together_get_different_times(self) -> None:
-        """Memory promised to one retry is not offered to others until its time has come."""
+        """Memory promised to one retry is not offered to others until that retry is due."""
         forecast = forecast_with(*[(1000, 0.5 * number) for number in range(1, 20)])
         retry_times = []
         for _ in range(4):
@@ -78,7 +78,7 @@
         assert forecast.retry_in_s(1000, 0, retry_times[-1] + 1) < retry_times[-1]
 
     def test_first_attempts_take_precedence_over_retries(self) -> None:
-        """Where first attempts got most reservations, a retry waits longer, up to a bound."""
+        """If first attempts get most reservations, a retry waits longer, up to a bound."""
         late_only, first_attempts_only = forecast_with((1000, 1.0)), forecast_with((1000, 1.0))
         for _ in range(40):
             late_only.record_reserved(1, 9.0, 0.0, late=True)
@@ -89,7 +89,7 @@
         )
 
     def test_waiting_requests_get_memory_first(self) -> None:
-        """With 2,000 tokens requested ahead, the third answer has to end."""
+        """Waiting requests need 2,000 tokens, so the answers must free three times as many."""
         forecast = forecast_with(*[(1000, float(number)) for number in range(1, 9)])
         retry_s = forecast.retry_in_s(1000, 2000, 0.0)
         unqueued_s = forecast.retry_in_s(1000, 0, 0.0)
--- a/tests/test_http_service.py
+++ b/tests/test_http_service.py
@@ -38,7 +38,7 @@
 
 
 class TestBackoff:
-    """A service that asks for no calls for some time."""
+    """A plain service that asks for no calls for some time."""
 
     @pytest.mark.parametrize(
         ("status", "value", "backoff_s"),
@@ -55,7 +55,7 @@
     def test_retry_after_of_a_503_is_the_backoff(
         self, status: int, value: str, backoff_s: float | None
     ) -> None:
-        """The value must be valid and in seconds; the field itself is passed on."""
+        """A value that is not a number of seconds starts no backoff; the field is passed on."""
         response = response_of(status, [("retry-after", value)])
         assert (response.status, response.backoff_s) == (status, backoff_s)
         assert response.headers["retry-after"] == value
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,14 +10,14 @@
 from platform_fakes import World, config, route, stream
 from virtual_time import run_virtual
 
-ONCE = route("r-once", "/once/", "unsafe", "plain")
-STREAM = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
-OPEN = route("r-open", "/open/", "safe", "plain", anonymous=True)
-ALL = (ONCE, STREAM, OPEN)
-RED, BLUE = account("red", "key-red", "key-red-2"), account("blue", "key-blue")
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
+RESUMABLE_ROUTE = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
+ANONYMOUS_ROUTE = route("r-open", "/open/", "safe", "plain", anonymous=True)
+ALL_ROUTES = (UNSAFE_ROUTE, RESUMABLE_ROUTE, ANONYMOUS_ROUTE)
+RED_ACCOUNT, BLUE_ACCOUNT = account("red", "key-red", "key-red-2"), account("blue", "key-blue")
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
 REVOKE_S = 5.0
-FAIL_CLOSED = {"revoke_s": REVOKE_S, "contact_s": 4.0}
+REVOCATION_SETTINGS = {"revoke_s": REVOKE_S, "contact_s": 4.0}
 
 
 def bearer(key: str) -> dict[str, str]:
@@ -27,23 +27,23 @@
 
 def run_scenario(world: World, scenario: Any, *routes: dict[str, Any]) -> None:
     """Run *scenario* on virtual time."""
-    run_virtual(world.play, scenario, *(routes or ALL), settle_s=0.003)
+    run_virtual(world.play, scenario, *(routes or ALL_ROUTES), settle_s=0.003)
 
 
 def keyed_world(**settings: Any) -> World:
     """Return a world in which callers need keys."""
-    return World(tenants=(RED, BLUE), **settings)
+    return World(tenants=(RED_ACCOUNT, BLUE_ACCOUNT), **settings)
 
 
 class TestKeys:
-    """Identification of callers.
+    """How callers are identified by their API keys.
 
     Guards against passing callers' keys on to backend servers, which could have used them, and
     against sending requests without the name of the client account.
     """
 
     def test_server_gets_the_account_name_and_never_the_key(self) -> None:
-        """The caller's own X-Tenant is replaced, on every call made for the request."""
+        """A caller's own X-Tenant field is replaced on every call made for its request."""
         world = keyed_world()
         plain = world.add("i-p", "plain")
         reader = world.add("i-r", "llm", "prefill")
@@ -51,7 +51,7 @@
 
         async def scenario() -> None:
             await world.call("a", "/once/a", x_tenant="blue", **bearer("key-red"))
-            await world.call("b", "/stream/a", **TOKENS, **bearer("key-blue"))
+            await world.call("b", "/stream/a", **TOKEN_HEADERS, **bearer("key-blue"))
             arrivals = [*plain.arrivals, *reader.arrivals, *writer.arrivals]
             assert [arrival.ident for arrival in arrivals] == ["a", "b", "b"]
             for arrival in arrivals:
@@ -62,7 +62,7 @@
         run_scenario(world, scenario)
 
     def test_unknown_key_is_refused(self) -> None:
-        """Unknown and missing keys get 401; the key appears in no log line."""
+        """The status is 401 for unknown and missing keys, and no log line shows the key."""
         world = keyed_world()
         plain = world.add("i-p", "plain")
 
@@ -77,7 +77,7 @@
         run_scenario(world, scenario)
 
     def test_anonymous_route_needs_no_key(self) -> None:
-        """The caller's own X-Tenant is dropped."""
+        """A caller's own X-Tenant field is dropped, because nothing proves its account."""
         world = keyed_world()
         plain = world.add("i-p", "plain")
 
@@ -88,7 +88,7 @@
         run_scenario(world, scenario)
 
     def test_without_accounts_credentials_are_passed_on(self) -> None:
-        """If no accounts are configured, the server checks credentials itself."""
+        """If no accounts are configured, the servers check credentials themselves."""
         world = World()
         plain = world.add("i-p", "plain")
 
@@ -99,13 +99,13 @@
         run_scenario(world, scenario)
 
     def test_key_is_valid_only_while_the_configuration_has_it(self) -> None:
-        """A new configuration adds one key and removes another."""
+        """A new version of the configuration adds one key and removes another."""
         world = keyed_world()
         world.add("i-p", "plain")
 
         async def scenario() -> None:
             assert (await world.call("a", "/once/a", **bearer("key-new")))[0] == 401
-            later = config(2, *ALL, tenants=(account("red", "key-new"), BLUE))
+            later = config(2, *ALL_ROUTES, tenants=(account("red", "key-new"), BLUE_ACCOUNT))
             await world.store.put("op/config", later)
             await curio.sleep(0.5)
             assert (await world.call("b", "/once/a", **bearer("key-new")))[0] == 200
@@ -122,14 +122,14 @@
     """
 
     def test_no_request_runs_after_the_revocation_bound(self) -> None:
-        """Requests are refused once the store has been unreachable for the bound."""
-        world = keyed_world(**FAIL_CLOSED)
+        """An instance that cannot reach the store cannot know whether a key was revoked."""
+        world = keyed_world(**REVOCATION_SETTINGS)
         plain = world.add("i-p", "plain")
 
         async def scenario() -> None:
             began = await curio.clock()
             world.store.down = True
-            await world.store.put("op/config", config(2, *ALL, tenants=(BLUE,)))
+            await world.store.put("op/config", config(2, *ALL_ROUTES, tenants=(BLUE_ACCOUNT,)))
             statuses = set()
             while await curio.clock() < began + 2 * REVOKE_S:
                 status, headers, _ = await world.call("a", "/once/a", **bearer("key-red"))
@@ -143,8 +143,8 @@
         run_scenario(world, scenario)
 
     def test_instance_is_not_ready_until_the_store_is_back(self) -> None:
-        """Anonymous routes are served throughout."""
-        world = keyed_world(**FAIL_CLOSED)
+        """Anonymous routes are served throughout, because they need no key."""
+        world = keyed_world(**REVOCATION_SETTINGS)
         world.add("i-p", "plain")
 
         async def scenario() -> None:
@@ -161,8 +161,8 @@
         run_scenario(world, scenario)
 
     def test_key_stays_valid_without_configuration_changes(self) -> None:
-        """A key works for a minute without changes, and with changes every two seconds."""
-        world = keyed_world(**FAIL_CLOSED)
+        """A quiet store must not count as unreachable, nor one with changes every two seconds."""
+        world = keyed_world(**REVOCATION_SETTINGS)
         world.add("i-p", "plain")
 
         async def scenario() -> None:
@@ -170,22 +170,22 @@
                 assert (await world.call("a", "/once/a", **bearer("key-red")))[0] == 200
                 await curio.sleep(0.25)
                 if number > 120 and number % 11 == 0:
-                    later = config(number, *ALL, tenants=(RED, BLUE))
+                    later = config(number, *ALL_ROUTES, tenants=(RED_ACCOUNT, BLUE_ACCOUNT))
                     await world.store.put("op/config", later)
 
         run_scenario(world, scenario)
 
     def test_waiting_request_is_refused_once_its_key_is_revoked(self) -> None:
-        """The key is revoked while the request waits for capacity."""
-        world = keyed_world(**FAIL_CLOSED)
+        """The key is valid when the request arrives and revoked while it waits for capacity."""
+        world = keyed_world(**REVOCATION_SETTINGS)
         writer = world.add("i-w", "llm", "decode", behave=stream, room=0)
 
         async def scenario() -> None:
             task = await curio.spawn(
-                lambda: world.call("a", "/stream/a", **TOKENS, **bearer("key-red"))
+                lambda: world.call("a", "/stream/a", **TOKEN_HEADERS, **bearer("key-red"))
             )
             await curio.sleep(0.3)
-            await world.store.put("op/config", config(2, *ALL, tenants=(BLUE,)))
+            await world.store.put("op/config", config(2, *ALL_ROUTES, tenants=(BLUE_ACCOUNT,)))
             await curio.sleep(0.1)
             writer.room = 10
             status, _, _ = await task.join()
--- a/tests/test_limits_relayed.py
+++ b/tests/test_limits_relayed.py
@@ -19,12 +19,12 @@
 
 
 def account_with_limit(per_s: float, burst: float) -> dict[str, Any]:
-    """Return an account with a token limit."""
+    """Return a client account with a limit of tokens per second and a burst."""
     return account("red", "key-red", rate_per_s=per_s, burst=burst)
 
 
 class GatewayFleet:
-    """Several gateways with the same store and the same servers."""
+    """Several gateways that have the same store and the same servers."""
 
     def __init__(self, count: int, account: dict[str, Any]) -> None:
         self.worlds = [
@@ -49,7 +49,7 @@
 
 
 class TestAccountLimit:
-    """The use of an account is counted over all instances."""
+    """The limit of a client account, which counts its use of all instances together."""
 
     def test_one_instance_may_use_whole_limit(self) -> None:
         """If all callers use one instance, an equal share would refuse half of their requests."""
@@ -115,7 +115,7 @@
         fleet.run(scenario)
 
     def test_account_without_limit_sends_no_quota_request(self) -> None:
-        """Instances ask no allocator for tokens of an account without a limit."""
+        """Its requests must not wait for a message to another instance and back."""
         fleet = GatewayFleet(2, account("red", "key-red"))
         fleet.first.add("i-p", "plain")
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 
 def make_joined(*, resumed: bool = False) -> Membership:
-    """Return the membership of an instance that has just joined and found another instance."""
+    """Return the membership of an instance that has just joined an existing one."""
     membership = Membership("here", 0.0)
     membership.set_lease_end(1000.0)
     membership.join(ADDRESSES, 10.0, resumed=resumed)
@@ -16,26 +16,26 @@
 
 
 class TestMayCoordinate:
-    """When an instance may coordinate."""
+    """When an instance may coordinate, for example allocate the tokens of an account."""
 
-    def test_waits_for_acknowledgement_of_other_instances(self) -> None:
-        """Until they count the joined instance, another may take itself for the first."""
+    def test_joined_instance_waits_for_acknowledgement_of_the_others(self) -> None:
+        """Before they count the joined instance, another one may coordinate in its place."""
         membership = make_joined()
         assert not membership.may_coordinate(10.1)
         assert membership.unacknowledged_addresses == ["t:1"]
         membership.record_acknowledged("there")
         assert membership.may_coordinate(10.1)
 
-    def test_may_coordinate_once_other_instance_is_gone(self) -> None:
-        """A read without the other's record counts only once it cannot be a stale one."""
+    def test_joined_instance_may_coordinate_once_the_other_is_gone(self) -> None:
+        """Only a read that cannot be stale shows that the record of the other is gone."""
         membership = make_joined()
         membership.apply_records({"here": "h:1"}, 15.0)
         assert not membership.may_coordinate(15.0)
         membership.apply_records({"here": "h:1"}, 17.0)
         assert membership.may_coordinate(17.0)
 
-    def test_may_coordinate_once_unreachable_instance_has_read_its_record(self) -> None:
-        """The unreachable instance has read the record by then, or no longer coordinates."""
+    def test_joined_instance_waits_until_an_unreachable_one_has_read_its_record(self) -> None:
+        """By then, the unreachable instance counts the joined one or no longer coordinates."""
         membership = make_joined()
         for now in (13.0, 16.0, 19.0, 22.0):
             membership.apply_records(ADDRESSES, now)
@@ -43,29 +43,29 @@
         membership.apply_records(ADDRESSES, 24.0)
         assert membership.may_coordinate(24.0)
 
-    def test_may_coordinate_at_once_after_resuming_its_record(self) -> None:
-        """The other instances never stopped counting it."""
+    def test_restarted_instance_that_resumed_its_record_may_coordinate_at_once(self) -> None:
+        """The record never expired, so the other instances never stopped counting it."""
         assert make_joined(resumed=True).may_coordinate(10.0)
 
-    def test_stops_when_its_lease_may_have_ended(self) -> None:
+    def test_instance_stops_coordinating_when_its_lease_may_have_ended(self) -> None:
         """Another instance coordinates as soon as it reads that the record is gone."""
         membership = make_joined(resumed=True)
         membership.set_lease_end(12.0)
         assert membership.may_coordinate(11.9)
         assert not membership.may_coordinate(12.0)
 
-    def test_stops_when_its_last_read_is_too_old(self) -> None:
-        """Another instance may have joined since that read."""
+    def test_instance_stops_coordinating_when_its_last_read_is_too_old(self) -> None:
+        """Another instance may have joined since that read and coordinate already."""
         membership = make_joined(resumed=True)
         assert membership.may_coordinate(17.5)
         assert not membership.may_coordinate(17.6)
 
 
 class TestRankInstances:
-    """The order of instances for a key."""
+    """The order of instances for a key; the first one coordinates what the key names."""
 
     def test_stale_read_keeps_joined_instance(self) -> None:
-        """An instance coordinates once all acknowledged its join, so no stale read may drop it."""
+        """A read from before the join must not drop an instance that may coordinate already."""
         membership = make_joined(resumed=True)
         membership.record_joined("third", "x:1", 11.0)
         membership.apply_records(ADDRESSES, 13.0)
@@ -74,7 +74,7 @@
         assert "third" not in membership.rank_instances("red")
 
     def test_all_instances_compute_the_same_order(self) -> None:
-        """The order in which they received the names does not matter."""
+        """The order must not depend on that in which an instance learned the names."""
         other = Membership("there", 0.0)
         other.join(dict(reversed(ADDRESSES.items())), 10.0, resumed=False)
         assert all(
@@ -82,5 +82,5 @@
         )
 
     def test_instance_counts_itself(self) -> None:
-        """An instance is in the order before it has read any record."""
+        """An instance is in its own order before it has read any record."""
         assert Membership("here", 0.0).rank_instances("red") == ["here"]
--- a/tests/test_propagation.py
+++ b/tests/test_propagation.py
@@ -20,7 +20,7 @@
 
 
 class Node:
-    """One process with its bundle keeper and propagator."""
+    """One process with its bundle keeper and its propagator."""
 
     def __init__(self, number: int, keys: dict[str, str], kv: MemoryKeyValue) -> None:
         self.keeper = BundleKeeper(keys)
@@ -84,7 +84,7 @@
                 await self.link(a, b)
 
     def versions(self, side: set[int] | None = None) -> set[int]:
-        """Return the bundle versions in force at *side*, or at all processes."""
+        """Return the versions of the active bundles of *side*, or of all processes."""
         numbers = range(PROCESS_COUNT) if side is None else side
         return {self.nodes[number].keeper.version for number in numbers}
 
@@ -96,10 +96,10 @@
 
 
 class TestPropagation:
-    """Propagation of a bundle from peer to peer."""
+    """How processes pass a new bundle on to their peers."""
 
     def test_bundle_reaches_all_processes_from_one(self, signers: Signers) -> None:
-        """During an outage of the key-value service, a bundle reaches all from one process."""
+        """The key-value service is down, and only one process has read the new bundle."""
 
         async def scenario() -> set[int]:
             kv = MemoryKeyValue()
@@ -113,7 +113,7 @@
         assert run_virtual(scenario) == {1}
 
     def test_partitioned_processes_catch_up_over_one_link(self, signers: Signers) -> None:
-        """A partition that missed a bundle receives it as soon as one link is restored."""
+        """One restored link is enough for all processes that missed a bundle."""
 
         async def scenario() -> tuple[set[int], set[int], set[int]]:
             kv = MemoryKeyValue()
@@ -134,7 +134,7 @@
         assert run_virtual(scenario, max_virtual_s=2 * 3600.0) == ({2}, {1}, {2})
 
     def test_stale_read_does_not_replace_a_newer_bundle(self, signers: Signers) -> None:
-        """A process that reads an older bundle than the one in force keeps the newer one."""
+        """The key-value service may return an older bundle than the one that a peer sent."""
 
         async def scenario() -> list[int]:
             kv = MemoryKeyValue()
@@ -150,7 +150,7 @@
         assert run_virtual(scenario) == [2]
 
     def test_heartbeat_with_old_version_gets_the_newer_bundle(self, signers: Signers) -> None:
-        """A peer whose heartbeat has an older bundle version is sent the newer bundle."""
+        """The message with the bundle may have been lost, so heartbeats name the version."""
 
         async def scenario() -> set[int]:
             network = Network(signers, MemoryKeyValue())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -37,10 +37,10 @@
 
 
 class TestLease:
-    """The lease of a record; renewing it costs a tenth of granting a new one."""
+    """The lease of a record, whose renewal costs a tenth of granting a new one."""
 
     def test_all_records_of_an_instance_share_one_lease(self) -> None:
-        """Each write renews the lease instead of granting another one."""
+        """Each later write renews the first lease and does not request another one."""
 
         async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             for _ in range(5):
@@ -53,7 +53,7 @@
         run_scenario(scenario)
 
     def test_expired_lease_is_replaced(self) -> None:
-        """The record is written again under a new lease after the store ended the first one."""
+        """The store deleted the record with its lease; the next write gets a new lease."""
 
         async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
@@ -66,7 +66,7 @@
         run_scenario(scenario)
 
     def test_failed_write_makes_the_next_one_use_a_new_lease(self) -> None:
-        """A lease is not reused if it may have expired between its renewal and the write."""
+        """The lease may have expired between its renewal and the write that failed."""
 
         async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
@@ -82,10 +82,10 @@
 
 
 class TestTakeOver:
-    """The record of an instance that restarts."""
+    """The record of an instance that restarts before or after the record expires."""
 
     def test_unexpired_record_is_taken_over(self) -> None:
-        """Readers see the record without interruption."""
+        """Other instances see the record without a gap, so they never drop the instance."""
 
         async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             record = InstanceRecord("10.0.0.1:7380", {}, settled=True)
@@ -100,7 +100,7 @@
         run_scenario(scenario)
 
     def test_expired_record_is_not_taken_over(self) -> None:
-        """Other instances may have taken over its duties in the meantime."""
+        """Other instances may have taken over the duties of the instance in the meantime."""
 
         async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
@@ -124,7 +124,7 @@
         run_scenario(scenario)
 
     def test_renewal_of_an_expired_record_fails(self) -> None:
-        """The next write says that the record may have been missing."""
+        """The next write reports that the record may have been missing for a while."""
 
         async def scenario(store: FakeStore, registry: PlatformInstanceRegistry) -> None:
             await registry.publish("here", RECORD)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,10 +16,10 @@
 
 
 class TestLease:
-    """Leases that bound how many engines load adapters at the same time."""
+    """Leases that limit how many engines load adapters at the same time."""
 
     def test_leases_are_limited_to_the_width(self) -> None:
-        """The third of three agents waits until a lease is released."""
+        """With a width of two, the third agent waits until one of the others is ready."""
         record = RolloutRecord()
         for name in ("a", "b"):
             lease = try_acquire_rollout(record, name, 2, 1000)
@@ -29,7 +29,7 @@
         assert try_acquire_rollout(release_rollout(record, "a"), "c", 2, 1000) is not None
 
     def test_lease_of_a_dead_agent_expires(self) -> None:
-        """Once the lease has ended, another agent acquires one with a larger token."""
+        """The next lease has a larger token, which fences off an agent that was only paused."""
         lease = try_acquire_rollout(RolloutRecord(), "a", 1, 0)
         assert lease is not None
         late = int(ROLLOUT_LEASE_S * 1000)
@@ -38,14 +38,14 @@
         assert after is not None and after.token > lease.token
 
     def test_restarted_agent_takes_over_its_own_lease(self) -> None:
-        """An agent that died while loading need not wait for its own lease to end."""
+        """An agent that died while loading need not wait until its old lease ends."""
         record = RolloutRecord(4, (RolloutLease("a", 10**15),))
         lease = try_acquire_rollout(record, "a", 1, 0)
         assert lease is not None
         assert [rollout_lease.name for rollout_lease in lease.record.places] == ["a"]
 
-    def test_adapters_to_load(self) -> None:
-        """New adapters and new versions are loaded, nothing else."""
+    def test_only_new_adapters_and_versions_are_loaded(self) -> None:
+        """The bundle has a new adapter and a new version of one that is loaded."""
         assert adapters_to_load({"a": 1, "b": 2, "c": 1}, {"a": 1, "b": 1}) == ["b", "c"]
 
 
@@ -53,7 +53,7 @@
     """A rollout through running engines."""
 
     def test_new_adapter_is_loaded_and_served(self) -> None:
-        """A bundle with a new adapter brings it to every engine, one engine of a pool at a time."""
+        """A new bundle brings the adapter to every engine, one engine of a pool at a time."""
         with Cluster(long_target_spec()) as cluster:
             cluster.publish(cluster.bundle_text(2, {"m1-fr": 1}))
             client = make_client(cluster)
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -13,10 +13,10 @@
 
 
 class TestSupervisor:
-    """Restarts of failed tasks, up to a limit."""
+    """How a supervisor restarts failed tasks, up to a limit."""
 
     def test_failed_child_is_restarted(self) -> None:
-        """A child that fails twice is started a third time."""
+        """A child task that fails twice is started a third time."""
         starts: list[float] = []
 
         async def fails_twice() -> None:
@@ -30,7 +30,7 @@
         assert len(starts) == 3
 
     def test_too_many_failures_end_the_supervisor(self) -> None:
-        """A child that keeps failing ends the supervisor with RestartLimitReached."""
+        """A child task that keeps failing ends the supervisor with RestartLimitReached."""
 
         async def fails() -> None:
             raise ValueError("no")
@@ -48,7 +48,7 @@
     """Log lines of key=value pairs, one per event."""
 
     def test_secrets_are_redacted(self) -> None:
-        """The value of a key that holds a secret is not written to the log."""
+        """The value of a key such as ``authorization`` is not written to the log."""
         out = io.StringIO()
         get_log(program="test", stream=out).info("seen", authorization="Bearer abc", size=3)
         assert "abc" not in out.getvalue()
@@ -65,19 +65,19 @@
         self.sent: list[bytes] = []
 
     async def send_frame(self, frame: bytes) -> None:
-        """Records a frame."""
+        """Record a frame."""
         self.sent.append(frame)
 
     async def close(self) -> None:
-        """Records that the link was closed."""
+        """Record that the link was closed."""
         self.closed = True
 
 
 class TestHeartbeatSender:
-    """Heartbeats on links, and the closing of unresponsive links."""
+    """Heartbeats that a process sends, and links that it closes without any from the peer."""
 
     def test_unresponsive_link_is_closed(self) -> None:
-        """A peer that sends nothing for some heartbeats loses its link; a live peer keeps it."""
+        """One peer sends nothing for some heartbeats; the link of a live peer stays open."""
 
         async def scenario() -> tuple[bool, bool, int]:
             sender = HeartbeatSender(1.0, lambda _now: Heartbeat(1))
@@ -97,7 +97,7 @@
         assert heartbeat_count in (9, 10)
 
     def test_links_survive_a_pause_of_this_process(self) -> None:
-        """A process that was paused itself does not close links for the silence meanwhile."""
+        """A process that was paused received nothing meanwhile, which is no fault of its peers."""
 
         async def scenario() -> bool:
             sender = HeartbeatSender(1.0, lambda _now: Heartbeat(1))
--- a/tests/test_server_stats.py
+++ b/tests/test_server_stats.py
@@ -27,7 +27,7 @@
     """
 
     def test_new_server_gets_no_more_than_its_share(self) -> None:
-        """Each of many instances has measured a few responses of the other servers."""
+        """Each of 31 instances has measured a few responses of the other servers only."""
         rng = random.Random(4)
         old, new = [prefill_engine(number) for number in range(8)], prefill_engine(8)
         picked: Counter[str] = Counter()
@@ -42,7 +42,7 @@
         assert picked[new.incarnation_id] <= 3 * INSTANCES / 9
 
     def test_new_server_counts_as_average_until_its_first_response(self) -> None:
-        """The first response then sets the server's average, with full weight."""
+        """The first response then sets the average of the server, with full weight."""
         slow, fast, new = prefill_engine(0), prefill_engine(1), prefill_engine(2)
         stats = {server.incarnation_id: ServerStats() for server in (slow, fast, new)}
         stats[slow.incarnation_id].record_success(1.0)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -41,22 +41,22 @@
 
 
 class TestMissingEntries:
-    """When a missing entry means that its server is gone."""
+    """When a missing entry in the store means that its server is gone."""
 
     def test_missing_entry_removes_its_server_at_once(self) -> None:
-        """While the list is available, a server without an entry gets no request."""
+        """The store was reachable all the time, so the entry was removed and did not lapse."""
         servers = make_list("ab")
         assert servers.apply_list([make_server("a")], 1.0, was_unreachable=False).removed == ("b",)
         assert incarnation_ids(servers) == {"a"}
 
     def test_last_server_without_an_entry_is_gone(self) -> None:
-        """A single entry that ends while the list is available did not lapse in an outage."""
+        """A single entry that ends while the store is reachable did not lapse in an outage."""
         servers = make_list("a")
         assert servers.apply_changes([], ["a"], 1.0, was_unreachable=False).removed == ("a",)
         assert incarnation_ids(servers) == set()
 
     def test_empty_list_after_an_outage_makes_servers_suspect(self) -> None:
-        """Servers with lapsed entries are kept until they had time to write them again."""
+        """Servers whose entries lapsed get time to write them again before they are dropped."""
         servers = make_list("ab")
         change = servers.apply_list([], 10.0, was_unreachable=True)
         assert (change.removed, change.suspected) == ((), ("a", "b"))
@@ -71,13 +71,13 @@
         assert servers.next_suspect_expiry() is None
 
     def test_leaving_server_is_not_suspect(self) -> None:
-        """A server that announced its shutdown and has no entry is gone."""
+        """A server that announced its shutdown will not write its entry again."""
         servers = ServerList()
         servers.apply_list([make_server("a", leaving=True)], 0.0, was_unreachable=False)
         assert servers.apply_list([], 10.0, was_unreachable=True).removed == ("a",)
 
     def test_missing_server_is_gone_while_other_entries_remain(self) -> None:
-        """When only this instance was cut off, the other entries are unchanged."""
+        """The other entries did not lapse, so only this instance was cut off from the store."""
         servers = make_list("abcd")
         change = servers.apply_list(
             [make_server(name) for name in "abc"], 10.0, was_unreachable=True
@@ -85,7 +85,7 @@
         assert (change.removed, change.suspected) == (("d",), ())
 
     def test_replaced_servers_are_gone(self) -> None:
-        """A release replaced all servers while this instance was cut off."""
+        """A release replaced all servers while this instance was cut off from the store."""
         servers = make_list("abc")
         replacements = [make_server(name) for name in "xyz"]
         change = servers.apply_list(replacements, 10.0, was_unreachable=True)
@@ -93,7 +93,7 @@
         assert incarnation_ids(servers) == {"x", "y", "z"}
 
     def test_rewritten_entries_show_an_outage(self) -> None:
-        """Some servers have written new entries already; the missing one is waited for."""
+        """Two servers have written new entries after the outage; the missing one may follow."""
         servers = make_list("abcd")
         reentered = [make_server(name, heartbeat=2, entry_created=9) for name in "ab"]
         change = servers.apply_list([*reentered, make_server("c")], 10.0, was_unreachable=True)
@@ -107,7 +107,7 @@
         assert servers.apply_changes([], ["e"], 10.1, was_unreachable=False).removed == ("e",)
 
     def test_second_empty_list_does_not_prolong_suspicion(self) -> None:
-        """The second of two empty lists follows a second after the first."""
+        """The suspicion ends some time after the first of the lists, which are 1 s apart."""
         servers = make_list("ab")
         servers.apply_list([], 10.0, was_unreachable=True)
         assert servers.apply_list([], 11.0, was_unreachable=True).suspected == ()
@@ -122,7 +122,7 @@
     def test_every_server_is_listed_or_suspect(
         self, before: set[str], unchanged: set[str], rewritten: set[str], was_unreachable: bool
     ) -> None:
-        """After any list, each known server is listed, suspect or removed, and suspects expire."""
+        """After any list, a known server is listed, suspect or removed; suspicion always ends."""
         servers = make_list("".join(sorted(before)))
         current = {name: make_server(name) for name in unchanged}
         current |= {name: make_server(name, heartbeat=2, entry_created=9) for name in rewritten}
@@ -134,17 +134,17 @@
 
 
 class TestHeartbeats:
-    """Entries that arrive after newer ones."""
+    """Entries of a server that arrive in another order than the server wrote them."""
 
     def test_older_entry_changes_nothing(self) -> None:
-        """A leaving server is not restored by an entry with an older heartbeat."""
+        """An entry with an older heartbeat does not make a leaving server available again."""
         servers = ServerList()
         servers.apply_entry(make_server(heartbeat=5, leaving=True))
         assert not servers.apply_entry(make_server(heartbeat=4))
         assert next(iter(servers.all())).leaving
 
     def test_old_entry_does_not_restore_a_gone_server(self) -> None:
-        """Restoring the server takes a newer heartbeat."""
+        """Only an entry with a newer heartbeat shows that the server runs again."""
         servers = ServerList()
         servers.apply_entry(make_server(heartbeat=5))
         assert servers.apply_changes([], ["a"], 1.0, was_unreachable=False).removed == ("a",)
@@ -155,7 +155,7 @@
 
     @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=12))
     def test_newest_heartbeat_is_kept(self, entries: list[tuple[int, bool]]) -> None:
-        """In any order of entries, the one with the newest heartbeat is kept."""
+        """The order in which the entries arrive does not matter."""
         servers = ServerList()
         best: Server | None = None
         for heartbeat, leaving in entries:
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -33,8 +33,8 @@
 # Seconds after which all instances know each other and have leased out their shares: each has read
 # the records, and waited until the leases of an earlier incarnation have ended.
 READY_S = 12.0
-PER_S = 4.2
-NAMES = ("here", "there", "n1", "n2", "n3")
+LIMIT_PER_S = 4.2
+INSTANCE_NAMES = ("here", "there", "n1", "n2", "n3")
 
 
 def ready_s(instances: int) -> float:
@@ -55,7 +55,7 @@
 
 def run_fleet(
     instances: int,
-    per_s: float = PER_S,
+    per_s: float = LIMIT_PER_S,
     *,
     requests_per_s: float,
     duration_s: float = 20.0,
@@ -85,7 +85,7 @@
     @pytest.mark.parametrize(
         ("instances", "per_s"),
         [
-            *((instances, PER_S) for instances in (1, 3, 31, 68, 300)),
+            *((instances, LIMIT_PER_S) for instances in (1, 3, 31, 68, 300)),
             *((instances, per_s) for instances in (3, 31) for per_s in (0.25, 2.0, 40.0)),
         ],
     )
@@ -118,7 +118,7 @@
     @pytest.mark.parametrize("instances", [3, 31, 68])
     def test_few_requests_are_refused(self, instances: int) -> None:
         """With an equal share, each instance could send less than one request in seven seconds."""
-        fleet, _ = run_fleet(instances, PER_S, requests_per_s=0.8 * PER_S)
+        fleet, _ = run_fleet(instances, LIMIT_PER_S, requests_per_s=0.8 * LIMIT_PER_S)
         total = len(fleet.tally.arrived) + fleet.tally.refused
         assert fleet.tally.refused <= 0.05 * total
 
@@ -128,7 +128,7 @@
 
     def test_each_half_allocates_the_shares_of_its_own_instances(self) -> None:
         """Together the halves send most of the requests that the server allows, and no more."""
-        fleet = LimitFleet(6, PER_S)
+        fleet = LimitFleet(6, LIMIT_PER_S)
         fleet.start()
         fleet.run(READY_S)
         for one in fleet.names[:3]:
@@ -136,12 +136,12 @@
                 fleet.cut(one, other)
         send_evenly(fleet, per_s=20.0, begin=READY_S, until=READY_S + 30.0)
         fleet.run(READY_S + 30.0)
-        assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
-        assert fleet.arrived(READY_S + 5.0, READY_S + 30.0) >= 0.75 * PER_S * 25.0
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(LIMIT_PER_S)
+        assert fleet.arrived(READY_S + 5.0, READY_S + 30.0) >= 0.75 * LIMIT_PER_S * 25.0
 
     def test_isolated_instance_uses_its_local_share(self) -> None:
         """One isolated instance of five sends a fifth of the requests that the server allows."""
-        fleet = LimitFleet(5, PER_S)
+        fleet = LimitFleet(5, LIMIT_PER_S)
         fleet.start()
         fleet.run(READY_S)
         schedule_fault(fleet, "alone", READY_S, 40.0, "n0", "n1")
@@ -149,11 +149,11 @@
             fleet.at(READY_S + when / 5, lambda: fleet.request("n0"))
         fleet.run(READY_S + 40.0)
         arrived = fleet.arrived(READY_S + 5.0, READY_S + 40.0)
-        assert 0.7 * PER_S / 5 * 35.0 <= arrived <= 1.1 * PER_S / 5 * 35.0 + 2
+        assert 0.7 * LIMIT_PER_S / 5 * 35.0 <= arrived <= 1.1 * LIMIT_PER_S / 5 * 35.0 + 2
 
     def test_isolated_instances_of_a_large_fleet_stay_within_the_limit(self) -> None:
         """If 31 isolated instances each sent a request at once, the server would get too many."""
-        fleet = LimitFleet(31, PER_S)
+        fleet = LimitFleet(31, LIMIT_PER_S)
         fleet.start()
         fleet.run(ready_s(31))
         for number, one in enumerate(fleet.names):
@@ -163,23 +163,23 @@
         for name in fleet.names:
             fleet.at(begin, lambda name=name: fleet.request(name))  # type: ignore[misc]
         fleet.run(begin + 1.0)
-        assert fleet.arrived(begin, begin + 1.0) <= max_allowed_in_window(PER_S)
+        assert fleet.arrived(begin, begin + 1.0) <= max_allowed_in_window(LIMIT_PER_S)
 
     def test_permits_are_granted_while_the_store_is_unreachable(self) -> None:
         """Instances exchange permits and share leases directly and need no call to the store."""
-        fleet = LimitFleet(5, PER_S)
+        fleet = LimitFleet(5, LIMIT_PER_S)
         fleet.start()
         fleet.run(READY_S)
         for name in fleet.names:
             schedule_fault(fleet, "store", READY_S, 60.0, name, name)
         send_evenly(fleet, per_s=20.0, begin=READY_S, until=READY_S + 60.0)
         fleet.run(READY_S + 60.0)
-        assert fleet.arrived(READY_S, READY_S + 60.0) >= 0.9 * PER_S * 60.0
-        assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
+        assert fleet.arrived(READY_S, READY_S + 60.0) >= 0.9 * LIMIT_PER_S * 60.0
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(LIMIT_PER_S)
 
     def test_standby_allocates_after_the_allocator_died(self) -> None:
         """The second allocator grants permits as soon as the first one stops responding."""
-        fleet = LimitFleet(5, PER_S)
+        fleet = LimitFleet(5, LIMIT_PER_S)
         fleet.start()
         fleet.run(READY_S)
         first = next(iter(fleet.nodes.values())).membership.rank_instances("s")[0]
@@ -188,7 +188,7 @@
         send_evenly(fleet, per_s=20.0, begin=READY_S, until=READY_S + 20.0)
         fleet.run(READY_S + 20.0)
         # The share of the dead instance stays unused for two minutes.
-        assert fleet.arrived(READY_S + 4.0, READY_S + 20.0) >= 0.9 * 0.8 * PER_S * 16.0
+        assert fleet.arrived(READY_S + 4.0, READY_S + 20.0) >= 0.9 * 0.8 * LIMIT_PER_S * 16.0
 
 
 def make_shared_limits(
@@ -197,9 +197,9 @@
     """Return the limits of an instance that has read the records of five instances at *now*."""
     membership = Membership(name, now)
     membership.set_lease_end(math.inf)
-    membership.join({each: f"{each}:1" for each in NAMES}, now, resumed=True)
+    membership.join({each: f"{each}:1" for each in INSTANCE_NAMES}, now, resumed=True)
     shared = SharedLimits(name=name, membership=membership, incarnation=incarnation, now=now)
-    shared.advertised.record_limit(SERVER, PER_S, now)
+    shared.advertised.record_limit(SERVER, LIMIT_PER_S, now)
     return shared
 
 
@@ -266,7 +266,7 @@
     def test_lost_instance_is_counted_while_it_may_use_its_share(self) -> None:
         """An instance whose record ended counts for two minutes, so no share grows before."""
         membership = Membership("here", 0.0)
-        membership.apply_records({each: f"{each}:1" for each in NAMES}, 0.0)
+        membership.apply_records({each: f"{each}:1" for each in INSTANCE_NAMES}, 0.0)
         membership.apply_records({"here": "here:1"}, 100.0)
         assert (len(membership), membership.fleet_size) == (1, 5)
         membership.apply_records({"here": "here:1"}, FLEET_RETENTION_S + 0.1)
@@ -278,19 +278,19 @@
 
     def test_pool_starts_empty(self) -> None:
         """The server may have got requests that were sent before the pool existed."""
-        pool = PermitPool(PER_S, 0.0)
+        pool = PermitPool(LIMIT_PER_S, 0.0)
         pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
         assert not pool.take_permit(0.0, 1, 0.0).granted
-        assert pool.take_permit(0.0, 1, 1 / PER_S).granted
+        assert pool.take_permit(0.0, 1, 1 / LIMIT_PER_S).granted
 
     def test_returned_permit_can_be_granted_again(self) -> None:
         """A returned permit adds to the available ones, which never exceed the burst limit."""
-        pool = PermitPool(PER_S, 0.0)
+        pool = PermitPool(LIMIT_PER_S, 0.0)
         pool.add_share("here", 10.0, 1, 0.0, lender_fleet_size=1)
-        assert pool.take_permit(0.0, 1, 1 / PER_S).granted
-        assert not pool.take_permit(0.0, 1, 1 / PER_S).granted
-        pool.return_permit(1, 1 / PER_S)
-        assert pool.take_permit(0.0, 1, 1 / PER_S).granted
+        assert pool.take_permit(0.0, 1, 1 / LIMIT_PER_S).granted
+        assert not pool.take_permit(0.0, 1, 1 / LIMIT_PER_S).granted
+        pool.return_permit(1, 1 / LIMIT_PER_S)
+        assert pool.take_permit(0.0, 1, 1 / LIMIT_PER_S).granted
 
     @given(st.floats(0.0, 1e4), st.lists(st.floats(0.0, 1.0), min_size=1, max_size=9))
     def test_pools_together_stay_within_the_allowed_total(
@@ -326,7 +326,7 @@
 
     def test_separate_bucket_per_instance_exceeds_the_limit(self) -> None:
         """The check detects a fleet in which each instance enforces the limit for itself only."""
-        fleet = LimitFleet(5, PER_S)
+        fleet = LimitFleet(5, LIMIT_PER_S)
         fleet.start()
         for node in fleet.nodes.values():
             node.membership.__class__ = LoneMembership
@@ -334,7 +334,7 @@
             node.shared.is_allocator = lambda server: True  # type: ignore[method-assign]
         send_evenly(fleet, per_s=50.0, begin=READY_S, until=READY_S + 20.0)
         fleet.run(READY_S + 20.0)
-        assert fleet.max_requests_in_window() > max_allowed_in_window(PER_S)
+        assert fleet.max_requests_in_window() > max_allowed_in_window(LIMIT_PER_S)
 
 
 fault = st.tuples(
@@ -355,7 +355,7 @@
         seed=st.integers(0, 10_000),
         loss=st.sampled_from([0.0, 0.03, 0.3]),
         instances=st.sampled_from([1, 2, 3, 5, 5, 12, 31]),
-        per_s=st.sampled_from([0.0, 0.25, 2.0, PER_S, 40.0]),
+        per_s=st.sampled_from([0.0, 0.25, 2.0, LIMIT_PER_S, 40.0]),
         within_s=st.sampled_from([0.0, 0.35]),
     )
     def test_limit_holds_under_cuts_losses_freezes_and_restarts(
@@ -381,7 +381,7 @@
     @pytest.mark.parametrize("instances", [68, 300])
     def test_limit_holds_in_large_fleets(self, instances: int) -> None:
         """A third of the instances is cut off from the rest, a tenth freezes, a tenth restarts."""
-        fleet = LimitFleet(instances, PER_S, loss=0.03, late=True)
+        fleet = LimitFleet(instances, LIMIT_PER_S, loss=0.03, late=True)
         fleet.start()
         begin = ready_s(instances)
         fleet.run(begin)
@@ -395,7 +395,7 @@
             schedule_fault(fleet, "kill", begin + 2.0, 1.0, name, name)
         send_evenly(fleet, per_s=60.0, begin=begin, until=begin + 20.0)
         fleet.run(begin + 21.0)
-        assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(LIMIT_PER_S)
         assert fleet.tally.arrived
 
 
@@ -408,11 +408,12 @@
     @pytest.mark.parametrize("instances", [5, 31, 68])
     def test_equal_shares_exceed_the_limit_in_large_fleets(self, instances: int) -> None:
         """Callers of all instances send requests at once every ten seconds, and evenly between."""
-        fleet = LimitFleet(instances, PER_S)
+        fleet = LimitFleet(instances, LIMIT_PER_S)
         fleet.start()
         begin, duration_s = ready_s(instances), 40.0
         moments = [
-            (begin + k / (3 * PER_S), k % instances) for k in range(int(duration_s * 3 * PER_S))
+            (begin + k / (3 * LIMIT_PER_S), k % instances)
+            for k in range(int(duration_s * 3 * LIMIT_PER_S))
         ]
         for second in range(0, int(duration_s), 10):
             moments += [(begin + second, number) for number in range(instances)]
@@ -428,16 +429,16 @@
         )
         print(
             f"by equal shares {len(sent_alone)} sent, {max_in_window(sent_alone)}; "
-            f"{max_allowed_in_window(PER_S)} allowed"
+            f"{max_allowed_in_window(LIMIT_PER_S)} allowed"
         )
-        assert fleet.max_requests_in_window() <= max_allowed_in_window(PER_S)
-        assert sent_by_leases >= 0.8 * PER_S * duration_s
-        if instances > max_allowed_in_window(PER_S):
-            assert max_in_window(sent_alone) > max_allowed_in_window(PER_S)
+        assert fleet.max_requests_in_window() <= max_allowed_in_window(LIMIT_PER_S)
+        assert sent_by_leases >= 0.8 * LIMIT_PER_S * duration_s
+        if instances > max_allowed_in_window(LIMIT_PER_S):
+            assert max_in_window(sent_alone) > max_allowed_in_window(LIMIT_PER_S)
 
 
 def times_sent_by_equal_shares(instances: int, moments: list[tuple[float, int]]) -> list[float]:
     """Return when requests are sent if each instance uses its share alone, with a burst of one."""
     buckets = [TokenBucket(0.0) for _ in range(instances)]
-    share = TokenLimit(PER_S / instances, 1.0)
+    share = TokenLimit(LIMIT_PER_S / instances, 1.0)
     return [at for at, number in moments if not buckets[number].take(1.0, share, at)]
--- a/tests/test_sink.py
+++ b/tests/test_sink.py
@@ -10,7 +10,7 @@
 
 
 def read_all(fd: int) -> str:
-    """Returns the bytes that can be read from a pipe without waiting, decoded."""
+    """Return the bytes that can be read from a pipe without waiting, decoded."""
     out = b""
     while True:
         try:
@@ -23,7 +23,7 @@
 
 
 def pipe() -> tuple[int, int]:
-    """Returns the two ends of a small pipe; reading from it does not block."""
+    """Return the two ends of a small pipe; reading from it does not block."""
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
@@ -31,16 +31,16 @@
 
 
 class TestSink:
-    """Lines written to a reader that may stop reading."""
+    """Log lines for a reader that may stop reading."""
 
     def test_line_is_written_while_reader_keeps_up(self) -> None:
-        """An event is written as one line."""
+        """Each event becomes one line."""
         reader, writer = pipe()
         get_log(program="p", stream=LineSink(writer)).info("started", a=1)
         assert "event=started a=1" in read_all(reader)
 
     def test_stopped_reader_does_not_block_writer(self) -> None:
-        """Writes return, memory stays limited, and the number of dropped lines is logged later."""
+        """Lines are dropped while the reader is stopped, and their number is logged later."""
         reader, writer = pipe()
         sink = LineSink(writer)
         log = get_log(program="p", stream=sink)
@@ -59,7 +59,7 @@
         assert "event=last" in text
 
     def test_warnings_are_kept_when_ordinary_lines_are_dropped(self) -> None:
-        """The rate limit applies only to ordinary lines."""
+        """The limit on lines per second does not apply to warnings."""
         reader, writer = os.pipe()
         os.set_blocking(reader, False)
         fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 1 << 20)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -23,22 +23,22 @@
 
 
 class TestGrant:
-    """Which request gets a slot, and when."""
+    """Which request gets a slot of a decode engine, and when."""
 
-    def test_grants_free_slots_at_once(self) -> None:
-        """A free slot is leased as soon as it is requested."""
+    def test_free_slot_is_leased_at_once(self) -> None:
+        """A request that finds a free slot must not wait for the next event of the engine."""
         table = SlotTable(capacity=1, step_s=0.1)
         assert table.submit(make_request(1), 0.0) == [SlotGrant(1, 0.0, 2.1)]
 
-    def test_never_leases_one_slot_twice(self) -> None:
-        """A second request waits while the only slot is leased."""
+    def test_slot_is_not_leased_twice(self) -> None:
+        """The second request waits until the lease of the only slot has ended."""
         table = SlotTable(capacity=1, step_s=0.1)
         table.submit(make_request(1), 0.0)
         assert table.submit(make_request(2), 0.0) == []
         assert table.release(1, 0.5) == [SlotGrant(2, 0.0, 2.1)]
 
-    def test_leases_slot_ahead_of_its_end(self) -> None:
-        """A slot whose answer ends within the lead time is leased before it is free."""
+    def test_slot_is_leased_shortly_before_its_answer_ends(self) -> None:
+        """An answer that ends within the lead time of the next request leaves no idle slot."""
         table = SlotTable(capacity=1, step_s=0.1)
         table.submit(make_request(1), 0.0)
         assert table.start(1, 0.0)
@@ -49,8 +49,8 @@
         table.release(1, 1.0)
         assert table.start(2, 1.0)
 
-    def test_refuses_request_that_cannot_be_in_time(self) -> None:
-        """A request whose deadline passes before a slot is free is refused without starting."""
+    def test_request_that_cannot_be_in_time_is_refused(self) -> None:
+        """The deadline of the request passes before a slot is expected to be free."""
         table = SlotTable(capacity=1, step_s=1.0)
         table.submit(make_request(1), 0.0)
         table.start(1, 0.0)
@@ -59,7 +59,7 @@
         assert refusal.retry_after_s > 2.0
 
     def test_unused_lease_expires(self) -> None:
-        """The slot of a lease that is not used goes to the next request."""
+        """The entry that holds the lease may have died; the next request gets the slot."""
         table = SlotTable(capacity=1, step_s=0.1, lease_margin_s=1.0)
         table.submit(make_request(1), 0.0)
         table.submit(make_request(2), 0.0)
@@ -119,7 +119,7 @@
 
 
 class TestFairness:
-    """The load of one member does not slow another."""
+    """The load of one member must not slow another member."""
 
     def test_member_within_its_share_is_not_refused(self) -> None:
         """The expected wait of a member counts its own queue, not that of another member."""
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -31,13 +31,13 @@
 CASES = Path(__file__).resolve().parent.parent / "docs" / "soak-cases.toml"
 
 
-def seen(ident: str, path: str = "/once/", **more: Any) -> ObservedRequest:
+def answered_request(ident: str, path: str = "/once/", **more: Any) -> ObservedRequest:
     """Return a request that got a correct response from one instance."""
     success = {"sent": T0, "ended": T0 + 0.1, "status": 200, "complete": True}
     return ObservedRequest(ident, path, "gateway-0", **{**success, **more})
 
 
-def row(kind: str, ident: str, at: float = T0 + 0.05, **more: Any) -> dict[str, Any]:
+def server_row(kind: str, ident: str, at: float = T0 + 0.05, **more: Any) -> dict[str, Any]:
     """Return a row that a server of the service in force recorded."""
     base = {"kind": kind, "request": ident, "server": "i-1", "service": "plain-a", "at": at}
     if kind == "arrival":
@@ -45,12 +45,12 @@
     return {**base, **more}
 
 
-def history(**more: Any) -> History:
+def valid_history(**more: Any) -> History:
     """Return a history in which one request ran and was answered; every invariant holds."""
     valid: dict[str, Any] = {
-        "seen": [seen("q1")],
+        "seen": [answered_request("q1")],
         "probes": [],
-        "rows": [row("arrival", "q1"), row("run", "q1")],
+        "rows": [server_row("arrival", "q1"), server_row("run", "q1")],
         "troubles": [],
         "acknowledged": [(T0 - 10, 1, "plain-a")],
         "places": {"i-1": "plain-a-one-0"},
@@ -68,43 +68,51 @@
 
 def test_history_without_faults_violates_no_invariant() -> None:
     """Each test below changes this history in one way, so what it finds comes from the change."""
-    assert violated_invariants(history()) == []
+    assert violated_invariants(valid_history()) == []
 
 
-STOP = InjectedFault("stop", "gateway-0", T0 - 1, T0 + 5, planned=True)
-CUT = {"status": 0, "complete": False, "failure": "closed: in mid-body", "ended": T0 + 1}
-SECOND = (T0 + 10, 2, "plain-b")
+PLANNED_STOP = InjectedFault("stop", "gateway-0", T0 - 1, T0 + 5, planned=True)
+CUT_RESPONSE = {"status": 0, "complete": False, "failure": "closed: in mid-body", "ended": T0 + 1}
+SECOND_VERSION = (T0 + 10, 2, "plain-b")
 # What violates each invariant: the invariant, and how the history differs from a valid one.
 FAULTS: dict[str, tuple[str, dict[str, Any]]] = {
     "bytes of another request": (
         "whole answer to its own request",
-        {"seen": [seen("q1", body_correct=False)]},
+        {"seen": [answered_request("q1", body_correct=False)]},
     ),
     "a success that no server gave": (
         "whole answer to its own request",
-        {"seen": [seen("q1", from_instance=True)]},
+        {"seen": [answered_request("q1", from_instance=True)]},
     ),
     "two runs of what may run once": (
         "no request runs more often than allowed",
-        {"rows": [row("run", "q1"), row("run", "q1", server="i-2")]},
+        {"rows": [server_row("run", "q1"), server_row("run", "q1", server="i-2")]},
     ),
     "a refused request that ran": (
         "not run is true",
-        {"seen": [seen("q1", status=503, from_instance=True)], "calm_from": T0 + 9},
+        {"seen": [answered_request("q1", status=503, from_instance=True)], "calm_from": T0 + 9},
     ),
     "a run without a request": (
         "servers run only what callers sent",
-        {"rows": [row("run", "q1"), row("run", "q2")]},
+        {"rows": [server_row("run", "q1"), server_row("run", "q2")]},
     ),
     "a request to a server that left": (
         "a leaving server gets no new work",
         {
-            "rows": [row("leaves", "", T0 - 6), row("arrival", "q1"), row("run", "q1")],
+            "rows": [
+                server_row("leaves", "", T0 - 6),
+                server_row("arrival", "q1"),
+                server_row("run", "q1"),
+            ],
         },
     ),
     "a request cut by a planned stop": (
         "a planned stop cuts nothing",
-        {"seen": [seen("q1", **CUT)], "troubles": [STOP], "calm_from": T0 + 9},
+        {
+            "seen": [answered_request("q1", **CUT_RESPONSE)],
+            "troubles": [PLANNED_STOP],
+            "calm_from": T0 + 9,
+        },
     ),
     "a version that was lost again": (
         "a configuration is in force and never reverts",
@@ -124,30 +132,35 @@
         "calls go where the configuration sends them",
         {
             "acknowledged": [(T0 - 60, 1, "plain-b"), (T0 - 30, 2, "plain-a")],
-            "rows": [row("run", "q1", service="plain-b")],
+            "rows": [server_row("run", "q1", service="plain-b")],
         },
     ),
     "no final response": (
         "a final answer in time",
         {
-            "seen": [seen("q1", status=0, complete=False, failure="no end in time", ended=T0 + 6)],
+            "seen": [
+                answered_request(
+                    "q1", status=0, complete=False, failure="no end in time", ended=T0 + 6
+                )
+            ],
             "calm_from": T0 + 9,
         },
     ),
     "a key sent to a server": (
         "servers are told the account and never the key",
-        {"rows": [row("arrival", "q1", key="Bearer key-1"), row("run", "q1")]},
+        {"rows": [server_row("arrival", "q1", key="Bearer key-1"), server_row("run", "q1")]},
     ),
     "a wrong account": (
         "servers are told the account and never the key",
-        {"rows": [row("arrival", "q1", account=LIMITED_ACCOUNT), row("run", "q1")]},
+        {"rows": [server_row("arrival", "q1", account=LIMITED_ACCOUNT), server_row("run", "q1")]},
     ),
     "more requests than an advertised limit": (
         "a server gets no more than it says it takes",
         {
-            "seen": [seen(f"q{number}") for number in range(20)],
+            "seen": [answered_request(f"q{number}") for number in range(20)],
             "rows": [
-                row("arrival", f"q{number}", T0 + number / 2, limit="0.5") for number in range(20)
+                server_row("arrival", f"q{number}", T0 + number / 2, limit="0.5")
+                for number in range(20)
             ],
             "calm_from": T0 + 99,
         },
@@ -155,10 +168,14 @@
     "a request to a server that signals leaving": (
         "a server that says it leaves gets no new work",
         {
-            "seen": [seen("q1"), seen("q2", sent=T0 + 4)],
+            "seen": [answered_request("q1"), answered_request("q2", sent=T0 + 4)],
             "rows": [
-                *(row("arrival", "q1"), row("run", "q1"), row("told", "q1", **LEAVING_FIELDS)),
-                *(row("arrival", "q2", T0 + 4.1), row("run", "q2", T0 + 4.1)),
+                *(
+                    server_row("arrival", "q1"),
+                    server_row("run", "q1"),
+                    server_row("told", "q1", **LEAVING_FIELDS),
+                ),
+                *(server_row("arrival", "q2", T0 + 4.1), server_row("run", "q2", T0 + 4.1)),
             ],
         },
     ),
@@ -166,27 +183,33 @@
         "a server that wants rest gets it",
         {
             "seen": [
-                seen("q1", status=503, from_instance=True),
-                *(seen(f"q{n}") for n in range(2, 5)),
+                answered_request("q1", status=503, from_instance=True),
+                *(answered_request(f"q{n}") for n in range(2, 5)),
             ],
             "rows": [
-                *(row("arrival", "q1"), row("told", "q1", **BACKOFF_FIELDS)),
-                *(row("arrival", f"q{n}", T0 + n / 2) for n in range(2, 5)),
+                *(server_row("arrival", "q1"), server_row("told", "q1", **BACKOFF_FIELDS)),
+                *(server_row("arrival", f"q{n}", T0 + n / 2) for n in range(2, 5)),
             ],
         },
     ),
     "a key that was revoked long ago": (
         "a key that was taken away runs nothing after its bound",
-        {"seen": [seen("q1", key="key-1"), seen("q2")], "revoked": {"key-1": T0 - 6}},
+        {
+            "seen": [answered_request("q1", key="key-1"), answered_request("q2")],
+            "revoked": {"key-1": T0 - 6},
+        },
     ),
     "more than an account may use": (
         "an account's use stays within its limit",
         {
             "seen": [
-                *(seen(f"q{n}", account=LIMITED_ACCOUNT, tokens=4000) for n in range(1, 6)),
-                seen("q6"),
+                *(
+                    answered_request(f"q{n}", account=LIMITED_ACCOUNT, tokens=4000)
+                    for n in range(1, 6)
+                ),
+                answered_request("q6"),
             ],
-            "rows": [row("run", f"q{n}", T0 + n) for n in range(1, 6)],
+            "rows": [server_row("run", f"q{n}", T0 + n) for n in range(1, 6)],
         },
     ),
     "memory that stays in use": ("no engine memory stays tied", {"held": {"llm-decode-0": 300}}),
@@ -201,7 +224,7 @@
     ),
     "no success after all faults have ended": (
         "served again once all is whole",
-        {"seen": [seen("q1", status=503, from_instance=True)], "rows": []},
+        {"seen": [answered_request("q1", status=503, from_instance=True)], "rows": []},
     ),
     "an exit": ("no process ends by itself", {"exits": ["gateway-1"]}),
 }
@@ -211,7 +234,7 @@
 def test_checker_reports_the_violated_invariant(fault: str) -> None:
     """The parameter names a fault; the checker must report the invariant that FAULTS lists."""
     invariant, differs = FAULTS[fault]
-    assert invariant in violated_invariants(history(**differs))
+    assert invariant in violated_invariants(valid_history(**differs))
 
 
 def test_draws_of_an_episode_are_independent_of_others() -> None:
@@ -231,13 +254,13 @@
         """The path to the store was cut until 1 s before the instance still had the old version."""
         cut = InjectedFault("store-path-silent", "gateway-0/store", T0 - 20, T0 - 1)
         late = Probe("gateway-0", 1, 1, T0, False)
-        assert violated_invariants(history(probes=[late], troubles=[cut])) == []
+        assert violated_invariants(valid_history(probes=[late], troubles=[cut])) == []
 
     def test_instance_cut_off_from_store_must_not_revert(self) -> None:
         """Without the store, the instance must keep the version that it has applied already."""
         cut = InjectedFault("store-path-silent", "gateway-0/store", T0 - 20, T0 + 20)
         probes = [Probe("gateway-0", 1, 1, T0 + n, known) for n, known in ((0, True), (1, False))]
-        assert violated_invariants(history(probes=probes, troubles=[cut])) == [
+        assert violated_invariants(valid_history(probes=probes, troubles=[cut])) == [
             "a configuration is in force and never reverts"
         ]
 
@@ -245,13 +268,13 @@
         """A restarted instance lost the version that it had applied and reads it from the store."""
         probes = [Probe("gateway-0", 1, 1, T0 - 9, True), Probe("gateway-0", 2, 1, T0 - 8.9, False)]
         restart = InjectedFault("kill", "gateway-0", T0 - 9, T0 - 8.9)
-        assert violated_invariants(history(probes=probes, troubles=[restart])) == []
+        assert violated_invariants(valid_history(probes=probes, troubles=[restart])) == []
 
     def test_planned_stop_may_lose_requests_of_a_killed_server(self) -> None:
         """The request was cut because its server was killed, not because the instance stopped."""
         killed = InjectedFault("kill", "plain-a-one-0", T0 + 0.5, T0 + 0.9)
-        cut = dataclasses.replace(seen("q1"), **CUT)
-        found = history(seen=[cut], troubles=[STOP, killed], calm_from=T0 + 9)
+        cut = dataclasses.replace(answered_request("q1"), **CUT_RESPONSE)
+        found = valid_history(seen=[cut], troubles=[PLANNED_STOP, killed], calm_from=T0 + 9)
         assert "a planned stop cuts nothing" not in violated_invariants(found)
 
     @pytest.mark.parametrize(
@@ -265,29 +288,29 @@
         invariant, differs = FAULTS[fault]
         injected = InjectedFault("pause", target, T0 + 0.3, T0 + 0.6)
         assert (
-            invariant not in violated_invariants(history(**differs, troubles=[injected]))
+            invariant not in violated_invariants(valid_history(**differs, troubles=[injected]))
         ) is excuses
 
     def test_planned_stop_may_lose_requests_that_a_killed_server_did_not_record(self) -> None:
         """The killed decode engine had the stream, but only the prefill engine recorded it."""
-        stream = dataclasses.replace(seen("q1", "/stream/"), **CUT)
-        prefill = row("arrival", "q1", server="i-r")
+        stream = dataclasses.replace(answered_request("q1", "/stream/"), **CUT_RESPONSE)
+        prefill = server_row("arrival", "q1", server="i-r")
         places = {"i-r": "llm-prefill-0", "i-w": "llm-decode-1"}
         killed = InjectedFault("kill", "llm-decode-1", T0 + 0.5, T0 + 0.9)
         case = {"seen": [stream], "calm_from": T0 + 9, "places": places}
         invariant = "a planned stop cuts nothing"
-        found = history(**case, troubles=[STOP, killed], rows=[prefill])
+        found = valid_history(**case, troubles=[PLANNED_STOP, killed], rows=[prefill])
         assert invariant not in violated_invariants(found)
         # Another server's record shows that the stream was not on the killed one; a kill before the
         # request, or of a server of another service, is no excuse either.
-        elsewhere = row("arrival", "q1", server="i-w2")
+        elsewhere = server_row("arrival", "q1", server="i-w2")
         for rows, injected in (
             ([prefill, elsewhere], killed),
             ([prefill], dataclasses.replace(killed, began=T0 - 3, ended=T0 - 2)),
             ([prefill], dataclasses.replace(killed, target="plain-a-one-0")),
         ):
             places["i-w2"] = "llm-decode-2"
-            found = history(**case, troubles=[STOP, injected], rows=rows)
+            found = valid_history(**case, troubles=[PLANNED_STOP, injected], rows=rows)
             assert invariant in violated_invariants(found)
 
 
--- a/tests/test_unresponsive.py
+++ b/tests/test_unresponsive.py
@@ -6,10 +6,10 @@
 
 
 class TestUnresponsivePeers:
-    """Peers that left requests without a response."""
+    """Peer instances that did not respond to requests and are skipped for some time."""
 
     def test_peer_is_skipped_after_consecutive_misses(self) -> None:
-        """A single datagram may be lost, so one miss is not enough."""
+        """One request or response may be lost, so a single miss is not enough."""
         peers = UnresponsivePeers(2)
         peers.record_unresponsive("n", 10.0)
         assert not peers.is_skipped("n", 10.0)
@@ -20,7 +20,7 @@
         assert not peers.is_skipped("other", 10.1)
 
     def test_skip_time_doubles_up_to_a_maximum(self) -> None:
-        """Each request to a peer that is gone costs a tenth of a second."""
+        """Each request to a peer that is gone costs a wait of a tenth of a second."""
         peers = UnresponsivePeers(1)
         now, skip_times = 0.0, []
         for _ in range(7):
@@ -31,7 +31,7 @@
         assert skip_times == [1.0, 2.0, 4.0, 8.0, 16.0, MAX_SKIP_S, MAX_SKIP_S]
 
     def test_response_ends_the_skip(self) -> None:
-        """The peer counts as if it had never missed a request."""
+        """After a response, one more miss does not skip the peer again."""
         peers = UnresponsivePeers(2)
         for _ in range(3):
             peers.record_unresponsive("n", 1.0)
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -19,7 +19,7 @@
 
     @pytest.mark.parametrize("sent", [b"x", b"x" * 5_000_000], ids=["a-byte", "more-than-fits"])
     def test_sent_data_is_received_without_delay(self, sent: bytes) -> None:
-        """This holds for any amount, even if the sender must wait for buffer space."""
+        """The parameter includes amounts for which the sender must wait for buffer space."""
 
         async def scenario() -> tuple[int, float]:
             mine, other = socket.socketpair()
@@ -77,10 +77,10 @@
 
 
 class TestNeverEnds:
-    """Runs that would never end by themselves."""
+    """Runs that would not end by themselves."""
 
     def test_error_names_the_waiting_task(self) -> None:
-        """A task that polls forever ends the run, and the error names its function."""
+        """A task that polls for ever makes the run fail; the error names its function."""
 
         async def polls_forever() -> None:
             while True:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 
 class TestFrames:
-    """Decoding of frames from a byte stream."""
+    """How frames are decoded from a stream of bytes."""
 
     @given(st.lists(st.integers(1, 7), max_size=40))
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
@@ -36,7 +36,7 @@
             assert isinstance(exc, WireError)
 
     def test_oversized_frame_is_rejected_by_its_length(self) -> None:
-        """A frame whose length exceeds the limit is rejected before its body is received."""
+        """The frame is rejected before its body is received and uses memory."""
         with pytest.raises(WireError):
             FrameReader().read_messages((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
 
@@ -45,15 +45,15 @@
     """Compatibility of messages between old and new processes."""
 
     def test_unknown_last_field_is_ignored(self) -> None:
-        """A field that a newer peer adds at the end of a message is ignored."""
+        """A newer peer may add a field at the end of a message."""
         body = msgspec.msgpack.encode([6, 1, 0.0, 2.0, None, "new"])
         assert decode(body) == SlotGranted(1, 0.0, 2.0)
 
     def test_missing_last_field_has_its_default(self) -> None:
-        """A field that an older peer does not send has its default value."""
+        """An older peer does not send a field that was added later."""
         assert decode(msgspec.msgpack.encode([6, 1, 0.0, 2.0])) == SlotGranted(1, 0.0, 2.0)
 
     def test_encoded_message_decodes_to_itself(self) -> None:
-        """A message is unchanged after it is encoded and decoded."""
+        """A message must not lose or change any field between two processes."""
         for msg in (Hello(1, "n", "entry", "z", 5), Heartbeat(3, Load(1, 2, 0.5))):
             assert FrameReader().read_messages(encode(msg)) == [msg]
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -35,7 +35,7 @@
         self.end = self.now + max_virtual_s
 
     def monotonic(self) -> float:
-        """Returns the virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self.now
 
 
@@ -53,7 +53,7 @@
 
     @contextlib.contextmanager
     def recorded(self) -> Iterator[None]:
-        """Records the use of sockets inside the context."""
+        """Record the use of sockets inside the context."""
         with contextlib.ExitStack() as stack:
             for name in self.RECORDED_CALLS:
                 recording = self._recording(getattr(socket.socket, name))
@@ -79,7 +79,7 @@
         self._sock.setblocking(False)
 
     def delivers_at_once(self) -> bool:
-        """Returns whether a datagram to itself arrives at once; then earlier data arrived, too."""
+        """Return whether a datagram to itself arrives at once; then earlier data arrived, too."""
         self._sock.send(b".")
         try:
             self._sock.recv(1)
@@ -88,7 +88,7 @@
         return True
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Close the socket."""
         self._sock.close()
 
 
@@ -111,7 +111,7 @@
         self._settle_s = settle_s
 
     def select(self, timeout: float | None = None) -> Any:
-        """Returns ready events; without any, advances the clock by *timeout* at once."""
+        """Return ready events; without any, advance the clock by *timeout* at once."""
         events = super().select(0) or self._wait_for_delivery(timeout)
         if events:
             return events
@@ -136,7 +136,7 @@
         return events
 
     def close(self) -> None:
-        """Closes the selector and its loopback probe."""
+        """Close the selector and its loopback probe."""
         self._loopback.close()
         super().close()
 
@@ -175,7 +175,7 @@
 
 
 def _describe_wait(coro: Any) -> str:
-    """Returns the calls in which a task waits, from the outermost to the innermost."""
+    """Return the calls in which a task waits, from the outermost to the innermost."""
     calls = []
     while coro is not None and (frame := getattr(coro, "cr_frame", None)):
         calls.append(f"{frame.f_code.co_qualname}:{frame.f_lineno}")
