--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -171,10 +171,10 @@
         path.write_text("".join(world.lines.text))
         assert main(["callers", str(path)]) == 0
         rows = [row.split("|")[1:-1] for row in capsys.readouterr().out.splitlines()]
-        whole = {name.strip(): cell.strip() for name, cell in zip(rows[0], rows[2], strict=True)}
-        assert whole["in time"] == "1"
-        assert int(whole["refused at once"]) + int(whole["refused after a wait"]) == 1
-        assert 0.3 < float(whole["worth"]) <= 0.5
+        totals = {name.strip(): cell.strip() for name, cell in zip(rows[0], rows[2], strict=True)}
+        assert totals["in time"] == "1"
+        assert int(totals["refused at once"]) + int(totals["refused after a wait"]) == 1
+        assert 0.3 < float(totals["worth"]) <= 0.5
 
     def test_bad_input_exits_with_status_2(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
@@ -198,14 +198,16 @@
 
     def test_reused_connections_set_the_retry_threshold(self, tmp_path: Path) -> None:
         """A request on a new connection with a shorter wait than these counts as a retry."""
-        kept = [
+        reused = [
             log_line(
                 "answered", f"k{n}", n, **ANSWERED_FIELDS, within_ms=12000 + 250 * n, kept="true"
             )
             for n in range(8)
         ]
-        new = log_line("answered", "n", 9, **ANSWERED_FIELDS, within_ms=12100, kept="false")
-        back = log_line("answered", "b", 10, **ANSWERED_FIELDS, within_ms=9000, kept="false")
-        report = caller_value_of(tmp_path / "log", *kept, new, back)
+        first_attempt = log_line(
+            "answered", "n", 9, **ANSWERED_FIELDS, within_ms=12100, kept="false"
+        )
+        retry = log_line("answered", "b", 10, **ANSWERED_FIELDS, within_ms=9000, kept="false")
+        report = caller_value_of(tmp_path / "log", *reused, first_attempt, retry)
         assert report.total.first_attempts[CallerOutcome.IN_TIME] == 9
         assert report.total.retries[CallerOutcome.IN_TIME] == 1
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -126,13 +126,13 @@
     def test_drained_count_comes_from_the_last_event(self, tmp_path: Path) -> None:
         """The test writes the log in the same format as an agent does."""
         path = tmp_path / "a.log"
-        assert read_drained_count(_log(path, 3)) == 3
-        assert read_drained_count(_log(path, 0)) == 0
+        assert read_drained_count(_append_drained_event(path, 3)) == 3
+        assert read_drained_count(_append_drained_event(path, 0)) == 0
         path.write_text("")
         assert read_drained_count(path) is None
 
 
-def _log(path: Path, count: int) -> Path:
+def _append_drained_event(path: Path, count: int) -> Path:
     """Append a ``drained`` event to a log, as an agent does."""
     with path.open("a") as stream:
         get_log(program="test", stream=stream).bind(name="a").info("drained", open=count)
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -31,10 +31,10 @@
         async def handle(sock: Any, _: Any) -> None:
             await sock.recv(65536)
             await sock.sendall(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body))
-            step = SLOW_LINK_BYTES_PER_S // 10
-            for begin in range(0, len(body), step):
+            chunk_bytes = SLOW_LINK_BYTES_PER_S // 10
+            for begin in range(0, len(body), chunk_bytes):
                 await curio.sleep(0.1)
-                await sock.sendall(body[begin : begin + step])
+                await sock.sendall(body[begin : begin + chunk_bytes])
 
         async def scenario() -> None:
             await curio.sleep(0.01)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -42,10 +42,10 @@
     def fill_section(match: re.Match[str]) -> str:
         return match[2] if find_value(match[1]) else ""
 
-    def fill_value(gap: re.Match[str]) -> str:
-        path, _, form = gap[1].partition("|")
+    def fill_value(match: re.Match[str]) -> str:
+        path, _, suffix = match[1].partition("|")
         found = find_value(path)
-        return json.dumps(found) if form == "json" else str(found)
+        return json.dumps(found) if suffix == "json" else str(found)
 
     template = re.sub(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", fill_section, template)
     return re.sub(r"\{\{([^}]+)\}\}", fill_value, template)
@@ -97,8 +97,8 @@
     def test_requirements_are_locked(self) -> None:
         """The deployed versions of libraries must be those that the tests use."""
         locked = set((ROOT / "requirements.lock").read_text().split())
-        wanted = (ROOT / "deploy" / "requirements.txt").read_text().split()
-        assert set(wanted) <= locked
+        deployed = (ROOT / "deploy" / "requirements.txt").read_text().split()
+        assert set(deployed) <= locked
 
     def test_settings_path_variable_is_named_after_the_product(self) -> None:
         """The platform derives this environment variable's name from the product's name."""
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -228,8 +228,8 @@
         """Work that is queued ahead counts: a short prompt may fit where a long one does not."""
         queue = WorkQueue(width=1, units_per_s=1000.0)
         assert queue.submit(work(1, 1.0, 800), 0.0) is None
-        starts, late = queue.take_next(0.0)
-        assert [ask.req for ask in starts] == [1] and late == []
+        started, late = queue.take_next(0.0)
+        assert [ask.req for ask in started] == [1] and late == []
         refusal = queue.submit(work(2, 1.0, 800), 0.0)
         assert refusal is not None and refusal.retry_after_s > 1.0
         assert queue.submit(work(3, 1.0, 100), 0.0) is None
@@ -241,8 +241,8 @@
         queue.take_next(0.0)
         queue.submit(work(2, 1.0, 500), 0.0)
         queue.record_end(1, 0.9)
-        starts, late = queue.take_next(0.9)
-        assert starts == [] and [refusal.req for refusal in late] == [2]
+        started, late = queue.take_next(0.9)
+        assert started == [] and [refusal.req for refusal in late] == [2]
 
     def test_rate_follows_measurements(self) -> None:
         """The queue's rate approaches the measured one, here twice the configured rate."""
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -51,12 +51,12 @@
         st.integers(1, 9999),
     )
     def test_smaller_request_never_waits_longer(
-        self, answers: list[tuple[int, float]], one: int, other: int
+        self, answers: list[tuple[int, float]], tokens_a: int, tokens_b: int
     ) -> None:
         """A request for fewer tokens must not be told a later time, whatever is in progress."""
         forecast = forecast_with(*answers)
-        less = forecast.free_in_s(min(one, other), 0.0)
-        more = forecast.free_in_s(max(one, other), 0.0)
+        less = forecast.free_in_s(min(tokens_a, tokens_b), 0.0)
+        more = forecast.free_in_s(max(tokens_a, tokens_b), 0.0)
         assert less is not None
         assert more is not None
         assert less <= more
--- a/tests/test_http_relay.py
+++ b/tests/test_http_relay.py
@@ -141,7 +141,7 @@
     """Timeouts that end the wait for a response."""
 
     @pytest.mark.parametrize(
-        ("number", "pause_s", "until", "came"),
+        ("number", "pause_s", "ends_after_s", "received_bytes"),
         [
             (100, 0.1, 0.0, 0),
             (0, 2.5, 2.0, 0),
@@ -151,22 +151,22 @@
         ids=["whole", "silent", "silent in its middle", "trickles"],
     )
     def test_only_gaps_and_total_time_end_the_wait(
-        self, number: int, pause_s: float, until: float, came: int
+        self, number: int, pause_s: float, ends_after_s: float, received_bytes: int
     ) -> None:
         """A response may take long, as long as no gap between its bytes exceeds the timeout."""
 
         async def scenario(client: HttpClient) -> None:
             started_at = await curio.clock()
-            if not until:
+            if not ends_after_s:
                 body = (await client.call("GET", "/", timeouts=TIMEOUTS)).body
                 assert len(body) == 100
                 assert await curio.clock() - started_at > 10.0
                 return
             with pytest.raises(HttpSilent) as caught:
                 await client.call("GET", "/", timeouts=TIMEOUTS)
-            assert await curio.clock() - started_at == pytest.approx(until, abs=0.2)
-            head = len(RESPONSE_HEAD) if came else 0
-            assert f"after {head + came} bytes" in caught.value.detail
+            assert await curio.clock() - started_at == pytest.approx(ends_after_s, abs=0.2)
+            head = len(RESPONSE_HEAD) if received_bytes else 0
+            assert f"after {head + received_bytes} bytes" in caught.value.detail
 
         run_scenario(respond_in_pieces(number, pause_s), scenario)
 
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -453,7 +453,7 @@
         assert fleet.world.lines.having("request_failed", "code=server-at-limit")
 
     def test_permit_of_disconnected_caller_goes_to_next_caller(self) -> None:
-        """The third caller gets a permit for half a second later and disconnects after 0.1 s."""
+        """One caller gets a permit for half a second later and disconnects after 0.1 s."""
         fleet = LimitedFleet(1)
         fleet.add("i-limited", limit="2")
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -18,9 +18,9 @@
 @pytest.fixture
 def two_allocators() -> Iterator[tuple[PortAllocator, PortAllocator]]:
     """Return two allocators that begin their search at the same block of ports."""
-    both = PortAllocator(), PortAllocator()
-    yield both
-    for ports in both:
+    allocators = PortAllocator(), PortAllocator()
+    yield allocators
+    for ports in allocators:
         ports.close()
 
 
@@ -43,8 +43,8 @@
         """The allocators take ports in turn, each twice as many as one process may hold."""
         taken: tuple[set[int], set[int]] = (set(), set())
         for _ in range(MAX_BLOCKS * PORTS_PER_BLOCK // 10):
-            for ports, mine in zip(two_allocators, taken, strict=True):
-                mine.update(ports.take(20))
+            for ports, own_ports in zip(two_allocators, taken, strict=True):
+                own_ports.update(ports.take(20))
         assert not taken[0] & taken[1]
 
     @pytest.mark.parametrize("kind", [socket.SOCK_STREAM, socket.SOCK_DGRAM], ids=["tcp", "udp"])
--- a/tests/test_propagation.py
+++ b/tests/test_propagation.py
@@ -121,12 +121,12 @@
             network = Network(signers, kv)
             await network.link_all()
             await network.nodes[0].propagator.receive_bundle(signers.envelope(1), source="test")
-            west = set(range(PROCESS_COUNT // 2))
-            east = set(range(PROCESS_COUNT)) - west
-            await network.cut(west)
+            west_side = set(range(PROCESS_COUNT // 2))
+            east_side = set(range(PROCESS_COUNT)) - west_side
+            await network.cut(west_side)
             await network.nodes[0].propagator.receive_bundle(signers.envelope(2), source="test")
             await curio.sleep(3600)
-            apart = network.versions(west), network.versions(east)
+            apart = network.versions(west_side), network.versions(east_side)
             await network.link(PROCESS_COUNT - 1, 0)
             await curio.sleep(1)
             return (*apart, network.versions())
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -246,12 +246,12 @@
 
 
 def reserve_estimate(prompt: int, likely: int) -> int:
-    """Return the tokens to reserve on the simulated engine."""
+    """Return how many tokens to reserve on the simulated engine for a prompt and its answer."""
     return tokens_to_reserve(prompt, likely, 4 * 1920, KV_TOKENS)
 
 
 def simulate_full_engine(reserve: Callable[[int, int], int]) -> tuple[int, int]:
-    """Simulate an engine for which requests always wait; return two numbers of answers.
+    """Simulate an engine that always has waiting requests; return stopped and ended answers.
 
     The first number counts the answers that were stopped because memory ran out, the second one
     those that ended whole. The engine admits a request when its reservation fits beside the
@@ -349,11 +349,11 @@
         """An engine that changes its role refuses all requests for some seconds."""
         stats = {"a": ServerStats(full_until=5.0), "b": ServerStats(open_requests=50)}
         choice = {"zone": "z", "now": 1.0, "rng": RNG}
-        both = pick_server(map(decode_engine, "ab"), stats.__getitem__, **choice)  # type: ignore[arg-type]
-        one = pick_server(map(decode_engine, "a"), stats.__getitem__, **choice)  # type: ignore[arg-type]
-        assert both is not None
-        assert one is not None
-        assert (both.incarnation_id, one.incarnation_id) == ("b", "a")
+        picked_of_both = pick_server(map(decode_engine, "ab"), stats.__getitem__, **choice)  # type: ignore[arg-type]
+        picked_of_one = pick_server(map(decode_engine, "a"), stats.__getitem__, **choice)  # type: ignore[arg-type]
+        assert picked_of_both is not None
+        assert picked_of_one is not None
+        assert (picked_of_both.incarnation_id, picked_of_one.incarnation_id) == ("b", "a")
 
 
 def test_refused_requests_get_different_retry_delays() -> None:
--- a/tests/test_server_signals.py
+++ b/tests/test_server_signals.py
@@ -237,15 +237,16 @@
             assert backoff.most_in_rest(server) <= MAX_REQUESTS_IN_BACKOFF
         first_end = min(until for backoff in backoffs for _, until in backoff.told[:1])
         # Requests that can be served in time after the backoff are not refused.
-        both_known = [
+        refused_in_backoff = [
             each
             for each in fleet.outcomes
             if first_end - 2.5 < each.sent_at < first_end - TARGET_LATENCY_S
         ]
-        assert {each.status for each in both_known} == {503}
-        assert max(each.response_s for each in both_known) < 0.1
+        assert {each.status for each in refused_in_backoff} == {503}
+        assert max(each.response_s for each in refused_in_backoff) < 0.1
         assert all(
-            0.0 <= each.sent_at + each.retry_after_s - first_end < 1.5 for each in both_known
+            0.0 <= each.sent_at + each.retry_after_s - first_end < 1.5
+            for each in refused_in_backoff
         )
 
     def test_waiting_caller_is_refused_once_all_servers_are_in_backoff(self) -> None:
@@ -402,14 +403,14 @@
         server = fleet.add("i-resting", behave=backoff)
         fleet.add("i-other", behave=slowly)
 
-        async def shorter() -> None:
+        async def shorten_backoff() -> None:
             while not server.arrivals:
                 await curio.sleep(0.01)
             backoff.rest_s = 0.5
 
         async def scenario() -> None:
             async with curio.TaskGroup(wait=all) as group:
-                await group.spawn(shorter)
+                await group.spawn(shorten_backoff)
                 await group.spawn(
                     partial(fleet.send_at_rate, "/once/a", per_s=60.0, duration_s=3.4)
                 )
@@ -459,7 +460,7 @@
         assert fleet.count_statuses()[503] == len(backoff.told)
 
     def test_server_gets_its_share_after_its_backoff(self) -> None:
-        """The server gets requests within a second, and soon as many as the other server."""
+        """The server gets requests within a second, at least a fifth as many as the other."""
         fleet = LimitedFleet(1)
         backoff = Resting(REST_S, serve=slowly)
         server = fleet.add("i-resting", behave=backoff)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -233,8 +233,8 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_checker_reports_the_violated_invariant(fault: str) -> None:
     """The parameter names a fault; the checker must report the invariant that FAULTS lists."""
-    invariant, differs = FAULTS[fault]
-    assert invariant in violated_invariants(valid_history(**differs))
+    invariant, changes = FAULTS[fault]
+    assert invariant in violated_invariants(valid_history(**changes))
 
 
 def test_draws_of_an_episode_are_independent_of_others() -> None:
@@ -285,10 +285,10 @@
         self, fault: str, target: str, excuses: bool
     ) -> None:
         """A paused instance may miss a server's signal; a pause of another one excuses nothing."""
-        invariant, differs = FAULTS[fault]
+        invariant, changes = FAULTS[fault]
         injected = InjectedFault("pause", target, T0 + 0.3, T0 + 0.6)
         assert (
-            invariant not in violated_invariants(valid_history(**differs, troubles=[injected]))
+            invariant not in violated_invariants(valid_history(**changes, troubles=[injected]))
         ) is excuses
 
     def test_planned_stop_may_lose_requests_that_a_killed_server_did_not_record(self) -> None:
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -56,11 +56,11 @@
         assert 0 <= wanted <= total
         if wanted != prompt_engines:
             chosen = loads.max_per_engine(wanted, total - wanted)
-            least = 2 if total >= 4 else 1
-            fewest = max(least, prompt_engines - -(-prompt_engines // 3))
-            most = min(total - least, prompt_engines + -(-decode_engines // 3))
+            min_engines = 2 if total >= 4 else 1
+            fewest = max(min_engines, prompt_engines - -(-prompt_engines // 3))
+            most = min(total - min_engines, prompt_engines + -(-decode_engines // 3))
             if prompt_engines == 0 or decode_engines == 0:
-                fewest, most = least, total - least
+                fewest, most = min_engines, total - min_engines
             naive = min(loads.max_per_engine(n, total - n) for n in range(fewest, most + 1))
             assert chosen == naive
             assert chosen < loads.max_per_engine(prompt_engines, decode_engines)
