--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -117,7 +117,7 @@
     # Requests.
 
     def request(self, name: str, within_s: float = 0.0) -> None:
-        """Have a caller send a request to an instance."""
+        """Have a caller send a request, which may wait *within_s* for a permit, to an instance."""
         node = self.nodes.get(name)
         if node is not None:
             self._schedule(node, 0.001, lambda: self._request_permit(node, within_s))
@@ -205,7 +205,7 @@
         )
 
     def _use_permit(self, node: LimitNode, requested_at: float, until: float) -> None:
-        """Send a request if its permit is still valid."""
+        """Send a request to the server, unless its permit has expired meanwhile."""
         if self.now > until:
             return
         sent = self.now
@@ -229,9 +229,9 @@
             node.stats.limited_until = 0.0
 
     def max_requests_in_window(self, since: float = 0.0) -> int:
-        """Return the most requests that reached the server within one window."""
+        """Return the highest number of requests that reached the server within one window."""
         return max_in_window(moment for moment in self.tally.arrived if moment >= since)
 
     def arrived(self, since: float, until: float) -> int:
-        """Return how many requests reached the server in a period."""
+        """Return how many requests reached the server between two times."""
         return sum(since <= moment < until for moment in self.tally.arrived)
--- a/tests/limit_worlds.py
+++ b/tests/limit_worlds.py
@@ -85,7 +85,7 @@
     def add(
         self, incarnation_id: str, service: str = "plain", phase: str = "", **options: Any
     ) -> FakeReplica:
-        """Add a server."""
+        """Add a server with a store entry; *options* are those of FakeReplica."""
         return self.world.add(incarnation_id, service, phase, **options)
 
     async def send(self, path: str, **options: Any) -> Outcome:
@@ -114,7 +114,7 @@
                 await group.spawn(partial(self.send, path, **options))
 
     def run(self, scenario: Callable[[], Awaitable[None]], *routes: dict[str, Any]) -> None:
-        """Run *scenario* once the instances know each other."""
+        """Run *scenario* in virtual time, beginning when the instances know each other."""
 
         async def run_when_ready() -> None:
             await curio.sleep(FLEET_READY_S)
--- a/tests/member_fleet.py
+++ b/tests/member_fleet.py
@@ -90,11 +90,11 @@
     # Clock.
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Schedule an action."""
+        """Schedule an action for a time of the simulated clock."""
         heapq.heappush(self._events, (when, next(self._event_numbers), action))
 
     def run(self, until: float) -> None:
-        """Run all actions that are due until a time."""
+        """Advance the simulated clock to *until* and run all actions that are due."""
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
@@ -103,7 +103,7 @@
     # Instances.
 
     def start(self, names: Iterable[str] | None = None) -> None:
-        """Start instances; a restarted instance remembers nothing."""
+        """Start the named instances; a restarted instance has lost all that it had in memory."""
         for name in names or self.names:
             node = self._make_node(name, Membership(name, self.now))
             self.nodes[name] = node
@@ -113,7 +113,7 @@
             self._schedule(node, delay, lambda node=node: self._resume_record(node))
 
     def kill(self, name: str) -> None:
-        """End an instance."""
+        """End an instance without notice to the others; its record stays until it expires."""
         self.nodes.pop(name, None)
 
     def freeze(self, name: str) -> None:
@@ -121,7 +121,7 @@
         self.frozen.add(name)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen instance continue."""
+        """Let a frozen instance continue and run what it has missed."""
         self.frozen.discard(name)
         for action in self._held_actions.pop(name, []):
             action()
@@ -131,7 +131,7 @@
         self.cuts.add(frozenset((one, other)))
 
     def heal(self, one: str, other: str) -> None:
-        """Undo :meth:`cut`."""
+        """Restore a connection that :meth:`cut` has cut."""
         self.cuts.discard(frozenset((one, other)))
 
     def _schedule(self, node: NodeT, delay: float, action: Callable[[], None]) -> None:
@@ -239,7 +239,7 @@
         self._schedule(node, wait_s, lambda: self._read_records(node))
 
     def _save_records(self) -> None:
-        """Save which records there are, for stale reads."""
+        """Save the present records, which stale reads may return later."""
         self._record_history.append((self.now, self._live_addresses()))
         self.at(self.now + 0.1, self._save_records)
 
@@ -278,7 +278,7 @@
 def schedule_fault(
     fleet: MemberFleet[Any], kind: str, at: float, duration_s: float, one: str, other: str
 ) -> None:
-    """Schedule the start and the end of a fault."""
+    """Schedule the begin of a fault and its end *duration_s* seconds later."""
     others = [name for name in fleet.names if name != one]
     peers = {"cut": [other], "alone": [*others, "store"], "store": ["store"]}.get(kind, [])
     for peer in peers:
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -74,7 +74,7 @@
     # Requests.
 
     def request(self, name: str, tokens: int) -> None:
-        """Have a caller send a request to an instance."""
+        """Have a caller send a request for *tokens* tokens to an instance."""
         node = self.nodes.get(name)
         if node is None:
             return
@@ -132,7 +132,7 @@
             self.refused += 1
 
     def max_tokens_in_window(self) -> float:
-        """Return the most tokens of requests that were sent and granted within one window."""
+        """Return the highest number of tokens that were requested and granted in one window."""
         window_s = self.bounds.window_s
         return max(
             (
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def files(tmp_path: Path) -> list[str]:
-    """Return the command line for a log of 20 requests and a bundle."""
+    """Return the command's arguments: the paths of a log of 20 requests and of a bundle."""
     log = tmp_path / "entry.log"
     with log.open("w") as file:
         for second in range(20):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -52,7 +52,7 @@
         }
 
     def envelope(self, version: int, extra: str = "", *, skip: str = "") -> bytes:
-        """Return an encoded bundle that all partners except *skip* have signed."""
+        """Return an encoded bundle with the signatures of all partners except *skip*."""
         envelope = Envelope(BUNDLE_TEMPLATE.format(version=version) + extra)
         for name in self.keys:
             if name != skip:
@@ -102,7 +102,7 @@
         return True
 
     def write(self, key: str, data: bytes) -> None:
-        """Write a value and increase its index."""
+        """Write a value and increase the index of its key."""
         index = self.values[key].index if key in self.values else 0
         self.values[key] = StoredValue(data, index + 1)
 
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -30,7 +30,7 @@
 
 
 def structs(module: Any) -> list[type[msgspec.Struct]]:
-    """Return the message structs that a module defines."""
+    """Return the message classes that a module defines."""
     return [
         struct
         for struct in vars(module).values()
@@ -62,7 +62,7 @@
         ids=["heads", "bodies", "instances"],
     )
     def test_page_lists_each_decoded_name(self, names_of: Any) -> None:
-        """A row says whom the name binds, until when, and which test checks it."""
+        """The row of a name says whom it binds, until when, and which test checks it."""
         assert len(names_of()) > 3
         assert sorted(name for name in names_of() if f"`{name}`" not in PAGE) == []
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -11,7 +11,7 @@
 
 
 def run_scenario(world: World, scenario: object) -> None:
-    """Run *scenario* on virtual time."""
+    """Run *scenario* in virtual time, with an instance that serves UNSAFE_ROUTE."""
     run_virtual(world.play, scenario, UNSAFE_ROUTE, settle_s=0.003)
 
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -217,7 +217,7 @@
 
 
 def work(req: int, deadline: float, units: int) -> WorkRequest:
-    """Return a request for *units* of work."""
+    """Return a request for *units* of work that has to end by *deadline*."""
     return WorkRequest(req=req, partner="p", member="m", rank=1, deadline=deadline, units=units)
 
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -36,7 +36,7 @@
 
 
 def make_log(path: Path) -> None:
-    """Run requests that fail in five ways and write the gateway's log to *path*."""
+    """Run five requests that fail in different ways; write the gateway's log to *path*."""
     world = World()
     world.add("i-plain", "plain", behave=reset_connection)
     world.add("i-reader", "llm", "prefill")
--- a/tests/test_fair.py
+++ b/tests/test_fair.py
@@ -9,15 +9,15 @@
 
 
 def push_item(queue: FairQueue[int], key: int, member: str, weight: float = 1.0) -> None:
-    """Add one item of a member."""
+    """Queue an item of a member, of cost 1 and with its key as deadline."""
     queue.push(key, key, path=("1", member), weights=(1.0, weight), deadline=key, cost=1.0)
 
 
 class TestShares:
-    """How often each member is served."""
+    """Which share of the service each member gets."""
 
     def test_equal_weights_get_equal_shares(self) -> None:
-        """A member that queues ten times as many items as another gets half of the service."""
+        """One member queues ten times as many items as the other, but gets half of the service."""
         queue: FairQueue[int] = FairQueue()
         for key in range(100):
             push_item(queue, key, "greedy")
@@ -28,7 +28,7 @@
         assert modest == 10
 
     def test_members_are_served_by_weight(self) -> None:
-        """A member of weight 3 is served three times as often as a member of weight 1."""
+        """The weights are 3 and 1, so about 30 of 40 served items are the first member's."""
         queue: FairQueue[int] = FairQueue()
         for key in range(80):
             push_item(queue, key, "heavy", 3.0)
@@ -37,7 +37,7 @@
         assert 28 <= served["heavy"] <= 32
 
     def test_idle_member_gains_no_credit(self) -> None:
-        """A member that was idle gets no more than its share when it has work again."""
+        """A member must not make up for the time in which it had no work."""
         queue: FairQueue[int] = FairQueue()
         for key in range(100):
             push_item(queue, key, "busy")
@@ -49,7 +49,7 @@
         assert 9 <= sum(key >= 200 for key in served) <= 11
 
     def test_lowest_priority_class_is_not_starved(self) -> None:
-        """The lowest class gets some service, however many requests the highest class has."""
+        """The highest class has more requests than can be served, but is not always first."""
         queue: FairQueue[str] = FairQueue()
         for key in range(200):
             queue.push(key, "high", path=("0",), weights=(16.0,), deadline=0, cost=1.0)
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -69,7 +69,7 @@
         return START_MS + int(self.now * 1000)
 
     def start(self, name: str) -> None:
-        """Start a replica with an empty record."""
+        """Start or restart a replica, with an empty record and without its link."""
         self.cut_link()
         self.start_count += 1
         other = "b" if name == "a" else "a"
--- a/tests/test_http_service.py
+++ b/tests/test_http_service.py
@@ -14,7 +14,7 @@
 
 
 def response_of(status: int, fields: list[tuple[str, str]]) -> ServiceResponse:
-    """Return the adapter's result for a service's response."""
+    """Return what the adapter makes of a service's response with this status and fields."""
     [port] = free_ports(1)
     responses: list[ServiceResponse] = []
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -21,17 +21,17 @@
 
 
 def bearer(key: str) -> dict[str, str]:
-    """Return the header field that carries a key."""
+    """Return the header field by which a caller sends its API key."""
     return {"authorization": f"Bearer {key}"}
 
 
 def run_scenario(world: World, scenario: Any, *routes: dict[str, Any]) -> None:
-    """Run *scenario* on virtual time."""
+    """Run *scenario* in virtual time, with an instance that serves *routes*, or all."""
     run_virtual(world.play, scenario, *(routes or ALL_ROUTES), settle_s=0.003)
 
 
 def keyed_world(**settings: Any) -> World:
-    """Return a world in which callers need keys."""
+    """Return a world with two client accounts, in which callers need API keys."""
     return World(tenants=(RED_ACCOUNT, BLUE_ACCOUNT), **settings)
 
 
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -532,7 +532,7 @@
 
 
 async def refuse(replica: FakeReplica, exchange: Exchange, *extra_headers: tuple[str, str]) -> None:
-    """Refuse a request at once."""
+    """Refuse a request at once, with the header field that says that nothing ran."""
     request_id = exchange.req.headers["x-request-id"]
     response_headers = [("x-request-id", request_id), ("x-not-executed", "1"), *extra_headers]
     await exchange.respond_with_fields(503, response_headers, b"")
--- a/tests/test_limits_relayed.py
+++ b/tests/test_limits_relayed.py
@@ -36,7 +36,7 @@
             world.store = self.first.store
 
     def run(self, scenario: Any) -> None:
-        """Run *scenario* once all instances know each other."""
+        """Run *scenario* in virtual time, beginning when all instances know each other."""
 
         async def run_when_ready() -> None:
             tasks = [await curio.spawn(world.gateway, daemon=True) for world in self.worlds[1:]]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 
 def make_joined(*, resumed: bool = False) -> Membership:
-    """Return the membership of an instance that has just joined an existing one."""
+    """Return the membership of instance "here", which joined at 10 s and found "there"."""
     membership = Membership("here", 0.0)
     membership.set_lease_end(1000.0)
     membership.join(ADDRESSES, 10.0, resumed=resumed)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -107,7 +107,7 @@
         )
 
     def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
-        """Run *scenario* once the instance may use its own share of the limit."""
+        """Run *scenario* in virtual time, once the instance may use its share of the limit."""
 
         async def run_when_ready() -> None:
             self.membership.set_lease_end(math.inf)
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -36,12 +36,12 @@
 
 
 def count_lines(folder: Path) -> int:
-    """Return the number of lines of all modules of a folder."""
+    """Return the number of lines of all Python modules in a folder."""
     return sum(len(path.read_text().splitlines()) for path in folder.rglob("*.py"))
 
 
 def request(*fields: tuple[str, str]) -> HttpRequest:
-    """Return a request with these fields."""
+    """Return the head of a caller's request with these header fields."""
     return HttpRequest("POST", "/a", dict(fields), b"", fields)
 
 
--- a/tests/test_propagation.py
+++ b/tests/test_propagation.py
@@ -42,7 +42,7 @@
         self._receiver = receiver
 
     async def send(self, msg: Any) -> None:
-        """Deliver a message to the process at the other end."""
+        """Deliver a message to the process at the other end after 1 ms."""
         if not self.closed:
             await curio.sleep(0.001)
             await self._receiver.propagator.handle_message(self.back, msg)
@@ -56,7 +56,7 @@
         self.links: list[tuple[int, int, FakeLink, FakeLink]] = []
 
     async def link(self, a: int, b: int) -> None:
-        """Create a link between two processes."""
+        """Create a link between two processes, given by their numbers."""
         there = FakeLink(self.nodes[b], self.nodes[b].keeper.version)
         back = FakeLink(self.nodes[a], self.nodes[a].keeper.version)
         there.back, back.back = back, there
@@ -65,7 +65,7 @@
         await self.nodes[b].propagator.add_link(back)  # type: ignore[arg-type]
 
     async def cut(self, side: set[int]) -> None:
-        """Cut all links between the processes of *side* and the others."""
+        """Cut all links between the processes of *side* and the other processes."""
         for a, b, there, back in self.links:
             if (a in side) != (b in side):
                 there.closed = back.closed = True
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -83,7 +83,7 @@
         self.statuses: list[int] = []
 
     def add(self, count: int, service: str, role: str = "", **options: Any) -> None:
-        """Add *count* servers of one kind."""
+        """Add *count* servers to a service; by default, the crashing body ends them."""
         for number in range(count):
             incarnation_id = f"i-{role or 'plain'}-{number}"
             options = {"behave": crash_if_crashing_body, "back_s": SERVER_RESTART_S, **options}
@@ -111,7 +111,7 @@
             await curio.sleep(CALLER_RETRY_S)
 
     def run(self, scenario: Callable[[], Any], *routes: dict[str, Any]) -> None:
-        """Run *scenario* once the instances know each other."""
+        """Run *scenario* in virtual time, beginning when the instances know each other."""
 
         async def run_when_ready() -> None:
             await curio.sleep(FLEET_READY_S)
@@ -121,14 +121,14 @@
 
 
 def plain_fleet(instances: int = 2) -> Fleet:
-    """Return a fleet in front of plain servers."""
+    """Return a fleet in front of six plain servers."""
     fleet = Fleet(instances=instances)
     fleet.add(6, "plain")
     return fleet
 
 
 def engine_fleet(**prefill_options: Any) -> Fleet:
-    """Return a fleet in front of prefill and decode engines."""
+    """Return a fleet in front of four prefill engines and six decode engines."""
     fleet = Fleet()
     fleet.add(4, "llm", "prefill", **{"behave": crash_in_stream, **prefill_options})
     fleet.add(6, "llm", "decode", behave=crash_in_stream)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -71,7 +71,7 @@
 def send_evenly(
     fleet: QuotaFleet, *, per_s: float, tokens: int, until: float, begin: float = 4.0
 ) -> None:
-    """Have callers send requests evenly to all instances in turn."""
+    """Have callers send *per_s* tokens a second, to all instances in turn."""
     number, when = 0, begin
     while when < until:
         name = fleet.names[number % len(fleet.names)]
@@ -229,7 +229,7 @@
 
     @pytest.mark.parametrize("instances", [31, 68, 300])
     def test_equal_shares_refuse_below_the_limit(self, instances: int) -> None:
-        """An equal share is less than one request; allocation by one instance refuses none."""
+        """An equal share saves up less than one request; a single allocator refuses none."""
         account = Account("red", limit=TokenLimit(90_000.0, 90_000.0))
         bounds = QuotaBounds(window_s=8.0, overrun=0.1, slack=140_000.0)
         fleet = QuotaFleet(instances, account, bounds)
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -28,14 +28,14 @@
 
 
 def decode_engine(incarnation_id: str) -> Server:
-    """Return a decode engine."""
+    """Return a decode engine that is not leaving, with this incarnation id."""
     return Server(incarnation_id, "s", "10.0.0.1", 80, "z", EngineRole.DECODE, 64, False, 1)
 
 
 def make_request(
     remaining_s: float = 14.0, *, is_retry: bool = False, tokens: int = 3000
 ) -> ReservationRequest:
-    """Return a reservation request whose first event is due within 0.9 s."""
+    """Return a reservation request with a target of 0.9 s until its first event."""
     return ReservationRequest(
         tokens,
         0.9,
@@ -49,7 +49,7 @@
     """How long a request waits for a reservation."""
 
     def test_first_attempt_waits_while_it_may_be_in_time(self) -> None:
-        """The wait may take the target time less the time from a reservation to the first event."""
+        """The longest wait is the target time less the time from reservation to first event."""
         first_attempt = make_request()
         assert first_attempt.max_in_time_wait_s == pytest.approx(0.9 - first_attempt.first_event_s)
         assert not first_attempt.is_late(first_attempt.max_in_time_wait_s - 0.01)
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -43,7 +43,7 @@
         self._left = tokens
 
     async def next_pieces(self) -> list[str]:
-        """Return one token."""
+        """Return the next token after 0.1 s, or an empty list after the last one."""
         if not self._left:
             self.finish_reason = "length"
             return []
@@ -52,7 +52,7 @@
         return ["t"]
 
     async def close(self) -> None:
-        """Free the slot of the engine."""
+        """Free the slot that the answer has used on the engine."""
         self._engine.running -= 1
 
 
@@ -81,7 +81,7 @@
         return FakeStream(self, 5)
 
     async def load_adapter(self, name: str, path: str, version: int, *, fencing_token: int) -> None:
-        """Not used here."""
+        """Raise an error; these tests load no adapters."""
         raise NotImplementedError
 
     async def get_load(self) -> EngineLoad:
@@ -99,16 +99,16 @@
         self.peer = type("Peer", (), {"name": "entry"})
 
     async def send(self, msg: Any) -> None:
-        """Record a message."""
+        """Record a message instead of sending it."""
         self.sent.append(msg)
 
     def of(self, kind: type) -> list[Any]:
-        """Return the recorded messages of one class."""
+        """Return the recorded messages that are instances of one class."""
         return [msg for msg in self.sent if isinstance(msg, kind)]
 
 
 def make_role(engine: FakeEngine, capacity: int = 2) -> DecodeRole:
-    """Return a decode role whose log is discarded."""
+    """Return a decode role with *capacity* slots, whose log is discarded."""
     return DecodeRole(
         engine=engine,
         table=SlotTable(capacity=capacity, step_s=0.1, lease_margin_s=1.0),
@@ -119,12 +119,12 @@
 
 
 def reserve(req: int, within: float = 30.0) -> ReserveSlot:
-    """Return a message that requests a slot."""
+    """Return a message that requests a slot and waits for at most *within* seconds."""
     return ReserveSlot(req, "m", "m1", 1, within, 0.05, 5)
 
 
 async def serve(role: DecodeRole, link: Any, req: int) -> None:
-    """Lease a slot and start a decode, as an entry does."""
+    """Request a slot, wait until it is granted and start a decode, as an entry does."""
     await role.handle(link, reserve(req))
     while not any(msg.req == req for msg in link.of(SlotGranted)):
         await curio.sleep(0.01)
@@ -268,7 +268,7 @@
         self.runs = 0
 
     async def is_reachable(self) -> bool:
-        """Return True."""
+        """Return True; the service of these tests never fails."""
         return True
 
     async def call(
@@ -286,7 +286,7 @@
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
     ) -> ServiceResponse:
-        """Refuse the first call and run the others."""
+        """Refuse the first call with a backoff of 3 s and run the others."""
         answer = await super().call(method, target, headers, body)
         if self.runs > 1:
             return answer
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -11,13 +11,13 @@
 
 
 def make_route(name: str, host: str, prefix: str, *split: ServiceWeight) -> Route:
-    """Return a route with a host, a path prefix and a traffic split."""
+    """Return a route of a host and path prefix, split between services by weight."""
     weights = split or (ServiceWeight("s", 1.0),)
     return Route(name, host, prefix, RouteKind.ONCE, 1.0, 0.1, 1, 1, False, weights)
 
 
 def make_table(*routes: Route) -> RouteTable:
-    """Return a route table."""
+    """Return a route table with these routes."""
     return RouteTable(1, routes, {}, CALLER_LIMITS)
 
 
--- a/tests/test_server_signals.py
+++ b/tests/test_server_signals.py
@@ -44,7 +44,7 @@
 
 
 def send_calls(fleet: LimitedFleet, path: str, *, duration_s: float, **options: str) -> None:
-    """Have callers send requests to a path."""
+    """Have callers send requests at OFFERED_PER_S for some seconds, and wait for responses."""
 
     async def scenario() -> None:
         await fleet.send_at_rate(path, per_s=OFFERED_PER_S, duration_s=duration_s, **options)
@@ -53,7 +53,7 @@
 
 
 def send_streams(fleet: LimitedFleet, path: str = "/stream/a") -> None:
-    """Have callers request streams."""
+    """Have callers request streams at OFFERED_PER_S, and wait for their ends."""
     send_calls(fleet, path, duration_s=8.0, **TOKEN_HEADERS)
 
 
--- a/tests/test_server_stats.py
+++ b/tests/test_server_stats.py
@@ -12,7 +12,7 @@
 
 
 def prefill_engine(number: int) -> Server:
-    """Return a prefill engine."""
+    """Return a prefill engine with the incarnation id of this number."""
     return Server(f"i-r{number}", "llm", "10.0.0.1", 80, "z", EngineRole.PREFILL, 64, False, 1)
 
 
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -45,7 +45,7 @@
 def send_evenly(
     fleet: LimitFleet, *, per_s: float, begin: float, until: float, within_s: float = 0.0
 ) -> None:
-    """Have callers send requests evenly to all instances in turn."""
+    """Have callers send *per_s* requests a second, to all instances in turn."""
     number, when = 0, begin
     while when < until:
         name = fleet.names[number % len(fleet.names)]
@@ -75,7 +75,7 @@
 
     @property
     def fleet_size(self) -> int:
-        """Number of instances: one."""
+        """The number of instances that share the limit, which is one."""
         return 1
 
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -9,7 +9,7 @@
 
 
 def make_request(req: int, **changes: object) -> SlotRequest:
-    """Return a request for a slot."""
+    """Return a slot request with the given id; *changes* replace its other fields."""
     values: dict[str, object] = {
         "req": req,
         "partner": "p",
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -38,7 +38,7 @@
 
 
 def server_row(kind: str, ident: str, at: float = T0 + 0.05, **more: Any) -> dict[str, Any]:
-    """Return a row that a server of the service in force recorded."""
+    """Return a row as a server of the active service records it."""
     base = {"kind": kind, "request": ident, "server": "i-1", "service": "plain-a", "at": at}
     if kind == "arrival":
         base |= {"account": UNLIMITED_ACCOUNT, "key": ""}
