--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -36,7 +36,7 @@
 
 @dataclass
 class Tally:
-    """Outcomes of requests.
+    """What became of the requests of a simulated fleet.
 
     Attributes:
         arrived: when each request reached the server.
@@ -81,7 +81,7 @@
             name=name, membership=membership, incarnation=self._incarnations, now=self.now
         )
         if self.per_s is not None:
-            # As published in the record of an earlier incarnation, or of other instances.
+            # The instance reads the limit in its earlier record or in those of other instances.
             shared.advertised.record_limit(SERVER, self.per_s, self.now)
         node = LimitNode(name=name, membership=membership, shared=shared)
         self.at(self.now, lambda: self._schedule_lease_renewal(node))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -17,7 +17,7 @@
         assert budget.try_retry()
         assert not budget.try_retry()
 
-    def test_debt_is_bounded(self) -> None:
+    def test_debt_of_the_retry_budget_is_bounded(self) -> None:
         """After a hundred refusals, retries must be allowed again at some time."""
         budget = RetryBudget(ratio=1.0, burst=3.0)
         for _ in range(100):
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -60,8 +60,10 @@
         assert "http://" not in text
         assert '"wasted_tokens": 100' in data.read_text()
 
-    def test_bad_input(self, files: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-        """The error message names the missing file, and the exit status is 2."""
+    def test_missing_log_is_named_in_the_error(
+        self, files: list[str], capsys: pytest.CaptureFixture[str]
+    ) -> None:
+        """The exit status is 2, so that a script notices the mistake, too."""
         assert main(["/nowhere.log", *files[1:]]) == 2
         assert "/nowhere.log: cannot be read" in capsys.readouterr().err
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -86,7 +86,7 @@
 
 
 class FakeLink:
-    """A link over which nothing is sent."""
+    """A link that is never used to send a message."""
 
     closed = False
 
@@ -244,7 +244,7 @@
         started, late = queue.take_next(0.9)
         assert started == [] and [refusal.req for refusal in late] == [2]
 
-    def test_rate_follows_measurements(self) -> None:
+    def test_queue_rate_follows_measurements(self) -> None:
         """The queue's rate approaches the measured one, here twice the configured rate."""
         queue = WorkQueue(width=1, units_per_s=1000.0)
         for req in range(1, 30):
--- a/tests/test_limited_servers.py
+++ b/tests/test_limited_servers.py
@@ -226,7 +226,7 @@
             async with curio.TaskGroup(wait=all) as group:
                 await group.spawn(partial(fleet.send, "/stream/a", **TOKEN_HEADERS))
                 await curio.sleep(0.4)
-                # It leaves while the prompt is processed, so the reservation is released.
+                # The engine leaves while the prompt is processed, so the reservation is released.
                 await limited.enter("draining")
 
         fleet.run(scenario, STREAM_ROUTE)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -49,7 +49,7 @@
 
 
 class TestLimitLogLines:
-    """Log lines about servers' limits."""
+    """Log lines about the limits that servers advertise."""
 
     def test_limit_is_logged_when_it_starts_changes_and_ends(self) -> None:
         """Each change of a limit is logged once, however many responses carry the limit."""
--- a/tests/test_quarantine_series.py
+++ b/tests/test_quarantine_series.py
@@ -46,7 +46,7 @@
 
 @dataclass
 class FaultSeries:
-    """The run of one seed.
+    """The requests and faults that one seed draws, and what came of them.
 
     Attributes:
         crashes: for each crashing request the times of its crashes on the virtual clock, and
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -82,7 +82,7 @@
 class TestBelowTheLimit:
     """Callers use fewer tokens than the account's limit allows."""
 
-    def test_requests_are_not_refused(self) -> None:
+    def test_requests_below_the_limit_are_not_refused(self) -> None:
         """An equal share for each of 31 instances would be less than one request in ten seconds."""
         account = Account("red", limit=TokenLimit(10_000.0, 10_000.0))
         fleet = QuotaFleet(31, account, dataclasses.replace(BOUNDS, slack=14e4))
@@ -133,7 +133,7 @@
 class TestTotalLoss:
     """All instances are killed at once, and one of them does not start again."""
 
-    def test_other_instances_may_coordinate_at_once(self) -> None:
+    def test_restarted_instances_do_not_wait_for_a_lost_one(self) -> None:
         """The record of the lost instance still exists, but the others need not wait for it."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, BOUNDS)
         fleet.start()
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -325,7 +325,7 @@
         assert count_tried(1.05, first_attempt.refusal_pause_s(0.0)) == 1
         assert count_tried(1.05, retry.refusal_pause_s(0.0)) == 0
         assert count_tried(1.35, retry.refusal_pause_s(0.0)) == 1
-        # A first attempt that has waited too long to be in time tries after the others, too.
+        # A first attempt that is late by now skips the engine for the longer time, too.
         assert count_tried(1.05, first_attempt.refusal_pause_s(0.8)) == 0
         assert count_tried(1.35, first_attempt.refusal_pause_s(0.8)) == 1
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -115,7 +115,7 @@
 class TestPrefixIndex:
     """Which blocks of prompts an entry expects to be cached on a server."""
 
-    def test_index_is_bounded(self) -> None:
+    def test_prefix_index_is_bounded(self) -> None:
         """Beyond the limit, the blocks that were recorded first are forgotten first."""
         index = PrefixIndex(limit=10)
         index.record_cached("a", range(20))
@@ -143,7 +143,7 @@
         after = set(choose_agents(agents[1:], entry_name="e1", max_per_pool=8))
         assert len(before - after) <= 1
 
-    def test_order_depends_on_the_key(self) -> None:
+    def test_rendezvous_order_depends_on_the_key(self) -> None:
         """For one key the order is always the same; another key has another order."""
         names = [f"n{n}" for n in range(20)]
         assert rank_by_key(b"a", names) == rank_by_key(b"a", reversed(names))
--- a/tests/test_server_stats.py
+++ b/tests/test_server_stats.py
@@ -19,11 +19,11 @@
 class TestNewServer:
     """A server without measurements is expected to be as fast as the others.
 
-    The tests guard against a fault in the first seconds of a release, when callers got their first
-    event late: prefill engines that replaced others did not respond within a second. 45 of 47 such
-    prefills were on two engines in their first seconds, while others took 0.25 s. Every instance
-    took a prefill engine without measurements for five times faster than it was, and sent all its
-    requests there.
+    Guards against a fault in the first seconds of a release, when callers got their first event
+    late: prefill engines that replaced others did not respond within a second. 45 of 47 such
+    prefills were on two engines in their first seconds, while others took 0.25 s. Every
+    instance took a prefill engine without measurements for five times faster than it was, and
+    sent all its requests there.
     """
 
     def test_new_server_gets_no_more_than_its_share(self) -> None:
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -116,7 +116,7 @@
     """Callers send fewer requests than the server's limit allows."""
 
     @pytest.mark.parametrize("instances", [3, 31, 68])
-    def test_few_requests_are_refused(self, instances: int) -> None:
+    def test_few_requests_below_the_limit_are_refused(self, instances: int) -> None:
         """With an equal share, each instance could send less than one request in seven seconds."""
         fleet, _ = run_fleet(instances, LIMIT_PER_S, requests_per_s=0.8 * LIMIT_PER_S)
         total = len(fleet.tally.arrived) + fleet.tally.refused
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -17,11 +17,11 @@
 class TestWantedPromptEngines:
     """How many engines should have the prefill role."""
 
-    def test_moves_engines_to_the_loaded_pool(self) -> None:
+    def test_engines_move_to_the_pool_with_more_load(self) -> None:
         """Four prefill engines of nine are too many if answers are long, so two must decode."""
         assert wanted_prompt_engines(PoolLoads(0.1, 0.4), 4, 5, MANY_ANSWERS) == 2
 
-    def test_small_gain_changes_nothing(self) -> None:
+    def test_split_stays_if_a_change_gains_little(self) -> None:
         """A role change takes an engine out of service, so the load must fall enough for it."""
         assert wanted_prompt_engines(PoolLoads(0.1, 0.2), 2, 4, MANY_ANSWERS) == 2
 
@@ -82,7 +82,7 @@
         loads = meter.loads()
         assert loads is not None
         assert 0.09 < loads.prompt_s < 0.17
-        # A tenth of the memory, for 3 s of decoding and some 0.3 s of prefill before it.
+        # An answer holds a tenth of the memory for some 0.3 s of prefill and 3 s of decoding.
         assert 0.31 < loads.answer_s < 0.35
 
     def test_cached_prompts_do_not_hide_the_work(self) -> None:
@@ -131,7 +131,8 @@
         loads = combined_loads([stats for stats in all_stats if stats is not None])
         assert loads is not None
         assert abs(loads.prompt_s - 0.1) < 1e-6
-        # Shares of 0.1 and 0.2 average 0.12, prefills of 0.1 and 0.6 s with their waits 0.2 s.
+        # The weighted means are 0.12 for memory shares of 0.1 and 0.2, and 0.2 s for prefills of
+        # 0.1 and 0.6 s, whose waits count here.
         assert abs(loads.answer_s - 0.12 * (0.2 + 3.0)) < 1e-6
 
     def test_stats_of_several_instances_suffice_together(self) -> None:
@@ -212,7 +213,7 @@
             meter.record_answer(100, 0.4)
         loads = meter.loads()
         assert loads is not None
-        # 730 tokens on average at 4 ms, and 0.2 s of prefill.
+        # An answer has 730 tokens on average, at 4 ms each, after 0.2 s of prefill.
         assert abs(loads.answer_s - 0.1 * (730 * 0.004 + 0.2)) < 1e-6
 
     def test_expected_service_time_needs_some_answers(self) -> None:
