--- a/tests/limit_worlds.py
+++ b/tests/limit_worlds.py
@@ -41,7 +41,7 @@
 
 
 def max_in_window(times: Iterable[float]) -> int:
-    """Return the highest number of these times that lie within one window."""
+    """Return the highest number of these times that lie within one window of WINDOW_S."""
     ordered = sorted(times)
     highest = first = 0
     for last, at in enumerate(ordered):
@@ -85,7 +85,7 @@
     def add(
         self, incarnation_id: str, service: str = "plain", role: str = "", **options: Any
     ) -> FakeReplica:
-        """Add a server."""
+        """Add a server with a store entry; *options* are those of FakeReplica."""
         return self.harness.add_replica(incarnation_id, service, role, **options)
 
     async def send(self, path: str, **options: Any) -> Outcome:
@@ -114,7 +114,7 @@
                 await group.spawn(partial(self.send, path, **options))
 
     def run(self, scenario: Callable[[], Awaitable[None]], *routes: dict[str, Any]) -> None:
-        """Run *scenario* once the instances know each other."""
+        """Run *scenario* in virtual time, beginning when the instances know each other."""
 
         async def run_when_ready() -> None:
             await curio.sleep(FLEET_READY_S)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -13,24 +13,24 @@
 from crankhinge_soak._entries_check import BundleSeen, Drain, History, check
 from crankhinge_soak._entries_evidence import read_drained_count
 
-CRC = zlib.crc32(b"prompt")
-ASK = Arrival(0.0, "m", prompt="prompt", max_tokens=3)
-CALL = Arrival(0.0, "m", path="/ledger/x", repeatable=False)
-DRAIN = Drain(name="a", at=100.0, until=110.0, status=0, backend="a", cut=0)
+PROMPT_CRC = zlib.crc32(b"prompt")
+STREAM_ARRIVAL = Arrival(0.0, "m", prompt="prompt", max_tokens=3)
+CALL_ARRIVAL = Arrival(0.0, "m", path="/ledger/x", repeatable=False)
+CLEAN_DRAIN = Drain(name="a", at=100.0, until=110.0, status=0, backend="a", cut=0)
 
 
 def history(**changes: Any) -> History:
     """Return a history in which every invariant was tested and none was violated."""
     values: dict[str, Any] = {
         "outcomes": [
-            RequestResult(ASK, complete=True, tokens=3),
-            RequestResult(ASK, outcome="not-run", code="overloaded", attempts=1),
-            RequestResult(CALL, complete=True, key="k1", attempts=2),
+            RequestResult(STREAM_ARRIVAL, complete=True, tokens=3),
+            RequestResult(STREAM_ARRIVAL, outcome="not-run", code="overloaded", attempts=1),
+            RequestResult(CALL_ARRIVAL, complete=True, key="k1", attempts=2),
         ],
         "runs": [{"key": "k1", "place": "a", "at": 90.0}],
         "work": [],
         "held": {"write-0": 0},
-        "drains": [DRAIN],
+        "drains": [CLEAN_DRAIN],
         "bundles": [BundleSeen(process="a", versions=[(1.0, 1), (2.0, 2)], digests={1: "x"})],
         "published": [(1.5, 2)],
         "ended": 1,
@@ -38,16 +38,16 @@
     return History(**{**values, **changes})
 
 
-def broken(changed: History) -> list[str]:
+def violated_invariants(changed: History) -> list[str]:
     """Return the invariants that the checker reports as violated."""
     return [verdict.promise for verdict in check(changed) if verdict.broken]
 
 
 class TestChecker:
-    """The checker finds violations, and nothing else."""
+    """The checker reports each violation, and nothing else."""
 
     def test_valid_history_violates_no_invariant(self) -> None:
-        """No invariant is violated, and each counts as tested."""
+        """The history contains what each invariant needs in order to count as tested."""
         verdicts = check(history())
         assert [v.promise for v in verdicts if v.broken or not v.tested] == []
 
@@ -57,8 +57,8 @@
             ({"held": {"write-0": 1}}, "no engine memory stays tied"),
             (
                 {
-                    "outcomes": [RequestResult(ASK, cancelled=True, cancelled_at=10.0)],
-                    "work": [{"kind": "end", "prompt": CRC, "at": 19.0, "place": "w"}],
+                    "outcomes": [RequestResult(STREAM_ARRIVAL, cancelled=True, cancelled_at=10.0)],
+                    "work": [{"kind": "end", "prompt": PROMPT_CRC, "at": 19.0, "place": "w"}],
                 },
                 "no engine memory stays tied",
             ),
@@ -67,15 +67,15 @@
                 "no request is answered twice",
             ),
             (
-                {"outcomes": [RequestResult(ASK, complete=True, wrong=True, tokens=3)]},
+                {"outcomes": [RequestResult(STREAM_ARRIVAL, complete=True, wrong=True, tokens=3)]},
                 "whole answer to its own request",
             ),
             (
-                {"work": [{"kind": "prefill", "prompt": CRC, "at": 1.0, "place": "r"}]},
+                {"work": [{"kind": "prefill", "prompt": PROMPT_CRC, "at": 1.0, "place": "r"}]},
                 "not run is true",
             ),
             (
-                {"outcomes": [RequestResult(CALL, outcome="not-run", key="k1")]},
+                {"outcomes": [RequestResult(CALL_ARRIVAL, outcome="not-run", key="k1")]},
                 "not run is true",
             ),
             (
@@ -116,23 +116,23 @@
     def test_violation_is_reported_under_its_invariant(
         self, changes: dict[str, Any], invariant: str
     ) -> None:
-        """Each violation is reported under the name of its invariant."""
-        assert invariant in broken(history(**changes))
+        """The parameters change a valid history so that it violates one invariant."""
+        assert invariant in violated_invariants(history(**changes))
 
 
 class TestEvidence:
-    """What is read from logs."""
+    """Evidence that the checker reads from the logs of programs."""
 
     def test_drained_count_comes_from_the_last_event(self, tmp_path: Path) -> None:
-        """The number of cut requests is read in the format that the programs write."""
+        """The test writes the log in the same format as an agent does."""
         path = tmp_path / "a.log"
-        assert read_drained_count(_log(path, 3)) == 3
-        assert read_drained_count(_log(path, 0)) == 0
+        assert read_drained_count(_append_drained_event(path, 3)) == 3
+        assert read_drained_count(_append_drained_event(path, 0)) == 0
         path.write_text("")
         assert read_drained_count(path) is None
 
 
-def _log(path: Path, count: int) -> Path:
+def _append_drained_event(path: Path, count: int) -> Path:
     """Append a ``drained`` event to a log, as an agent does."""
     with path.open("a") as stream:
         get_log(program="test", stream=stream).bind(name="a").info("drained", open=count)
@@ -140,15 +140,15 @@
 
 
 class TestTrace:
-    """Traces of the load, and percentiles."""
+    """Random traces of the load, and percentiles of measurements."""
 
     def test_trace_depends_only_on_the_seed(self) -> None:
-        """The same seed makes the same trace; another seed makes another one."""
+        """The seed of a run is enough to generate the same load again."""
         load = Load(seconds=5.0, per_s=5.0)
         assert make_trace(load, 1) == make_trace(load, 1)
         assert make_trace(load, 1) != make_trace(load, 2)
 
-    def test_percentile(self) -> None:
-        """Returns the value below which the given share of the values lies."""
+    def test_percentile_is_the_value_below_which_a_share_lies(self) -> None:
+        """The percentile is one of the values; without any value it is 0."""
         assert percentile([1.0, 2.0, 3.0, 4.0], 0.5) == 3.0
         assert percentile([], 0.5) == 0.0
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -42,10 +42,10 @@
     def fill_section(match: re.Match[str]) -> str:
         return match[2] if find_value(match[1]) else ""
 
-    def fill_value(gap: re.Match[str]) -> str:
-        path, _, form = gap[1].partition("|")
+    def fill_value(match: re.Match[str]) -> str:
+        path, _, suffix = match[1].partition("|")
         found = find_value(path)
-        return json.dumps(found) if form == "json" else str(found)
+        return json.dumps(found) if suffix == "json" else str(found)
 
     template = re.sub(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", fill_section, template)
     return re.sub(r"\{\{([^}]+)\}\}", fill_value, template)
@@ -55,7 +55,7 @@
     """Files that the platform reads to deploy the gateway."""
 
     def test_filled_template_is_valid_settings(self) -> None:
-        """All placeholders are filled in and the settings have no unknown key."""
+        """The gateway refuses settings with unknown keys or placeholders that were not filled."""
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         text = fill_template((ROOT / deploy["roles"]["gateway"]["template"]).read_text())
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
@@ -65,7 +65,7 @@
         assert (settings.apply_s, settings.leave_s, settings.contact_s) == (4.0, 2.5, 5.0)
 
     def test_missing_bounds_have_defaults(self) -> None:
-        """A deployment that states no optional bounds still starts."""
+        """A deployment that states no optional bounds must be able to start."""
         values = {**TEMPLATE_VALUES, "bounds": {"grace_s": 8}}
         text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text(), values)
         settings = msgspec.convert(tomllib.loads(text), GatewaySettings)
@@ -87,7 +87,7 @@
         assert 20 <= spent <= 50
 
     def test_metrics_address_matches_the_settings(self) -> None:
-        """The deploy file states the metrics port and path of the template."""
+        """The platform reads metrics from the port and path that the deploy file states."""
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         port, _, path = deploy["roles"]["gateway"]["metrics"].partition("/")
         text = fill_template((ROOT / "deploy" / "gateway.toml.template").read_text())
@@ -95,10 +95,10 @@
         assert path == "metrics"
 
     def test_requirements_are_locked(self) -> None:
-        """The versions that are deployed are those that are tested."""
+        """The deployed versions of libraries must be those that the tests use."""
         locked = set((ROOT / "requirements.lock").read_text().split())
-        wanted = (ROOT / "deploy" / "requirements.txt").read_text().split()
-        assert set(wanted) <= locked
+        deployed = (ROOT / "deploy" / "requirements.txt").read_text().split()
+        assert set(deployed) <= locked
 
     def test_settings_path_variable_is_named_after_the_product(self) -> None:
         """The platform derives this environment variable's name from the product's name."""
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -7,28 +7,28 @@
 from platform_fakes import GatewayHarness, make_config, route
 from virtual_time import run_virtual
 
-ONCE = route("r-once", "/once/", "unsafe", "plain")
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
 
 
 def run_scenario(harness: GatewayHarness, scenario: object) -> None:
-    """Run *scenario* on virtual time."""
-    run_virtual(harness.run, scenario, ONCE, settle_s=0.003)
+    """Run *scenario* in virtual time, with an instance that serves UNSAFE_ROUTE."""
+    run_virtual(harness.run, scenario, UNSAFE_ROUTE, settle_s=0.003)
 
 
 class TestConfig:
-    """Which configuration a gateway applies."""
+    """Which version of the configuration a gateway applies, and when."""
 
     def test_older_version_is_never_applied(self) -> None:
-        """Version numbers may skip; a lower one is not applied."""
+        """Version numbers may have gaps, so only a lower number shows that a version is old."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
-            moved = {**ONCE, "path_prefix": "/moved/"}
+            moved = {**UNSAFE_ROUTE, "path_prefix": "/moved/"}
             await harness.store.put("op/config", make_config(7, moved))
             await curio.sleep(0.2)
             assert (await harness.call("q1", "/moved/a"))[0] == 200
-            await harness.store.put("op/config", make_config(5, ONCE))
+            await harness.store.put("op/config", make_config(5, UNSAFE_ROUTE))
             await curio.sleep(0.2)
             assert (await harness.call("q2", "/moved/a"))[0] == 200
             assert (await harness.call("q3", "/once/a"))[0] == 404
@@ -36,14 +36,16 @@
         run_scenario(harness, scenario)
 
     def test_requests_are_served_while_the_store_is_unreachable(self) -> None:
-        """The known state stays in force; a recovered store is noticed within a second."""
+        """The last configuration stays active; one written meanwhile is read within a second."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
             harness.store.down = True
             harness.store.forget_history()
-            await harness.store.put("op/config", make_config(3, {**ONCE, "path_prefix": "/late/"}))
+            await harness.store.put(
+                "op/config", make_config(3, {**UNSAFE_ROUTE, "path_prefix": "/late/"})
+            )
             await curio.sleep(20.0)
             assert (await harness.call("q1", "/once/a"))[0] == 200
             assert harness.logs.matching("event=source_lost", "what=config")
@@ -55,7 +57,7 @@
         run_scenario(harness, scenario)
 
     def test_recovered_store_is_noticed_without_a_change(self) -> None:
-        """The first watch after an outage asks for a response without a wait."""
+        """The first watch after an outage must not wait for a change, which may never come."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
@@ -71,13 +73,13 @@
         run_scenario(harness, scenario)
 
     def test_watch_starts_at_the_revision_of_the_read(self) -> None:
-        """A store that dropped its history before the first read does not cause endless reads."""
+        """A watch from an earlier revision, dropped by the store, would cause endless reads."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
         harness.store.revision = 1000
 
         def watch_calls() -> int:
-            """Return the number of calls for configuration and list, without those for records."""
+            """Return the number of calls for configuration and server list, without others."""
             return sum(call in ("/v1/kv-watch", "/v1/kv-key") for call in harness.store.calls)
 
         async def scenario() -> None:
@@ -92,13 +94,13 @@
         run_scenario(harness, scenario)
 
     def test_lost_history_is_retried_with_growing_delays(self) -> None:
-        """A store that answers every watch with 'history gone' is called with growing delays."""
+        """The store answers every watch with 'history gone', so each must be followed by a read."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
             harness.store.oldest_revision = 10**9
-            await harness.store.put("op/config", make_config(2, ONCE))
+            await harness.store.put("op/config", make_config(2, UNSAFE_ROUTE))
             before = len(harness.store.calls)
             await curio.sleep(10.0)
             assert len(harness.store.calls) - before < 120
@@ -125,7 +127,7 @@
     """
 
     def test_large_configuration_is_applied_over_a_slow_link(self) -> None:
-        """A read continues as long as bytes arrive."""
+        """The timeout of a read applies to gaps between bytes, not to the whole transfer."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
         more = [route(f"r-{n}", f"/more-{n:05}/", "unsafe", "plain") for n in range(4200)]
@@ -135,7 +137,7 @@
             harness.store.forget_history()
             harness.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S
             await harness.store.put(
-                "op/config", make_config(2, {**ONCE, "path_prefix": "/new/"}, *more)
+                "op/config", make_config(2, {**UNSAFE_ROUTE, "path_prefix": "/new/"}, *more)
             )
             value = harness.store.items["op/config"]["value"]
             carried_s = len(value) / SLOW_LINK_BYTES_PER_S
@@ -147,7 +149,7 @@
         run_scenario(harness, scenario)
 
     def test_configuration_is_not_read_again_after_a_connection_ends(self) -> None:
-        """The watch continues from its last revision, so the value is not transferred again."""
+        """The next watch continues at the last revision, so the value is not transferred again."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
@@ -158,7 +160,9 @@
             await harness.store.put("other/key", "x")
             await curio.sleep(6.0)
             harness.store.down = False
-            await harness.store.put("op/config", make_config(2, {**ONCE, "path_prefix": "/new/"}))
+            await harness.store.put(
+                "op/config", make_config(2, {**UNSAFE_ROUTE, "path_prefix": "/new/"})
+            )
             await curio.sleep(1.0)
             assert (await harness.call("q1", "/new/a"))[0] == 200
             assert harness.logs.matching("event=source_regained", "what=config")
@@ -169,9 +173,9 @@
     def test_versions_in_quick_succession_are_skipped(self) -> None:
         """Of the versions written during a transfer, only the newest is read.
 
-        The response to a watch carries every version since its revision. Six large versions take a
-        slow link six times as long as the time in which a version must be applied, and further ones
-        are written in the meantime.
+        The response to a watch carries every version since its revision. Six large versions
+        take a slow link six times as long as the time in which a version must be applied,
+        and further ones are written in the meantime.
         """
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
@@ -180,7 +184,7 @@
         async def scenario() -> None:
             harness.store.faults.bytes_per_s = SLOW_LINK_BYTES_PER_S // 2
             for version in range(2, 14):
-                moved = {**ONCE, "path_prefix": f"/v{version}/"}
+                moved = {**UNSAFE_ROUTE, "path_prefix": f"/v{version}/"}
                 await harness.store.put("op/config", make_config(version, moved, *more))
                 await curio.sleep(0.3)
             value = harness.store.items["op/config"]["value"]
@@ -207,7 +211,7 @@
     """
 
     def test_unchanged_list_does_not_count_as_an_outage(self) -> None:
-        """A server missing from a list that is read again after an idle time is dropped at once."""
+        """The list is read again after an idle time; a server missing from it is gone at once."""
         harness = GatewayHarness(HISTORY_S)
         leaving = harness.add_replica("i-1", "plain")
         harness.add_replica("i-2", "plain")
@@ -227,11 +231,11 @@
         run_scenario(harness, scenario)
 
     def test_disconnected_instance_drops_a_server_missing_from_the_list(self) -> None:
-        """If the other entries still exist, the store was reachable for the servers.
+        """All other entries still exist, so the missing one was removed and did not expire.
 
-        Then a missing entry was removed and did not expire. Guards against this failure: nine
-        instances were disconnected for twelve seconds, a server left after three of them, and a
-        request reached it 13 s later, 4 s after the connections were back and the list was read.
+        Guards against this failure: nine instances were disconnected for twelve seconds, a
+        server left after three of them, and a request reached it 13 s later, 4 s after the
+        connections were back and the list was read.
         """
         harness = GatewayHarness()
         leaving = harness.add_replica("i-1", "plain")
@@ -267,7 +271,7 @@
     """
 
     def test_unresponsive_connection_is_noticed_in_time(self) -> None:
-        """Configuration and list are read again on another connection."""
+        """Both watches wait on the failed connection when the configuration and the list change."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
         harness.add_replica("i-2", "plain")
@@ -276,7 +280,9 @@
             # Both watches have just been sent again.
             await curio.sleep(10.0)
             harness.store.mute_open_calls()
-            await harness.store.put("op/config", make_config(2, {**ONCE, "path_prefix": "/new/"}))
+            await harness.store.put(
+                "op/config", make_config(2, {**UNSAFE_ROUTE, "path_prefix": "/new/"})
+            )
             await harness.store.remove("servers/i-1")
             await curio.sleep(RECONNECTED_S)
             assert harness.logs.matching("event=server_gone", "server=i-1")
@@ -288,8 +294,8 @@
     def test_unresponsive_connection_is_noticed_between_batched_watches(self) -> None:
         """The connection fails between two watches, while the gateway waits to batch changes.
 
-        The next watch is sent on it up to 0.8 s later. With the full wait of a watch, a leaving
-        server would be noticed only after 3.6 s.
+        The next watch is sent on this connection up to 0.8 s later. With the full wait of a
+        watch, a leaving server would be noticed only after 3.6 s.
         """
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
@@ -309,7 +315,7 @@
         run_scenario(harness, scenario)
 
     def test_watch_ends_before_the_store_drops_its_history(self) -> None:
-        """A watch that waits longer than the store keeps its history would cause a full read."""
+        """A longer wait would end with "history gone" and a read of the whole list."""
         harness = GatewayHarness(HISTORY_S)
         harness.add_replica("i-1", "plain")
 
@@ -331,7 +337,7 @@
     """
 
     def test_changes_are_batched(self) -> None:
-        """Ten changes per second for ten seconds take fewer than two calls per second."""
+        """Ten changes per second for ten seconds must take fewer than two calls per second."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
         other = harness.add_replica("i-2", "plain")
@@ -349,7 +355,7 @@
         run_scenario(harness, scenario)
 
     def test_leaving_server_gets_no_request_after_the_bound(self) -> None:
-        """It leaves at the worst moment, right after the response to a watch."""
+        """The server leaves right after the response to a watch, which is the worst moment."""
         harness = GatewayHarness()
         leaving = harness.add_replica("i-1", "plain")
         harness.add_replica("i-2", "plain")
@@ -374,7 +380,7 @@
         run_scenario(harness, scenario)
 
     def test_first_change_after_an_idle_time_is_seen_at_once(self) -> None:
-        """Batching does not delay a change that follows an idle time."""
+        """The pause that batches changes begins only after several changes in a row."""
         harness = GatewayHarness()
         leaving = harness.add_replica("i-1", "plain")
         harness.add_replica("i-2", "plain")
@@ -388,7 +394,7 @@
         run_scenario(harness, scenario)
 
     def test_many_configurations_in_succession_are_applied(self) -> None:
-        """The last of forty versions in ten seconds is applied within half a second."""
+        """The last of forty versions in ten seconds is active half a second after its write."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
@@ -396,7 +402,8 @@
             await curio.sleep(1.0)
             for version in range(2, 42):
                 await harness.store.put(
-                    "op/config", make_config(version, {**ONCE, "path_prefix": f"/v{version}/"})
+                    "op/config",
+                    make_config(version, {**UNSAFE_ROUTE, "path_prefix": f"/v{version}/"}),
                 )
                 await curio.sleep(0.25)
             await curio.sleep(0.5)
@@ -414,7 +421,7 @@
     """
 
     def test_servers_that_vanish_together_are_kept_until_the_grace_ends(self) -> None:
-        """The servers get requests meanwhile; one whose entry does not return is then dropped."""
+        """Meanwhile the servers get requests; one whose entry does not return is then dropped."""
         harness = GatewayHarness()
         replicas = [harness.add_replica(f"i-{number}", "plain") for number in (1, 2, 3)]
 
@@ -440,7 +447,7 @@
         run_scenario(harness, scenario)
 
     def test_server_whose_entry_returns_late_is_kept(self) -> None:
-        """Entries return over two seconds; batching the first ones does not drop the later ones."""
+        """Entries return over two seconds; the first ones must not end the wait for the others."""
         harness = GatewayHarness()
         replicas = [harness.add_replica(f"i-{number}", "plain") for number in range(5)]
 
@@ -463,7 +470,7 @@
         run_scenario(harness, scenario)
 
     def test_recreated_entries_make_the_missing_ones_suspect(self) -> None:
-        """Two of the expired entries are back when the list is read; the third is waited for."""
+        """Two of three expired entries are written again when the list is read; one is missing."""
         harness = GatewayHarness()
         replicas = [harness.add_replica(f"i-{number}", "plain") for number in (1, 2, 3, 4)]
 
@@ -485,10 +492,10 @@
 
 
 class TestLogs:
-    """Log lines about a source that does not respond."""
+    """Log lines about a store that does not respond."""
 
     def test_unresponsive_store_differs_from_one_that_aborts_responses(self) -> None:
-        """During an outage, lines report the number of failures and the bytes received."""
+        """The lines of an outage give the numbers of failures and of received bytes."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
@@ -508,7 +515,7 @@
         run_scenario(harness, scenario)
 
     def test_repeated_read_of_the_list_logs_suspect_servers(self) -> None:
-        """The lines say how long ago the last response about the list came."""
+        """The lines say how many seconds ago the last response about the list came."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
         harness.add_replica("i-2", "plain")
@@ -537,14 +544,16 @@
     """A store whose responses take more than a second."""
 
     def test_changes_are_applied_despite_slow_responses(self) -> None:
-        """A watch without a wait has the same timeout for its first byte as any call."""
+        """A watch without a wait must not have a shorter timeout than other calls."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
         async def scenario() -> None:
             harness.store.faults.delay_s = 1.2
             await curio.sleep(10.0)
-            await harness.store.put("op/config", make_config(2, {**ONCE, "path_prefix": "/new/"}))
+            await harness.store.put(
+                "op/config", make_config(2, {**UNSAFE_ROUTE, "path_prefix": "/new/"})
+            )
             await curio.sleep(6.0)
             assert (await harness.call("q1", "/new/a"))[0] == 200
 
@@ -552,10 +561,10 @@
 
 
 class TestServers:
-    """The list of servers."""
+    """Which servers of the list get requests."""
 
     def test_leaving_server_gets_no_new_request(self) -> None:
-        """It gets none from the moment its entry says so."""
+        """Requests stop as soon as the server's entry says that it is leaving."""
         harness = GatewayHarness()
         leaving = harness.add_replica("i-1", "plain")
         harness.add_replica("i-2", "plain")
@@ -569,7 +578,7 @@
         run_scenario(harness, scenario)
 
     def test_servers_whose_entries_expired_in_an_outage_are_kept_for_a_while(self) -> None:
-        """An empty list is ignored right after an outage and applied if it persists."""
+        """An empty list is ignored right after an outage and applied if the list stays empty."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
@@ -588,7 +597,7 @@
         run_scenario(harness, scenario)
 
     def test_invalid_entry_affects_only_its_own_server(self) -> None:
-        """The other servers are used, and a log line names the key of the invalid entry."""
+        """The other servers get requests, and a log line names the key of the invalid entry."""
         harness = GatewayHarness()
         harness.add_replica("i-1", "plain")
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -16,11 +16,11 @@
 from virtual_time import run_virtual
 
 PAGE = Path(__file__).parent.parent / "docs" / "OPERATIONS.md"
-ONCE = route("r-once", "/once/", "unsafe", "plain")
-STREAM = route("r-stream", "/stream/", "streaming", "llm")
-CRASH = route("r-crash", "/crash/", "unsafe", "fragile")
-LIMITED = route("r-needy", "/needy/", "unsafe", "needy")
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
+STREAM_ROUTE = route("r-stream", "/stream/", "streaming", "llm")
+CRASH_ROUTE = route("r-crash", "/crash/", "unsafe", "fragile")
+LIMITED_ROUTE = route("r-needy", "/needy/", "unsafe", "needy")
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
 
 
 async def reset_connection(_: FakeReplica, exchange: Exchange) -> None:
@@ -36,7 +36,7 @@
 
 
 def make_log(path: Path) -> None:
-    """Run requests that fail in five ways and write the gateway's log to *path*."""
+    """Run five requests that fail in different ways; write the gateway's log to *path*."""
     harness = GatewayHarness()
     harness.add_replica("i-plain", "plain", handler=reset_connection)
     harness.add_replica("i-reader", "llm", "prefill")
@@ -47,12 +47,12 @@
 
     async def scenario() -> None:
         assert (await harness.call("unknown", "/once/a"))[0] == 502
-        answer = await harness.open("cut", "/stream/a", **TOKENS)
+        answer = await harness.open("cut", "/stream/a", **TOKEN_HEADERS)
         with pytest.raises((BadHttp, HttpClosed)):
             await answer.read_all()
         await curio.sleep(5.0)
         writer.free_reservations = 0
-        assert (await harness.call("refused", "/stream/a", **TOKENS))[0] == 503
+        assert (await harness.call("refused", "/stream/a", **TOKEN_HEADERS))[0] == 503
         for number in range(3):
             assert (await harness.call(f"crashed{number}", "/crash/a"))[0] == 502
             await curio.sleep(1.0)
@@ -60,14 +60,22 @@
         assert (await harness.call("first", "/needy/a"))[0] == 200
         assert (await harness.call("over", "/needy/a"))[0] == 503
 
-    run_virtual(harness.run, scenario, ONCE, STREAM, CRASH, LIMITED, settle_s=0.003)
+    run_virtual(
+        harness.run,
+        scenario,
+        UNSAFE_ROUTE,
+        STREAM_ROUTE,
+        CRASH_ROUTE,
+        LIMITED_ROUTE,
+        settle_s=0.003,
+    )
     path.write_text("".join(harness.logs.lines))
 
 
 class TestExplain:
     """Output of the command for one request id."""
 
-    def test_shows_state_and_events(
+    def test_output_has_state_and_events_of_a_request(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         """The output has the configuration version, server entry, attempts and outcome."""
@@ -81,7 +89,7 @@
         assert re.search(r"happened .* request_failed .* outcome=unknown status=502", out)
 
     def test_unknown_request_exits_with_status_2(self, tmp_path: Path) -> None:
-        """The exit status is 2 for an unknown request id and for a missing log."""
+        """A log that does not exist has the same exit status as an unknown request id."""
         log = tmp_path / "gateway.log"
         log.write_text("")
         assert main(["explain", "nobody", str(log)]) == 2
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,40 +10,40 @@
 from platform_fakes import GatewayHarness, make_config, respond_stream, route
 from virtual_time import run_virtual
 
-ONCE = route("r-once", "/once/", "unsafe", "plain")
-STREAM = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
-OPEN = route("r-open", "/open/", "safe", "plain", anonymous=True)
-ALL = (ONCE, STREAM, OPEN)
-RED, BLUE = account("red", "key-red", "key-red-2"), account("blue", "key-blue")
-TOKENS = {"x_token_count": "100,50", "length_hint": "40"}
+UNSAFE_ROUTE = route("r-once", "/once/", "unsafe", "plain")
+RESUMABLE_ROUTE = route("r-stream", "/stream/", "streaming", "llm", max_attempts=2, resumable=True)
+ANONYMOUS_ROUTE = route("r-open", "/open/", "safe", "plain", anonymous=True)
+ALL_ROUTES = (UNSAFE_ROUTE, RESUMABLE_ROUTE, ANONYMOUS_ROUTE)
+RED_ACCOUNT, BLUE_ACCOUNT = account("red", "key-red", "key-red-2"), account("blue", "key-blue")
+TOKEN_HEADERS = {"x_token_count": "100,50", "length_hint": "40"}
 REVOKE_S = 5.0
-FAIL_CLOSED = {"revoke_s": REVOKE_S, "contact_s": 4.0}
+REVOCATION_SETTINGS = {"revoke_s": REVOKE_S, "contact_s": 4.0}
 
 
 def bearer(key: str) -> dict[str, str]:
-    """Return the header field that carries a key."""
+    """Return the header field by which a caller sends its API key."""
     return {"authorization": f"Bearer {key}"}
 
 
 def run_scenario(harness: GatewayHarness, scenario: Any, *routes: dict[str, Any]) -> None:
-    """Run *scenario* on virtual time."""
-    run_virtual(harness.run, scenario, *(routes or ALL), settle_s=0.003)
+    """Run *scenario* in virtual time, with an instance that serves *routes*, or all."""
+    run_virtual(harness.run, scenario, *(routes or ALL_ROUTES), settle_s=0.003)
 
 
 def keyed_harness(**settings: Any) -> GatewayHarness:
-    """Return a harness in which callers need keys."""
-    return GatewayHarness(tenants=(RED, BLUE), **settings)
+    """Return a harness with two client accounts, in which callers need API keys."""
+    return GatewayHarness(tenants=(RED_ACCOUNT, BLUE_ACCOUNT), **settings)
 
 
 class TestKeys:
-    """Identification of callers.
+    """How callers are identified by their API keys.
 
     Guards against passing callers' keys on to backend servers, which could have used them, and
     against sending requests without the name of the client account.
     """
 
     def test_server_gets_the_account_name_and_never_the_key(self) -> None:
-        """The caller's own X-Tenant is replaced, on every call made for the request."""
+        """A caller's own X-Tenant field is replaced on every call made for its request."""
         harness = keyed_harness()
         plain = harness.add_replica("i-p", "plain")
         reader = harness.add_replica("i-r", "llm", "prefill")
@@ -51,7 +51,7 @@
 
         async def scenario() -> None:
             await harness.call("a", "/once/a", x_tenant="blue", **bearer("key-red"))
-            await harness.call("b", "/stream/a", **TOKENS, **bearer("key-blue"))
+            await harness.call("b", "/stream/a", **TOKEN_HEADERS, **bearer("key-blue"))
             arrivals = [*plain.arrivals, *reader.arrivals, *writer.arrivals]
             assert [arrival.request_id for arrival in arrivals] == ["a", "b", "b"]
             for arrival in arrivals:
@@ -62,7 +62,7 @@
         run_scenario(harness, scenario)
 
     def test_unknown_key_is_refused(self) -> None:
-        """Unknown and missing keys get 401; the key appears in no log line."""
+        """The status is 401 for unknown and missing keys, and no log line shows the key."""
         harness = keyed_harness()
         plain = harness.add_replica("i-p", "plain")
 
@@ -77,7 +77,7 @@
         run_scenario(harness, scenario)
 
     def test_anonymous_route_needs_no_key(self) -> None:
-        """The caller's own X-Tenant is dropped."""
+        """A caller's own X-Tenant field is dropped, because nothing proves its account."""
         harness = keyed_harness()
         plain = harness.add_replica("i-p", "plain")
 
@@ -88,7 +88,7 @@
         run_scenario(harness, scenario)
 
     def test_without_accounts_credentials_are_passed_on(self) -> None:
-        """If no accounts are configured, the server checks credentials itself."""
+        """If no accounts are configured, the servers check credentials themselves."""
         harness = GatewayHarness()
         plain = harness.add_replica("i-p", "plain")
 
@@ -99,13 +99,13 @@
         run_scenario(harness, scenario)
 
     def test_key_is_valid_only_while_the_configuration_has_it(self) -> None:
-        """A new configuration adds one key and removes another."""
+        """A new version of the configuration adds one key and removes another."""
         harness = keyed_harness()
         harness.add_replica("i-p", "plain")
 
         async def scenario() -> None:
             assert (await harness.call("a", "/once/a", **bearer("key-new")))[0] == 401
-            later = make_config(2, *ALL, tenants=(account("red", "key-new"), BLUE))
+            later = make_config(2, *ALL_ROUTES, tenants=(account("red", "key-new"), BLUE_ACCOUNT))
             await harness.store.put("op/config", later)
             await curio.sleep(0.5)
             assert (await harness.call("b", "/once/a", **bearer("key-new")))[0] == 200
@@ -122,14 +122,16 @@
     """
 
     def test_no_request_runs_after_the_revocation_bound(self) -> None:
-        """Requests are refused once the store has been unreachable for the bound."""
-        harness = keyed_harness(**FAIL_CLOSED)
+        """An instance that cannot reach the store cannot know whether a key was revoked."""
+        harness = keyed_harness(**REVOCATION_SETTINGS)
         plain = harness.add_replica("i-p", "plain")
 
         async def scenario() -> None:
             began = await curio.clock()
             harness.store.down = True
-            await harness.store.put("op/config", make_config(2, *ALL, tenants=(BLUE,)))
+            await harness.store.put(
+                "op/config", make_config(2, *ALL_ROUTES, tenants=(BLUE_ACCOUNT,))
+            )
             statuses = set()
             while await curio.clock() < began + 2 * REVOKE_S:
                 status, headers, _ = await harness.call("a", "/once/a", **bearer("key-red"))
@@ -143,8 +145,8 @@
         run_scenario(harness, scenario)
 
     def test_instance_is_not_ready_until_the_store_is_back(self) -> None:
-        """Anonymous routes are served throughout."""
-        harness = keyed_harness(**FAIL_CLOSED)
+        """Anonymous routes are served throughout, because they need no key."""
+        harness = keyed_harness(**REVOCATION_SETTINGS)
         harness.add_replica("i-p", "plain")
 
         async def scenario() -> None:
@@ -161,8 +163,8 @@
         run_scenario(harness, scenario)
 
     def test_key_stays_valid_without_configuration_changes(self) -> None:
-        """A key works for a minute without changes, and with changes every two seconds."""
-        harness = keyed_harness(**FAIL_CLOSED)
+        """A quiet store must not count as unreachable, nor one with changes every two seconds."""
+        harness = keyed_harness(**REVOCATION_SETTINGS)
         harness.add_replica("i-p", "plain")
 
         async def scenario() -> None:
@@ -170,24 +172,26 @@
                 assert (await harness.call("a", "/once/a", **bearer("key-red")))[0] == 200
                 await curio.sleep(0.25)
                 if number > 120 and number % 11 == 0:
-                    later = make_config(number, *ALL, tenants=(RED, BLUE))
+                    later = make_config(number, *ALL_ROUTES, tenants=(RED_ACCOUNT, BLUE_ACCOUNT))
                     await harness.store.put("op/config", later)
 
         run_scenario(harness, scenario)
 
     def test_waiting_request_is_refused_once_its_key_is_revoked(self) -> None:
-        """The key is revoked while the request waits for capacity."""
-        harness = keyed_harness(**FAIL_CLOSED)
+        """The key is valid when the request arrives and revoked while it waits for capacity."""
+        harness = keyed_harness(**REVOCATION_SETTINGS)
         writer = harness.add_replica(
             "i-w", "llm", "decode", handler=respond_stream, free_reservations=0
         )
 
         async def scenario() -> None:
             task = await curio.spawn(
-                lambda: harness.call("a", "/stream/a", **TOKENS, **bearer("key-red"))
+                lambda: harness.call("a", "/stream/a", **TOKEN_HEADERS, **bearer("key-red"))
             )
             await curio.sleep(0.3)
-            await harness.store.put("op/config", make_config(2, *ALL, tenants=(BLUE,)))
+            await harness.store.put(
+                "op/config", make_config(2, *ALL_ROUTES, tenants=(BLUE_ACCOUNT,))
+            )
             await curio.sleep(0.1)
             writer.free_reservations = 10
             status, _, _ = await task.join()
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -43,7 +43,7 @@
         self._left = tokens
 
     async def next_pieces(self) -> list[str]:
-        """Return one token."""
+        """Return the next token after 0.1 s, or an empty list after the last one."""
         if not self._left:
             self.finish_reason = "length"
             return []
@@ -52,7 +52,7 @@
         return ["t"]
 
     async def close(self) -> None:
-        """Free the slot of the engine."""
+        """Free the slot that the answer has used on the engine."""
         self._engine.running -= 1
 
 
@@ -67,7 +67,7 @@
         self.dead = False
 
     async def prefill(self, path: str, body: bytes, *, request_id: int) -> PrefillResult:
-        """Not used here."""
+        """Raise an error; a decode role never asks its engine to prefill."""
         raise NotImplementedError
 
     async def decode(
@@ -81,7 +81,7 @@
         return FakeStream(self, 5)
 
     async def load_adapter(self, name: str, path: str, version: int, *, fencing_token: int) -> None:
-        """Not used here."""
+        """Raise an error; these tests load no adapters."""
         raise NotImplementedError
 
     async def get_load(self) -> EngineLoad:
@@ -92,23 +92,23 @@
 
 
 class FakeLink:
-    """A link to an entry that records sent messages."""
+    """A link to an entry that records the messages it is given."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
         self.peer = type("Peer", (), {"name": "entry"})
 
     async def send(self, msg: Any) -> None:
-        """Record a message."""
+        """Record a message instead of sending it."""
         self.sent.append(msg)
 
     def of(self, kind: type) -> list[Any]:
-        """Return the recorded messages of one class."""
+        """Return the recorded messages that are instances of one class."""
         return [msg for msg in self.sent if isinstance(msg, kind)]
 
 
 def make_role(engine: FakeEngine, capacity: int = 2) -> DecodeRole:
-    """Return a decode role whose log is discarded."""
+    """Return a decode role with *capacity* slots, whose log is discarded."""
     return DecodeRole(
         engine=engine,
         table=SlotTable(capacity=capacity, step_s=0.1, lease_margin_s=1.0),
@@ -119,12 +119,12 @@
 
 
 def reserve(req: int, within: float = 30.0) -> ReserveSlot:
-    """Return a message that requests a slot."""
+    """Return a message that requests a slot and waits for at most *within* seconds."""
     return ReserveSlot(req, "m", "m1", 1, within, 0.05, 5)
 
 
 async def serve(role: DecodeRole, link: Any, req: int) -> None:
-    """Lease a slot and start a decode, as an entry does."""
+    """Request a slot, wait until it is granted and start a decode, as an entry does."""
     await role.handle(link, reserve(req))
     while not any(msg.req == req for msg in link.of(SlotGranted)):
         await curio.sleep(0.01)
@@ -132,10 +132,10 @@
 
 
 class TestDecodeRole:
-    """Leases of slots and answers of a decode engine."""
+    """How a decode role leases the slots of its engine and streams answers."""
 
     def test_running_requests_never_exceed_the_capacity(self) -> None:
-        """Six requests for two slots are all answered, and at most two run at a time."""
+        """Six requests arrive at once for two slots; all are answered, each with five tokens."""
 
         async def scenario() -> tuple[int, int, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -151,7 +151,7 @@
         assert run_virtual(scenario) == (2, 6, 30)
 
     def test_cancelled_request_frees_its_slot_for_the_next(self) -> None:
-        """After a cancel, the engine has no running request and the waiting one gets the slot."""
+        """The engine must stop the cancelled request before the slot is granted again."""
 
         async def scenario() -> tuple[int, list[int]]:
             engine, link = FakeEngine(), FakeLink()
@@ -165,7 +165,7 @@
         assert run_virtual(scenario) == (0, [1, 2])
 
     def test_ended_link_frees_all_requests_of_its_entry(self) -> None:
-        """The running, leased and waiting requests of an entry end with its link."""
+        """The entry has two running requests and a waiting one when its link ends."""
 
         async def scenario() -> tuple[int, bool]:
             engine, link = FakeEngine(), FakeLink()
@@ -180,7 +180,7 @@
         assert run_virtual(scenario) == (0, False)
 
     def test_stalled_transfer_fails_the_request(self) -> None:
-        """If no token arrives in time, the request fails as transfer-stalled and frees its slot."""
+        """A transfer of the KV cache that never ends must not occupy the slot for ever."""
 
         async def scenario() -> tuple[list[str], bool]:
             engine, link = FakeEngine(), FakeLink()
@@ -193,7 +193,7 @@
         assert run_virtual(scenario) == (["transfer-stalled"], False)
 
     def test_slots_of_a_previous_incarnation_are_not_granted(self) -> None:
-        """No slot is granted while the engine is full of requests that this agent did not send."""
+        """After a restart of the agent, the engine still runs requests that it does not know."""
 
         async def scenario() -> tuple[int, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -212,7 +212,7 @@
         assert run_virtual(scenario) == (0, 1)
 
     def test_slots_of_an_unreachable_engine_are_not_granted(self) -> None:
-        """While the engine is unreachable, requests are refused and the load shows draining."""
+        """Requests are refused, and the reported load shows draining, until the engine is back."""
 
         async def scenario() -> tuple[list[str], bool, int]:
             engine, link = FakeEngine(), FakeLink()
@@ -232,7 +232,7 @@
         assert run_virtual(scenario) == (["backend-down"], True, 1)
 
     def test_decode_after_the_lease_expired_fails(self) -> None:
-        """A Decode that arrives after its lease expired fails with ``may_have_run`` false."""
+        """The failure says that nothing has run, so that the entry may retry the request."""
 
         async def scenario() -> list[Failed]:
             engine, link = FakeEngine(), FakeLink()
@@ -247,7 +247,7 @@
         assert run_virtual(scenario) == [Failed(1, "lease-expired", False)]
 
     def test_draining_agent_refuses_new_requests(self) -> None:
-        """After stop_accepting, new requests are refused and the running one completes."""
+        """After ``stop_accepting``, the agent still completes the request that is running."""
 
         async def scenario() -> tuple[list[str], int]:
             engine, link = FakeEngine(), FakeLink()
@@ -268,7 +268,7 @@
         self.runs = 0
 
     async def is_reachable(self) -> bool:
-        """Return True."""
+        """Return True; the service of these tests never fails."""
         return True
 
     async def call(
@@ -286,7 +286,7 @@
     async def call(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes
     ) -> ServiceResponse:
-        """Refuse the first call and run the others."""
+        """Refuse the first call with a backoff of 3 s and run the others."""
         answer = await super().call(method, target, headers, body)
         if self.runs > 1:
             return answer
@@ -305,13 +305,13 @@
 
 
 class TestPlainRole:
-    """Calls to a plain service."""
+    """How a plain role forwards calls to its service."""
 
     def test_service_in_backoff_gets_no_call(self) -> None:
         """Waiting and new calls are refused with the remaining time of the backoff.
 
-        Guards against a fault in which only the refused caller received the service's request for
-        a backoff, and the agent sent the next call to the service immediately.
+        Guards against a fault in which only the refused caller received the service's
+        request for a backoff, and the agent sent the next call to the service immediately.
         """
 
         async def scenario() -> tuple[int, list[float], int]:
@@ -332,9 +332,10 @@
         assert left == [3.0, 2.6, 1.9]
 
     def test_started_call_continues_after_its_link_ends(self) -> None:
-        """When an entry's link ends, its started call completes and its waiting call is dropped.
+        """The waiting call of the ended link is dropped, because nobody receives its response.
 
-        Calls of other entries are not affected.
+        The started call may have effects, so it completes. Calls of other entries are not
+        affected.
         """
 
         async def scenario() -> tuple[int, int, bool]:
