--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -441,3 +441,29 @@
         simulation.request_permit("a", make_key(simulation.wall_ms, salt=999), request_id)
         simulation.advance(0.1)
         assert isinstance(simulation.replies[request_id], FencePermitted)
+
+    def test_permits_keys_again_after_the_failures_of_seed_59055(self) -> None:
+        """One replica must not stay alone at an epoch while the other is paired at the next."""
+        self.test_permits_keys_again_after_failures.hypothesis.inner_test(self, 59055)
+
+    def test_key_is_permitted_once_after_the_failures_of_seed_59055(self) -> None:
+        """A replica that stayed alone must not permit a key that the other permits as well."""
+        rng = random.Random(59055)
+        simulation = paired_simulation()
+        for _ in range(80):
+            random_step(simulation, rng, [])
+        simulation.kv_available = True
+        simulation.lose_kv_responses = False
+        simulation.restore_link()
+        simulation.run_for(60.0)
+        key = make_key(simulation.wall_ms, salt=999)
+        first = len(simulation.key_of_request) + 1
+        alone_first = sorted(
+            REPLICA_NAMES, key=lambda name: simulation.replicas[name].role is not FenceRole.SOLO
+        )
+        for number, name in enumerate(alone_first):
+            simulation.request_permit(name, key, first + number)
+            simulation.advance(0.1)
+            simulation.cut_link()
+            simulation.run_for(10.0)
+        assert len(simulation.permitted[key]) <= 1
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -208,6 +208,18 @@
         fleet.run(RUN_S + 1)
         assert fleet.max_tokens_in_window() <= bounds.allowed_in_window(LIMIT)
 
+    def test_limit_holds_for_large_requests_under_the_faults_of_seed_611(self) -> None:
+        """Several instances must not each grant a request that is larger than its local bucket."""
+        faults = [
+            *[("store", 23.748509941104246, 14.0, 4, 4)] * 3,
+            ("kill", 1.0, 1.0, 1, 0),
+            ("kill", 7.578066769825169, 1.0, 4, 2),
+            ("freeze", 4.02398588647824, 5.826878469252587, 1, 3),
+            ("alone", 33.47428234145094, 8.171286470969333, 1, 4),
+        ]
+        check = self.test_limit_holds_under_cuts_losses_freezes_and_restarts.hypothesis.inner_test
+        check(self, faults, seed=611, loss=0.03, bounds_and_tokens=(BOUNDS, 900))
+
     def test_limit_holds_under_repeated_restarts(self) -> None:
         """If buckets started full, each restart would allocate the burst once more."""
         fleet = QuotaFleet(INSTANCES, ACCOUNT, STRICT_BOUNDS)
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -378,6 +378,19 @@
         fleet.run(RUN_S + 2)
         assert fleet.max_requests_in_window() <= max_allowed_in_window(per_s)
 
+    def test_limit_holds_if_an_instance_lapsed_before_the_first_read_of_another(self) -> None:
+        """An instance that lost the store must not use its share beside one that never saw it."""
+        faults = [
+            ("store", 0.8, 14.334529781666006, 25, 28),
+            ("freeze", 5.200061034384658e-113, 14.628047227011816, 15, 25),
+            ("freeze", 32.83089560396428, 0.22456497911787826, 25, 29),
+            ("store", 5.200061034384658e-113, 14.628047227011816, 15, 25),
+            ("store", 1.0280829135071988e-294, 10.498831314405338, 11, 13),
+            ("store", 5.200061034384658e-113, 14.628047227011816, 15, 25),
+        ]
+        check = self.test_limit_holds_under_cuts_losses_freezes_and_restarts.hypothesis.inner_test
+        check(self, faults, seed=2129, loss=0.0, instances=3, per_s=LIMIT_PER_S, within_s=0.0)
+
     @pytest.mark.parametrize("instances", [68, 300])
     def test_limit_holds_in_large_fleets(self, instances: int) -> None:
         """A third of the instances is cut off from the rest, a tenth freezes, a tenth restarts."""
