--- a/src/crankhinge/burn/_caller_value.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -169,15 +169,15 @@
 
     Attributes:
         total: value of all requests.
-        routes: value by route name.
-        windows: value by time window in which the request started; window 0 begins with the first
-            request.
+        value_by_route: value by route name.
+        value_by_window: value by number of the time window in which the request started; window 0
+            begins with the first request.
         window_s: length of a time window, in seconds.
     """
 
     total: CallerValue
-    routes: dict[str, CallerValue]
-    windows: dict[int, CallerValue]
+    value_by_route: dict[str, CallerValue]
+    value_by_window: dict[int, CallerValue]
     window_s: float
 
 
@@ -283,7 +283,11 @@
             and attempt.max_wait_ms < retry_thresholds_ms[attempt.route]
         )
         window = int((attempt.started_at - report_start) // window_s)
-        for value in (report.total, report.routes[attempt.route], report.windows[window]):
+        for value in (
+            report.total,
+            report.value_by_route[attempt.route],
+            report.value_by_window[window],
+        ):
             _add_attempt(value, attempt, request_value, weights, is_retry=is_retry)
     return report
 
--- a/src/crankhinge/ctl/_callers.py
+++ b/src/crankhinge/ctl/_callers.py
@@ -45,9 +45,9 @@
     yield "| first tries | " + " | ".join(_COLUMNS) + " |"
     yield "|---" * (len(_COLUMNS) + 1) + "|"
     yield _render_row("all", report.total)
-    for name, value in sorted(report.routes.items()):
+    for name, value in sorted(report.value_by_route.items()):
         yield _render_row(name, value)
-    for number, value in sorted(report.windows.items()):
+    for number, value in sorted(report.value_by_window.items()):
         yield _render_row(f"{number * report.window_s:g} s", value)
 
 
--- a/src/crankhinge/ctl/_reference.py
+++ b/src/crankhinge/ctl/_reference.py
@@ -28,14 +28,14 @@
 
 _ATTRIBUTE_LINE = re.compile(r"^ {4}(\w+): (.*)$")
 
-SETTINGS_MODELS: dict[str, type[msgspec.Struct]] = {
+SETTINGS_STRUCTS: dict[str, type[msgspec.Struct]] = {
     "Every entry and agent": PeerSettings,
     "Entry": EntrySettings,
     "Agent": AgentSettings,
     "Gateway": GatewaySettings,
     "ctl": CtlSettings,
 }
-BUNDLE_MODELS: dict[str, type[msgspec.Struct]] = {
+BUNDLE_STRUCTS: dict[str, type[msgspec.Struct]] = {
     "Top level": Bundle,
     "`[policy]`": Policy,
     "`[transfer]`": Transfer,
@@ -48,9 +48,9 @@
 }
 
 
-def _attribute_descriptions(model: type[msgspec.Struct]) -> dict[str, str]:
+def _attribute_descriptions(struct_type: type[msgspec.Struct]) -> dict[str, str]:
     """Return the description of each attribute in the docstring of a model."""
-    text = inspect.getdoc(model) or ""
+    text = inspect.getdoc(struct_type) or ""
     descriptions: dict[str, str] = {}
     attribute = ""
     for line in text.partition("Attributes:\n")[2].splitlines():
@@ -73,25 +73,25 @@
     return "needed"
 
 
-def _render_table(model: type[msgspec.Struct]) -> list[str]:
-    descriptions = _attribute_descriptions(model)
-    fields = {field.name: field for field in msgspec.structs.fields(model)}
+def _render_table(struct_type: type[msgspec.Struct]) -> list[str]:
+    descriptions = _attribute_descriptions(struct_type)
+    fields = {field.name: field for field in msgspec.structs.fields(struct_type)}
     lines = ["| key | default | meaning |", "|---|---|---|"]
     for attribute, meaning in descriptions.items():
         lines.append(f"| `{attribute}` | {_format_default(fields[attribute])} | {meaning} |")
     return lines
 
 
-def _render_section(title: str, models: dict[str, type[msgspec.Struct]]) -> list[str]:
+def _render_section(title: str, struct_types: dict[str, type[msgspec.Struct]]) -> list[str]:
     lines = [f"# {title}", ""]
-    for heading, model in models.items():
-        lines += [f"## {heading}", "", *_render_table(model), ""]
+    for heading, struct_type in struct_types.items():
+        lines += [f"## {heading}", "", *_render_table(struct_type), ""]
     return lines
 
 
 def render_reference(_args: argparse.Namespace) -> str:
     """Return the text of the page docs/operators/reference.md."""
     head = ["<!-- Made by `crankhinge-ctl reference`; a test keeps it up to date. -->", ""]
-    settings = _render_section("Settings", SETTINGS_MODELS)
-    bundle = _render_section("Bundle", BUNDLE_MODELS)
+    settings = _render_section("Settings", SETTINGS_STRUCTS)
+    bundle = _render_section("Bundle", BUNDLE_STRUCTS)
     return "\n".join([*head, *settings, *bundle]).rstrip()
--- a/src/crankhinge/decisions/_freshness.py
+++ b/src/crankhinge/decisions/_freshness.py
@@ -46,7 +46,7 @@
     Attributes:
         apply_s: seconds within which a changed configuration must be active.
         leave_s: seconds after which a server that is leaving must get no request.
-        contact_s: seconds after the end of a fault within which an instance must meet apply_s and
+        recovery_s: seconds after the end of a fault within which an instance must meet apply_s and
             leave_s again.
         revoke_s: seconds after which no request may be served with a revoked key, whatever faults
             there are; infinite without such a bound.
@@ -54,7 +54,7 @@
 
     apply_s: float
     leave_s: float
-    contact_s: float
+    recovery_s: float
     revoke_s: float = math.inf
 
     @property
@@ -83,7 +83,7 @@
         A connection may become silent for good, and only a watch that does not end reveals it. With
         this wait the silence is noticed before contact_s has passed.
         """
-        return min(MAX_WATCH_WAIT_S, max(MIN_WATCH_WAIT_S, self.contact_s - WATCH_RECOVERY_S))
+        return min(MAX_WATCH_WAIT_S, max(MIN_WATCH_WAIT_S, self.recovery_s - WATCH_RECOVERY_S))
 
     @property
     def config_pause_s(self) -> float:
--- a/src/crankhinge/entry/_slot_client.py
+++ b/src/crankhinge/entry/_slot_client.py
@@ -41,13 +41,13 @@
 
     Attributes:
         request: the completion request.
-        route: length and prefix of the prompt, for the router.
+        route_request: length and prefix of the prompt, for the router.
         deadline: time by which the first token is needed, in seconds of the runtime's clock.
         max_tokens: largest number of tokens that are still to be generated.
     """
 
     request: CompletionRequest
-    route: RouteRequest
+    route_request: RouteRequest
     deadline: float
     max_tokens: int
 
@@ -66,7 +66,7 @@
         """
         model = requirements.request.model
         candidates = self._router.choose_backends(
-            model.decode, await curio.clock(), requirements.route.adapter
+            model.decode, await curio.clock(), requirements.route_request.adapter
         )
         if not candidates:
             raise NoBackend(f"no decode engine for {model.name}", retry_after_s=1.0)
@@ -115,10 +115,14 @@
     def _lead_s(self, requirements: SlotRequirements, backend: Backend, now: float) -> float:
         """Return the estimated seconds from the grant of a slot to the first token."""
         model = requirements.request.model
-        engines = self._router.choose_prefill(model.prefill, requirements.route, backend.zone, now)
+        engines = self._router.choose_prefill(
+            model.prefill, requirements.route_request, backend.zone, now
+        )
         if not engines:
             raise NoBackend(f"no prefill engine for {model.name}", retry_after_s=1.0)
-        prefill_s = self._router.prefill_cost_s(engines[0], requirements.route, backend.zone, now)
+        prefill_s = self._router.prefill_cost_s(
+            engines[0], requirements.route_request, backend.zone, now
+        )
         return prefill_s + backend.step_s
 
 
--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -31,7 +31,7 @@
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
 
 PREFILL_SLOTS = 2
-SEED_COUNT = 3
+SEED_AGENT_COUNT = 3
 MAX_PUBLISH_RETRIES = 20
 EXIT_OUTCOME_UNKNOWN = 4
 # Both partners sign each bundle; every member belongs to the first one.
@@ -237,7 +237,7 @@
         name = f"entry-{number}"
         zone = self.spec.zones[number % len(self.spec.zones)]
         lines = self._peer_setting_lines(name, zone, self.entry_ports[number])
-        seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_COUNT]]
+        seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_AGENT_COUNT]]
         lines += [f"seeds = {seeds}", f"subset = {self.spec.subset}", *extra_settings]
         self.run(name, "crankhinge.entry.main", self._write_settings(name, lines))
 
@@ -362,7 +362,7 @@
 
     def write_ctl_settings(self) -> str:
         """Write the settings file of ``crankhinge-ctl`` and return its path."""
-        seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_COUNT]]
+        seeds = [f"{HOST}:{agent.port}" for agent in self.agents[:SEED_AGENT_COUNT]]
         return self._write_settings(
             "ctl", [f'key_value = "{HOST}:{self.platform_port}"', f"seeds = {seeds}"]
         )
--- a/src/crankhinge_soak/_entries_check.py
+++ b/src/crankhinge_soak/_entries_check.py
@@ -89,7 +89,7 @@
     return [
         _check_memory_freed(history),
         _check_answered_once(history),
-        _check_responses(history),
+        _check_answer_tokens(history),
         _check_not_run_responses(history),
         _check_at_most_once(history),
         _check_leaving_servers(history),
@@ -120,7 +120,7 @@
     return make_verdict("no request is answered twice", len(repeated_calls), cases)
 
 
-def _check_responses(history: History) -> Verdict:
+def _check_answer_tokens(history: History) -> Verdict:
     """Check that each response has the tokens of its own request."""
     answered = [seen for seen in history.outcomes if seen.complete or seen.tokens]
     cases = [f"{seen.request_id}: wrong tokens" for seen in answered if seen.wrong]
--- a/src/crankhinge_standins/_replica_state.py
+++ b/src/crankhinge_standins/_replica_state.py
@@ -5,10 +5,10 @@
 import itertools
 from dataclasses import dataclass, field
 
-from crankhinge_standins._web import FaultSwitches
+from crankhinge_standins._web import FaultSettings
 
 
-class ReplicaFaults(FaultSwitches):
+class ReplicaFaults(FaultSettings):
     """Faults of a backend server.
 
     Attributes:
--- a/src/crankhinge_standins/_web.py
+++ b/src/crankhinge_standins/_web.py
@@ -24,7 +24,7 @@
     await reply(exchange, {"error": exc.detail}, exc.status)
 
 
-class FaultSwitches(msgspec.Struct):
+class FaultSettings(msgspec.Struct):
     """Faults of a stand-in; ``PUT /faults`` with a JSON object sets those that it names."""
 
     def update(self, body: bytes) -> None:
@@ -35,7 +35,7 @@
             setattr(self, name, value)
 
 
-class Faults(FaultSwitches):
+class Faults(FaultSettings):
     """Faults of the stand-ins for the model engine, the plain service and the platform.
 
     Attributes:
@@ -75,7 +75,7 @@
             os.write(self._fd, msgspec.json.encode({**row, "at": time.time()}) + b"\n")
 
 
-async def serve(host: str, port: int, handler: Handler, faults: FaultSwitches, log: Any) -> None:
+async def serve(host: str, port: int, handler: Handler, faults: FaultSettings, log: Any) -> None:
     """Serve requests with *handler*, except ``PUT /faults``, which sets *faults*."""
 
     async def handle(exchange: Exchange) -> None:
--- a/src/crankhinge_standins/operator.py
+++ b/src/crankhinge_standins/operator.py
@@ -14,10 +14,10 @@
     "idle_timeout_ms": 15000,
 }
 
-ConfigRow = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
-def route(name: str, prefix: str, kind: str, service: str, **overrides: Any) -> ConfigRow:
+def route(name: str, prefix: str, kind: str, service: str, **overrides: Any) -> JsonObject:
     """Return a route; *overrides* replaces or adds fields."""
     defaults = {
         "name": name,
@@ -33,7 +33,7 @@
     return {**defaults, **overrides}
 
 
-def engine_capacity(*, slots: int, kv_tokens: int) -> ConfigRow:
+def engine_capacity(*, slots: int, kv_tokens: int) -> JsonObject:
     """Return the capacity of each engine of a service."""
     return {
         "slots": slots,
@@ -44,13 +44,13 @@
     }
 
 
-def service(name: str, capacity: ConfigRow | None = None) -> ConfigRow:
+def service(name: str, capacity: JsonObject | None = None) -> JsonObject:
     """Return a service; its servers are engines with *capacity* if that is given."""
-    row: ConfigRow = {"name": name, "max_connections": 100}
-    return row if capacity is None else {**row, "engine": capacity}
+    fields: JsonObject = {"name": name, "max_connections": 100}
+    return fields if capacity is None else {**fields, "engine": capacity}
 
 
-def account(name: str, *keys: str, **overrides: Any) -> ConfigRow:
+def account(name: str, *keys: str, **overrides: Any) -> JsonObject:
     """Return a client account without a limit; *overrides* replaces or adds fields."""
     defaults = {
         "name": name,
@@ -66,15 +66,15 @@
 
 def config(
     version: int,
-    routes: Iterable[ConfigRow],
-    services: Iterable[ConfigRow],
-    tenants: Iterable[ConfigRow] | None = None,
-) -> ConfigRow:
+    routes: Iterable[JsonObject],
+    services: Iterable[JsonObject],
+    tenants: Iterable[JsonObject] | None = None,
+) -> JsonObject:
     """Return a configuration; callers need an API key if *tenants* is given."""
-    row = {
+    configuration = {
         "version": version,
         "routes": list(routes),
         "services": list(services),
         "limits": LIMITS,
     }
-    return row if tenants is None else {**row, "tenants": list(tenants)}
+    return configuration if tenants is None else {**configuration, "tenants": list(tenants)}
--- a/src/crankhinge_standins/store.py
+++ b/src/crankhinge_standins/store.py
@@ -19,7 +19,7 @@
 from crankhinge.errors import HttpClosed
 from crankhinge.http import Exchange
 from crankhinge.runtime import get_log
-from crankhinge_standins._web import FaultSwitches, serve
+from crankhinge_standins._web import FaultSettings, serve
 
 # Prefix of the keys of backend servers' entries.
 SERVERS_PREFIX = "servers/"
@@ -33,7 +33,7 @@
 Item = dict[str, Any]
 
 
-class StoreFaults(FaultSwitches):
+class StoreFaults(FaultSettings):
     """Faults of the store.
 
     Attributes:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -126,7 +126,7 @@
         )
         weights = CallerWeights(kinds={"stream": 30.0})
         report = caller_value_of(tmp_path / "a", large, small, plain, weights=weights)
-        assert report.routes["r"].relative_value == pytest.approx((0.3 + 0.7 * 1.5) / 2)
+        assert report.value_by_route["r"].relative_value == pytest.approx((0.3 + 0.7 * 1.5) / 2)
         assert report.total.potential_value == pytest.approx(61.0)
 
     def test_request_counts_in_the_window_of_its_start(self, tmp_path: Path) -> None:
@@ -136,7 +136,9 @@
             log_line("answered", "a", 5, **ANSWERED, took_ms=5000),
             log_line("request_failed", "b", 4, **REFUSED, took_ms=0),
         )
-        assert {number: value.relative_value for number, value in report.windows.items()} == {
+        assert {
+            number: value.relative_value for number, value in report.value_by_window.items()
+        } == {
             0: 1,
             2: 0,
         }
