--- a/src/crankhinge/agent/_adapter_loader.py
+++ b/src/crankhinge/agent/_adapter_loader.py
@@ -30,7 +30,8 @@
 KEY_PREFIX = "crankhinge/roll/"
 # Interval at which the loaded adapters are compared with the bundle.
 CHECK_INTERVAL_S = 0.5
-# Bounds of the delay before the next attempt, such as while other engines load adapters.
+# Bounds of the delay before loading is tried again, after a failure or while too many other engines
+# of the pool load adapters.
 INITIAL_RETRY_DELAY_S = 1.0
 MAX_RETRY_DELAY_S = 20.0
 
--- a/src/crankhinge/burn/_budget.py
+++ b/src/crankhinge/burn/_budget.py
@@ -1,4 +1,4 @@
-"""Computes error budgets and burn rates.
+"""Computes error budgets and burn rates from the logs of entries.
 
 A burn rate of 1 spends the budget exactly over the period of the objective. Alerts compare the burn
 rates of a long and a short window ("The Site Reliability Workbook", 2018, chapter 5).
@@ -15,7 +15,8 @@
 
 WINDOWS_S = {"5m": 300.0, "30m": 1800.0, "1h": 3600.0, "6h": 21_600.0}
 WHOLE_LOG = "whole log"
-# Causes for which the caller is responsible. These requests are left out of the budgets.
+# Causes of failure for which the caller is responsible. Requests that failed from these causes are
+# left out of the budgets.
 UNCOUNTED_CAUSES = frozenset(
     {"caller-gone", "bad-request", "bad-credentials", "unknown-model", "prompt-too-long"}
 )
@@ -27,7 +28,7 @@
     Attributes:
         name: length of the window, such as ``5m``.
         requests: number of requests that ended in the window.
-        bad: number of these requests that missed the target.
+        bad: number of requests in the window that missed the target.
         burn: rate at which the budget is spent; 1 spends it exactly over the objective's period.
     """
 
@@ -45,8 +46,8 @@
         model: name of the model.
         target: ``first token``, ``between tokens`` or ``answered``.
         objective: fraction of the requests that must meet the target.
-        requests: number of counted requests.
-        bad: number of requests that missed the target.
+        requests: number of counted requests of the account for the model.
+        bad: number of counted requests that missed the target.
         left: fraction of the budget that is left; negative if the budget is overspent.
         windows: burn rates by window, the whole log last.
     """
@@ -62,7 +63,7 @@
 
 
 class BurnReport(msgspec.Struct, kw_only=True):
-    """The complete report.
+    """Goodput, prefill and error budgets of the completion requests in the logs of entries.
 
     Attributes:
         bundle: version of the bundle whose objectives apply.
@@ -71,11 +72,12 @@
         in_time: number of requests that were answered within both latency targets.
         goodput: requests per second that were answered within both latency targets.
         read_tokens: number of prompt tokens that engines prefilled, according to the entries.
-        wasted_tokens: number of these tokens whose prefill was not used.
+        wasted_tokens: number of the ``read_tokens`` whose prefill was not used.
         causes: number of failed and refused requests by cause.
         budgets: error budgets by client account, model and target.
-        series: for each of these seconds in order, the number of requests that ended in it and met
-            all targets, and the number of those that did not.
+        series: for each second in order, from the end of the first counted request on, the number
+            of counted requests that ended in that second and met all targets, and the number of
+            those that missed a target.
     """
 
     bundle: int
@@ -136,7 +138,10 @@
 
 
 def make_report(bundle: Bundle, events: Iterable[RequestEvent]) -> BurnReport:
-    """Return the report on *events*, sorted by time, with the objectives of *bundle*."""
+    """Return the report on *events* against the objectives of *bundle*.
+
+    The events must be sorted by time.
+    """
     models = {model.name: model for model in bundle.models}
     counted = [e for e in events if e.model in models and e.cause not in UNCOUNTED_CAUSES]
     groups: dict[tuple[str, str], list[RequestEvent]] = {}
--- a/src/crankhinge/burn/_caller_value.py
+++ b/src/crankhinge/burn/_caller_value.py
@@ -1,8 +1,8 @@
 """Computes the value of the service to its callers from the logs of gateways.
 
 A request that a caller sends again after a refusal is a *retry*; all others are *first attempts*.
-The log does not mark retries. They are recognized by the time that the caller is still willing to
-wait, which is shorter than for a first attempt on the same route.
+The log does not mark retries. They are recognized by the maximum wait that the caller states, which
+is shorter for a retry than for a first attempt on the same route.
 
 Only first attempts earn value:
 
@@ -10,7 +10,7 @@
 * a complete response that is late: a fraction of that value;
 * anything else: nothing, even if a retry gets a response later.
 
-These reduce the value, each in proportion to the value of the request and to its weight in
+Three things reduce the value, each in proportion to the value of the request and to a weight in
 :class:`CallerWeights`: each second that a request waited without being served afterwards, a retry
 that is not served, and a needless refusal. A refusal is needless if the gateway asked no server for
 capacity and no other requests waited ahead of the refused one.
@@ -38,8 +38,8 @@
 )
 from crankhinge.errors import SettingsError
 
-# A refusal within this time counts as immediate. Requests for capacity to three engines take about
-# 10 ms in total.
+# A refusal counts as immediate if the request ended within this time. Requests for capacity to
+# three engines take about 10 ms in total.
 MAX_IMMEDIATE_REFUSAL_MS = 60.0
 # Weight of an output token in the size of a request; a prompt token has weight 1.
 OUTPUT_TOKEN_WEIGHT = 10
@@ -51,15 +51,15 @@
 # counts as a failure. A caller that leaves earlier has cancelled its request.
 FULL_WAIT_FRACTION = 0.9
 
-# Events with which gateways log the end of a request. Entries, whose logs the error budgets are
-# computed from, have no `broken_off`.
+# Events with which gateways log the end of a request. Entries log no event `broken_off`; the error
+# budgets are computed from their logs.
 _END_EVENTS = frozenset({"answered", "request_failed", "broken_off", "caller_gone"})
 
 CostFraction = Annotated[float, msgspec.Meta(ge=0, le=10)]
 
 
 class CallerWeights(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Weights of the outcomes, as fractions of the value of the request.
+    """Values and costs of the outcomes, as fractions of the value of the request.
 
     Attributes:
         late: value of a late response.
@@ -82,9 +82,9 @@
 
     Attributes:
         IN_TIME: the caller received the complete response within the route's target.
-        LATE: the caller received the complete response later.
+        LATE: the caller received the complete response after the route's target.
         REFUSED_IMMEDIATELY: refused within ``MAX_IMMEDIATE_REFUSAL_MS``.
-        REFUSED_AFTER_WAIT: refused later.
+        REFUSED_AFTER_WAIT: refused after more than ``MAX_IMMEDIATE_REFUSAL_MS``.
         FAILED: the response failed or was incomplete, or the caller waited in vain.
         ABANDONED: the caller cancelled the request; it counts neither for nor against the service.
     """
@@ -110,7 +110,8 @@
         started_at: time at which the gateway received the request, in seconds since the epoch.
         route: name of the route.
         route_kind: kind of the route.
-        max_wait_ms: how long the caller was willing to wait for the response.
+        max_wait_ms: maximum wait that the caller stated: how long it was willing to wait for the
+            response.
         duration_ms: time from the start of the request to its end in the gateway.
         size: number of prompt tokens plus the weighted maximum number of output tokens; 0 for a
             request that does not go to a model.
@@ -141,7 +142,8 @@
         unserved_wait_s: total seconds that requests waited without being served afterwards.
         potential_value: value if all first attempts had been served in time.
         earned_value: value of the first attempts that were served.
-        cost: total cost of waits in vain, failed retries and needless refusals.
+        cost: total cost of the waits of requests that were not served, of failed retries and of
+            needless refusals.
     """
 
     first_attempts: dict[CallerOutcome, int] = field(
@@ -169,9 +171,9 @@
 
     Attributes:
         total: value of all requests.
-        value_by_route: value by route name.
-        value_by_window: value by number of the time window in which the request started; window 0
-            begins with the first request.
+        value_by_route: value of the requests of each route, by the route's name.
+        value_by_window: value of the requests that started in each time window, by the window's
+            number; window 0 begins with the first request.
         window_s: length of a time window, in seconds.
     """
 
@@ -182,7 +184,7 @@
 
 
 def read_caller_attempts(paths: Iterable[Path]) -> list[CallerAttempt]:
-    """Return the completed requests from the logs of gateways, sorted by start time.
+    """Return the requests that ended, from the logs of gateways, sorted by start time.
 
     Raises:
         SettingsError: a file cannot be read.
@@ -263,7 +265,10 @@
 def compute_caller_value(
     attempts: Iterable[CallerAttempt], weights: CallerWeights, *, window_s: float
 ) -> CallerValueReport:
-    """Return the value of *attempts* to their callers, with time windows of *window_s* seconds."""
+    """Return the value of *attempts* to their callers, with time windows of *window_s* seconds.
+
+    The attempts must be sorted by start time. Those that their callers cancelled are left out.
+    """
     attempts = [attempt for attempt in attempts if attempt.outcome is not CallerOutcome.ABANDONED]
     retry_thresholds_ms = _retry_thresholds_ms(attempts)
     sizes: defaultdict[str, list[float]] = defaultdict(list)
@@ -293,11 +298,14 @@
 
 
 def _retry_thresholds_ms(attempts: list[CallerAttempt]) -> dict[str, float]:
-    """Return for each route the wait below which a request counts as a retry, in milliseconds.
+    """Return the retry threshold of each route, in milliseconds.
+
+    A request counts as a retry if the maximum wait that its caller stated is below the threshold.
 
     Callers retry on new connections, so requests on reused connections are first attempts. If a
-    route has enough of them, the threshold is just below their shortest wait. Otherwise it is just
-    below the longest wait of all requests.
+    route has at least ``MIN_FIRST_ATTEMPTS`` requests on reused connections, the threshold is just
+    below the shortest maximum wait of these requests. Otherwise it is just below the longest
+    maximum wait of all requests of the route.
     """
     all_waits_ms: defaultdict[str, list[float]] = defaultdict(list)
     first_waits_ms: defaultdict[str, list[float]] = defaultdict(list)
--- a/src/crankhinge/config/_bundle.py
+++ b/src/crankhinge/config/_bundle.py
@@ -37,7 +37,7 @@
 
 
 class Partner(_BundleStruct, frozen=True):
-    """A partner; every partner signs every bundle.
+    """One of the organizations that share the engines; every partner signs every bundle.
 
     Attributes:
         name: name of the partner.
--- a/src/crankhinge/ctl/_reference.py
+++ b/src/crankhinge/ctl/_reference.py
@@ -1,4 +1,4 @@
-"""``crankhinge-ctl reference``: documents settings and bundles from their models' docstrings."""
+"""``crankhinge-ctl reference``: documents settings and bundles from their classes' docstrings."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def _attribute_descriptions(struct_type: type[msgspec.Struct]) -> dict[str, str]:
-    """Return the description of each attribute in the docstring of a model."""
+    """Return the description of each attribute in the docstring of a settings or bundle class."""
     text = inspect.getdoc(struct_type) or ""
     descriptions: dict[str, str] = {}
     attribute = ""
--- a/src/crankhinge/decisions/_quarantine.py
+++ b/src/crankhinge/decisions/_quarantine.py
@@ -1,10 +1,10 @@
 """Requests that are kept away from servers because servers crashed while running them.
 
 A crash ends all requests that the server runs, and it is unknown which of them caused it. A request
-that was running on several servers when they crashed is refused for a while. Then one attempt is
-let through as a trial: a response ends the quarantine, another crash begins a longer one. So a
-request that happened to run on those servers is served again soon, and one that makes servers crash
-reaches fewer and fewer of them.
+that was running on ``MAX_CRASHES`` servers when they crashed is put in quarantine, which means that
+it is refused for a while. Then one attempt is let through as a trial: a response ends the
+quarantine, another crash begins a longer one. So a request that happened to run on those servers is
+served again soon, and a request that makes servers crash reaches fewer and fewer of them.
 
 Crashes are identified by the incarnation ids of the servers, so a crash that is reported twice, by
 two instances or by a late message, counts once.
@@ -17,19 +17,20 @@
 
 from crankhinge.decisions._bounded import keep_newest
 
-# Number of crashed servers after which the request that they ran is refused, as the operators bound
-# it.
+# Number of crashed servers after which the request that they ran is refused. The operators set this
+# bound.
 MAX_CRASHES = 3
-# Seconds from that crash to the trial. A request that only happened to run on the crashed servers
-# is refused for that long; callers wait 14 s for a stream. Each further crash multiplies the time
-# by the growth factor. With 10, 40 and 160 s, a request that crashes servers reaches two servers in
-# the first 50 s and three in four minutes; the operators allow three more servers than those that
-# began the quarantine.
+# Seconds from the crash that begins a quarantine to the trial. A request that only happened to run
+# on the crashed servers is refused for this time; callers wait 14 s for a stream. Each further
+# crash multiplies the time by QUARANTINE_GROWTH. With 10, 40 and 160 s, a request that crashes
+# servers reaches two servers in the first 50 s and three in four minutes; the operators allow three
+# more servers than those that began the quarantine.
 FIRST_QUARANTINE_S = 10.0
 QUARANTINE_GROWTH = 4.0
 MAX_QUARANTINE_S = 3600.0
-# Seconds that a trial has before the next may begin. The observed crashes came 0.1 to 0.3 s after a
-# request had reached its server; a busy server takes some seconds to process a prompt.
+# Duration of a trial in seconds; the next trial may begin only after it. The observed crashes came
+# 0.1 to 0.3 s after a request had reached its server; a busy server takes some seconds to process a
+# prompt.
 TRIAL_S = 5.0
 # Seconds for which crashes are remembered; the observed callers retried within 6 s.
 CRASH_RETENTION_S = 600.0
@@ -41,11 +42,12 @@
 # Maximum number of crashes remembered for one request; with this many, its quarantine has the
 # maximum duration.
 MAX_CRASHED_SERVERS = 8
-# Number of requests in quarantine that an instance publishes in its record in the store: 4 kB at
-# most.
+# Maximum number of requests in quarantine that an instance publishes in its record in the store;
+# they take at most 4 kB.
 MAX_PUBLISHED = 16
 # Seconds after the completion of a request during which its quarantine in an instance record is
-# ignored: a record is rewritten within seconds, and may be read seconds late.
+# ignored: the instance that published the quarantine rewrites its record within seconds, and other
+# instances may read the record seconds late.
 COMPLETED_RETENTION_S = 40.0
 
 
@@ -62,7 +64,10 @@
     last_crash_at: float = 0.0
 
     def add(self, servers: Iterable[str], now: float) -> bool:
-        """Add crashed servers, and keep the newest; return whether any is new."""
+        """Add crashed servers; return whether any of them was unknown.
+
+        Only the ``MAX_CRASHED_SERVERS`` most recently added servers are kept.
+        """
         new = [server for server in servers if server not in self.servers]
         self.servers.update(dict.fromkeys(new))
         while len(self.servers) > MAX_CRASHED_SERVERS:
@@ -77,7 +82,8 @@
 
     Attributes:
         trial_at: when a trial may begin.
-        counted_here: whether this instance counted the crashes, and therefore publishes them.
+        counted_here: whether this instance counted the crashes, and therefore publishes the
+            quarantine in its instance record.
     """
 
     trial_at: float = 0.0
@@ -130,7 +136,7 @@
         return fingerprint in self._quarantined
 
     def refusal_left_s(self, fingerprint: str, now: float) -> float:
-        """Return the seconds for which a request is still refused; 0 if it may run."""
+        """Return the seconds for which a request is still refused; 0 if the request may run."""
         quarantined = self._quarantined.get(fingerprint)
         return max(0.0, quarantined.trial_at - now) if quarantined else 0.0
 
@@ -138,7 +144,8 @@
         """Record that a server crashed while it ran a request.
 
         Returns:
-            The quarantine that this crash begins or extends; None if it does neither.
+            The quarantine that this crash begins or extends; None if there is no quarantine or the
+            crash was already counted.
         """
         quarantined = self._quarantined.get(fingerprint)
         if quarantined is not None:
@@ -158,7 +165,10 @@
         return self._extend(fingerprint, quarantined, now)
 
     def _extend(self, fingerprint: str, quarantined: _Quarantined, now: float) -> QuarantineUpdate:
-        """Refuse a request from now on for the time that its number of crashes requires."""
+        """Refuse a request from now on, for longer the more servers crashed while running it.
+
+        Return the update to send to the other instances.
+        """
         quarantined.counted_here = True
         quarantined.trial_at = now + quarantined.quarantine_s
         return QuarantineUpdate(fingerprint, tuple(quarantined.servers), quarantined.quarantine_s)
@@ -166,14 +176,15 @@
     def begin_trial(self, fingerprint: str, now: float) -> QuarantineUpdate:
         """Begin a trial of a request: the calling code lets one attempt through.
 
-        All other attempts are refused for the seconds that a trial has.
+        All other attempts are refused for ``TRIAL_S`` seconds. Return the update to send to the
+        other instances.
         """
         quarantined = self._quarantined[fingerprint]
         quarantined.trial_at = now + TRIAL_S
         return QuarantineUpdate(fingerprint, tuple(quarantined.servers), TRIAL_S)
 
     def apply_update(self, update: QuarantineUpdate, now: float) -> bool:
-        """Apply an update from another instance; return whether it reports a crash that is new."""
+        """Apply an update from another instance; return whether it reports an unknown crash."""
         fingerprint = update.fingerprint
         known = self._quarantined.get(fingerprint)
         quarantined = known or _Quarantined()
@@ -219,7 +230,10 @@
                 yield update
 
     def record_completed(self, fingerprint: str, now: float) -> int:
-        """Record that a server completed a request; return how many crashes this clears."""
+        """Record that a server completed a request, which clears its crashes and its quarantine.
+
+        Return the number of crashes that were cleared.
+        """
         crashes = self.crash_count(fingerprint)
         if crashes:
             self._suspects.pop(fingerprint, None)
@@ -228,7 +242,10 @@
         return crashes
 
     def _drop_old(self, now: float) -> None:
-        """Drop requests without recent crashes; the suspects are ordered by their last crash."""
+        """Drop requests whose last crash or trial is more than ``CRASH_RETENTION_S`` ago.
+
+        The suspects are ordered by their last crash, so only the first of them are checked.
+        """
         while self._suspects:
             oldest = next(iter(self._suspects))
             if now - self._suspects[oldest].last_crash_at <= CRASH_RETENTION_S:
--- a/src/crankhinge/decisions/_reservations.py
+++ b/src/crankhinge/decisions/_reservations.py
@@ -32,7 +32,7 @@
 MIN_EVENT_TIMEOUT_S = 2.0
 EVENT_TIMEOUT_TARGETS = 4.0
 EVENT_TIMEOUT_PAUSES = 8.0
-# Seconds before that timeout by which the first event must have been sent.
+# The first event must be sent at least this many seconds before the caller gives up.
 EVENT_TIMEOUT_MARGIN_S = 0.2
 # Assumed seconds from the reservation to the first event, until some were measured.
 DEFAULT_FIRST_EVENT_S = 0.25
@@ -225,10 +225,10 @@
 
 
 def stream_event_timeout_s(target_s: float, max_pause_s: float) -> float:
-    """Return how long the caller of a stream waits for the next event, in seconds.
+    """Estimate how long the caller of a stream waits for the next event, in seconds.
 
     Args:
-        target_s: target of the route, in seconds.
+        target_s: latency target of the route, in seconds.
         max_pause_s: longest pause within a stream of the route that counts as in time; 0 for none.
     """
     return max(
--- a/src/crankhinge/entry/_agent_links.py
+++ b/src/crankhinge/entry/_agent_links.py
@@ -1,4 +1,4 @@
-"""Keeps links to the agents of the platform's list and reports their load to the router."""
+"""Keeps links to agents in the platform's list and updates the router from their messages."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 # An agent is removed after it has been missing from the list of agents in this many consecutive
 # reads of the list.
 MISSES_BEFORE_REMOVAL = 3
-# Time that one seed has to send the list and the bundle.
+# Seconds that one seed agent has to send the list of agents and the bundle.
 SEED_TIMEOUT_S = 2.0
 
 
 class AgentLinks:
-    """Keeps a link to each chosen agent and updates the router from the agents' messages.
+    """Keeps a link to each agent that this entry uses, and updates the router from their messages.
 
     Args:
         settings: settings of this entry.
@@ -54,7 +54,7 @@
         rng: source of the jitter of the reconnect delays.
 
     Attributes:
-        router: the router.
+        router: router whose backend servers are updated.
         heartbeat_sender: sends heartbeats on all links.
     """
 
@@ -100,7 +100,7 @@
         return len(self._links)
 
     def apply_bundle(self, bundle: Bundle) -> None:
-        """Apply the transfer costs of a bundle and the agents that keep its fence records."""
+        """Use the transfer costs of a bundle, and remember which agents keep fence records."""
         pairs = [pair for pool in bundle.pools for pair in pool.fence]
         self._fence_replicas = frozenset(name for pair in pairs for name in pair)
         transfer = bundle.transfer
@@ -126,8 +126,8 @@
     async def run(self) -> None:
         """Read the list of agents repeatedly and adapt the links to it, until cancelled.
 
-        While the list is unavailable, the known agents stay. If none are known, the list is
-        requested from the seeds.
+        While the list is unavailable, the links to the known agents stay. If no agent is known, the
+        list is requested from the seed agents.
         """
         while True:
             if not await self._instance_list.refresh() and not self._instance_list.instances:
@@ -137,7 +137,7 @@
             await self._instance_list.sleep_until_refresh()
 
     async def _load_from_seeds(self) -> None:
-        """Read the list and the bundle from the first agent in ``seeds`` that provides the list."""
+        """Get the list and the bundle from the first agent in ``seeds`` that provides the list."""
         for seed in self._settings.seeds:
             try:
                 link = await connect_link(*parse_endpoint(seed), self._make_hello())
@@ -254,7 +254,8 @@
         backend = self.router.backends[name]
         peer = link.peer
         if peer.incarnation != backend.incarnation:
-            # A new incarnation of the agent has no record of requests of the previous one.
+            # The agent has restarted, and does not know the requests that were sent to its previous
+            # incarnation. So the counts of these requests start again at 0.
             backend.sent_since_report = 0
             backend.sent_work_s = 0.0
             backend.open_requests = 0
--- a/src/crankhinge/entry/_fence_client.py
+++ b/src/crankhinge/entry/_fence_client.py
@@ -39,7 +39,7 @@
 
 
 def digest_request(method: str, target: str, body: bytes) -> bytes:
-    """Return a digest that shows whether two requests with the same key are identical."""
+    """Return a digest that shows whether two requests with one idempotency key are identical."""
     return hashlib.blake2b(
         b"\0".join((method.encode(), target.encode(), body)), digest_size=16
     ).digest()
@@ -50,10 +50,10 @@
     """A permit to run a non-repeatable request once.
 
     Attributes:
-        req: id of the step with which the permit was requested.
-        range_id: id of the range of keys that the record belongs to.
-        key: name of the member and idempotency key of the request.
-        replicas: names of the two agents that keep the record.
+        req: id of the message exchange in which the permit was requested.
+        range_id: id of the range of idempotency keys that the fence record belongs to.
+        key: name of the client account and idempotency key of the request, joined by a slash.
+        replicas: names of the two agents that keep the fence record.
     """
 
     req: int
@@ -63,7 +63,7 @@
 
 
 class FenceClient:
-    """Requests permits to run non-repeatable requests, and reports how these requests ended.
+    """Requests permits to run non-repeatable requests, and reports to the agents how these ended.
 
     Args:
         agent_links: links to the agents.
@@ -79,21 +79,23 @@
     async def request_permit(
         self, pool: Pool, member: str, key: str, digest: bytes, req: int
     ) -> FencePermit | RecordedResponse:
-        """Return a permit, or the recorded response to an earlier request with the same key.
+        """Return a permit, or the recorded response if an earlier request with this key has run.
 
         Args:
-            pool: pool that the request is sent to.
+            pool: pool of backend servers that the request is sent to.
             member: name of the caller's client account.
             key: idempotency key of the request.
             digest: result of :func:`digest_request`.
-            req: id of the step with which the permit is requested.
+            req: id of the message exchange in which the permit is requested.
 
         Raises:
-            AlreadyTaken: an earlier request has the permit, and its response is not recorded.
+            AlreadyTaken: an earlier request with this key has the permit, and its response is not
+                recorded, or only a part of the response is.
             KeyReused: the key was used for a different request.
-            KeyTooOld: the key is so old that its record may have been deleted.
-            BadKey: the key is not a UUID of version 7, or its time is in the future.
-            FenceUnavailable: no replica can decide now.
+            KeyTooOld: the key is so old that its fence record may have been deleted.
+            BadKey: the key is not a UUID of version 7, or the time in the key is in the future.
+            FenceUnavailable: the pool has no fence, or neither replica of the fence record can
+                decide now.
         """
         if not pool.fence:
             raise FenceUnavailable(f"pool {pool.name} has no fence")
@@ -122,12 +124,15 @@
         raise FenceUnavailable("no replica of the fence record can decide", retry_after_s=1.0)
 
     def _order_replicas(self, permit: FencePermit) -> tuple[str, ...]:
-        """Return the replicas in the order of requests, which depends on the id of the step."""
+        """Return the replicas in the order in which they are asked.
+
+        The order depends on the id of the message exchange.
+        """
         first, second = permit.replicas
         return (first, second) if permit.req % 2 else (second, first)
 
     async def _request_from(self, name: str, permit: FencePermit, digest: bytes) -> Any:
-        """Return the response of one replica, or None if it does not respond in time."""
+        """Return the response of the replica *name*, or None if it does not respond in time."""
         try:
             link = self._agent_links.get_link(name)
             mailbox = self._mailboxes.open(link, permit.req)
@@ -142,13 +147,13 @@
             self._mailboxes.close(mailbox)
 
     async def record_response(self, permit: FencePermit, response: RecordedResponse) -> None:
-        """Record the response to a permitted request, for callers that retry it."""
+        """Record the response to a permitted request, for retries of the caller."""
         await self._send_to_replicas(
             permit, FenceSettle(permit.req, permit.range_id, permit.key, response)
         )
 
     async def release(self, permit: FencePermit) -> None:
-        """Return the permit of a request that has not run and will not run."""
+        """Release the permit of a request that has not run and will not; its key is free again."""
         await self._send_to_replicas(permit, FenceRelease(permit.req, permit.range_id, permit.key))
 
     async def _send_to_replicas(self, permit: FencePermit, msg: Message) -> None:
@@ -161,11 +166,11 @@
 
 
 def _to_recorded_response(response: FenceAlreadyTaken) -> RecordedResponse:
-    """Return the response that a replica recorded.
+    """Return the response to the earlier request, which a replica recorded.
 
     Raises:
-        BadKey: the key is not a UUID of version 7, or its time is in the future.
-        KeyTooOld: the key is so old that its record may have been deleted.
+        BadKey: the key is not a UUID of version 7, or the time in the key is in the future.
+        KeyTooOld: the key is so old that its fence record may have been deleted.
         KeyReused: the key was used for a different request.
         AlreadyTaken: the response is not recorded, or only a part of it is.
     """
--- a/src/crankhinge/entry/_slot_client.py
+++ b/src/crankhinge/entry/_slot_client.py
@@ -41,7 +41,7 @@
 
     Attributes:
         request: the completion request.
-        route_request: length and prefix of the prompt, for the router.
+        route_request: length and prefix of the prompt, and its adapter, for the router.
         deadline: time by which the first token is needed, in seconds of the runtime's clock.
         max_tokens: largest number of tokens that are still to be generated.
     """
--- a/src/crankhinge/errors.py
+++ b/src/crankhinge/errors.py
@@ -249,7 +249,7 @@
 
 
 class KeyReused(CrankhingeError):
-    """The idempotency key was already used for a different request."""
+    """The request has an idempotency key that was already used for a different request."""
 
     code = "key-reused"
     status = 422
--- a/src/crankhinge/gateway/_attempts.py
+++ b/src/crankhinge/gateway/_attempts.py
@@ -27,7 +27,7 @@
     """Sends requests of every kind to servers.
 
     All requests to servers pass through here, so that no kind of attempt misses a check: first
-    attempts, retries, resumed streams, and prompts that a prompt engine processes.
+    attempts, retries, resumed streams, and prompts that one engine processes for another.
 
     Args:
         backends: the backend servers.
--- a/src/crankhinge_bench/_cluster.py
+++ b/src/crankhinge_bench/_cluster.py
@@ -31,6 +31,7 @@
 from crankhinge_bench._spec import ClusterSpec, EngineSpec
 
 PREFILL_SLOTS = 2
+# Number of agents that are listed as seeds in the settings of entries and of ctl.
 SEED_AGENT_COUNT = 3
 MAX_PUBLISH_RETRIES = 20
 EXIT_OUTCOME_UNKNOWN = 4
--- a/src/crankhinge_bench/_days.py
+++ b/src/crankhinge_bench/_days.py
@@ -1,9 +1,10 @@
 """Writes day files for the users' bench and runs them.
 
-A day file lists events (planned operations and faults) with their start times. The first days have
-one kind of event each, the later ones a random mix. The kinds and their variants are those that the
-users' bench knows; a site file gives the names of services and availability zones, nothing else.
-With a command that runs a day, the days run concurrently and the rules that broke are listed.
+A day is one run of the users' bench. A day file lists the events of a day (planned operations and
+faults) with their start times. The first days have one kind of event each, the later days a random
+mix. The kinds and their variants are those that the users' bench knows. The site file describes the
+system to the bench; this module reads only the services from it. If a command that runs a day is
+given, the days run concurrently, and the rules of the bench that were broken are printed.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 # Fields of one planned operation or fault, as a day file has them.
 Event = dict[str, Any]
 
-# Kinds of events that affect the servers of one service, with their variants.
+# Kinds of events that affect the servers of one service, and the variants of each kind.
 SERVER_KINDS: dict[str, tuple[str, ...]] = {
     "srv_crash": ("", "dark", "gone", "across", "domain"),
     "srv_grey": ("errors", "shed", "busy", "hang", "reset", "mute", "slow", "errors one_zone"),
@@ -48,7 +49,8 @@
     "handle_short": ("",),
     "applied_late": ("orders", "cloud", "grants", "all"),
 }
-# Kinds that affect the system's own instances, the platform, callers or operators.
+# Kinds of events that affect the system's own instances, the platform, callers or operators, and
+# the variants of each kind.
 OTHER_KINDS: dict[str, tuple[str, ...]] = {
     "burst": ("",),
     "shift": ("",),
@@ -84,7 +86,7 @@
     "config_storm": ("",),
     "big_config": ("",),
 }
-# Fields that are set for a kind in place of the defaults of the users' bench.
+# Fields that are set for events of a kind in place of the defaults of the users' bench.
 EXTRA_FIELDS: dict[str, Event] = {
     "config_storm": {"for_s": 2.0, "gap_s": 0.1},
     "big_config": {"count": 1400},
@@ -98,12 +100,12 @@
 
 @dataclass(frozen=True)
 class Day:
-    """One day.
+    """One run of the users' bench, as a day file describes it.
 
     Attributes:
-        name: name of the day and of its file.
-        seed: seed of the users' bench for this day.
-        events: planned operations and faults.
+        name: name of the day, and of its file without the suffix.
+        seed: seed with which the users' bench runs this day.
+        events: planned operations and faults of the day.
     """
 
     name: str
@@ -128,7 +130,7 @@
 
 
 def list_variants(kinds: Collection[str] = ()) -> list[tuple[str, str]]:
-    """Return all pairs of kind and variant; only those of *kinds* unless it is empty."""
+    """Return the pairs of kind and variant of the events in *kinds*; all pairs if it is empty."""
     all_kinds = itertools.chain(SERVER_KINDS.items(), OTHER_KINDS.items())
     return [
         (kind, variant)
@@ -144,7 +146,10 @@
 
 
 def make_event(kind: str, variant: str, site: dict[str, Any], rng: random.Random) -> Event:
-    """Return an event with a random start and, if its kind affects servers, a random service."""
+    """Return an event with a random start time.
+
+    If events of the kind affect servers, a service of *site* is drawn as well.
+    """
     row: Event = {
         "kind": kind,
         "at": round(rng.uniform(MIN_START_S, MAX_START_S), 2),
@@ -167,17 +172,17 @@
     kinds: Collection[str] = (),
     max_events: int = 3,
 ) -> Iterator[Day]:
-    """Yield days with one variant each, then days with several random variants.
+    """Yield days with events of one variant of a kind each, then days with random events.
 
-    A day of one variant has one or two events of it.
+    A day for one variant has one or two events of this variant.
 
     Args:
-        site: the parsed site file.
-        days_per_variant: number of days for each kind and variant.
+        site: the parsed site file, which describes the system to the users' bench.
+        days_per_variant: number of days for each variant of each kind.
         mixed_days: number of days with two or more random events.
         seed: seed of all random choices; the same seed gives the same days.
-        kinds: kinds to choose from; all by default.
-        max_events: maximum number of events of a mixed day.
+        kinds: kinds of events to choose from; empty for all.
+        max_events: maximum number of events of a day with random events.
     """
     rng = random.Random(seed)
     number = 0
@@ -188,7 +193,7 @@
             name = re.sub(r"\W+", "-", f"{kind} {variant}".strip())
             yield Day(f"one-{number}-{name}", rng.randrange(2**31), rows)
     for index in range(mixed_days):
-        # Two events are the most common number, and a variant may occur twice.
+        # Two is the most common number of events of a day. The same variant may be drawn twice.
         drawn = rng.choices(list_variants(kinds), k=rng.choice((2, *range(2, max_events + 1))))
         rows = tuple(make_event(kind, variant, site, rng) for kind, variant in drawn)
         yield Day(f"drawn-{index}", rng.randrange(2**31), rows)
--- a/src/crankhinge_standins/_replica_state.py
+++ b/src/crankhinge_standins/_replica_state.py
@@ -16,8 +16,8 @@
         resets: share of runs whose connection closes before the response.
         garbles: share of responses that break off in the middle.
         refuses: share of requests that the server refuses before they run.
-        slow: factor on every duration.
-        rest_s: backoff in seconds that refusals ask for; 0 for none.
+        slow: factor by which every duration is multiplied.
+        rest_s: backoff in seconds that the server asks for when it refuses a request; 0 for none.
         limit: limit in requests per second that the server advertises, as text; empty for none.
     """
 
--- a/src/crankhinge_standins/_web.py
+++ b/src/crankhinge_standins/_web.py
@@ -1,4 +1,4 @@
-"""Helpers of all stand-ins: JSON over HTTP, faults that are set from outside, and a recorder."""
+"""Helpers of all stand-ins: JSON over HTTP, faults that are set over HTTP, and a recorder."""
 
 from __future__ import annotations
 
@@ -25,7 +25,11 @@
 
 
 class FaultSettings(msgspec.Struct):
-    """Faults of a stand-in; ``PUT /faults`` with a JSON object sets those that it names."""
+    """Base class of the fault settings of a stand-in.
+
+    A request ``PUT /faults`` with a JSON object sets the faults that the object names. All other
+    faults stay as they are.
+    """
 
     def update(self, body: bytes) -> None:
         """Set the faults that the JSON object *body* names. Raises BadHttp for unknown names."""
@@ -43,7 +47,7 @@
         delay_s: seconds of delay before each response.
         lose_answers: whether connections are closed without a response although the requests take
             effect.
-        slow: factor on every duration.
+        slow: factor by which every duration is multiplied.
         stall: whether transfers of KV caches wait until the fault ends.
         refuse: whether requests get status 503 before they run.
         down_after_write: whether the next write takes effect, gets a response, and sets ``down``.
--- a/src/crankhinge_standins/engine.py
+++ b/src/crankhinge_standins/engine.py
@@ -28,7 +28,7 @@
 
 @dataclass
 class EngineConfig:
-    """Properties of the engine; each is also an option of the command line.
+    """Properties of the stand-in engine; each is also an option of the command line.
 
     Attributes:
         host: address to listen on.
@@ -92,7 +92,7 @@
         tokens: number of tokens of the prompt.
         computed_tokens: number of these tokens that were not in the prefix cache. They are counted
             as wasted if no token of an answer is generated from the KV cache.
-        expires_at: time at which it expires, in seconds of the runtime's clock.
+        expires_at: time at which the KV cache expires, in seconds of the runtime's clock.
     """
 
     tokens: int
@@ -295,7 +295,7 @@
             self._prefix_cache.popitem(last=False)
 
     async def _export_kv_cache(self, exchange: Exchange, handle: str) -> None:
-        """Send a KV cache at the rate of the outgoing link, and drop it."""
+        """Send a KV cache at the rate of the outgoing link, and then drop the KV cache."""
         kv = self._kv_caches.get(handle)
         now = await curio.clock()
         if kv is None or kv.expires_at <= now:
@@ -369,7 +369,8 @@
     async def _import_kv_cache(self, params: dict[str, Any]) -> int | None:
         """Fetch the KV cache of a prompt from another engine.
 
-        Returns the number of tokens that were computed for it, or None if it no longer exists.
+        Returns the number of tokens that were computed for the KV cache, or None if the other
+        engine no longer has it.
         """
         client = HttpClient(params["remote_host"], int(params["remote_port"]))
         try:
--- a/src/crankhinge_standins/main.py
+++ b/src/crankhinge_standins/main.py
@@ -32,7 +32,9 @@
     store.add_argument("--beat-s", type=float, default=0.0)
     store.add_argument("--history-s", type=float, default=0.0)
     replica = kinds.add_parser("replica", help="a backend server of the users' platform")
-    replica.add_argument("--shown", required=True, help="host:port at which others reach it")
+    replica.add_argument(
+        "--shown", required=True, help="host:port at which others reach the server"
+    )
     replica.add_argument("--service", required=True)
     replica.add_argument(
         "--phase", default="", help="initial role: prefill or decode; empty for a plain service"
@@ -40,7 +42,7 @@
     replica.add_argument("--store", required=True, help="host:port")
     replica.add_argument("--record", default="")
     replica.add_argument("--beat-s", type=float, default=1.2)
-    replica.add_argument("--place", default="", help="name of the place where it runs")
+    replica.add_argument("--place", default="", help="name of the place where the server runs")
     replica.add_argument("--silent-leave", action="store_true")
     for kind in (service, platform, store, replica):
         kind.add_argument("--host", default="127.0.0.1")
--- a/src/crankhinge_standins/platform.py
+++ b/src/crankhinge_standins/platform.py
@@ -1,7 +1,7 @@
 """A stand-in platform: key-value store, lagging service list (Consul API), and weight store.
 
-The platform refuses calls over its budgets of reads and writes per second. A watch counts as one
-read, however long it waits.
+The platform refuses calls that exceed its budgets of reads and writes per second. A watch counts as
+one read, however long it waits.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 class StandinPlatform:
-    """One key-value store with its service list.
+    """One stand-in platform, with a key-value store, a service list and a weight store.
 
     Args:
         host: address to listen on.
--- a/src/crankhinge_standins/replica.py
+++ b/src/crankhinge_standins/replica.py
@@ -25,11 +25,11 @@
 # KV memory of an engine in tokens, and maximum number of requests in progress on any server.
 MAX_KV_TOKENS = 12000
 SLOTS = 8
-# Maximum duration of a plain call.
+# Maximum duration of a plain call, in seconds.
 MAX_WORK_S = 0.05
-# Time to prefill one token.
+# Seconds to prefill one token.
 PREFILL_TOKEN_S = 0.00003
-# Interval between two events of a stream.
+# Seconds between two events of a stream.
 EVENT_INTERVAL_S = 0.02
 # Seconds for which the KV cache of a prompt is kept until another engine fetches it.
 KV_HANDLE_TTL_S = 0.5
@@ -48,7 +48,7 @@
 
 
 def make_events(ident: str) -> list[bytes]:
-    """Return the events of the response to the stream request *ident*, the same on any server."""
+    """Return the events of the response to the stream request *ident*, equal on all servers."""
     count = 5 + zlib.crc32(ident.encode()) % 20
     return [
         b"id: %d\ndata: %08x\n\n" % (n, zlib.crc32(f"{ident}:{n}".encode()))
@@ -57,7 +57,7 @@
 
 
 def make_body(ident: str) -> bytes:
-    """Return the body of the response to the plain request *ident*, the same on any server."""
+    """Return the body of the response to the plain request *ident*, equal on all servers."""
     seed = zlib.crc32(ident.encode())
     return f"{ident}:{seed:08x}:".encode() + b"x" * (seed % 3000)
 
@@ -227,7 +227,7 @@
             self._running -= 1
 
     def _by_chance(self, share: float) -> bool:
-        """Draw True with a probability of *share*."""
+        """Return True with the probability *share*, and False otherwise."""
         return self._rng.random() < share
 
     def _record_run(self, req: HttpRequest) -> str:
@@ -245,8 +245,8 @@
     def _make_signal_fields(self, ident: str, rest_s: float = 0.0) -> list[tuple[str, str]]:
         """Return the header fields with the server's signals to its callers.
 
-        They advertise a limit, announce the shutdown and ask for a backoff of *rest_s* seconds. The
-        latter two are also recorded.
+        The fields advertise a limit, announce the shutdown and ask for a backoff of *rest_s*
+        seconds. The announcement and the backoff are also recorded.
         """
         fields = []
         if self.faults.limit:
@@ -307,7 +307,10 @@
         tokens_by_id.pop(name, None)
 
     async def _run_decode(self, exchange: Exchange) -> None:
-        """Generate a decode engine's response, in the memory of its reservation if it has one."""
+        """Generate the answer to a request as a decode engine.
+
+        If the request has a reservation, the answer uses the reserved KV memory.
+        """
         req = exchange.req
         prompt, _, max_answer = req.headers["x-token-count"].partition(",")
         tokens = int(prompt) + int(max_answer)
@@ -333,7 +336,7 @@
             del self._memory.runs[run]
 
     async def _fetch_kv_cache(self, at: str) -> bool:
-        """Fetch the KV cache of a prompt from the location *at*; return whether it existed."""
+        """Fetch the KV cache of a prompt from the location *at*; return whether this succeeded."""
         where, _, handle = at.partition("/")
         host, _, port = where.rpartition(":")
         client = HttpClient(host, int(port))
@@ -349,7 +352,7 @@
         return bool(resp.status == 200)
 
     async def _stream_events(self, exchange: Exchange, ident: str) -> bool:
-        """Send the events that the caller does not have yet; return whether it got all of them.
+        """Send the events that the caller lacks; return whether the caller got all of them.
 
         Returns False instead of raising an exception if the caller closed its connection, because
         curio logs every task that raises.
@@ -397,7 +400,7 @@
             await reply(exchange, {}, 404)
 
     async def _reserve(self, exchange: Exchange, request: dict[str, Any]) -> None:
-        """Reserve KV memory for a request to come; the reservation expires after its TTL."""
+        """Reserve KV memory for a later request; the reservation expires after its TTL."""
         if self._role != "decode" or self._memory.used + request["tokens"] > MAX_KV_TOKENS:
             await reply(exchange, {}, 503)
             return
@@ -419,7 +422,7 @@
         await reply(exchange, {}, status)
 
     def _decide_order(self, order: dict[str, Any]) -> int:
-        """Return the status for an order to switch the role; 202 means that it is carried out."""
+        """Return the status for an order to switch the role; 202 means that the switch begins."""
         if any(name not in order for name in ORDER_FIELDS):
             return 400
         if order["fencing_token"] < self._fencing_token:
--- a/src/crankhinge_standins/store.py
+++ b/src/crankhinge_standins/store.py
@@ -23,7 +23,7 @@
 
 # Prefix of the keys of backend servers' entries.
 SERVERS_PREFIX = "servers/"
-# Number of missed heartbeats after which an entry is removed.
+# Number of missed heartbeats after which a server's entry is removed.
 MAX_MISSED_HEARTBEATS = 3.2
 # Seconds between checks for expired leases and missed heartbeats.
 EXPIRY_CHECK_S = 0.05
@@ -38,7 +38,7 @@
 
     Attributes:
         down: ``silent``, ``busy`` (status 503) or ``reset``; empty for none.
-        lapse: whether entries and leases expire while the store is down.
+        lapse: whether servers' entries and leases expire while the store is down.
         delay_s: seconds of delay before each response.
         lose_writes: whether calls with POST (transactions, leases) get no response, although they
             take effect.
@@ -62,10 +62,10 @@
     Args:
         host: address to listen on.
         port: TCP port to listen on.
-        beat_s: seconds between heartbeats of servers, which determines when the store removes an
-            entry. With 0, neither entries nor leases expire; tests that set the clock themselves
-            use this.
-        history_s: seconds for which changes are remembered; 0 for ever.
+        beat_s: seconds between heartbeats of servers, which determines when the store removes a
+            server's entry. With 0, neither entries nor leases expire; tests that set the clock
+            themselves use 0.
+        history_s: seconds for which changes are remembered; 0 to remember them for ever.
     """
 
     def __init__(self, host: str, port: int, beat_s: float = 0.0, history_s: float = 0.0) -> None:
@@ -136,11 +136,11 @@
         self._muted_conns.update(self._conns)
 
     def forget_history(self) -> None:
-        """Drop all changes made so far."""
+        """Drop all changes made so far from the history."""
         self.oldest_revision = self.revision
 
     def _forget_before(self, moment: float) -> None:
-        """Drop the changes made before *moment*."""
+        """Drop the changes made before the time *moment* from the history."""
         first_kept = bisect.bisect_left(self._changed_at, moment)
         if first_kept:
             self.oldest_revision = max(
@@ -157,7 +157,7 @@
             await group.spawn(serve, self.host, self.port, self._handle, self.faults, log)
 
     async def _expire_loop(self) -> None:
-        """Remove expired leases, and entries whose heartbeats have stopped."""
+        """Remove expired leases, and entries of servers whose heartbeats have stopped."""
         while True:
             await curio.sleep(EXPIRY_CHECK_S)
             if self.faults.forget:
@@ -206,7 +206,7 @@
             await exchange.respond(status, data)
 
     async def _fail_if_down(self, exchange: Exchange) -> None:
-        """Raise or never respond while the store is down."""
+        """Fail the call as the fault ``down`` says; return if the store is not down."""
         down = self.faults.down
         if down == "busy":
             await exchange.respond(503, b"{}")
@@ -236,7 +236,7 @@
         return await self._handle_lease_call(method, path, body)
 
     async def _write_by_owner(self, key: str, body: bytes) -> None:
-        """Write an item for its owner; an empty body removes it."""
+        """Write the item *key* for its owner; an empty body removes the item."""
         now = await curio.clock()
         if not body:
             self._heartbeats.pop(key, None)
@@ -251,7 +251,10 @@
         await self.put(key, value)
 
     def _is_heartbeat_only(self, key: str, entry: dict[str, Any]) -> bool:
-        """Whether an entry differs only in its sequence number, which makes no new revision."""
+        """Whether *entry* differs from the stored entry at most in its sequence number.
+
+        Writing such an entry makes no new revision.
+        """
         if key not in self.items:
             return False
         current = msgspec.json.decode(base64.b64decode(self.items[key]["value"]))
