--- a/src/crankhinge_standins/_replica_state.py
+++ b/src/crankhinge_standins/_replica_state.py
@@ -5,10 +5,10 @@
 import itertools
 from dataclasses import dataclass, field
 
-from crankhinge_standins._web import FaultSwitches
+from crankhinge_standins._web import FaultSettings
 
 
-class ReplicaFaults(FaultSwitches):
+class ReplicaFaults(FaultSettings):
     """Faults of a backend server.
 
     Attributes:
@@ -16,8 +16,8 @@
         resets: share of runs whose connection closes before the response.
         garbles: share of responses that break off in the middle.
         refuses: share of requests that the server refuses before they run.
-        slow: factor on every duration.
-        rest_s: backoff in seconds that refusals ask for; 0 for none.
+        slow: factor by which every duration is multiplied.
+        rest_s: backoff in seconds that the server asks for when it refuses a request; 0 for none.
         limit: limit in requests per second that the server advertises, as text; empty for none.
     """
 
--- a/src/crankhinge_standins/_web.py
+++ b/src/crankhinge_standins/_web.py
@@ -1,4 +1,4 @@
-"""Helpers of all stand-ins: JSON over HTTP, faults that are set from outside, and a recorder."""
+"""Helpers of all stand-ins: JSON over HTTP, faults that are set over HTTP, and a recorder."""
 
 from __future__ import annotations
 
@@ -24,8 +24,12 @@
     await reply(exchange, {"error": exc.detail}, exc.status)
 
 
-class FaultSwitches(msgspec.Struct):
-    """Faults of a stand-in; ``PUT /faults`` with a JSON object sets those that it names."""
+class FaultSettings(msgspec.Struct):
+    """Base class of the fault settings of a stand-in.
+
+    A request ``PUT /faults`` with a JSON object sets the faults that the object names. All other
+    faults stay as they are.
+    """
 
     def update(self, body: bytes) -> None:
         """Set the faults that the JSON object *body* names. Raises BadHttp for unknown names."""
@@ -35,7 +39,7 @@
             setattr(self, name, value)
 
 
-class Faults(FaultSwitches):
+class Faults(FaultSettings):
     """Faults of the stand-ins for the model engine, the plain service and the platform.
 
     Attributes:
@@ -43,7 +47,7 @@
         delay_s: seconds of delay before each response.
         lose_answers: whether connections are closed without a response although the requests take
             effect.
-        slow: factor on every duration.
+        slow: factor by which every duration is multiplied.
         stall: whether transfers of KV caches wait until the fault ends.
         refuse: whether requests get status 503 before they run.
         down_after_write: whether the next write takes effect, gets a response, and sets ``down``.
@@ -75,7 +79,7 @@
             os.write(self._fd, msgspec.json.encode({**row, "at": time.time()}) + b"\n")
 
 
-async def serve(host: str, port: int, handler: Handler, faults: FaultSwitches, log: Any) -> None:
+async def serve(host: str, port: int, handler: Handler, faults: FaultSettings, log: Any) -> None:
     """Serve requests with *handler*, except ``PUT /faults``, which sets *faults*."""
 
     async def handle(exchange: Exchange) -> None:
